--- a/src/command/apply.rs
+++ b/src/command/apply.rs
@@ -1,51 +1,66 @@
-//! `lockloft apply`.
+//! `lockloft apply`: policies are checked here, then by an instance, which
+//! writes them to the store.
 
 use super::client::Client;
 use super::error::CommandError;
 use super::options::Apply;
 use super::{Output, check};
-use crate::api::{ApplyRequest, Status};
-use crate::config::Applied;
-use crate::declaration::Declaration;
+use crate::api::ApplyRequest;
+use crate::entry::api::{EntryInstance, EntryStatus, PoliciesApplied};
+use crate::entry::policy::Policies;
+use std::fmt::Write;
 use std::time::{Duration, Instant};
+use tokio::time::sleep;
 
-/// Longest wait until a revision is in force everywhere.
+/// Longest time that `--wait` waits until policies are in force everywhere. An
+/// instance hears of a change within a second; the rest is for a slow store.
 const WAIT: Duration = Duration::from_secs(30);
-/// Pause between looks.
-const LOOK: Duration = Duration::from_millis(200);
+/// Time between two questions while `--wait` waits.
+const POLL_EVERY: Duration = Duration::from_millis(200);
 
-/// Checks here, then has the daemon check again and commit.
+/// Applies a file or folder, and with `--wait` waits until every instance has it
+/// in force.
 ///
 /// # Errors
 /// [`CommandError`].
-pub async fn run(client: &Client, apply: &Apply) -> Result<Output, CommandError> {
-    let sources = check::read(&apply.path)?;
-    Declaration::try_from(&sources)?;
+pub async fn run(client: &Client, asked: &Apply) -> Result<Output, CommandError> {
+    let sources = check::read(&asked.path)?;
+    Policies::check(0, &sources)?;
     let id = format!("{:032x}", rand::random::<u128>());
-    let request = ApplyRequest { id, by: apply.by.clone(), expect: apply.expect, sources };
-    let body = serde_json::to_vec(&request).map_err(|e| CommandError::Strange(e.to_string()))?;
-    let applied: Applied = client.post("/apply", body).await?;
+    let request = ApplyRequest { id, by: asked.by.clone(), expect: asked.expect, sources };
+    let body = serde_json::to_vec(&request).map_err(|error| CommandError::Strange(error.to_string()))?;
+    let applied: PoliciesApplied = client.post("/policies", body).await?;
     let mut text = format!("revision {} applied\n", applied.revision);
-    if apply.wait {
+    for name in &applied.idle {
+        let _ = writeln!(text, "policy {name:?} selects no target that is there now");
+    }
+    if asked.wait {
         let took = wait(client, applied.revision).await?;
-        text.push_str(&format!("in force in every hall after {:.1} s\n", took.as_secs_f64()));
+        let _ = writeln!(text, "in force at every instance after {:.1} s", took.as_secs_f64());
     }
     Output::new(&applied, text)
 }
 
+/// Waits until every instance that the entry knows has a revision in force.
 async fn wait(client: &Client, revision: u64) -> Result<Duration, CommandError> {
     let started = Instant::now();
     loop {
-        let status: Status = client.get("/status").await?;
-        let behind: Vec<&str> =
-            status.halls.iter().filter(|h| h.revision < revision).map(|h| h.hall.as_str()).collect();
-        if behind.is_empty() && status.revision >= revision {
+        let instances: Vec<EntryInstance> = client.get("/instances").await?;
+        let mut behind = Vec::new();
+        for instance in instances {
+            let other = Client::new(Some(&instance.peers.to_string()))?;
+            let known = other.get::<EntryStatus>("/status").await.ok().and_then(|status| status.policies);
+            if known.is_none_or(|known| known < revision) {
+                behind.push(instance.name);
+            }
+        }
+        if behind.is_empty() {
             return Ok(started.elapsed());
         }
         if started.elapsed() > WAIT {
-            let text = format!("revision {revision} is applied but not seen in force in {}", behind.join(", "));
+            let text = format!("revision {revision} is applied but not seen in force at {}", behind.join(", "));
             return Err(CommandError::Timeout(text));
         }
-        tokio::time::sleep(LOOK).await;
+        sleep(POLL_EVERY).await;
     }
 }
--- a/src/command/client.rs
+++ b/src/command/client.rs
@@ -1,4 +1,4 @@
-//! Requests to a daemon's operator front.
+//! Questions to an instance at its peers' address.
 
 use super::error::CommandError;
 use crate::api::Refused;
@@ -16,19 +16,19 @@
 /// Longest wait for an answer: an apply may have to resolve a lost reply.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A daemon's operator front.
+/// An instance that answers operators.
 pub struct Client {
-    server: String,
+    instance: String,
 }
 
 impl Client {
-    /// The daemon at `server`.
+    /// The instance at this address.
     ///
     /// # Errors
     /// [`CommandError::Usage`] where none is given.
-    pub fn new(server: Option<&str>) -> Result<Self, CommandError> {
-        let missing = || CommandError::Usage("no daemon named: give --server ADDR or set LOCKLOFT_SERVER".into());
-        Ok(Self { server: server.ok_or_else(missing)?.to_owned() })
+    pub fn new(instance: Option<&str>) -> Result<Self, CommandError> {
+        let missing = || CommandError::Usage("no instance named: give --entry ADDR or set LOCKLOFT_ENTRY".into());
+        Ok(Self { instance: instance.ok_or_else(missing)?.to_owned() })
     }
 
     /// Gets a path.
@@ -48,7 +48,7 @@
     }
 
     async fn call<T: DeserializeOwned>(&self, method: Method, path: &str, body: Bytes) -> Result<T, CommandError> {
-        let unreachable = || CommandError::Unreachable { server: self.server.clone() };
+        let unreachable = || CommandError::Unreachable { instance: self.instance.clone() };
         let exchanged = timeout(TIMEOUT, self.exchange(method, path, body)).await.map_err(|_| unreachable())?;
         let (status, bytes) = exchanged.map_err(|_| unreachable())?;
         if status.is_success() {
@@ -67,10 +67,10 @@
         path: &str,
         body: Bytes,
     ) -> Result<(StatusCode, Bytes), Box<dyn std::error::Error>> {
-        let stream = TcpStream::connect(&self.server).await?;
+        let stream = TcpStream::connect(&self.instance).await?;
         let (mut sender, connection) = handshake(TokioIo::new(stream)).await?;
         tokio::spawn(connection);
-        let request = Request::builder().method(method).uri(path).header(HOST, &self.server).body(Full::new(body))?;
+        let request = Request::builder().method(method).uri(path).header(HOST, &self.instance).body(Full::new(body))?;
         let response = sender.send_request(request).await?;
         let status = response.status();
         Ok((status, response.into_body().collect().await?.to_bytes()))
--- a/src/command/error.rs
+++ b/src/command/error.rs
@@ -13,23 +13,23 @@
     /// A file cannot be read.
     #[error("{path}: {source}; remedy: name a readable file or folder")]
     Unreadable { path: PathBuf, source: std::io::Error },
-    /// The declaration does not pass the check.
+    /// The policies do not pass the check.
     #[error("{0}")]
     Declaration(#[from] DeclarationError),
-    /// The daemon refused.
+    /// The instance refused.
     #[error("{0}")]
     Refused(String),
     /// Another change came first.
     #[error("{0}")]
     Conflict(String),
-    /// No daemon answers.
-    #[error("no daemon answers at {server}; remedy: give the operator address of one with --server or LOCKLOFT_SERVER")]
-    Unreachable { server: String },
+    /// No instance answers.
+    #[error("no instance answers at {instance}; remedy: give the peers' address of one with --entry or LOCKLOFT_ENTRY")]
+    Unreachable { instance: String },
     /// What was waited for did not come.
     #[error("{0}")]
     Timeout(String),
     /// An answer that cannot be understood.
-    #[error("the daemon's answer cannot be understood ({0}); remedy: use the same version of both programs")]
+    #[error("the instance's answer cannot be understood ({0}); remedy: use the same version of both programs")]
     Strange(String),
 }
 
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -3,17 +3,12 @@
 mod apply;
 mod check;
 mod client;
-mod diff;
-mod entry;
 mod error;
 mod explain;
 mod listing;
 pub mod options;
 mod request;
-#[cfg(test)]
-mod tests;
-
-pub use explain::sentences;
+mod why;
 
 use client::Client;
 use error::CommandError;
@@ -78,22 +73,16 @@
 }
 
 async fn output(options: &Options) -> Result<Output, CommandError> {
-    let client = Client::new(options.server.as_deref());
+    let client = Client::new(options.instance.as_deref());
     match &options.command {
-        Command::Entry(address, command) => entry::run(address, command).await,
-        Command::CheckPolicies(path) => entry::check_policies(path),
-        Command::Check(check) => check::run(check),
+        Command::Check(path) => check::run(path),
+        Command::Explain(explain) => explain::run(explain),
         Command::Apply(apply) => apply::run(&client?, apply).await,
-        Command::Diff(path) => diff::run(&client?, path).await,
-        Command::Explain(explain) => explain::run(client, explain).await,
-        Command::Why(pairs) => explain::why(&client?, pairs).await,
-        Command::Show(revision) => listing::show(&client?, *revision).await,
+        Command::Show => listing::show(&client?).await,
         Command::Status => listing::status(&client?).await,
         Command::Instances => listing::instances(&client?).await,
         Command::Targets => listing::targets(&client?).await,
-        Command::Shifts => listing::shifts(&client?).await,
-        Command::History => listing::history(&client?).await,
-        Command::Remove(name) => listing::remove(&client?, name).await,
+        Command::Why(pairs) => why::run(&client?, pairs).await,
     }
 }
 
--- a/src/command/options.rs
+++ b/src/command/options.rs
@@ -1,70 +1,52 @@
 //! The tool's command line, checked once.
 
-use super::entry::EntryCommand;
 use super::error::CommandError;
 use getopts::{Matches, Options as Parser};
 use std::path::PathBuf;
 
-/// Environment variable with the operator address of a daemon.
-const SERVER: &str = "LOCKLOFT_SERVER";
-/// Environment variable with the peers' address of an entry.
-const ENTRY: &str = "LOCKLOFT_ENTRY";
+/// Environment variable with the peers' address of an instance.
+const INSTANCE: &str = "LOCKLOFT_ENTRY";
 
 /// The help text.
 pub const HELP: &str = "\
-Usage: lockloft [--server ADDR | --entry ADDR] [--json] COMMAND [ARGUMENTS]
+Usage: lockloft [--entry ADDR] [--json] COMMAND [ARGUMENTS]
 
-Applies declarations and asks lockloft what it does and why.
+Applies policies and asks lockloft what it does and why.
 
 Commands:
-    apply PATH              apply the declaration in a file or folder
-        --wait              wait until every hall has it in force
+    apply PATH              apply the policies in a file or folder
+        --wait              wait until every instance has them in force
         --expect REVISION   refuse unless this revision is in force
-        --by NAME           who applies it (default: $USER)
-    check PATH              check a declaration without a daemon
-        --policies          or the policies for entries on a platform
-    diff PATH               what an apply would change
-    show                    print the declaration in force
-        --revision N        or that of an earlier revision
-    history                 the latest revisions and who applied them
-    status                  what the daemon knows of itself and all halls
-    instances               all instances
-    targets                 all targets, and the load of every hall
-    shifts                  how far planned shifts have come
-    explain ID              why a decision was made
-        --log FILE          from collected decision lines
-    why KEY=VALUE...        a dry decision: service=S [caller=IP] [LABEL=V...]
-    remove NAME             release the reserve of a silent instance that is
-                            surely gone
-
-With --entry, what an entry on a platform is asked:
-    apply PATH              apply policies (--wait, --expect, --by as above)
+        --by NAME           who applies them (default: $USER)
+    check PATH              check policies without an instance
     show                    print the policies in force
-    status, instances, targets
+    status                  what the instance knows of itself and the store
+    instances               all instances
+    targets                 all targets and their load
     why KEY=VALUE...        a dry decision: host=H path=P [method=M] [object=O]
                             [HEADER=V...]
+    explain ID              what became of a request
+        --log FILE          from collected log lines; may be repeated
 
 Options:
-    -e, --entry ADDR        peers' address of any entry (or LOCKLOFT_ENTRY)
-    -s, --server ADDR       operator address of any daemon (or LOCKLOFT_SERVER)
+    -e, --entry ADDR        peers' address of any instance (or LOCKLOFT_ENTRY)
         --json              print JSON
     -h, --help              print this help
     -V, --version           print the version
 
 Exit codes:
     0  done
-    1  refused: a bad declaration, an unknown name, a daemon that cannot
+    1  refused: bad policies, an unknown name, an instance that cannot
     2  the command line cannot be read
     3  another operator's change came first
-    4  no daemon or entry answers
-    5  --wait ran out of time; the declaration is applied
+    4  no instance answers
+    5  --wait ran out of time; the policies are applied
 
 Examples:
-    lockloft check examples/ferry
-    lockloft --server 10.1.0.4:7003 apply examples/ferry --wait
-    lockloft why service=booking caller=203.0.113.9 tier=kiosk
-    lockloft explain batumi-terminal-1-6a2f-1c
-    lockloft --entry 10.1.0.4:8544 apply policies.toml --wait
+    lockloft check examples/policies.toml
+    lockloft --entry 10.1.0.4:8544 apply examples/policies.toml --wait
+    lockloft --entry 10.1.0.4:8544 why host=tickets.example path=/buy/ object=sailing-7
+    lockloft explain request-2 --log e-1.log --log e-2.log
 ";
 
 /// What the arguments ask for.
@@ -79,8 +61,8 @@
 
 /// A checked command line.
 pub struct Options {
-    /// Operator address of a daemon, as given.
-    pub server: Option<String>,
+    /// Peers' address of the instance to ask, where one is given.
+    pub instance: Option<String>,
     /// Whether to print JSON.
     pub json: bool,
     /// What to do.
@@ -89,34 +71,22 @@
 
 /// What to do.
 pub enum Command {
-    /// Ask an entry on a platform, at this address.
-    Entry(String, EntryCommand),
-    /// Check policies for entries offline.
-    CheckPolicies(PathBuf),
-    /// Apply a declaration.
+    /// Apply policies.
     Apply(Apply),
-    /// Check a declaration offline.
+    /// Check policies offline.
     Check(PathBuf),
-    /// Compare a declaration with the one in force.
-    Diff(PathBuf),
-    /// Print a declaration.
-    Show(Option<u64>),
-    /// List revisions.
-    History,
-    /// Print a daemon's state.
+    /// Print the policies in force.
+    Show,
+    /// Print the instance's state.
     Status,
     /// List instances.
     Instances,
     /// List targets.
     Targets,
-    /// List planned shifts.
-    Shifts,
-    /// Explain a decision.
-    Explain(Explain),
     /// Make a dry decision for these keys and values.
     Why(Vec<(String, String)>),
-    /// Release a silent instance's reserve.
-    Remove(String),
+    /// Explain what became of a request.
+    Explain(Explain),
 }
 
 /// An apply.
@@ -133,9 +103,9 @@
 
 /// An explanation.
 pub struct Explain {
-    /// The decision's id.
-    pub decision: String,
-    /// Collected lines to look in; none to ask the deciding instance.
+    /// The request's id.
+    pub request: String,
+    /// Collected log lines to look in; at least one file.
     pub logs: Vec<PathBuf>,
 }
 
@@ -147,108 +117,72 @@
     type Error = CommandError;
 
     fn try_from(args: Vec<String>) -> Result<Self, CommandError> {
-        let mut parser = Parser::new();
-        parser.optopt("s", "server", "", "ADDR").optopt("e", "entry", "", "ADDR").optflag("", "json", "");
-        parser.optflag("h", "help", "").optflag("V", "version", "");
-        parser.optflag("", "wait", "").optopt("", "expect", "", "REVISION").optopt("", "by", "", "NAME");
-        parser.optflag("", "policies", "").optopt("", "revision", "", "N").optmulti("", "log", "", "FILE");
-        let matches = parser.parse(args).map_err(|e| usage(e.to_string()))?;
+        let matches = parser().parse(args).map_err(|error| usage(error.to_string()))?;
         if matches.opt_present("help") {
             return Ok(Asked::Help);
         }
         if matches.opt_present("version") {
             return Ok(Asked::Version);
         }
-        let server = matches.opt_str("server").or_else(|| std::env::var(SERVER).ok());
-        let json = matches.opt_present("json");
-        let command = match entry_address(&matches, server.is_some())? {
-            Some(address) => Command::Entry(address, entry_command(&matches)?),
-            None => command(&matches)?,
-        };
-        Ok(Asked::Run(Options { server, json, command }))
+        let command = command(&matches)?;
+        let instance = matches.opt_str("entry").or_else(|| std::env::var(INSTANCE).ok());
+        Ok(Asked::Run(Options { instance, json: matches.opt_present("json"), command }))
     }
 }
 
+fn parser() -> Parser {
+    let mut parser = Parser::new();
+    parser.optopt("e", "entry", "", "ADDR").optflag("", "json", "");
+    parser.optflag("h", "help", "").optflag("V", "version", "");
+    parser.optflag("", "wait", "").optopt("", "expect", "", "REVISION").optopt("", "by", "", "NAME");
+    parser.optmulti("", "log", "", "FILE");
+    // Operators' scripts say `check --policies`; there is nothing else to check.
+    parser.optflag("", "policies", "");
+    parser
+}
+
 fn command(matches: &Matches) -> Result<Command, CommandError> {
     let Some((name, rest)) = matches.free.split_first() else { return Err(usage("no command given")) };
     refuse_foreign(matches, name)?;
-    let command = match (name.as_str(), rest) {
-        ("apply", [path]) => Command::Apply(apply(matches, path)?),
-        ("check", [path]) if matches.opt_present("policies") => Command::CheckPolicies(path.into()),
-        ("check", [path]) => Command::Check(path.into()),
-        ("diff", [path]) => Command::Diff(path.into()),
-        ("show", []) => Command::Show(number(matches, "revision")?),
-        ("history", []) => Command::History,
-        ("status", []) => Command::Status,
-        ("instances", []) => Command::Instances,
-        ("targets", []) => Command::Targets,
-        ("shifts", []) => Command::Shifts,
-        ("explain", [id]) => {
-            let logs = matches.opt_strs("log").into_iter().map(PathBuf::from).collect();
-            Command::Explain(Explain { decision: id.clone(), logs })
-        }
-        ("why", pairs) if !pairs.is_empty() => Command::Why(pairs.iter().map(|p| pair(p)).collect::<Result<_, _>>()?),
-        ("remove", [name]) => Command::Remove(name.clone()),
-        ("apply" | "check" | "diff", _) => return Err(usage(format!("{name} takes one file or folder"))),
-        ("explain", _) => return Err(usage("explain takes one decision id")),
-        ("why", _) => return Err(usage("why takes KEY=VALUE arguments, service=NAME among them")),
-        ("remove", _) => return Err(usage("remove takes one instance name")),
-        ("show" | "history" | "status" | "instances" | "targets" | "shifts", _) => {
-            return Err(usage(format!("{name} takes no argument")));
+    match (name.as_str(), rest) {
+        ("apply", [path]) => Ok(Command::Apply(apply(matches, path)?)),
+        ("check", [path]) => Ok(Command::Check(path.into())),
+        ("show", []) => Ok(Command::Show),
+        ("status", []) => Ok(Command::Status),
+        ("instances", []) => Ok(Command::Instances),
+        ("targets", []) => Ok(Command::Targets),
+        ("why", pairs) if !pairs.is_empty() => {
+            Ok(Command::Why(pairs.iter().map(|p| pair(p)).collect::<Result<_, _>>()?))
         }
-        _ => return Err(usage(format!("unknown command {name:?}"))),
-    };
-    Ok(command)
+        ("explain", [id]) => explain(matches, id),
+        ("apply" | "check", _) => Err(usage(format!("{name} takes one file or folder"))),
+        ("explain", _) => Err(usage("explain takes one request id")),
+        ("why", _) => Err(usage("why takes KEY=VALUE arguments, host=NAME and path=PATH among them")),
+        ("show" | "status" | "instances" | "targets", _) => Err(usage(format!("{name} takes no argument"))),
+        _ => Err(usage(format!("unknown command {name:?}"))),
+    }
 }
 
 fn apply(matches: &Matches, path: &str) -> Result<Apply, CommandError> {
     Ok(Apply {
         path: path.into(),
         wait: matches.opt_present("wait"),
-        expect: number(matches, "expect")?,
+        expect: revision(matches)?,
         by: matches.opt_str("by").or_else(|| std::env::var("USER").ok()).unwrap_or_else(|| "unknown".into()),
     })
 }
 
-/// The address of the entry that is asked; none where a daemon is, or nobody.
-fn entry_address(matches: &Matches, has_server: bool) -> Result<Option<String>, CommandError> {
-    match matches.opt_str("entry") {
-        Some(_) if matches.opt_present("server") => Err(usage("--server and --entry exclude each other")),
-        Some(address) => Ok(Some(address)),
-        None => {
-            let offline = matches.free.first().is_some_and(|name| matches!(name.as_str(), "check" | "explain"));
-            Ok(std::env::var(ENTRY).ok().filter(|_| !has_server && !offline))
-        }
-    }
-}
-
-fn entry_command(matches: &Matches) -> Result<EntryCommand, CommandError> {
-    let Some((name, rest)) = matches.free.split_first() else { return Err(usage("no command given")) };
-    refuse_foreign(matches, name)?;
-    match (name.as_str(), rest) {
-        ("apply", [path]) => Ok(EntryCommand::Apply(apply(matches, path)?)),
-        ("show", []) if !matches.opt_present("revision") => Ok(EntryCommand::Show),
-        ("status", []) => Ok(EntryCommand::Status),
-        ("instances", []) => Ok(EntryCommand::Instances),
-        ("targets", []) => Ok(EntryCommand::Targets),
-        ("why", pairs) if !pairs.is_empty() => {
-            Ok(EntryCommand::Why(pairs.iter().map(|p| pair(p)).collect::<Result<_, _>>()?))
-        }
-        ("show", _) => Err(usage("an entry shows the policies in force alone")),
-        _ => Err(usage(format!("an entry is not asked {name:?} in this form"))),
+fn explain(matches: &Matches, id: &str) -> Result<Command, CommandError> {
+    let logs: Vec<PathBuf> = matches.opt_strs("log").into_iter().map(PathBuf::from).collect();
+    if logs.is_empty() {
+        return Err(usage("explain reads collected log lines: give --log FILE"));
     }
+    Ok(Command::Explain(Explain { request: id.to_owned(), logs }))
 }
 
-/// Options that only some commands take.
+/// Options that only one command takes.
 fn refuse_foreign(matches: &Matches, name: &str) -> Result<(), CommandError> {
-    let owners = [
-        ("wait", "apply"),
-        ("expect", "apply"),
-        ("by", "apply"),
-        ("revision", "show"),
-        ("log", "explain"),
-        ("policies", "check"),
-    ];
+    let owners = [("wait", "apply"), ("expect", "apply"), ("by", "apply"), ("log", "explain"), ("policies", "check")];
     for (option, owner) in owners {
         if matches.opt_present(option) && name != owner {
             return Err(usage(format!("--{option} belongs to {owner}")));
@@ -257,9 +191,9 @@
     Ok(())
 }
 
-fn number(matches: &Matches, name: &str) -> Result<Option<u64>, CommandError> {
-    let parse = |text: String| text.parse().map_err(|_| usage(format!("--{name} takes a revision number")));
-    matches.opt_str(name).map(parse).transpose()
+fn revision(matches: &Matches) -> Result<Option<u64>, CommandError> {
+    let parse = |text: String| text.parse().map_err(|_| usage("--expect takes a revision number"));
+    matches.opt_str("expect").map(parse).transpose()
 }
 
 fn pair(text: &str) -> Result<(String, String), CommandError> {
