--- a/src/declaration/error.rs
+++ b/src/declaration/error.rs
@@ -23,14 +23,11 @@
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum DeclarationError {
     /// The text is not TOML of the documented shape.
-    #[error("{file}:{line}: {text}; remedy: write only the fields that docs/DECLARATIONS.md lists")]
+    #[error("{file}:{line}: {text}; remedy: write only the fields that docs/POLICIES.md lists")]
     Syntax { file: String, line: usize, text: String },
     /// Two items of one kind have the same name.
     #[error("{place}: the name {name:?} is taken by another {kind}; remedy: give one of them another name")]
     Duplicate { place: Place, kind: &'static str, name: String },
-    /// A field names something that is not declared.
-    #[error("{place}: no {kind} is named {name:?}; remedy: declare it, or correct the name")]
-    Dangling { place: Place, kind: &'static str, name: String },
     /// A number is out of its range.
     #[error("{place}: {value} is out of range; remedy: give {range}")]
     Range { place: Place, value: String, range: &'static str },
@@ -39,20 +36,9 @@
         "{place}: a policy says exactly one of allow, deny, drain, prefer, weight, limit, priority, or a cap alone; remedy: {remedy}"
     )]
     Action { place: Place, remedy: &'static str },
-    /// A selector that no declared item can match.
-    #[error(
-        "{place}: the selector matches nothing declared; remedy: correct the label or value, or declare what it should match"
-    )]
-    Empty { place: Place },
-    /// Policies that cannot both hold.
-    #[error("{place}: contradicts policy {other:?}: {text}; remedy: remove one, or narrow its selectors")]
-    Contradiction { place: Place, other: String, text: &'static str },
     /// A field that makes no sense beside another.
     #[error("{place}: {text}; remedy: {remedy}")]
     Mismatch { place: Place, text: &'static str, remedy: &'static str },
-    /// There is nothing to serve.
-    #[error("{file}: the declaration has no {kind}; remedy: declare at least one")]
-    Missing { file: String, kind: &'static str },
     /// More items than the system is built for.
     #[error("{place}: more than {most} {kind}; remedy: split the deployment, or see docs/CAPACITY.md")]
     TooMany { place: Place, kind: &'static str, most: usize },
--- a/src/declaration/mod.rs
+++ b/src/declaration/mod.rs
@@ -1,25 +1,13 @@
-//! Declarations: the operators' statement of the world, read, checked whole
-//! and turned into arenas.
+//! The operators' files: their text, the items in it, and the faults found there.
 
 pub(crate) mod check;
 mod error;
 pub(crate) mod file;
 pub(crate) mod policies;
 pub(crate) mod raw;
-#[cfg(test)]
-mod tests;
 
 pub use error::{DeclarationError, Place};
 
-use crate::caller::{BlockTable, Caller};
-use crate::hall::Hall;
-use crate::key::{Arena, CallerKey, HallKey, PolicyKey, RegionKey, ServiceKey, TargetKey};
-use crate::label::Interner;
-use crate::link::Links;
-use crate::policy::Policy;
-use crate::region::Region;
-use crate::service::Service;
-use crate::target::Target;
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
@@ -71,46 +59,3 @@
         Ok(Self { files })
     }
 }
-
-/// A checked declaration. Made by `TryFrom<&Sources>`, whole or not at all.
-#[derive(Clone, Debug)]
-pub struct Declaration {
-    /// Label names and values.
-    pub interner: Interner,
-    /// All regions.
-    pub regions: Arena<RegionKey, Region>,
-    /// All halls.
-    pub halls: Arena<HallKey, Hall>,
-    /// Delays and rates between halls.
-    pub links: Links,
-    /// All services.
-    pub services: Arena<ServiceKey, Service>,
-    /// All targets, those of one service and hall side by side.
-    pub targets: Arena<TargetKey, Target>,
-    /// All caller groups.
-    pub callers: Arena<CallerKey, Caller>,
-    /// Caller groups by address.
-    pub blocks: BlockTable,
-    /// All policies, in name order.
-    pub policies: Arena<PolicyKey, Policy>,
-}
-
-impl Declaration {
-    /// The hall of this name.
-    pub fn hall(&self, name: &str) -> Option<HallKey> {
-        self.halls.find(|h| h.name == name)
-    }
-
-    /// The service of this name.
-    pub fn service(&self, name: &str) -> Option<ServiceKey> {
-        self.services.find(|s| s.name == name)
-    }
-}
-
-impl TryFrom<&Sources> for Declaration {
-    type Error = DeclarationError;
-
-    fn try_from(sources: &Sources) -> Result<Self, DeclarationError> {
-        check::check(sources)
-    }
-}
--- a/src/entry/policy/mod.rs
+++ b/src/entry/policy/mod.rs
@@ -5,6 +5,7 @@
 mod active;
 mod apply;
 mod check;
+mod credit;
 mod document;
 mod labels;
 
@@ -14,9 +15,9 @@
 pub use labels::RequestFacts;
 
 use super::target::Target;
-use crate::decision::cap::Credit;
 use crate::label::Interner;
 use crate::policy::{Action, Policy};
+use credit::Credit;
 use labels::Labels;
 
 /// The most policies of one document: a [`PolicyMask`] has one bit for each.
--- a/src/label.rs
+++ b/src/label.rs
@@ -25,9 +25,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct Interner {
     keys: HashMap<String, LabelKey>,
-    names: Vec<String>,
     values: HashMap<String, Symbol>,
-    texts: Vec<String>,
 }
 
 impl Interner {
@@ -36,9 +34,8 @@
         if let Some(key) = self.keys.get(name) {
             return *key;
         }
-        let key = LabelKey(u16::try_from(self.names.len()).expect("fewer than 65,536 label names"));
+        let key = LabelKey(u16::try_from(self.keys.len()).expect("fewer than 65,536 label names"));
         self.keys.insert(name.to_owned(), key);
-        self.names.push(name.to_owned());
         key
     }
 
@@ -47,9 +44,8 @@
         if let Some(symbol) = self.values.get(value) {
             return *symbol;
         }
-        let symbol = Symbol(self.texts.len() as u32 + 2);
+        let symbol = Symbol(self.values.len() as u32 + 2);
         self.values.insert(value.to_owned(), symbol);
-        self.texts.push(value.to_owned());
         symbol
     }
 
@@ -65,21 +61,7 @@
 
     /// The number of label names.
     pub fn width(&self) -> usize {
-        self.names.len()
-    }
-
-    /// A readable form of a set: `name=value` pairs.
-    pub fn describe(&self, set: &LabelSet) -> RawLabels {
-        let mut labels = RawLabels::new();
-        for (i, symbol) in set.values.iter().enumerate() {
-            let text = match *symbol {
-                Symbol::NONE => continue,
-                Symbol::OTHER => "(unlisted)",
-                Symbol(n) => &self.texts[n as usize - 2],
-            };
-            labels.insert(self.names[i].clone(), text.to_owned());
-        }
-        labels
+        self.keys.len()
     }
 }
 
@@ -108,22 +90,4 @@
         }
         self.values[i] = value;
     }
-
-    /// Interns `labels` over what is set already.
-    pub fn extend(&mut self, interner: &mut Interner, labels: &RawLabels) {
-        for (name, value) in labels {
-            let key = interner.intern_key(name);
-            let symbol = interner.intern_value(value);
-            self.set(key, symbol);
-        }
-    }
-
-    /// Overlays every present label of `other`.
-    pub fn overlay(&mut self, other: &LabelSet) {
-        for (i, symbol) in other.values.iter().enumerate() {
-            if *symbol != Symbol::NONE {
-                self.set(LabelKey(i as u16), *symbol);
-            }
-        }
-    }
 }
--- a/src/policy.rs
+++ b/src/policy.rs
@@ -3,22 +3,19 @@
 //! The total order in which conflicts resolve, strongest first:
 //! 1. `drain` and `deny` take places away, whatever else is said;
 //! 2. `allow` keeps only the union of the places that allow policies select;
-//! 3. `cap` bounds what may be moved from the natural hall;
-//! 4. `limit`: every limit that selects the request holds;
-//! 5. `weight`: the first in name order that has not been refused moves its share;
-//! 6. `prefer`: the smallest rank that selects a place counts;
-//! 7. `priority`: the last in name order counts.
+//! 3. `cap` bounds what may be moved out of the hall that a request would go to
+//!    if no target had any trouble;
+//! 4. `weight`: the weights that select a request share a scale in name order;
+//! 5. `prefer`: the smallest rank that selects a place counts.
+//!
+//! `limit`, `priority` and the pace of a weight are read, so that the check can
+//! refuse them with a remedy.
 
-use crate::hall::HallSet;
 use crate::selector::Selector;
-use crate::target::TargetSet;
 use std::time::Duration;
 
 /// Rank of a place that no `prefer` policy selects.
 pub const UNRANKED: u16 = u16::MAX;
-/// The most policies that may concern one service: policy sets are 128-bit masks.
-pub const MAX_POLICIES: usize = 128;
-
 /// What a policy says.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
@@ -40,22 +37,6 @@
     Cap,
 }
 
-impl Action {
-    /// The word an operator writes for it.
-    pub fn word(&self) -> &'static str {
-        match self {
-            Action::Allow => "allow",
-            Action::Deny => "deny",
-            Action::Drain => "drain",
-            Action::Prefer(_) => "prefer",
-            Action::Weight(_) => "weight",
-            Action::Limit(_) => "limit",
-            Action::Priority(_) => "priority",
-            Action::Cap => "cap",
-        }
-    }
-}
-
 /// A share of traffic that is to move, and how fast.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Weight {
@@ -97,14 +78,3 @@
     /// Largest share of the selected requests that may be moved, 0 to 1.
     pub cap: Option<f64>,
 }
-
-/// The places of one policy among the targets of one service.
-#[derive(Clone, Debug, Default)]
-pub struct Reach {
-    /// Halls with at least one selected target.
-    pub halls: HallSet,
-    /// Halls all of whose targets are selected.
-    pub whole: HallSet,
-    /// The selected targets, by position in the service.
-    pub targets: TargetSet,
-}
--- a/src/selector.rs
+++ b/src/selector.rs
@@ -93,11 +93,4 @@
     pub fn selects(&self, labels: &LabelSet) -> bool {
         self.tests.iter().all(|t| t.passes(labels))
     }
-
-    /// Whether a set that has only label `key` fixed to `value` could pass.
-    pub fn could_select(&self, key: LabelKey, value: Symbol) -> bool {
-        let mut fixed = LabelSet::default();
-        fixed.set(key, value);
-        self.tests.iter().filter(|t| t.key == key).all(|t| t.passes(&fixed))
-    }
 }
