--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,19 +1,19 @@
 //! One request of a caller at the targets: chosen, sent, and sent again only
 //! where that is safe.
 
-use super::body::{AnswerBody, RequestBody};
-use super::catalog::{Catalog, Part, Repeat, Route};
-use super::choice::{NoTarget, Query, Warming, choose, hash_object};
-use super::exchange::{Exchange, Fault};
-use super::held::Held;
-use super::platform::Platform;
-use super::policy::{Active, RequestFacts, Trial};
-use super::refusal::Refusal;
-use super::serve::Story;
-use super::settings::Settings;
-use super::state::Entry;
-use super::target::Target;
-use super::world::World;
+use crate::entry::body::{AnswerBody, RequestBody};
+use crate::entry::catalog::{Catalog, Part, Repeat, Route};
+use crate::entry::choice::{NoTarget, Query, Warming, choose, hash_object};
+use crate::entry::exchange::{Exchange, Fault};
+use crate::entry::held::Held;
+use crate::entry::platform::Platform;
+use crate::entry::policy::{Active, RequestFacts, Trial};
+use crate::entry::refusal::Refusal;
+use crate::entry::serve::Story;
+use crate::entry::settings::Settings;
+use crate::entry::state::Entry;
+use crate::entry::target::Target;
+use crate::entry::world::World;
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::{Request, Response, Version};
--- a/src/entry/fronts.rs
+++ b/src/entry/fronts.rs
@@ -1,13 +1,13 @@
 //! The addresses of an entry: callers, readiness, directory, peers.
 
-use super::body::AnswerBody;
-use super::directory;
-use super::operator;
-use super::peers;
-use super::platform::Platform;
-use super::serve::serve;
-use super::server::{ConnectionLimits, Handler};
-use super::state::Entry;
+use crate::entry::body::AnswerBody;
+use crate::entry::directory;
+use crate::entry::operator;
+use crate::entry::peers;
+use crate::entry::platform::Platform;
+use crate::entry::serve::serve;
+use crate::entry::server::{ConnectionLimits, Handler};
+use crate::entry::state::Entry;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response, StatusCode};
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -39,10 +39,10 @@
 pub mod view;
 pub mod world;
 
-use fronts::{CallerFront, DirectoryFront, PeerFront};
-use platform::Platform;
-use settings::{Settings, SettingsError};
-use state::Entry;
+use crate::entry::fronts::{CallerFront, DirectoryFront, PeerFront};
+use crate::entry::platform::Platform;
+use crate::entry::settings::{Settings, SettingsError};
+use crate::entry::state::Entry;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -77,7 +77,7 @@
 pub fn run<P: Platform>(path: &Path, connect: impl FnOnce(&Settings) -> P::Store) -> Result<(), EntryError> {
     let settings = Settings::load(path)?;
     let store = connect(&settings);
-    let log = log::Log::start(settings.log_rate);
+    let log = crate::entry::log::Log::start(settings.log_rate);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve_until_stopped::<P>(path.to_owned(), settings, store, log))
 }
@@ -86,7 +86,7 @@
     path: PathBuf,
     settings: Settings,
     store: P::Store,
-    log: log::Log,
+    log: crate::entry::log::Log,
 ) -> Result<(), EntryError> {
     let listen = settings.listen;
     let callers = bind("callers", listen.callers).await?;
@@ -98,17 +98,17 @@
     tracing::info!(event = "started", name = settings.name, hall = &*settings.hall, region = &*settings.region);
     let entry: Rc<Entry<P>> = Rc::new(Entry::new(settings, store, log.clone()));
     spawn_local(log.clone().run());
-    spawn_local(server::listen(callers, Rc::new(CallerFront(entry.clone()))));
-    spawn_local(server::listen(readiness, Rc::new(DirectoryFront(entry.clone()))));
-    spawn_local(server::listen(directory, Rc::new(DirectoryFront(entry.clone()))));
-    spawn_local(server::listen(peers, Rc::new(PeerFront(entry.clone()))));
-    spawn_local(store_watch::run(entry.clone()));
-    spawn_local(membership::run(entry.clone()));
-    spawn_local(peers::run(entry.clone()));
+    spawn_local(crate::entry::server::listen(callers, Rc::new(CallerFront(entry.clone()))));
+    spawn_local(crate::entry::server::listen(readiness, Rc::new(DirectoryFront(entry.clone()))));
+    spawn_local(crate::entry::server::listen(directory, Rc::new(DirectoryFront(entry.clone()))));
+    spawn_local(crate::entry::server::listen(peers, Rc::new(PeerFront(entry.clone()))));
+    spawn_local(crate::entry::store_watch::run(entry.clone()));
+    spawn_local(crate::entry::membership::run(entry.clone()));
+    spawn_local(crate::entry::peers::run(entry.clone()));
     spawn_local(sweep(entry.clone()));
     spawn_local(reload(entry.clone(), path, hang_up));
     terminate.recv().await;
-    stop::drain(entry).await;
+    crate::entry::stop::drain(entry).await;
     log.finish().await;
     Ok(())
 }
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -1,14 +1,14 @@
 //! What operators ask an entry: its state, its targets, a dry decision, and the
 //! policies in force; and the policies that they apply.
 
-use super::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
-use super::body::AnswerBody;
-use super::catalog::{Catalog, Route};
-use super::choice::{Query, Verdict, Warming, explain, hash_object};
-use super::platform::Platform;
-use super::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial, apply};
-use super::state::Entry;
-use super::target::Target;
+use crate::entry::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
+use crate::entry::body::AnswerBody;
+use crate::entry::catalog::{Catalog, Route};
+use crate::entry::choice::{Query, Verdict, Warming, explain, hash_object};
+use crate::entry::platform::Platform;
+use crate::entry::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial, apply};
+use crate::entry::state::Entry;
+use crate::entry::target::Target;
 use crate::api::{ApplyRequest, Refused};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -112,7 +112,7 @@
 }
 
 fn instances<P: Platform>(entry: &Entry<P>) -> Vec<EntryInstance> {
-    let line = |(name, member): (&String, &super::member::Member)| EntryInstance {
+    let line = |(name, member): (&String, &crate::entry::member::Member)| EntryInstance {
         name: name.clone(),
         hall: member.hall.clone(),
         region: member.region.clone(),
--- a/src/entry/pool.rs
+++ b/src/entry/pool.rs
@@ -1,6 +1,6 @@
 //! Connections to one target.
 
-use super::body::RequestBody;
+use crate::entry::body::RequestBody;
 use crate::dial;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{SendRequest, handshake};
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,16 +1,16 @@
 //! A caller's request: understood, attempted, answered and told in the log.
 
-use super::attempt::Attempt;
-use super::body::AnswerBody;
-use super::catalog::Catalog;
-use super::headers::remove_hop_by_hop;
-use super::held::Held;
-use super::platform::Platform;
-use super::policy::Trial;
-use super::refusal::Refusal;
-use super::state::Entry;
-use super::stop::takes_requests;
-use super::target::Target;
+use crate::entry::attempt::Attempt;
+use crate::entry::body::AnswerBody;
+use crate::entry::catalog::Catalog;
+use crate::entry::headers::remove_hop_by_hop;
+use crate::entry::held::Held;
+use crate::entry::platform::Platform;
+use crate::entry::policy::Trial;
+use crate::entry::refusal::Refusal;
+use crate::entry::state::Entry;
+use crate::entry::stop::takes_requests;
+use crate::entry::target::Target;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::http::request::Parts;
--- a/src/entry/stop.rs
+++ b/src/entry/stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop: callers are sent elsewhere, and what is under way ends.
 
-use super::platform::Platform;
-use super::state::Entry;
+use crate::entry::platform::Platform;
+use crate::entry::state::Entry;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
--- a/src/entry/store_health.rs
+++ b/src/entry/store_health.rs
@@ -1,8 +1,8 @@
 //! Whether the store answers, and how old what is known of it is.
 
-use super::membership::RENEW_EVERY;
-use super::platform::StoreError;
-use super::relay::STALE;
+use crate::entry::membership::RENEW_EVERY;
+use crate::entry::platform::StoreError;
+use crate::entry::relay::STALE;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -38,7 +38,7 @@
         self.heard_at.set(Some(now));
         let has_returned = self.lost.replace(false);
         if has_returned {
-            super::log::store_regained();
+            crate::entry::log::store_regained();
             self.note_return(Some(now));
         }
         has_returned
@@ -47,7 +47,7 @@
     /// Notes that the store turned a call away or kept silent.
     pub fn missed(&self, error: &StoreError) {
         if self.is_lost() && !self.lost.replace(true) {
-            super::log::store_lost(error, self.silence());
+            crate::entry::log::store_lost(error, self.silence());
         }
     }
 
--- a/src/entry/target.rs
+++ b/src/entry/target.rs
@@ -1,10 +1,10 @@
 //! A target as this entry knows it: what the store says, what answers say,
 //! and what is under way there.
 
-use super::cold;
-use super::platform::{TargetEntry, TargetState};
-use super::policy::{Policies, PolicyMask};
-use super::pool::Pool;
+use crate::entry::cold;
+use crate::entry::platform::{TargetEntry, TargetState};
+use crate::entry::policy::{Policies, PolicyMask};
+use crate::entry::pool::Pool;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/entry/world.rs
+++ b/src/entry/world.rs
@@ -1,12 +1,12 @@
 //! What the store's items mean: the catalog in force, targets, evacuated
 //! halls and the other entries.
 
-use super::catalog::Catalog;
-use super::cold::{ColdBounds, own_rate};
-use super::member::Member;
-use super::platform::{Event, Fact, Item, Platform, Removal, TargetEntry, TranslateError};
-use super::policy::{Policies, PolicyDocument};
-use super::target::Target;
+use crate::entry::catalog::Catalog;
+use crate::entry::cold::{ColdBounds, own_rate};
+use crate::entry::member::Member;
+use crate::entry::platform::{Event, Fact, Item, Platform, Removal, TargetEntry, TranslateError};
+use crate::entry::policy::{Policies, PolicyDocument};
+use crate::entry::target::Target;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -215,7 +215,7 @@
     }
 
     fn learn_target(&mut self, entry: &TargetEntry, now: Instant) -> Option<Belief> {
-        let state = if entry.state == super::platform::TargetState::Ready { "ready" } else { "draining" };
+        let state = if entry.state == crate::entry::platform::TargetState::Ready { "ready" } else { "draining" };
         let belief = Belief::Target { id: entry.id.clone(), state };
         if let Some(known) = self.targets.get(&entry.id) {
             return known.update(entry, now).then_some(belief);
