--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -1,8 +1,8 @@
 //! Bodies of requests on their way to a target, and of answers on their way
 //! back.
 
-use crate::entry::pool::Connection;
 use crate::entry::target::InFlight;
+use crate::net::pool::Connection;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::body::{Body, Frame, Incoming, SizeHint};
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -2,8 +2,8 @@
 
 use crate::entry::body::{AnswerBody, Passed, RequestBody, Return};
 use crate::entry::platform::HeaderNames;
-use crate::entry::pool::{Connection, SendError};
 use crate::entry::target::{InFlight, LoadReport, Target};
+use crate::net::pool::{Connection, SendError};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -148,7 +148,7 @@
     async fn finish(self, response: Response<Incoming>, connection: Connection) -> Result<Response<AnswerBody>, Fault> {
         let rest = kept_for(response.headers());
         let (mut parts, incoming) = response.into_parts();
-        crate::entry::headers::remove_hop_by_hop(&mut parts.headers);
+        crate::net::headers::remove_hop_by_hop(&mut parts.headers);
         let back = Return { connection, rest, sent: self.sent };
         let target = &self.in_flight.target().clone();
         let read = match read_whole(incoming).await {
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -1,6 +1,7 @@
 //! What operators ask an entry: its state, its targets, a dry decision, and the
 //! policies in force; and the policies that they apply.
 
+use crate::api::{ApplyRequest, Refused};
 use crate::entry::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
 use crate::entry::body::AnswerBody;
 use crate::entry::catalog::{Catalog, Route};
@@ -9,7 +10,6 @@
 use crate::entry::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial, apply};
 use crate::entry::state::Entry;
 use crate::entry::target::Target;
-use crate::api::{ApplyRequest, Refused};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
--- a/src/entry/peers/link.rs
+++ b/src/entry/peers/link.rs
@@ -1,7 +1,7 @@
 //! A connection to a peer.
 
 use super::{CHANGES_PATH, ToldChanges};
-use crate::dial;
+use crate::net::dial;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -3,7 +3,6 @@
 use crate::entry::attempt::Attempt;
 use crate::entry::body::AnswerBody;
 use crate::entry::catalog::Catalog;
-use crate::entry::headers::remove_hop_by_hop;
 use crate::entry::held::Held;
 use crate::entry::platform::Platform;
 use crate::entry::policy::Trial;
@@ -11,6 +10,7 @@
 use crate::entry::state::Entry;
 use crate::entry::stop::takes_requests;
 use crate::entry::target::Target;
+use crate::net::headers::remove_hop_by_hop;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::http::request::Parts;
--- a/src/entry/target.rs
+++ b/src/entry/target.rs
@@ -4,7 +4,7 @@
 use crate::entry::cold;
 use crate::entry::platform::{TargetEntry, TargetState};
 use crate::entry::policy::{Policies, PolicyMask};
-use crate::entry::pool::Pool;
+use crate::net::pool::Pool;
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -9,8 +9,8 @@
 pub mod api;
 pub mod command;
 pub mod declaration;
-pub mod dial;
 pub mod entry;
 pub mod label;
+pub mod net;
 pub mod policy;
 pub mod selector;
