--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -2,7 +2,6 @@
 //! where that is safe.
 
 use crate::entry::body::{AnswerBody, RequestBody};
-use crate::entry::catalog::{Catalog, Part, Repeat, Route};
 use crate::entry::choice::{NoTarget, Query, Warming, choose, hash_object};
 use crate::entry::exchange::{Exchange, Fault};
 use crate::entry::held::Held;
@@ -14,6 +13,7 @@
 use crate::entry::state::Entry;
 use crate::entry::target::Target;
 use crate::entry::world::World;
+use crate::model::catalog::{Catalog, Part, Repeat, Route};
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 use hyper::{Request, Response, Version};
--- a/src/entry/choice.rs
+++ b/src/entry/choice.rs
@@ -2,11 +2,11 @@
 //! targets as long as these have room, within what the operators' policies
 //! leave.
 
-use crate::entry::catalog::{Catalog, Route};
 use crate::entry::cold::ColdBounds;
 use crate::entry::policy::{Active, Order, Standing};
 use crate::entry::target::Target;
 use crate::entry::world::World;
+use crate::model::catalog::{Catalog, Route};
 use std::cmp::Ordering;
 use std::rc::Rc;
 use tokio::time::Instant;
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -4,12 +4,12 @@
 use crate::api::{ApplyRequest, Refused};
 use crate::entry::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
 use crate::entry::body::AnswerBody;
-use crate::entry::catalog::{Catalog, Route};
 use crate::entry::choice::{Query, Verdict, Warming, explain, hash_object};
 use crate::entry::platform::Platform;
 use crate::entry::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial, apply};
 use crate::entry::state::Entry;
 use crate::entry::target::Target;
+use crate::model::catalog::{Catalog, Route};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
@@ -112,7 +112,7 @@
 }
 
 fn instances<P: Platform>(entry: &Entry<P>) -> Vec<EntryInstance> {
-    let line = |(name, member): (&String, &crate::entry::member::Member)| EntryInstance {
+    let line = |(name, member): (&String, &crate::model::member::Member)| EntryInstance {
         name: name.clone(),
         hall: member.hall.clone(),
         region: member.region.clone(),
--- a/src/entry/platform.rs
+++ b/src/entry/platform.rs
@@ -1,7 +1,7 @@
 //! What an entry instance asks of the platform it runs on. The names and
 //! formats behind these types are the platform crate's business.
 
-use crate::entry::catalog::Catalog;
+use crate::model::catalog::Catalog;
 use bytes::Bytes;
 use hyper::header::HeaderName;
 use std::future::Future;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -2,7 +2,6 @@
 
 use crate::entry::attempt::Attempt;
 use crate::entry::body::AnswerBody;
-use crate::entry::catalog::Catalog;
 use crate::entry::held::Held;
 use crate::entry::platform::Platform;
 use crate::entry::policy::Trial;
@@ -10,6 +9,7 @@
 use crate::entry::state::Entry;
 use crate::entry::stop::takes_requests;
 use crate::entry::target::Target;
+use crate::model::catalog::Catalog;
 use crate::net::headers::remove_hop_by_hop;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
--- a/src/entry/split.rs
+++ b/src/entry/split.rs
@@ -1,8 +1,8 @@
 //! Shares of a route that is split over several services: by object, so that
 //! an object stays with its service, corrected by what was counted.
 
-use crate::entry::catalog::{Part, Route};
 use crate::entry::choice::unit;
+use crate::model::catalog::{Part, Route};
 use std::collections::HashMap;
 use std::rc::Rc;
 
--- a/src/entry/world.rs
+++ b/src/entry/world.rs
@@ -1,12 +1,12 @@
 //! What the store's items mean: the catalog in force, targets, evacuated
 //! halls and the other entries.
 
-use crate::entry::catalog::Catalog;
 use crate::entry::cold::{ColdBounds, own_rate};
-use crate::entry::member::Member;
 use crate::entry::platform::{Event, Fact, Item, Platform, Removal, TargetEntry, TranslateError};
 use crate::entry::policy::{Policies, PolicyDocument};
 use crate::entry::target::Target;
+use crate::model::catalog::Catalog;
+use crate::model::member::Member;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,6 +11,7 @@
 pub mod declaration;
 pub mod entry;
 pub mod label;
+pub mod model;
 pub mod net;
 pub mod policy;
 pub mod selector;
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -4,8 +4,8 @@
 
 use lockloft::entry::choice::{NoTarget, Query, Warming, choose};
 use lockloft::entry::cold::{ColdBounds, own_rate};
-use lockloft::entry::member::Member;
 use lockloft::entry::target::LoadReport;
+use lockloft::model::member::Member;
 use proptest::prelude::*;
 use scene::{Scene, catalog, route};
 use std::collections::{BTreeSet, HashMap};
--- a/tests/entry_logic.rs
+++ b/tests/entry_logic.rs
@@ -3,12 +3,12 @@
 mod scene;
 
 use bytes::Bytes;
-use lockloft::entry::catalog::{Part, Route};
 use lockloft::entry::platform::{Event, Item, Listing};
 use lockloft::entry::relay::{FOLLOWERS, ancestors};
 use lockloft::entry::retry::RetryBudget;
 use lockloft::entry::split::Splits;
 use lockloft::entry::view::StoreView;
+use lockloft::model::catalog::{Part, Route};
 use proptest::prelude::*;
 use scene::{catalog, route};
 use std::collections::BTreeMap;
--- a/tests/entry_policies.rs
+++ b/tests/entry_policies.rs
@@ -52,7 +52,7 @@
     asked: &Asked,
     object: u64,
     trial: &Trial,
-    with: impl Fn(&lockloft::entry::world::World, &lockloft::entry::catalog::Catalog, &Query<'_>) -> T,
+    with: impl Fn(&lockloft::entry::world::World, &lockloft::model::catalog::Catalog, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
     let facts = RequestFacts {
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -4,12 +4,12 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use lockloft::entry::catalog::{CallerLimits, Catalog, Part, Repeat, Route, Service};
 use lockloft::entry::choice::{NoTarget, Query, choose};
-use lockloft::entry::member::Member;
 use lockloft::entry::platform::{Event, Fact, Item, Listing, Platform, TargetEntry, TargetState};
 use lockloft::entry::target::Target;
 use lockloft::entry::world::World;
+use lockloft::model::catalog::{CallerLimits, Catalog, Part, Repeat, Route, Service};
+use lockloft::model::member::Member;
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
