--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -4,7 +4,7 @@
 use super::error::CommandError;
 use super::options::Explain;
 use super::request;
-use crate::entry::line::Line;
+use crate::telemetry::line::Line;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -11,10 +11,7 @@
 pub mod exchange;
 pub mod fronts;
 pub mod held;
-pub mod line;
-pub mod log;
 pub mod membership;
-pub mod metrics;
 pub mod operator;
 pub mod peers;
 pub mod platform;
@@ -72,7 +69,7 @@
 pub fn run<P: Platform>(path: &Path, connect: impl FnOnce(&Settings) -> P::Store) -> Result<(), EntryError> {
     let settings = Settings::load(path)?;
     let store = connect(&settings);
-    let log = crate::entry::log::Log::start(settings.log_rate);
+    let log = crate::telemetry::log::Log::start(settings.log_rate);
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, serve_until_stopped::<P>(path.to_owned(), settings, store, log))
 }
@@ -81,7 +78,7 @@
     path: PathBuf,
     settings: Settings,
     store: P::Store,
-    log: crate::entry::log::Log,
+    log: crate::telemetry::log::Log,
 ) -> Result<(), EntryError> {
     let listen = settings.listen;
     let callers = bind("callers", listen.callers).await?;
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -1,7 +1,5 @@
 //! What all tasks of an entry instance share.
 
-use crate::entry::log::Log;
-use crate::entry::metrics::EntryMetrics;
 use crate::entry::platform::{Event, HeaderNames, Listing, Platform};
 use crate::entry::retry::RetryBudget;
 use crate::entry::settings::Settings;
@@ -9,6 +7,8 @@
 use crate::entry::store_health::StoreHealth;
 use crate::entry::view::StoreView;
 use crate::entry::world::{Belief, World};
+use crate::telemetry::log::Log;
+use crate::telemetry::metrics::EntryMetrics;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -128,7 +128,7 @@
     fn take_beliefs(&self, beliefs: &[Belief], source: &'static str) {
         let revision = self.view.borrow().at();
         for belief in beliefs {
-            crate::entry::log::belief(belief, revision, source);
+            crate::telemetry::log::belief(belief, revision, source);
             match belief {
                 Belief::Catalog(version) => self.catalog_changed(*version),
                 Belief::Member { .. } => self.members_changed(),
--- a/src/entry/store_health.rs
+++ b/src/entry/store_health.rs
@@ -38,7 +38,7 @@
         self.heard_at.set(Some(now));
         let has_returned = self.lost.replace(false);
         if has_returned {
-            crate::entry::log::store_regained();
+            crate::telemetry::log::store_regained();
             self.note_return(Some(now));
         }
         has_returned
@@ -47,7 +47,7 @@
     /// Notes that the store turned a call away or kept silent.
     pub fn missed(&self, error: &StoreError) {
         if self.is_lost() && !self.lost.replace(true) {
-            crate::entry::log::store_lost(error, self.silence());
+            crate::telemetry::log::store_lost(error, self.silence());
         }
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,3 +15,4 @@
 pub mod net;
 pub mod policy;
 pub mod selector;
+pub mod telemetry;
--- a/standins/tests/entry_log.rs
+++ b/standins/tests/entry_log.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::program;
-use lockloft::entry::log::{Lines, spawn_writer};
+use lockloft::telemetry::log::{Lines, spawn_writer};
 use standins::site::{Ask, RouteSpec, Site, until};
 use standins::upstream::Upstream;
 use std::io::Write;
