--- a/src/entry/fronts.rs
+++ b/src/entry/fronts.rs
@@ -3,11 +3,11 @@
 use crate::entry::body::AnswerBody;
 use crate::entry::directory;
 use crate::entry::operator;
-use crate::entry::peers;
 use crate::entry::platform::Platform;
 use crate::entry::serve::serve;
 use crate::entry::state::Entry;
 use crate::net::server::{ConnectionLimits, Handler};
+use crate::sync::peers;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response, StatusCode};
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -3,7 +3,6 @@
 
 pub mod api;
 pub mod attempt;
-pub mod backoff;
 pub mod body;
 pub mod choice;
 pub mod cold;
@@ -11,24 +10,17 @@
 pub mod exchange;
 pub mod fronts;
 pub mod held;
-pub mod membership;
 pub mod operator;
-pub mod peers;
 pub mod platform;
 pub mod policy;
 pub mod refusal;
-pub mod relay;
 pub mod retry;
 pub mod serve;
 pub mod settings;
 pub mod split;
 pub mod state;
 pub mod stop;
-pub mod store_call;
-pub mod store_health;
-pub mod store_watch;
 pub mod target;
-pub mod view;
 pub mod world;
 
 use crate::entry::fronts::{CallerFront, DirectoryFront, PeerFront};
@@ -94,9 +86,9 @@
     spawn_local(crate::net::server::listen(readiness, Rc::new(DirectoryFront(entry.clone()))));
     spawn_local(crate::net::server::listen(directory, Rc::new(DirectoryFront(entry.clone()))));
     spawn_local(crate::net::server::listen(peers, Rc::new(PeerFront(entry.clone()))));
-    spawn_local(crate::entry::store_watch::run(entry.clone()));
-    spawn_local(crate::entry::membership::run(entry.clone()));
-    spawn_local(crate::entry::peers::run(entry.clone()));
+    spawn_local(crate::sync::watch::run(entry.clone()));
+    spawn_local(crate::sync::membership::run(entry.clone()));
+    spawn_local(crate::sync::peers::run(entry.clone()));
     spawn_local(sweep(entry.clone()));
     spawn_local(reload(entry.clone(), path, hang_up));
     terminate.recv().await;
--- a/src/entry/policy/apply.rs
+++ b/src/entry/policy/apply.rs
@@ -7,7 +7,7 @@
 use crate::declaration::DeclarationError;
 use crate::entry::platform::{Platform, Store, StoreError};
 use crate::entry::state::Entry;
-use crate::entry::store_call::call;
+use crate::sync::call::call;
 use hyper::StatusCode;
 use rand::Rng;
 use std::time::Duration;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,4 +15,5 @@
 pub mod net;
 pub mod policy;
 pub mod selector;
+pub mod sync;
 pub mod telemetry;
--- a/src/entry/store_health.rs
+++ b/src/sync/health.rs
@@ -1,8 +1,8 @@
 //! Whether the store answers, and how old what is known of it is.
 
-use crate::entry::membership::RENEW_EVERY;
 use crate::entry::platform::StoreError;
-use crate::entry::relay::STALE;
+use crate::sync::membership::RENEW_EVERY;
+use crate::sync::relay::STALE;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
--- a/src/entry/membership.rs
+++ b/src/sync/membership.rs
@@ -1,10 +1,10 @@
 //! Keeps this entry's own key in the store, under a lease.
 
-use crate::entry::backoff::Backoff;
 use crate::entry::platform::{LeaseId, Platform, Store, StoreError};
 use crate::entry::state::Entry;
-use crate::entry::store_call::call;
 use crate::model::member::Member;
+use crate::sync::backoff::Backoff;
+use crate::sync::call::call;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
--- /dev/null
+++ b/src/sync/mod.rs
@@ -0,0 +1,11 @@
+//! How an instance keeps its copy of the store current: a watch, the relay tree
+//! of its hall, peers while the store is lost, and its own registration.
+
+pub mod backoff;
+pub mod call;
+pub mod health;
+pub mod membership;
+pub mod peers;
+pub mod relay;
+pub mod view;
+pub mod watch;
--- a/src/entry/peers/told.rs
+++ b/src/sync/peers/told.rs
@@ -2,8 +2,8 @@
 
 use crate::entry::body::AnswerBody;
 use crate::entry::platform::{Event, Item, Listing, Platform};
-use crate::entry::relay::STALE;
 use crate::entry::state::Entry;
+use crate::sync::relay::STALE;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
--- a/src/entry/relay.rs
+++ b/src/sync/relay.rs
@@ -4,9 +4,9 @@
 //! its relay, or stale news, follows another for a while, and watches the store
 //! itself where there is none.
 
-use crate::entry::peers::PeerLink;
 use crate::entry::platform::Platform;
 use crate::entry::state::Entry;
+use crate::sync::peers::PeerLink;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
--- a/src/entry/store_watch.rs
+++ b/src/sync/watch.rs
@@ -1,10 +1,10 @@
 //! Keeps the view of the store up to date: by the hall's relay, or by a watch
 //! of its own over all keys, and a list where the history is gone.
 
-use crate::entry::backoff::Backoff;
 use crate::entry::platform::{Platform, Store, StoreError, Watched};
-use crate::entry::relay::Follower;
 use crate::entry::state::Entry;
+use crate::sync::backoff::Backoff;
+use crate::sync::relay::Follower;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
--- a/standins/tests/entry_relay.rs
+++ b/standins/tests/entry_relay.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::program;
-use lockloft::entry::relay::FOLLOWERS;
+use lockloft::sync::relay::FOLLOWERS;
 use standins::site::{Ask, EntryProcess, RouteSpec, Site, until};
 use standins::store::Trouble;
 use standins::upstream::Upstream;
--- a/tests/entry_logic.rs
+++ b/tests/entry_logic.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use lockloft::entry::platform::{Event, Item, Listing};
-use lockloft::entry::relay::{FOLLOWERS, ancestors};
 use lockloft::entry::retry::RetryBudget;
 use lockloft::entry::split::Splits;
-use lockloft::entry::view::StoreView;
 use lockloft::model::catalog::{Part, Route};
+use lockloft::sync::relay::{FOLLOWERS, ancestors};
+use lockloft::sync::view::StoreView;
 use proptest::prelude::*;
 use scene::{catalog, route};
 use std::collections::BTreeMap;
@@ -214,7 +214,7 @@
 
 #[test]
 fn waits_for_a_store_that_is_away_grow_and_begin_anew_once_it_answers() {
-    use lockloft::entry::backoff::Backoff;
+    use lockloft::sync::backoff::Backoff;
     use std::time::Duration;
     let mut backoff = Backoff::default();
     let total: Duration = (0..10).map(|_| backoff.wait()).sum();
