--- a/src/entry/choice.rs
+++ b/src/decision/choice.rs
@@ -2,10 +2,10 @@
 //! targets as long as these have room, within what the operators' policies
 //! leave.
 
-use crate::entry::cold::ColdBounds;
+use crate::decision::cold::ColdBounds;
+use crate::decision::target::Target;
+use crate::decision::world::World;
 use crate::entry::policy::{Active, Order, Standing};
-use crate::entry::target::Target;
-use crate::entry::world::World;
 use crate::model::catalog::{Catalog, Route};
 use std::cmp::Ordering;
 use std::rc::Rc;
--- /dev/null
+++ b/src/decision/mod.rs
@@ -0,0 +1,10 @@
+//! The rules: which target a request may go to, and what bounds that. One module a
+//! rule; `docs/DECISIONS.md` lists them with their constants.
+
+pub mod choice;
+pub mod cold;
+pub mod directory;
+pub mod retry;
+pub mod split;
+pub mod target;
+pub mod world;
--- a/src/entry/split.rs
+++ b/src/decision/split.rs
@@ -1,7 +1,7 @@
 //! Shares of a route that is split over several services: by object, so that
 //! an object stays with its service, corrected by what was counted.
 
-use crate::entry::choice::unit;
+use crate::decision::choice::unit;
 use crate::model::catalog::{Part, Route};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/entry/target.rs
+++ b/src/decision/target.rs
@@ -1,7 +1,7 @@
 //! A target as this entry knows it: what the store says, what answers say,
 //! and what is under way there.
 
-use crate::entry::cold;
+use crate::decision::cold;
 use crate::entry::platform::{TargetEntry, TargetState};
 use crate::entry::policy::{Policies, PolicyMask};
 use crate::net::pool::Pool;
--- a/src/entry/world.rs
+++ b/src/decision/world.rs
@@ -1,10 +1,10 @@
 //! What the store's items mean: the catalog in force, targets, evacuated
 //! halls and the other entries.
 
-use crate::entry::cold::{ColdBounds, own_rate};
+use crate::decision::cold::{ColdBounds, own_rate};
+use crate::decision::target::Target;
 use crate::entry::platform::{Event, Fact, Item, Platform, Removal, TargetEntry, TranslateError};
 use crate::entry::policy::{Policies, PolicyDocument};
-use crate::entry::target::Target;
 use crate::model::catalog::Catalog;
 use crate::model::member::Member;
 use std::collections::{BTreeMap, HashMap, HashSet};
--- a/src/entry/attempt.rs
+++ b/src/entry/attempt.rs
@@ -1,8 +1,10 @@
 //! One request of a caller at the targets: chosen, sent, and sent again only
 //! where that is safe.
 
+use crate::decision::choice::{NoTarget, Query, Warming, choose, hash_object};
+use crate::decision::target::Target;
+use crate::decision::world::World;
 use crate::entry::body::{AnswerBody, RequestBody};
-use crate::entry::choice::{NoTarget, Query, Warming, choose, hash_object};
 use crate::entry::exchange::{Exchange, Fault};
 use crate::entry::held::Held;
 use crate::entry::platform::Platform;
@@ -11,8 +13,6 @@
 use crate::entry::serve::Story;
 use crate::entry::settings::Settings;
 use crate::entry::state::Entry;
-use crate::entry::target::Target;
-use crate::entry::world::World;
 use crate::model::catalog::{Catalog, Part, Repeat, Route};
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
--- a/src/entry/body.rs
+++ b/src/entry/body.rs
@@ -1,7 +1,7 @@
 //! Bodies of requests on their way to a target, and of answers on their way
 //! back.
 
-use crate::entry::target::InFlight;
+use crate::decision::target::InFlight;
 use crate::net::pool::Connection;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
--- a/src/entry/exchange.rs
+++ b/src/entry/exchange.rs
@@ -1,8 +1,8 @@
 //! One request at one target: sent, answered, and judged.
 
+use crate::decision::target::{InFlight, LoadReport, Target};
 use crate::entry::body::{AnswerBody, Passed, RequestBody, Return};
 use crate::entry::platform::HeaderNames;
-use crate::entry::target::{InFlight, LoadReport, Target};
 use crate::net::pool::{Connection, SendError};
 use bytes::Bytes;
 use http_body_util::BodyExt;
--- a/src/entry/fronts.rs
+++ b/src/entry/fronts.rs
@@ -1,7 +1,7 @@
 //! The addresses of an entry: callers, readiness, directory, peers.
 
+use crate::decision::directory;
 use crate::entry::body::AnswerBody;
-use crate::entry::directory;
 use crate::entry::operator;
 use crate::entry::platform::Platform;
 use crate::entry::serve::serve;
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -4,9 +4,6 @@
 pub mod api;
 pub mod attempt;
 pub mod body;
-pub mod choice;
-pub mod cold;
-pub mod directory;
 pub mod exchange;
 pub mod fronts;
 pub mod held;
@@ -14,14 +11,10 @@
 pub mod platform;
 pub mod policy;
 pub mod refusal;
-pub mod retry;
 pub mod serve;
 pub mod settings;
-pub mod split;
 pub mod state;
 pub mod stop;
-pub mod target;
-pub mod world;
 
 use crate::entry::fronts::{CallerFront, DirectoryFront, PeerFront};
 use crate::entry::platform::Platform;
--- a/src/entry/operator.rs
+++ b/src/entry/operator.rs
@@ -2,13 +2,13 @@
 //! policies in force; and the policies that they apply.
 
 use crate::api::{ApplyRequest, Refused};
+use crate::decision::choice::{Query, Verdict, Warming, explain, hash_object};
+use crate::decision::target::Target;
 use crate::entry::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
 use crate::entry::body::AnswerBody;
-use crate::entry::choice::{Query, Verdict, Warming, explain, hash_object};
 use crate::entry::platform::Platform;
 use crate::entry::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial, apply};
 use crate::entry::state::Entry;
-use crate::entry::target::Target;
 use crate::model::catalog::{Catalog, Route};
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
--- a/src/entry/policy/active.rs
+++ b/src/entry/policy/active.rs
@@ -1,8 +1,8 @@
 //! The policies that select one request, and what they say of each target.
 
 use super::{Policies, PolicyMask, RequestFacts};
-use crate::entry::choice::unit;
-use crate::entry::target::Target;
+use crate::decision::choice::unit;
+use crate::decision::target::Target;
 use crate::policy::{Action, UNRANKED};
 use std::cell::Cell;
 use std::rc::Rc;
--- a/src/entry/policy/labels.rs
+++ b/src/entry/policy/labels.rs
@@ -1,7 +1,7 @@
 //! Labels of targets and requests: what the platform says of them, and what
 //! the operators add.
 
-use crate::entry::target::Target;
+use crate::decision::target::Target;
 use crate::label::{Interner, LabelSet, RawLabels};
 use hyper::{HeaderMap, Method, Uri};
 use std::collections::HashMap;
--- a/src/entry/policy/mod.rs
+++ b/src/entry/policy/mod.rs
@@ -14,7 +14,7 @@
 pub use document::PolicyDocument;
 pub use labels::RequestFacts;
 
-use crate::entry::target::Target;
+use crate::decision::target::Target;
 use crate::label::Interner;
 use crate::policy::{Action, Policy};
 use credit::Credit;
--- a/src/entry/serve.rs
+++ b/src/entry/serve.rs
@@ -1,5 +1,6 @@
 //! A caller's request: understood, attempted, answered and told in the log.
 
+use crate::decision::target::Target;
 use crate::entry::attempt::Attempt;
 use crate::entry::body::AnswerBody;
 use crate::entry::held::Held;
@@ -8,7 +9,6 @@
 use crate::entry::refusal::Refusal;
 use crate::entry::state::Entry;
 use crate::entry::stop::takes_requests;
-use crate::entry::target::Target;
 use crate::model::catalog::Catalog;
 use crate::net::headers::remove_hop_by_hop;
 use hyper::body::Incoming;
--- a/src/entry/settings.rs
+++ b/src/entry/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of an entry instance, read from TOML and checked.
 
-use crate::entry::cold::ColdBounds;
+use crate::decision::cold::ColdBounds;
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/entry/state.rs
+++ b/src/entry/state.rs
@@ -1,10 +1,10 @@
 //! What all tasks of an entry instance share.
 
+use crate::decision::retry::RetryBudget;
+use crate::decision::split::Splits;
+use crate::decision::world::{Belief, World};
 use crate::entry::platform::{Event, HeaderNames, Listing, Platform};
-use crate::entry::retry::RetryBudget;
 use crate::entry::settings::Settings;
-use crate::entry::split::Splits;
-use crate::entry::world::{Belief, World};
 use crate::sync::health::StoreHealth;
 use crate::sync::view::StoreView;
 use crate::telemetry::log::Log;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -8,6 +8,7 @@
 //! | [`dial`] | outgoing connections |
 pub mod api;
 pub mod command;
+pub mod decision;
 pub mod declaration;
 pub mod entry;
 pub mod label;
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -2,9 +2,9 @@
 
 mod scene;
 
-use lockloft::entry::choice::{NoTarget, Query, Warming, choose};
-use lockloft::entry::cold::{ColdBounds, own_rate};
-use lockloft::entry::target::LoadReport;
+use lockloft::decision::choice::{NoTarget, Query, Warming, choose};
+use lockloft::decision::cold::{ColdBounds, own_rate};
+use lockloft::decision::target::LoadReport;
 use lockloft::model::member::Member;
 use proptest::prelude::*;
 use scene::{Scene, catalog, route};
--- a/tests/entry_logic.rs
+++ b/tests/entry_logic.rs
@@ -3,9 +3,9 @@
 mod scene;
 
 use bytes::Bytes;
+use lockloft::decision::retry::RetryBudget;
+use lockloft::decision::split::Splits;
 use lockloft::entry::platform::{Event, Item, Listing};
-use lockloft::entry::retry::RetryBudget;
-use lockloft::entry::split::Splits;
 use lockloft::model::catalog::{Part, Route};
 use lockloft::sync::relay::{FOLLOWERS, ancestors};
 use lockloft::sync::view::StoreView;
--- a/tests/entry_policies.rs
+++ b/tests/entry_policies.rs
@@ -3,10 +3,10 @@
 mod scene;
 
 use hyper::{HeaderMap, Method, Uri};
+use lockloft::decision::choice::{NoTarget, Obstacle, Query, Verdict, choose, explain};
+use lockloft::decision::target::Target;
 use lockloft::declaration::Sources;
-use lockloft::entry::choice::{NoTarget, Obstacle, Query, Verdict, choose, explain};
 use lockloft::entry::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
-use lockloft::entry::target::Target;
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::{BTreeSet, HashMap};
@@ -52,7 +52,7 @@
     asked: &Asked,
     object: u64,
     trial: &Trial,
-    with: impl Fn(&lockloft::entry::world::World, &lockloft::model::catalog::Catalog, &Query<'_>) -> T,
+    with: impl Fn(&lockloft::decision::world::World, &lockloft::model::catalog::Catalog, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
     let facts = RequestFacts {
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -4,10 +4,10 @@
 #![allow(dead_code)]
 
 use bytes::Bytes;
-use lockloft::entry::choice::{NoTarget, Query, choose};
+use lockloft::decision::choice::{NoTarget, Query, choose};
+use lockloft::decision::target::Target;
+use lockloft::decision::world::World;
 use lockloft::entry::platform::{Event, Fact, Item, Listing, Platform, TargetEntry, TargetState};
-use lockloft::entry::target::Target;
-use lockloft::entry::world::World;
 use lockloft::model::catalog::{CallerLimits, Catalog, Part, Repeat, Route, Service};
 use lockloft::model::member::Member;
 use std::collections::HashMap;
