--- a/src/api.rs
+++ b/src/api.rs
@@ -1,5 +1,5 @@
 //! What an instance and the operators' tool say to each other besides the
-//! answers of [`crate::entry::api`]: JSON over HTTP.
+//! answers of [`crate::operator::api`]: JSON over HTTP.
 
 use crate::declaration::Sources;
 use serde::{Deserialize, Serialize};
--- a/src/command/why.rs
+++ b/src/command/why.rs
@@ -3,7 +3,7 @@
 use super::Output;
 use super::client::{Client, query};
 use super::error::CommandError;
-use crate::entry::api::Why;
+use crate::operator::api::Why;
 use std::fmt::Write;
 
 /// Keys of the question that are no headers.
--- a/src/entry/fronts.rs
+++ b/src/entry/fronts.rs
@@ -2,11 +2,11 @@
 
 use crate::decision::directory;
 use crate::entry::body::AnswerBody;
-use crate::entry::operator;
 use crate::entry::platform::Platform;
 use crate::entry::serve::serve;
 use crate::entry::state::Entry;
 use crate::net::server::{ConnectionLimits, Handler};
+use crate::operator;
 use crate::sync::peers;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue};
@@ -121,7 +121,7 @@
                 Response::new(AnswerBody::whole(metrics.text()))
             }
             _ => {
-                let answered = operator::answer(&self.0, request).await;
+                let answered = operator::answer::answer(&self.0, request).await;
                 answered.unwrap_or_else(|| plain(StatusCode::NOT_FOUND))
             }
         }
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,13 +1,11 @@
 //! An entry instance on a platform that brings the store: it keeps a view of
 //! the store, answers callers, and sends their requests straight to targets.
 
-pub mod api;
 pub mod attempt;
 pub mod body;
 pub mod exchange;
 pub mod fronts;
 pub mod held;
-pub mod operator;
 pub mod platform;
 pub mod policy;
 pub mod refusal;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,6 +14,7 @@
 pub mod label;
 pub mod model;
 pub mod net;
+pub mod operator;
 pub mod policy;
 pub mod selector;
 pub mod sync;
--- /dev/null
+++ b/src/operator/mod.rs
@@ -0,0 +1,4 @@
+//! The answers to operators, at the peers' address.
+
+pub mod answer;
+pub mod api;
