--- a/src/entry/fronts.rs
+++ b/src/entry/fronts.rs
@@ -1,12 +1,12 @@
 //! The addresses of an entry: callers, readiness, directory, peers.
 
 use crate::decision::directory;
-use crate::entry::body::AnswerBody;
 use crate::entry::platform::Platform;
-use crate::entry::serve::serve;
 use crate::entry::state::Entry;
 use crate::net::server::{ConnectionLimits, Handler};
 use crate::operator;
+use crate::proxy::body::AnswerBody;
+use crate::proxy::serve::serve;
 use crate::sync::peers;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, CONTENT_TYPE, HeaderValue};
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -1,15 +1,9 @@
 //! An entry instance on a platform that brings the store: it keeps a view of
 //! the store, answers callers, and sends their requests straight to targets.
 
-pub mod attempt;
-pub mod body;
-pub mod exchange;
 pub mod fronts;
-pub mod held;
 pub mod platform;
 pub mod policy;
-pub mod refusal;
-pub mod serve;
 pub mod settings;
 pub mod state;
 pub mod stop;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -16,6 +16,7 @@
 pub mod net;
 pub mod operator;
 pub mod policy;
+pub mod proxy;
 pub mod selector;
 pub mod sync;
 pub mod telemetry;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,7 +1,7 @@
 //! Connections of callers and peers: accepted, served, and closed when they
 //! rest too long or send a head too slowly.
 
-use crate::entry::body::{AnswerBody, BodyError};
+use crate::proxy::body::{AnswerBody, BodyError};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::server::conn::http1;
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -4,12 +4,12 @@
 use crate::api::{ApplyRequest, Refused};
 use crate::decision::choice::{Query, Verdict, Warming, explain, hash_object};
 use crate::decision::target::Target;
-use crate::entry::body::AnswerBody;
 use crate::entry::platform::Platform;
 use crate::entry::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial, apply};
 use crate::entry::state::Entry;
 use crate::model::catalog::{Catalog, Route};
 use crate::operator::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
+use crate::proxy::body::AnswerBody;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
--- a/src/entry/held.rs
+++ b/src/proxy/held.rs
@@ -1,10 +1,10 @@
 //! A caller's request body on this side: held whole where that costs little, so
 //! that a request that did not run can go elsewhere.
 
-use crate::entry::body::{RequestBody, Through};
 use crate::entry::platform::Platform;
-use crate::entry::refusal::Refusal;
 use crate::entry::state::Entry;
+use crate::proxy::body::{RequestBody, Through};
+use crate::proxy::refusal::Refusal;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
--- a/src/entry/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -1,6 +1,6 @@
 //! Answers that an entry makes itself.
 
-use crate::entry::body::AnswerBody;
+use crate::proxy::body::AnswerBody;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use std::time::Duration;
--- a/src/entry/serve.rs
+++ b/src/proxy/serve.rs
@@ -1,16 +1,16 @@
 //! A caller's request: understood, attempted, answered and told in the log.
 
 use crate::decision::target::Target;
-use crate::entry::attempt::Attempt;
-use crate::entry::body::AnswerBody;
-use crate::entry::held::Held;
 use crate::entry::platform::Platform;
 use crate::entry::policy::Trial;
-use crate::entry::refusal::Refusal;
 use crate::entry::state::Entry;
 use crate::entry::stop::takes_requests;
 use crate::model::catalog::Catalog;
 use crate::net::headers::remove_hop_by_hop;
+use crate::proxy::attempt::Attempt;
+use crate::proxy::body::AnswerBody;
+use crate::proxy::held::Held;
+use crate::proxy::refusal::Refusal;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::http::request::Parts;
--- a/src/sync/peers/told.rs
+++ b/src/sync/peers/told.rs
@@ -1,8 +1,8 @@
 //! Changes of the store as peers tell them.
 
-use crate::entry::body::AnswerBody;
 use crate::entry::platform::{Event, Item, Listing, Platform};
 use crate::entry::state::Entry;
+use crate::proxy::body::AnswerBody;
 use crate::sync::relay::STALE;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
