--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -3,7 +3,7 @@
 use super::Output;
 use super::error::CommandError;
 use crate::declaration::Sources;
-use crate::entry::policy::Policies;
+use crate::policy::Policies;
 use std::path::Path;
 
 /// Reads a file or folder.
--- a/src/command/listing.rs
+++ b/src/command/listing.rs
@@ -3,8 +3,8 @@
 use super::Output;
 use super::client::Client;
 use super::error::CommandError;
-use crate::entry::policy::PolicyDocument;
 use crate::operator::api::{EntryInstance, EntryStatus, EntryTarget};
+use crate::policy::PolicyDocument;
 use std::fmt::Write;
 
 /// Prints the policies in force.
--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -5,8 +5,8 @@
 use crate::decision::cold::ColdBounds;
 use crate::decision::target::Target;
 use crate::decision::world::World;
-use crate::entry::policy::{Active, Order, Standing};
 use crate::model::catalog::{Catalog, Route};
+use crate::policy::{Active, Order, Standing};
 use std::cmp::Ordering;
 use std::rc::Rc;
 use tokio::time::Instant;
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -3,8 +3,8 @@
 
 use crate::decision::cold;
 use crate::entry::platform::{TargetEntry, TargetState};
-use crate::entry::policy::{Policies, PolicyMask};
 use crate::net::pool::Pool;
+use crate::policy::{Policies, PolicyMask};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/decision/world.rs
+++ b/src/decision/world.rs
@@ -4,9 +4,9 @@
 use crate::decision::cold::{ColdBounds, own_rate};
 use crate::decision::target::Target;
 use crate::entry::platform::{Event, Fact, Item, Platform, Removal, TargetEntry, TranslateError};
-use crate::entry::policy::{Policies, PolicyDocument};
 use crate::model::catalog::Catalog;
 use crate::model::member::Member;
+use crate::policy::{Policies, PolicyDocument};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/declaration/policies.rs
+++ b/src/declaration/policies.rs
@@ -4,7 +4,7 @@
 use super::error::DeclarationError;
 use super::file::{Checked, File};
 use super::raw::RawPolicy;
-use crate::policy::{Action, Limit, Pace, Weight};
+use crate::policy::action::{Action, Limit, Pace, Weight};
 
 /// The one thing that a policy says.
 pub(crate) fn action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Action> {
--- a/src/entry/mod.rs
+++ b/src/entry/mod.rs
@@ -3,7 +3,6 @@
 
 pub mod fronts;
 pub mod platform;
-pub mod policy;
 pub mod settings;
 pub mod state;
 pub mod stop;
--- a/src/entry/policy/active.rs
+++ b/src/policy/active.rs
@@ -3,7 +3,7 @@
 use super::{Policies, PolicyMask, RequestFacts};
 use crate::decision::choice::unit;
 use crate::decision::target::Target;
-use crate::policy::{Action, UNRANKED};
+use crate::policy::action::{Action, UNRANKED};
 use std::cell::Cell;
 use std::rc::Rc;
 
--- a/src/entry/policy/check.rs
+++ b/src/policy/check.rs
@@ -9,7 +9,7 @@
 use crate::declaration::raw::RawPolicy;
 use crate::declaration::{DeclarationError, Sources};
 use crate::label::{Interner, RawLabels};
-use crate::policy::{Action, Policy};
+use crate::policy::action::{Action, Policy};
 use crate::selector::Selector;
 use serde::Deserialize;
 use toml::Spanned;
--- a/src/entry/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -2,6 +2,7 @@
 //! targets and requests, and what selectors over them allow, forbid, prefer,
 //! weigh and cap. The platform says what there is; this says how it is used.
 
+pub mod action;
 mod active;
 mod apply;
 mod check;
@@ -16,7 +17,7 @@
 
 use crate::decision::target::Target;
 use crate::label::Interner;
-use crate::policy::{Action, Policy};
+use crate::policy::action::{Action, Policy};
 use credit::Credit;
 use labels::Labels;
 
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -2,11 +2,11 @@
 
 use crate::decision::target::Target;
 use crate::entry::platform::Platform;
-use crate::entry::policy::Trial;
 use crate::entry::state::Entry;
 use crate::entry::stop::takes_requests;
 use crate::model::catalog::Catalog;
 use crate::net::headers::remove_hop_by_hop;
+use crate::policy::Trial;
 use crate::proxy::attempt::Attempt;
 use crate::proxy::body::AnswerBody;
 use crate::proxy::held::Held;
--- a/tests/entry_policies.rs
+++ b/tests/entry_policies.rs
@@ -6,7 +6,7 @@
 use lockloft::decision::choice::{NoTarget, Obstacle, Query, Verdict, choose, explain};
 use lockloft::decision::target::Target;
 use lockloft::declaration::Sources;
-use lockloft::entry::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
+use lockloft::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::{BTreeSet, HashMap};
