--- a/src/api.rs
+++ b/src/api.rs
@@ -1,7 +1,7 @@
 //! What an instance and the operators' tool say to each other besides the
 //! answers of [`crate::operator::api`]: JSON over HTTP.
 
-use crate::declaration::Sources;
+use crate::policy::Sources;
 use serde::{Deserialize, Serialize};
 
 /// Body of `POST /policies`.
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -2,8 +2,8 @@
 
 use super::Output;
 use super::error::CommandError;
-use crate::declaration::Sources;
 use crate::policy::Policies;
+use crate::policy::Sources;
 use std::path::Path;
 
 /// Reads a file or folder.
--- a/src/command/error.rs
+++ b/src/command/error.rs
@@ -1,6 +1,6 @@
 //! What can go wrong in a command, with its exit code.
 
-use crate::declaration::DeclarationError;
+use crate::policy::DeclarationError;
 use std::path::PathBuf;
 use thiserror::Error;
 
--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -11,7 +11,7 @@
 //! `limit`, `priority` and the pace of a weight are read, so that the check can
 //! refuse them with a remedy.
 
-use crate::selector::Selector;
+use crate::policy::selector::Selector;
 use std::time::Duration;
 
 /// Rank of a place that no `prefer` policy selects.
--- a/src/policy/apply.rs
+++ b/src/policy/apply.rs
@@ -4,9 +4,9 @@
 
 use super::{Policies, PolicyDocument};
 use crate::api::ApplyRequest;
-use crate::declaration::DeclarationError;
 use crate::entry::platform::{Platform, Store, StoreError};
 use crate::entry::state::Entry;
+use crate::policy::DeclarationError;
 use crate::sync::call::call;
 use hyper::StatusCode;
 use rand::Rng;
--- a/src/policy/check.rs
+++ b/src/policy/check.rs
@@ -1,16 +1,15 @@
 //! The check of a policy document. Regions, halls, services and targets come
 //! and go with the platform, so that a name in a selector may not exist yet.
 
+use super::action::{Action, Policy};
+use super::file::{Checked, File};
+use super::label::{Interner, RawLabels};
 use super::labels::{GIVEN, Labels, RequestLabels};
-use super::{MOST_POLICIES, Policies, PolicyDocument};
-use crate::declaration::check::{Names, share};
-use crate::declaration::file::{Checked, File};
-use crate::declaration::policies::action;
-use crate::declaration::raw::RawPolicy;
-use crate::declaration::{DeclarationError, Sources};
-use crate::label::{Interner, RawLabels};
-use crate::policy::action::{Action, Policy};
-use crate::selector::Selector;
+use super::names::{Names, share};
+use super::raw::RawPolicy;
+use super::read_action::read_action;
+use super::selector::Selector;
+use super::{DeclarationError, MOST_POLICIES, Policies, PolicyDocument, Sources};
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -131,7 +130,7 @@
 
 fn policy(file: &File<RawOverlay>, raw: &RawPolicy, interner: &mut Interner) -> Checked<Policy> {
     let place = |field| file.place("policy", &raw.name, field);
-    let action = action(file, raw)?;
+    let action = read_action(file, raw)?;
     refuse_unsupported(file, raw, action)?;
     if let Some(cap) = raw.cap {
         share(place("cap"), cap)?;
--- a/src/policy/document.rs
+++ b/src/policy/document.rs
@@ -1,6 +1,6 @@
 //! The document that holds the operators' policies in the store.
 
-use crate::declaration::Sources;
+use crate::policy::Sources;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
--- a/src/policy/labels.rs
+++ b/src/policy/labels.rs
@@ -2,7 +2,7 @@
 //! the operators add.
 
 use crate::decision::target::Target;
-use crate::label::{Interner, LabelSet, RawLabels};
+use crate::policy::label::{Interner, LabelSet, RawLabels};
 use hyper::{HeaderMap, Method, Uri};
 use std::collections::HashMap;
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -8,17 +8,27 @@
 mod check;
 mod credit;
 mod document;
+mod error;
+mod file;
+pub mod label;
 mod labels;
+mod names;
+mod raw;
+mod read_action;
+pub mod selector;
+mod source;
 
 pub use active::{Active, Order, Standing, Trial};
 pub use apply::{ApplyError, apply};
 pub use document::PolicyDocument;
+pub use error::{DeclarationError, Place};
 pub use labels::RequestFacts;
+pub use source::{Source, Sources};
 
 use crate::decision::target::Target;
-use crate::label::Interner;
-use crate::policy::action::{Action, Policy};
+use action::{Action, Policy};
 use credit::Credit;
+use label::Interner;
 use labels::Labels;
 
 /// The most policies of one document: a [`PolicyMask`] has one bit for each.
--- a/src/declaration/raw.rs
+++ b/src/policy/raw.rs
@@ -1,6 +1,6 @@
 //! Policies as written: what serde reads from the operators' TOML.
 
-use crate::selector::RawSelector;
+use crate::policy::selector::RawSelector;
 use serde::Deserialize;
 use std::time::Duration;
 use toml::Spanned;
--- a/src/declaration/policies.rs
+++ b/src/policy/read_action.rs
@@ -1,13 +1,13 @@
 //! The action of a policy, read from its fields.
 
-use super::check::{positive, share};
+use super::action::{Action, Limit, Pace, Weight};
 use super::error::DeclarationError;
 use super::file::{Checked, File};
+use super::names::{positive, share};
 use super::raw::RawPolicy;
-use crate::policy::action::{Action, Limit, Pace, Weight};
 
 /// The one thing that a policy says.
-pub(crate) fn action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Action> {
+pub(crate) fn read_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Action> {
     let place = |field| file.place("policy", &raw.name, field);
     let mut said = Vec::new();
     for (set, action) in [(raw.allow, Action::Allow), (raw.deny, Action::Deny), (raw.drain, Action::Drain)] {
--- a/src/selector.rs
+++ b/src/policy/selector.rs
@@ -3,7 +3,7 @@
 //! `{ service = "quote", tier = ["a", "b"], stage = { not = ["cold"] }, canary = { exists = false } }`
 //! selects what passes every one of its tests; the empty selector selects all.
 
-use crate::label::{Interner, LabelKey, LabelSet, Symbol};
+use crate::policy::label::{Interner, LabelKey, LabelSet, Symbol};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
--- a/src/declaration/mod.rs
+++ b/src/policy/source.rs
@@ -1,17 +1,9 @@
-//! The operators' files: their text, the items in it, and the faults found there.
-
-pub(crate) mod check;
-mod error;
-pub(crate) mod file;
-pub(crate) mod policies;
-pub(crate) mod raw;
-
-pub use error::{DeclarationError, Place};
+//! The operators' files, as text.
 
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// One file of the operators' declarations.
+/// One file of the operators' policies.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Source {
     /// File name, for messages only.
@@ -20,7 +12,7 @@
     pub text: String,
 }
 
-/// All files of one declaration; they are read as if they were one.
+/// All files of one document; they are read as if they were one.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Sources {
     /// The files, in name order.
--- a/standins/tests/entry_policies.rs
+++ b/standins/tests/entry_policies.rs
@@ -5,7 +5,7 @@
 
 use common::program;
 use lockloft::api::ApplyRequest;
-use lockloft::declaration::Sources;
+use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
 use standins::site::{Ask, EntryProcess, RouteSpec, Site, until};
--- a/tests/entry_policies.rs
+++ b/tests/entry_policies.rs
@@ -5,7 +5,7 @@
 use hyper::{HeaderMap, Method, Uri};
 use lockloft::decision::choice::{NoTarget, Obstacle, Query, Verdict, choose, explain};
 use lockloft::decision::target::Target;
-use lockloft::declaration::Sources;
+use lockloft::policy::Sources;
 use lockloft::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
 use proptest::prelude::*;
 use scene::{Scene, route};
