--- a/src/decision/directory.rs
+++ b/src/decision/directory.rs
@@ -1,8 +1,8 @@
 //! Tells callers which entries to use.
 
 use crate::decision::world::World;
-use crate::entry::platform::CallerPlace;
-use crate::entry::settings::Settings;
+use crate::instance::settings::Settings;
+use crate::platform::CallerPlace;
 use std::net::SocketAddr;
 
 /// Most entries that one answer names.
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -2,8 +2,8 @@
 //! and what is under way there.
 
 use crate::decision::cold;
-use crate::entry::platform::{TargetEntry, TargetState};
 use crate::net::pool::Pool;
+use crate::platform::{TargetEntry, TargetState};
 use crate::policy::{Policies, PolicyMask};
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/src/decision/world.rs
+++ b/src/decision/world.rs
@@ -3,9 +3,9 @@
 
 use crate::decision::cold::{ColdBounds, own_rate};
 use crate::decision::target::Target;
-use crate::entry::platform::{Event, Fact, Item, Platform, Removal, TargetEntry, TranslateError};
 use crate::model::catalog::Catalog;
 use crate::model::member::Member;
+use crate::platform::{Event, Fact, Item, Platform, Removal, TargetEntry, TranslateError};
 use crate::policy::{Policies, PolicyDocument};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -215,7 +215,7 @@
     }
 
     fn learn_target(&mut self, entry: &TargetEntry, now: Instant) -> Option<Belief> {
-        let state = if entry.state == crate::entry::platform::TargetState::Ready { "ready" } else { "draining" };
+        let state = if entry.state == crate::platform::TargetState::Ready { "ready" } else { "draining" };
         let belief = Belief::Target { id: entry.id.clone(), state };
         if let Some(known) = self.targets.get(&entry.id) {
             return known.update(entry, now).then_some(belief);
--- a/src/entry/fronts.rs
+++ b/src/instance/fronts.rs
@@ -1,10 +1,10 @@
 //! The addresses of an entry: callers, readiness, directory, peers.
 
 use crate::decision::directory;
-use crate::entry::platform::Platform;
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
 use crate::net::server::{ConnectionLimits, Handler};
 use crate::operator;
+use crate::platform::Platform;
 use crate::proxy::body::AnswerBody;
 use crate::proxy::serve::serve;
 use crate::sync::peers;
--- a/src/entry/mod.rs
+++ b/src/instance/mod.rs
@@ -2,15 +2,14 @@
 //! the store, answers callers, and sends their requests straight to targets.
 
 pub mod fronts;
-pub mod platform;
 pub mod settings;
 pub mod state;
 pub mod stop;
 
-use crate::entry::fronts::{CallerFront, DirectoryFront, PeerFront};
-use crate::entry::platform::Platform;
-use crate::entry::settings::{Settings, SettingsError};
-use crate::entry::state::Entry;
+use crate::instance::fronts::{CallerFront, DirectoryFront, PeerFront};
+use crate::instance::settings::{Settings, SettingsError};
+use crate::instance::state::Entry;
+use crate::platform::Platform;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
@@ -76,7 +75,7 @@
     spawn_local(sweep(entry.clone()));
     spawn_local(reload(entry.clone(), path, hang_up));
     terminate.recv().await;
-    crate::entry::stop::drain(entry).await;
+    crate::instance::stop::drain(entry).await;
     log.finish().await;
     Ok(())
 }
--- a/src/entry/state.rs
+++ b/src/instance/state.rs
@@ -3,8 +3,8 @@
 use crate::decision::retry::RetryBudget;
 use crate::decision::split::Splits;
 use crate::decision::world::{Belief, World};
-use crate::entry::platform::{Event, HeaderNames, Listing, Platform};
-use crate::entry::settings::Settings;
+use crate::instance::settings::Settings;
+use crate::platform::{Event, HeaderNames, Listing, Platform};
 use crate::sync::health::StoreHealth;
 use crate::sync::view::StoreView;
 use crate::telemetry::log::Log;
--- a/src/entry/stop.rs
+++ b/src/instance/stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop: callers are sent elsewhere, and what is under way ends.
 
-use crate::entry::platform::Platform;
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
+use crate::platform::Platform;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,18 +1,23 @@
 //! lockloft: a global traffic steering system.
 //!
-//! | modules | their job |
+//! | folder | its job |
 //! |---|---|
-//! | [`entry`] | the instance that runs on a platform |
-//! | [`policy`] | the operators' labels, selectors and policies, and the files that hold them |
-//! | [`api`], [`command`] | the operators' tool and what it says to an instance |
-//! | [`dial`] | outgoing connections |
+//! | [`instance`] | start, settings, what all tasks share, planned stop |
+//! | [`proxy`] | the way of a request: from a caller's connection to a target and back |
+//! | [`decision`] | the rules: which target a request may go to, and what bounds that |
+//! | [`policy`] | the operators' labels, selectors and policies |
+//! | [`sync`] | the copy of the store: watch, relay tree, peers, membership |
+//! | [`operator`], [`command`] | the answers to operators, and the tool that asks |
+//! | [`model`], [`platform`] | decoded configuration and records; what a platform has to give |
+//! | [`net`], [`telemetry`] | connections; log and metrics |
 pub mod api;
 pub mod command;
 pub mod decision;
-pub mod entry;
+pub mod instance;
 pub mod model;
 pub mod net;
 pub mod operator;
+pub mod platform;
 pub mod policy;
 pub mod proxy;
 pub mod sync;
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -4,10 +4,10 @@
 use crate::api::{ApplyRequest, Refused};
 use crate::decision::choice::{Query, Verdict, Warming, explain, hash_object};
 use crate::decision::target::Target;
-use crate::entry::platform::Platform;
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
 use crate::model::catalog::{Catalog, Route};
 use crate::operator::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
+use crate::platform::Platform;
 use crate::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial, apply};
 use crate::proxy::body::AnswerBody;
 use http_body_util::{BodyExt, Limited};
--- a/src/policy/apply.rs
+++ b/src/policy/apply.rs
@@ -4,8 +4,8 @@
 
 use super::{Policies, PolicyDocument};
 use crate::api::ApplyRequest;
-use crate::entry::platform::{Platform, Store, StoreError};
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
+use crate::platform::{Platform, Store, StoreError};
 use crate::policy::DeclarationError;
 use crate::sync::call::call;
 use hyper::StatusCode;
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -4,10 +4,10 @@
 use crate::decision::choice::{NoTarget, Query, Warming, choose, hash_object};
 use crate::decision::target::Target;
 use crate::decision::world::World;
-use crate::entry::platform::Platform;
-use crate::entry::settings::Settings;
-use crate::entry::state::Entry;
+use crate::instance::settings::Settings;
+use crate::instance::state::Entry;
 use crate::model::catalog::{Catalog, Part, Repeat, Route};
+use crate::platform::Platform;
 use crate::policy::{Active, RequestFacts, Trial};
 use crate::proxy::body::{AnswerBody, RequestBody};
 use crate::proxy::exchange::{Exchange, Fault};
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -1,8 +1,8 @@
 //! One request at one target: sent, answered, and judged.
 
 use crate::decision::target::{InFlight, LoadReport, Target};
-use crate::entry::platform::HeaderNames;
 use crate::net::pool::{Connection, SendError};
+use crate::platform::HeaderNames;
 use crate::proxy::body::{AnswerBody, Passed, RequestBody, Return};
 use bytes::Bytes;
 use http_body_util::BodyExt;
--- a/src/proxy/held.rs
+++ b/src/proxy/held.rs
@@ -1,8 +1,8 @@
 //! A caller's request body on this side: held whole where that costs little, so
 //! that a request that did not run can go elsewhere.
 
-use crate::entry::platform::Platform;
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
+use crate::platform::Platform;
 use crate::proxy::body::{RequestBody, Through};
 use crate::proxy::refusal::Refusal;
 use bytes::Bytes;
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -1,11 +1,11 @@
 //! A caller's request: understood, attempted, answered and told in the log.
 
 use crate::decision::target::Target;
-use crate::entry::platform::Platform;
-use crate::entry::state::Entry;
-use crate::entry::stop::takes_requests;
+use crate::instance::state::Entry;
+use crate::instance::stop::takes_requests;
 use crate::model::catalog::Catalog;
 use crate::net::headers::remove_hop_by_hop;
+use crate::platform::Platform;
 use crate::policy::Trial;
 use crate::proxy::attempt::Attempt;
 use crate::proxy::body::AnswerBody;
--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -1,8 +1,8 @@
 //! One call to the store: bounded in time, counted, and noted for what it says
 //! of the store.
 
-use crate::entry::platform::{Platform, StoreError};
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
+use crate::platform::{Platform, StoreError};
 use std::time::Duration;
 use tokio::time::timeout;
 
--- a/src/sync/health.rs
+++ b/src/sync/health.rs
@@ -1,6 +1,6 @@
 //! Whether the store answers, and how old what is known of it is.
 
-use crate::entry::platform::StoreError;
+use crate::platform::StoreError;
 use crate::sync::membership::RENEW_EVERY;
 use crate::sync::relay::STALE;
 use std::cell::Cell;
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -1,8 +1,8 @@
 //! Keeps this entry's own key in the store, under a lease.
 
-use crate::entry::platform::{LeaseId, Platform, Store, StoreError};
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
 use crate::model::member::Member;
+use crate::platform::{LeaseId, Platform, Store, StoreError};
 use crate::sync::backoff::Backoff;
 use crate::sync::call::call;
 use std::rc::Rc;
--- a/src/sync/peers/mod.rs
+++ b/src/sync/peers/mod.rs
@@ -7,8 +7,8 @@
 pub use link::PeerLink;
 pub use told::{ToldChanges, show};
 
-use crate::entry::platform::Platform;
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
+use crate::platform::Platform;
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/sync/peers/told.rs
+++ b/src/sync/peers/told.rs
@@ -1,7 +1,7 @@
 //! Changes of the store as peers tell them.
 
-use crate::entry::platform::{Event, Item, Listing, Platform};
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
+use crate::platform::{Event, Item, Listing, Platform};
 use crate::proxy::body::AnswerBody;
 use crate::sync::relay::STALE;
 use base64::Engine;
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -4,8 +4,8 @@
 //! its relay, or stale news, follows another for a while, and watches the store
 //! itself where there is none.
 
-use crate::entry::platform::Platform;
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
+use crate::platform::Platform;
 use crate::sync::peers::PeerLink;
 use std::collections::HashMap;
 use std::net::SocketAddr;
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -1,8 +1,8 @@
 //! Keeps the view of the store up to date: by the hall's relay, or by a watch
 //! of its own over all keys, and a list where the history is gone.
 
-use crate::entry::platform::{Platform, Store, StoreError, Watched};
-use crate::entry::state::Entry;
+use crate::instance::state::Entry;
+use crate::platform::{Platform, Store, StoreError, Watched};
 use crate::sync::backoff::Backoff;
 use crate::sync::relay::Follower;
 use std::rc::Rc;
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -7,9 +7,9 @@
 use lockloft::decision::choice::{NoTarget, Query, choose};
 use lockloft::decision::target::Target;
 use lockloft::decision::world::World;
-use lockloft::entry::platform::{Event, Fact, Item, Listing, Platform, TargetEntry, TargetState};
 use lockloft::model::catalog::{CallerLimits, Catalog, Part, Repeat, Route, Service};
 use lockloft::model::member::Member;
+use lockloft::platform::{Event, Fact, Item, Listing, Platform, TargetEntry, TargetState};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -53,7 +53,7 @@
 
 impl Platform for Plain {
     type Store = NoStore;
-    fn headers() -> lockloft::entry::platform::HeaderNames {
+    fn headers() -> lockloft::platform::HeaderNames {
         unimplemented!("no test here sends requests")
     }
     fn ready_path() -> &'static str {
@@ -65,7 +65,7 @@
     fn policies_key() -> &'static str {
         "policies"
     }
-    fn read(item: &Item) -> Result<Fact, lockloft::entry::platform::TranslateError> {
+    fn read(item: &Item) -> Result<Fact, lockloft::platform::TranslateError> {
         if item.key == Self::policies_key() {
             return Ok(Fact::Policies);
         }
@@ -93,10 +93,10 @@
             _ => Fact::Unknown,
         })
     }
-    fn read_gone(key: &str) -> lockloft::entry::platform::Removal {
-        lockloft::entry::platform::Removal::Target(key.to_owned())
+    fn read_gone(key: &str) -> lockloft::platform::Removal {
+        lockloft::platform::Removal::Target(key.to_owned())
     }
-    fn directory_question(_: &str, _: &str) -> Option<lockloft::entry::platform::CallerPlace> {
+    fn directory_question(_: &str, _: &str) -> Option<lockloft::platform::CallerPlace> {
         None
     }
     fn directory_answer(_: &[std::net::SocketAddr], _: Duration) -> Bytes {
@@ -107,8 +107,8 @@
 /// A store that nobody asks.
 pub struct NoStore;
 
-impl lockloft::entry::platform::Store for NoStore {
-    async fn list(&self, _: &str) -> Result<Listing, lockloft::entry::platform::StoreError> {
+impl lockloft::platform::Store for NoStore {
+    async fn list(&self, _: &str) -> Result<Listing, lockloft::platform::StoreError> {
         unimplemented!("no test here asks the store")
     }
     async fn watch(
@@ -116,30 +116,27 @@
         _: &str,
         _: u64,
         _: Duration,
-    ) -> Result<lockloft::entry::platform::Watched, lockloft::entry::platform::StoreError> {
+    ) -> Result<lockloft::platform::Watched, lockloft::platform::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn grant(
-        &self,
-        _: Duration,
-    ) -> Result<lockloft::entry::platform::LeaseId, lockloft::entry::platform::StoreError> {
+    async fn grant(&self, _: Duration) -> Result<lockloft::platform::LeaseId, lockloft::platform::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn renew(&self, _: lockloft::entry::platform::LeaseId) -> Result<(), lockloft::entry::platform::StoreError> {
+    async fn renew(&self, _: lockloft::platform::LeaseId) -> Result<(), lockloft::platform::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn end(&self, _: lockloft::entry::platform::LeaseId) -> Result<(), lockloft::entry::platform::StoreError> {
+    async fn end(&self, _: lockloft::platform::LeaseId) -> Result<(), lockloft::platform::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), lockloft::entry::platform::StoreError> {
+    async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), lockloft::platform::StoreError> {
         unimplemented!("no test here asks the store")
     }
     async fn put(
         &self,
         _: &str,
         _: Bytes,
-        _: lockloft::entry::platform::LeaseId,
-    ) -> Result<(), lockloft::entry::platform::StoreError> {
+        _: lockloft::platform::LeaseId,
+    ) -> Result<(), lockloft::platform::StoreError> {
         unimplemented!("no test here asks the store")
     }
 }
