--- a/src/command/apply.rs
+++ b/src/command/apply.rs
@@ -5,7 +5,7 @@
 use super::error::CommandError;
 use super::options::Apply;
 use super::{Output, check};
-use crate::api::ApplyRequest;
+use crate::operator::api::ApplyRequest;
 use crate::operator::api::{EntryInstance, EntryStatus, PoliciesApplied};
 use crate::policy::Policies;
 use std::fmt::Write;
--- a/src/command/client.rs
+++ b/src/command/client.rs
@@ -1,7 +1,7 @@
 //! Questions to an instance at its peers' address.
 
 use super::error::CommandError;
-use crate::api::Refused;
+use crate::operator::api::Refused;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::client::conn::http1::handshake;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,6 @@
 //! | [`operator`], [`command`] | the answers to operators, and the tool that asks |
 //! | [`model`], [`platform`] | decoded configuration and records; what a platform has to give |
 //! | [`net`], [`telemetry`] | connections; log and metrics |
-pub mod api;
 pub mod command;
 pub mod decision;
 pub mod instance;
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -1,14 +1,15 @@
 //! What operators ask an entry: its state, its targets, a dry decision, and the
 //! policies in force; and the policies that they apply.
 
-use crate::api::{ApplyRequest, Refused};
+use super::apply::apply;
 use crate::decision::choice::{Query, Verdict, Warming, explain, hash_object};
 use crate::decision::target::Target;
 use crate::instance::state::Entry;
 use crate::model::catalog::{Catalog, Route};
+use crate::operator::api::{ApplyRequest, Refused};
 use crate::operator::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
 use crate::platform::Platform;
-use crate::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial, apply};
+use crate::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
 use crate::proxy::body::AnswerBody;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
--- a/src/policy/apply.rs
+++ b/src/operator/apply.rs
@@ -2,11 +2,11 @@
 //! the revision that follows the one in force. The write is conditional, so
 //! that of two operators one wins, and a lost answer is resolved by reading.
 
-use super::{Policies, PolicyDocument};
-use crate::api::ApplyRequest;
 use crate::instance::state::Entry;
+use crate::operator::api::ApplyRequest;
 use crate::platform::{Platform, Store, StoreError};
 use crate::policy::DeclarationError;
+use crate::policy::{Policies, PolicyDocument};
 use crate::sync::call::call;
 use hyper::StatusCode;
 use rand::Rng;
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -2,3 +2,4 @@
 
 pub mod answer;
 pub mod api;
+pub mod apply;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -4,7 +4,6 @@
 
 pub mod action;
 mod active;
-mod apply;
 mod check;
 mod credit;
 mod document;
@@ -19,7 +18,6 @@
 mod source;
 
 pub use active::{Active, Order, Standing, Trial};
-pub use apply::{ApplyError, apply};
 pub use document::PolicyDocument;
 pub use error::{DeclarationError, Place};
 pub use labels::RequestFacts;
--- a/standins/tests/entry_policies.rs
+++ b/standins/tests/entry_policies.rs
@@ -4,7 +4,7 @@
 mod common;
 
 use common::program;
-use lockloft::api::ApplyRequest;
+use lockloft::operator::api::ApplyRequest;
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
