--- a/src/command/apply.rs
+++ b/src/command/apply.rs
@@ -6,7 +6,7 @@
 use super::options::Apply;
 use super::{Output, check};
 use crate::operator::api::ApplyRequest;
-use crate::operator::api::{EntryInstance, EntryStatus, PoliciesApplied};
+use crate::operator::api::{InstanceLine, InstanceStatus, PoliciesApplied};
 use crate::policy::Policies;
 use std::fmt::Write;
 use std::time::{Duration, Instant};
@@ -41,15 +41,15 @@
     Output::new(&applied, text)
 }
 
-/// Waits until every instance that the entry knows has a revision in force.
+/// Waits until every instance that the instance knows has a revision in force.
 async fn wait(client: &Client, revision: u64) -> Result<Duration, CommandError> {
     let started = Instant::now();
     loop {
-        let instances: Vec<EntryInstance> = client.get("/instances").await?;
+        let instances: Vec<InstanceLine> = client.get("/instances").await?;
         let mut behind = Vec::new();
         for instance in instances {
             let other = Client::new(Some(&instance.peers.to_string()))?;
-            let known = other.get::<EntryStatus>("/status").await.ok().and_then(|status| status.policies);
+            let known = other.get::<InstanceStatus>("/status").await.ok().and_then(|status| status.policies);
             if known.is_none_or(|known| known < revision) {
                 behind.push(instance.name);
             }
--- a/src/command/listing.rs
+++ b/src/command/listing.rs
@@ -3,7 +3,7 @@
 use super::Output;
 use super::client::Client;
 use super::error::CommandError;
-use crate::operator::api::{EntryInstance, EntryStatus, EntryTarget};
+use crate::operator::api::{InstanceLine, InstanceStatus, TargetLine};
 use crate::policy::PolicyDocument;
 use std::fmt::Write;
 
@@ -25,7 +25,7 @@
 /// # Errors
 /// [`CommandError`].
 pub async fn status(client: &Client) -> Result<Output, CommandError> {
-    let status: EntryStatus = client.get("/status").await?;
+    let status: InstanceStatus = client.get("/status").await?;
     let known = |value: Option<u64>| value.map_or("none".to_owned(), |value| value.to_string());
     let mut text = format!("{} in {}, {}\n", status.instance, status.hall, status.region);
     let _ = writeln!(text, "configuration {}, policies {}", known(status.config), known(status.policies));
@@ -47,7 +47,7 @@
 /// # Errors
 /// [`CommandError`].
 pub async fn instances(client: &Client) -> Result<Output, CommandError> {
-    let lines: Vec<EntryInstance> = client.get("/instances").await?;
+    let lines: Vec<InstanceLine> = client.get("/instances").await?;
     let mut text = String::new();
     for line in &lines {
         let _ = writeln!(text, "{:<20} {:<24} callers {} peers {}", line.hall, line.name, line.callers, line.peers);
@@ -60,7 +60,7 @@
 /// # Errors
 /// [`CommandError`].
 pub async fn targets(client: &Client) -> Result<Output, CommandError> {
-    let lines: Vec<EntryTarget> = client.get("/targets").await?;
+    let lines: Vec<TargetLine> = client.get("/targets").await?;
     let mut text = String::new();
     for line in &lines {
         let _ = writeln!(
--- a/src/command/request.rs
+++ b/src/command/request.rs
@@ -1,4 +1,4 @@
-//! The story of one request, told from the lines of entries' logs.
+//! The story of one request, told from the lines of instances' logs.
 
 use crate::telemetry::line::{Line, RequestLine, TryLine};
 
--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -12,7 +12,7 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// How much likelier an object lives at a target of the entry's own region
+/// How much likelier an object lives at a target of the instance's own region
 /// than at one as large elsewhere.
 const OWN_REGION_WEIGHT: f64 = 4.0;
 /// Load, in slots, up to which the most urgent requests of a service are
@@ -57,7 +57,7 @@
     LeftAlone,
     /// It is far slower than its peers.
     Slow,
-    /// It is cold, and what it bears is used up or other entries' to use.
+    /// It is cold, and what it bears is used up or other instances' to use.
     Cold,
     /// This request was sent there already.
     Tried,
@@ -129,7 +129,7 @@
     pub service: &'a str,
     /// Hash of the object, or of the request where it has none.
     pub object: u64,
-    /// The entry's own region.
+    /// The instance's own region.
     pub region: &'a str,
     /// Who may warm cold targets; nobody while what is known may be stale.
     pub warming: Option<Warming<'a>>,
@@ -141,7 +141,7 @@
     pub now: Instant,
 }
 
-/// An entry that may send cold targets its part of their rate.
+/// An instance that may send cold targets its part of their rate.
 #[derive(Clone, Copy, Debug)]
 pub struct Warming<'a> {
     /// Its name among the members.
--- a/src/decision/cold.rs
+++ b/src/decision/cold.rs
@@ -1,14 +1,14 @@
 //! The rate of cold targets. A cold target bears few requests a second, over
-//! all entries together; the entries share that rate out by rendezvous over
+//! all instances together; the instances share that rate out by rendezvous over
 //! the store's list of members, with no message between them.
 
 use std::time::Duration;
 use xxhash_rust::xxh3::xxh3_64_with_seed;
 
 /// Views of the members that may be held at the same time by different
-/// entries and still keep the bound together.
+/// instances and still keep the bound together.
 const VIEWS: f64 = 2.0;
-/// Time over which an entry's own rate is kept: a second, and what a request
+/// Time over which an instance's own rate is kept: a second, and what a request
 /// may be held up on its way.
 const WINDOW: Duration = Duration::from_millis(1_030);
 
@@ -23,7 +23,7 @@
 }
 
 impl ColdBounds {
-    /// Requests a second that the entries send to a cold target together, of
+    /// Requests a second that the instances send to a cold target together, of
     /// the `rate` that it bears.
     pub fn shared_rate(&self, rate: f64) -> u32 {
         let bound = rate * self.overage + self.slack;
--- a/src/decision/directory.rs
+++ b/src/decision/directory.rs
@@ -1,16 +1,16 @@
-//! Tells callers which entries to use.
+//! Tells callers which instances to use.
 
 use crate::decision::world::World;
 use crate::instance::settings::Settings;
 use crate::platform::CallerPlace;
 use std::net::SocketAddr;
 
-/// Most entries that one answer names.
+/// Most instances that one answer names.
 const MOST: usize = 64;
 
-/// The entries for a caller: those of its region, else of this entry's own
+/// The instances for a caller: those of its region, else of this instance's own
 /// region, else all; this one always counts as there while `own` says so.
-pub fn entries_for(world: &World, settings: &Settings, place: &CallerPlace, own: bool) -> Vec<SocketAddr> {
+pub fn instances_for(world: &World, settings: &Settings, place: &CallerPlace, own: bool) -> Vec<SocketAddr> {
     let mut all: Vec<(&str, SocketAddr)> = world
         .members
         .iter()
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -1,9 +1,9 @@
-//! A target as this entry knows it: what the store says, what answers say,
+//! A target as this instance knows it: what the store says, what answers say,
 //! and what is under way there.
 
 use crate::decision::cold;
 use crate::net::pool::Pool;
-use crate::platform::{TargetEntry, TargetState};
+use crate::platform::{TargetRegistration, TargetState};
 use crate::policy::{Policies, PolicyMask};
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -79,7 +79,7 @@
     trial: bool,
 }
 
-/// This entry's part of the rate of a cold target.
+/// This instance's part of the rate of a cold target.
 #[derive(Clone, Copy, Debug, Default)]
 struct ColdShare {
     /// Requests a second.
@@ -126,19 +126,19 @@
 
 impl Target {
     /// A target first seen now.
-    pub fn new(entry: &TargetEntry, region: Rc<str>, now: Instant) -> Self {
+    pub fn new(registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Self {
         let target = Self {
-            id: entry.id.clone(),
-            service: entry.service.clone(),
-            address: entry.address,
-            hall: entry.hall.clone(),
+            id: registration.id.clone(),
+            service: registration.service.clone(),
+            address: registration.address,
+            hall: registration.hall.clone(),
             region,
-            version: entry.version.clone(),
-            slots: entry.slots.max(1),
-            hash: xxh3_64(entry.id.as_bytes()),
-            pool: Pool::new(entry.address),
-            state: Cell::new(entry.state),
-            sequence: Cell::new(entry.sequence),
+            version: registration.version.clone(),
+            slots: registration.slots.max(1),
+            hash: xxh3_64(registration.id.as_bytes()),
+            pool: Pool::new(registration.address),
+            state: Cell::new(registration.state),
+            sequence: Cell::new(registration.sequence),
             cold_until: Cell::new(None),
             cold_share: Cell::new(ColdShare::default()),
             in_flight: Cell::new(0),
@@ -149,23 +149,23 @@
             lapses_at: Cell::new(None),
             reach: Cell::new(None),
         };
-        target.set_cold(entry.cold, now);
+        target.set_cold(registration.cold, now);
         target
     }
 
-    /// Takes in a later entry of the same life; false where it is older.
-    pub fn update(&self, entry: &TargetEntry, now: Instant) -> bool {
-        if entry.sequence < self.sequence.get() {
+    /// Takes in a later registration of the same life; false where it is older.
+    pub fn update(&self, registration: &TargetRegistration, now: Instant) -> bool {
+        if registration.sequence < self.sequence.get() {
             return false;
         }
         self.lapses_at.set(None);
-        self.sequence.set(entry.sequence);
-        self.state.set(entry.state);
-        self.set_cold(entry.cold, now);
+        self.sequence.set(registration.sequence);
+        self.state.set(registration.state);
+        self.set_cold(registration.cold, now);
         true
     }
 
-    /// Count of the last entry taken in.
+    /// Count of the last registration taken in.
     pub fn sequence(&self) -> u64 {
         self.sequence.get()
     }
@@ -175,13 +175,13 @@
         self.state.get() == TargetState::Ready
     }
 
-    /// Keeps a target whose entry went while the store was away until a time:
-    /// if it lives, its entry is back by then.
+    /// Keeps a target whose registration went while the store was away until a time:
+    /// if it lives, its registration is back by then.
     pub fn lapse(&self, until: Instant) {
         self.lapses_at.set(self.lapses_at.get().or(Some(until)));
     }
 
-    /// Whether its entry went while the store was away and did not come back.
+    /// Whether its registration went while the store was away and did not come back.
     pub fn has_lapsed(&self, now: Instant) -> bool {
         self.lapses_at.get().is_some_and(|until| until <= now)
     }
@@ -214,7 +214,7 @@
         mask
     }
 
-    /// Whether this entry may send a cold target a request now. Its part of
+    /// Whether this instance may send a cold target a request now. Its part of
     /// the target's rate is worked out anew where the members have changed.
     pub fn takes_while_cold(&self, members_at: Instant, rate: impl FnOnce() -> u32, now: Instant) -> bool {
         let mut share = self.cold_share.get();
@@ -226,7 +226,7 @@
         share.rate > 0 && share.next.is_none_or(|next| next <= now)
     }
 
-    /// Requests of this entry that are under way.
+    /// Requests of this instance that are under way.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.get()
     }
@@ -239,7 +239,7 @@
     }
 
     /// Requests that are probably running or waiting there, those of other
-    /// entries fading with the age of the last report.
+    /// instances fading with the age of the last report.
     pub fn load(&self, now: Instant) -> f64 {
         let others = self.others.get().map_or(0.0, |others| {
             let age = now.saturating_duration_since(others.at).as_secs_f64() / REPORT_LIFE.as_secs_f64();
--- a/src/decision/world.rs
+++ b/src/decision/world.rs
@@ -1,11 +1,11 @@
 //! What the store's items mean: the catalog in force, targets, evacuated
-//! halls and the other entries.
+//! halls and the other instances.
 
 use crate::decision::cold::{ColdBounds, own_rate};
 use crate::decision::target::Target;
 use crate::model::catalog::Catalog;
 use crate::model::member::Member;
-use crate::platform::{Event, Fact, Item, Platform, Removal, TargetEntry, TranslateError};
+use crate::platform::{Event, Fact, Item, Platform, Removal, TargetRegistration, TranslateError};
 use crate::policy::{Policies, PolicyDocument};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -14,14 +14,14 @@
 use tokio::time::Instant;
 
 /// How long the last sequence of a target that went is remembered, so that an
-/// entry written late does not bring it back.
+/// registration written late does not bring it back.
 const REMEMBERED: Duration = Duration::from_secs(120);
 
 /// How long the members must have stayed the same before cold targets are sent
-/// anything: longer than another entry may lag behind.
+/// anything: longer than another instance may lag behind.
 const MEMBERS_STEADY: Duration = Duration::from_millis(2_000);
 
-/// A change of what this entry believes, for the log.
+/// A change of what this instance believes, for the log.
 #[derive(Debug)]
 pub enum Belief {
     /// A later configuration is in force.
@@ -32,7 +32,7 @@
     Evacuation { hall: String, on: bool },
     /// A target came, changed or went.
     Target { id: Rc<str>, state: &'static str },
-    /// Another entry came or went.
+    /// Another instance came or went.
     Member { name: String, present: bool },
     /// A value was refused.
     Refused(TranslateError),
@@ -51,7 +51,7 @@
     pub catalog: Option<Rc<Catalog>>,
     /// The operators' policies in force; `None` where there are none.
     pub policies: Option<Rc<Policies>>,
-    /// Other entries and this one, by name.
+    /// Other instances and this one, by name.
     pub members: BTreeMap<String, Member>,
     evacuated: HashSet<Rc<str>>,
     targets: HashMap<Rc<str>, Rc<Target>>,
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Bounds idle connections to targets by what these take from all entries.
+    /// Bounds idle connections to targets by what these take from all instances.
     pub fn share_connections(&self) {
         let Some(catalog) = &self.catalog else { return };
         for (service, targets) in &self.by_service {
@@ -134,7 +134,7 @@
     }
 
     /// Whether `own` may send a cold target a request now, of the rate that
-    /// all entries share. While the members change nobody sends any: the
+    /// all instances share. While the members change nobody sends any: the
     /// others may not see the same ones yet.
     pub fn may_warm(&self, target: &Target, own: &str, bounds: ColdBounds, now: Instant) -> bool {
         if now.saturating_duration_since(self.members_at) < MEMBERS_STEADY {
@@ -148,13 +148,13 @@
         target.takes_while_cold(self.members_at, rate, now)
     }
 
-    /// Addresses at which peers listen, but for this entry's own.
+    /// Addresses at which peers listen, but for this instance's own.
     pub fn peers(&self, own_name: &str) -> Vec<SocketAddr> {
         self.members.iter().filter(|(name, _)| *name != own_name).map(|(_, member)| member.peer).collect()
     }
 
     /// Takes in changes of the store. Where the store was away until lately,
-    /// targets whose entries went are kept until `kept_until`.
+    /// targets whose registrations went are kept until `kept_until`.
     pub fn apply<P: Platform>(&mut self, changes: &[Event], now: Instant, kept_until: Option<Instant>) -> Vec<Belief> {
         self.departed.retain(|_, departed| now.saturating_duration_since(departed.at) < REMEMBERED);
         let mut beliefs = Vec::new();
@@ -185,7 +185,7 @@
                 let name = hall.to_string();
                 self.evacuated.insert(hall).then_some(Belief::Evacuation { hall: name, on: true })
             }
-            Fact::Target(entry) => self.learn_target(&entry, now),
+            Fact::Target(registration) => self.learn_target(&registration, now),
             Fact::Own(name) => {
                 let member = Member::read(value)?;
                 if self.members.insert(name.clone(), member).is_none() {
@@ -214,18 +214,18 @@
         Some(Belief::Policies { revision: document.revision, by: document.by })
     }
 
-    fn learn_target(&mut self, entry: &TargetEntry, now: Instant) -> Option<Belief> {
-        let state = if entry.state == crate::platform::TargetState::Ready { "ready" } else { "draining" };
-        let belief = Belief::Target { id: entry.id.clone(), state };
-        if let Some(known) = self.targets.get(&entry.id) {
-            return known.update(entry, now).then_some(belief);
+    fn learn_target(&mut self, registration: &TargetRegistration, now: Instant) -> Option<Belief> {
+        let state = if registration.state == crate::platform::TargetState::Ready { "ready" } else { "draining" };
+        let belief = Belief::Target { id: registration.id.clone(), state };
+        if let Some(known) = self.targets.get(&registration.id) {
+            return known.update(registration, now).then_some(belief);
         }
-        if self.departed.get(&entry.id).is_some_and(|departed| entry.sequence <= departed.sequence) {
+        if self.departed.get(&registration.id).is_some_and(|departed| registration.sequence <= departed.sequence) {
             return None;
         }
-        let target = Rc::new(Target::new(entry, self.region_of(&entry.hall), now));
-        self.targets.insert(entry.id.clone(), target.clone());
-        self.by_service.entry(entry.service.clone()).or_default().push(target);
+        let target = Rc::new(Target::new(registration, self.region_of(&registration.hall), now));
+        self.targets.insert(registration.id.clone(), target.clone());
+        self.by_service.entry(registration.service.clone()).or_default().push(target);
         Some(belief)
     }
 
@@ -266,7 +266,7 @@
         Belief::Target { id: target.id.clone(), state: "gone" }
     }
 
-    /// Removes targets whose entries went while the store was away and did not
+    /// Removes targets whose registrations went while the store was away and did not
     /// come back.
     pub fn remove_lapsed(&mut self, now: Instant) -> Vec<Belief> {
         let lapsed: Vec<Rc<Target>> = self.targets.values().filter(|target| target.has_lapsed(now)).cloned().collect();
--- a/src/instance/fronts.rs
+++ b/src/instance/fronts.rs
@@ -1,7 +1,7 @@
-//! The addresses of an entry: callers, readiness, directory, peers.
+//! The addresses of an instance: callers, readiness, directory, peers.
 
 use crate::decision::directory;
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::net::server::{ConnectionLimits, Handler};
 use crate::operator;
 use crate::platform::Platform;
@@ -17,7 +17,7 @@
 /// Path of the metrics, at the peers' address.
 pub const METRICS_PATH: &str = "/metrics";
 /// How long callers may keep the directory's answer, at the most. Some keep it
-/// three times as long, and a stopping entry serves them meanwhile.
+/// three times as long, and a stopping instance serves them meanwhile.
 const DIRECTORY_TTL: Duration = Duration::from_secs(1);
 /// Bounds on connections of peers and the platform.
 const INNER_LIMITS: ConnectionLimits = ConnectionLimits {
@@ -30,16 +30,16 @@
 const CALLERS_PART: u32 = 2;
 
 /// Answers requests of callers.
-pub struct CallerFront<P: Platform>(pub Rc<Entry<P>>);
+pub struct CallerFront<P: Platform>(pub Rc<Instance<P>>);
 
 /// Counts a request for as long as it lives.
-struct Active<'a, P: Platform>(&'a Entry<P>);
+struct Active<'a, P: Platform>(&'a Instance<P>);
 
 impl<'a, P: Platform> Active<'a, P> {
-    fn new(entry: &'a Entry<P>) -> Self {
-        entry.active.set(entry.active.get() + 1);
-        entry.metrics.active.inc();
-        Self(entry)
+    fn new(instance: &'a Instance<P>) -> Self {
+        instance.active.set(instance.active.get() + 1);
+        instance.metrics.active.inc();
+        Self(instance)
     }
 }
 
@@ -78,7 +78,7 @@
 }
 
 /// Answers the readiness check and the directory's questions.
-pub struct DirectoryFront<P: Platform>(pub Rc<Entry<P>>);
+pub struct DirectoryFront<P: Platform>(pub Rc<Instance<P>>);
 
 impl<P: Platform> Handler for DirectoryFront<P> {
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
@@ -89,11 +89,11 @@
         }
         let Some(place) = P::directory_question(path, query) else { return plain(StatusCode::NOT_FOUND) };
         let settings = self.0.settings();
-        let entries = directory::entries_for(&self.0.world.borrow(), &settings, &place, self.0.is_ready());
-        if entries.is_empty() {
+        let instances = directory::instances_for(&self.0.world.borrow(), &settings, &place, self.0.is_ready());
+        if instances.is_empty() {
             return plain(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let answer = P::directory_answer(&entries, DIRECTORY_TTL.min(settings.directory_ttl));
+        let answer = P::directory_answer(&instances, DIRECTORY_TTL.min(settings.directory_ttl));
         let mut response = Response::new(AnswerBody::whole(answer));
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         response
@@ -107,7 +107,7 @@
 }
 
 /// Answers peers, operators, and whoever reads the metrics.
-pub struct PeerFront<P: Platform>(pub Rc<Entry<P>>);
+pub struct PeerFront<P: Platform>(pub Rc<Instance<P>>);
 
 impl<P: Platform> Handler for PeerFront<P> {
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -1,4 +1,4 @@
-//! An entry instance on a platform that brings the store: it keeps a view of
+//! An instance on a platform that brings the store: it keeps a view of
 //! the store, answers callers, and sends their requests straight to targets.
 
 pub mod fronts;
@@ -8,7 +8,7 @@
 
 use crate::instance::fronts::{CallerFront, DirectoryFront, PeerFront};
 use crate::instance::settings::{Settings, SettingsError};
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::platform::Platform;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -23,9 +23,9 @@
 /// Time between looks after idle connections and typical times.
 const SWEEP_EVERY: Duration = Duration::from_millis(500);
 
-/// Why an entry did not start.
+/// Why an instance did not start.
 #[derive(Debug, Error)]
-pub enum EntryError {
+pub enum StartError {
     /// The settings cannot be used.
     #[error(transparent)]
     Settings(#[from] SettingsError),
@@ -37,11 +37,11 @@
     System(#[from] std::io::Error),
 }
 
-/// Runs an entry until it is told to stop.
+/// Runs an instance until it is told to stop.
 ///
 /// # Errors
-/// [`EntryError`] where it could not start.
-pub fn run<P: Platform>(path: &Path, connect: impl FnOnce(&Settings) -> P::Store) -> Result<(), EntryError> {
+/// [`StartError`] where it could not start.
+pub fn run<P: Platform>(path: &Path, connect: impl FnOnce(&Settings) -> P::Store) -> Result<(), StartError> {
     let settings = Settings::load(path)?;
     let store = connect(&settings);
     let log = crate::telemetry::log::Log::start(settings.log_rate);
@@ -54,7 +54,7 @@
     settings: Settings,
     store: P::Store,
     log: crate::telemetry::log::Log,
-) -> Result<(), EntryError> {
+) -> Result<(), StartError> {
     let listen = settings.listen;
     let callers = bind("callers", listen.callers).await?;
     let readiness = bind("readiness", listen.readiness).await?;
@@ -63,36 +63,36 @@
     let mut terminate = signal(SignalKind::terminate())?;
     let hang_up = signal(SignalKind::hangup())?;
     tracing::info!(event = "started", name = settings.name, hall = &*settings.hall, region = &*settings.region);
-    let entry: Rc<Entry<P>> = Rc::new(Entry::new(settings, store, log.clone()));
+    let instance: Rc<Instance<P>> = Rc::new(Instance::new(settings, store, log.clone()));
     spawn_local(log.clone().run());
-    spawn_local(crate::net::server::listen(callers, Rc::new(CallerFront(entry.clone()))));
-    spawn_local(crate::net::server::listen(readiness, Rc::new(DirectoryFront(entry.clone()))));
-    spawn_local(crate::net::server::listen(directory, Rc::new(DirectoryFront(entry.clone()))));
-    spawn_local(crate::net::server::listen(peers, Rc::new(PeerFront(entry.clone()))));
-    spawn_local(crate::sync::watch::run(entry.clone()));
-    spawn_local(crate::sync::membership::run(entry.clone()));
-    spawn_local(crate::sync::peers::run(entry.clone()));
-    spawn_local(sweep(entry.clone()));
-    spawn_local(reload(entry.clone(), path, hang_up));
+    spawn_local(crate::net::server::listen(callers, Rc::new(CallerFront(instance.clone()))));
+    spawn_local(crate::net::server::listen(readiness, Rc::new(DirectoryFront(instance.clone()))));
+    spawn_local(crate::net::server::listen(directory, Rc::new(DirectoryFront(instance.clone()))));
+    spawn_local(crate::net::server::listen(peers, Rc::new(PeerFront(instance.clone()))));
+    spawn_local(crate::sync::watch::run(instance.clone()));
+    spawn_local(crate::sync::membership::run(instance.clone()));
+    spawn_local(crate::sync::peers::run(instance.clone()));
+    spawn_local(sweep(instance.clone()));
+    spawn_local(reload(instance.clone(), path, hang_up));
     terminate.recv().await;
-    crate::instance::stop::drain(entry).await;
+    crate::instance::stop::drain(instance).await;
     log.finish().await;
     Ok(())
 }
 
-async fn bind(field: &'static str, address: SocketAddr) -> Result<TcpListener, EntryError> {
-    TcpListener::bind(address).await.map_err(|source| EntryError::Listen { field, address, source })
+async fn bind(field: &'static str, address: SocketAddr) -> Result<TcpListener, StartError> {
+    TcpListener::bind(address).await.map_err(|source| StartError::Listen { field, address, source })
 }
 
-/// Works out typical times, removes targets whose entries lapsed, and closes
+/// Works out typical times, removes targets whose registrations lapsed, and closes
 /// connections to targets that have rested too long.
-async fn sweep<P: Platform>(entry: Rc<Entry<P>>) {
+async fn sweep<P: Platform>(instance: Rc<Instance<P>>) {
     loop {
         sleep(SWEEP_EVERY).await;
         let now = Instant::now();
-        entry.remove_lapsed();
-        entry.world.borrow_mut().update_typical_times();
-        let world = entry.world.borrow();
+        instance.remove_lapsed();
+        instance.world.borrow_mut().update_typical_times();
+        let world = instance.world.borrow();
         world.share_connections();
         for target in world.targets() {
             target.pool.sweep(now);
@@ -101,11 +101,11 @@
 }
 
 /// Reads the settings again whenever the process is told to.
-async fn reload<P: Platform>(entry: Rc<Entry<P>>, path: PathBuf, mut hang_up: tokio::signal::unix::Signal) {
+async fn reload<P: Platform>(instance: Rc<Instance<P>>, path: PathBuf, mut hang_up: tokio::signal::unix::Signal) {
     while hang_up.recv().await.is_some() {
         match Settings::load(&path) {
             Ok(settings) => {
-                entry.settings.replace(Rc::new(settings));
+                instance.settings.replace(Rc::new(settings));
                 tracing::info!(event = "reloaded");
             }
             Err(error) => tracing::error!(event = "reload_refused", %error),
--- a/src/instance/settings.rs
+++ b/src/instance/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of an entry instance, read from TOML and checked.
+//! Settings of an instance, read from TOML and checked.
 
 use crate::decision::cold::ColdBounds;
 use serde::Deserialize;
@@ -26,7 +26,7 @@
     Value { path: PathBuf, field: &'static str, problem: String },
 }
 
-/// Where an entry listens.
+/// Where an instance listens.
 #[derive(Clone, Copy, Debug, Deserialize)]
 pub struct Listen {
     /// Requests of callers.
@@ -114,11 +114,11 @@
     pub stop: Duration,
     /// Longest time for which callers may keep the directory's answer.
     pub directory_ttl: Duration,
-    /// Second tries allowed for each request, over all entries.
+    /// Second tries allowed for each request, over all instances.
     pub retry_ratio: f64,
-    /// Second tries allowed besides in a budget's window, over all entries.
+    /// Second tries allowed besides in a budget's window, over all instances.
     pub retry_slack: f64,
-    /// What a cold target may receive, over all entries.
+    /// What a cold target may receive, over all instances.
     pub cold: ColdBounds,
     /// Memory of the process, bytes.
     pub memory: u64,
--- a/src/instance/state.rs
+++ b/src/instance/state.rs
@@ -1,4 +1,4 @@
-//! What all tasks of an entry instance share.
+//! What all tasks of an instance share.
 
 use crate::decision::retry::RetryBudget;
 use crate::decision::split::Splits;
@@ -8,7 +8,7 @@
 use crate::sync::health::StoreHealth;
 use crate::sync::view::StoreView;
 use crate::telemetry::log::Log;
-use crate::telemetry::metrics::EntryMetrics;
+use crate::telemetry::metrics::Metrics;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -18,11 +18,11 @@
 /// Part of the allowed retry ratio that is used: views of what counts as a
 /// request differ between us and the targets.
 const RATIO_USED: f64 = 0.5;
-/// Part of the allowed slack that all entries together may save up.
+/// Part of the allowed slack that all instances together may save up.
 const SLACK_USED: f64 = 0.5;
 
-/// An entry instance.
-pub struct Entry<P: Platform> {
+/// An instance.
+pub struct Instance<P: Platform> {
     /// Its settings; read again on a reload.
     pub settings: RefCell<Rc<Settings>>,
     /// The platform's store.
@@ -38,12 +38,12 @@
     /// Paid second tries.
     pub retries: RefCell<RetryBudget>,
     /// Counters.
-    pub metrics: EntryMetrics,
+    pub metrics: Metrics,
     /// The log.
     pub log: Log,
-    /// Set once this entry is told to stop.
+    /// Set once this instance is told to stop.
     pub stopping: Cell<Option<Instant>>,
-    /// Set once this entry takes no request any more and is about to end.
+    /// Set once this instance takes no request any more and is about to end.
     pub ending: Cell<bool>,
     /// Requests of callers that are being worked on.
     pub active: Cell<u32>,
@@ -65,8 +65,8 @@
     pub health: StoreHealth,
 }
 
-impl<P: Platform> Entry<P> {
-    /// An entry that knows nothing yet.
+impl<P: Platform> Instance<P> {
+    /// An instance that knows nothing yet.
     pub fn new(settings: Settings, store: P::Store, log: Log) -> Self {
         let world = World::new(settings.halls.clone());
         Self {
@@ -77,7 +77,7 @@
             view: RefCell::new(StoreView::default()),
             world: RefCell::new(world),
             splits: RefCell::new(Splits::default()),
-            metrics: EntryMetrics::default(),
+            metrics: Metrics::default(),
             log,
             stopping: Cell::new(None),
             ending: Cell::new(false),
@@ -169,14 +169,14 @@
         self.view_confirmed.notify_waiters();
     }
 
-    /// Removes targets whose entries did not come back after the store did.
+    /// Removes targets whose registrations did not come back after the store did.
     pub fn remove_lapsed(&self) {
         let beliefs = self.world.borrow_mut().remove_lapsed(Instant::now());
         self.take_beliefs(&beliefs, "lapse");
     }
 }
 
-/// A retry budget for one of `members` entries.
+/// A retry budget for one of `members` instances.
 fn budget(settings: &Settings, members: usize) -> RetryBudget {
     RetryBudget::new(settings.retry_ratio * RATIO_USED, most_saved(settings, members))
 }
--- a/src/model/member.rs
+++ b/src/model/member.rs
@@ -1,10 +1,10 @@
-//! What an entry instance says of itself in the store.
+//! What an instance says of itself in the store.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One entry instance.
+/// One instance.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
     /// Where callers reach it.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -19,7 +19,7 @@
 const DEFAULT_REST: Duration = Duration::from_secs(4);
 /// Idle connections that are kept to one target at the most.
 const MAX_IDLE: usize = 16;
-/// Part of the connections that a target takes which all entries together may
+/// Part of the connections that a target takes which all instances together may
 /// keep idle, as a divisor.
 const IDLE_PART: usize = 2;
 
@@ -96,8 +96,8 @@
         Self { address, idle: RefCell::new(Vec::new()), most_idle: Cell::new(MAX_IDLE) }
     }
 
-    /// Bounds what is kept idle by this entry's part of the connections that
-    /// the target takes from all `members` entries; 0 where it does not say.
+    /// Bounds what is kept idle by this instance's part of the connections that
+    /// the target takes from all `members` instances; 0 where it does not say.
     pub fn share_connections(&self, taken: u32, members: usize) {
         let part = taken as usize / IDLE_PART / members.max(1);
         let most = if taken == 0 { MAX_IDLE } else { part.clamp(1, MAX_IDLE) };
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -1,13 +1,13 @@
-//! What operators ask an entry: its state, its targets, a dry decision, and the
+//! What operators ask an instance: its state, its targets, a dry decision, and the
 //! policies in force; and the policies that they apply.
 
 use super::apply::apply;
 use crate::decision::choice::{Query, Verdict, Warming, explain, hash_object};
 use crate::decision::target::Target;
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::model::catalog::{Catalog, Route};
 use crate::operator::api::{ApplyRequest, Refused};
-use crate::operator::api::{EntryInstance, EntryStatus, EntryTarget, PoliciesApplied, Why, WhyTarget};
+use crate::operator::api::{InstanceLine, InstanceStatus, PoliciesApplied, TargetLine, Why, WhyTarget};
 use crate::platform::Platform;
 use crate::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
 use crate::proxy::body::AnswerBody;
@@ -35,14 +35,14 @@
 }
 
 /// Answers an operator; `None` for paths that are not theirs.
-pub async fn answer<P: Platform>(entry: &Entry<P>, request: Request<Incoming>) -> Option<Response<AnswerBody>> {
+pub async fn answer<P: Platform>(instance: &Instance<P>, request: Request<Incoming>) -> Option<Response<AnswerBody>> {
     let answered = match (request.method().clone(), request.uri().path()) {
-        (Method::GET, "/status") => json(&status(entry)),
-        (Method::GET, "/targets") => json(&targets(entry)),
-        (Method::GET, "/instances") => json(&instances(entry)),
-        (Method::GET, "/policies") => show(entry).and_then(|document| json(&document)),
-        (Method::POST, "/policies") => take_policies(entry, request.into_body()).await.and_then(|done| json(&done)),
-        (Method::GET, "/why") => why(entry, request.uri()).and_then(|why| json(&why)),
+        (Method::GET, "/status") => json(&status(instance)),
+        (Method::GET, "/targets") => json(&targets(instance)),
+        (Method::GET, "/instances") => json(&instances(instance)),
+        (Method::GET, "/policies") => show(instance).and_then(|document| json(&document)),
+        (Method::POST, "/policies") => take_policies(instance, request.into_body()).await.and_then(|done| json(&done)),
+        (Method::GET, "/why") => why(instance, request.uri()).and_then(|why| json(&why)),
         _ => return None,
     };
     Some(answered.unwrap_or_else(|refusal| {
@@ -63,44 +63,44 @@
     response
 }
 
-fn status<P: Platform>(entry: &Entry<P>) -> EntryStatus {
-    let settings = entry.settings();
-    let world = entry.world.borrow();
-    EntryStatus {
+fn status<P: Platform>(instance: &Instance<P>) -> InstanceStatus {
+    let settings = instance.settings();
+    let world = instance.world.borrow();
+    InstanceStatus {
         instance: settings.name.clone(),
         hall: settings.hall.to_string(),
         region: settings.region.to_string(),
         config: world.catalog.as_ref().map(|catalog| catalog.version),
         policies: world.policies.as_ref().map(|policies| policies.revision),
-        view_revision: entry.view.borrow().at(),
-        view_age_ms: entry.health.knowledge_age().map(|age| age.as_millis() as u64),
-        store_lost: entry.health.is_lost(),
-        stopping: entry.stopping.get().is_some(),
+        view_revision: instance.view.borrow().at(),
+        view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
+        store_lost: instance.health.is_lost(),
+        stopping: instance.stopping.get().is_some(),
         members: world.members.len(),
         targets: world.targets().count(),
-        active: entry.active.get(),
+        active: instance.active.get(),
         evacuated: world.evacuated().map(str::to_owned).collect(),
     }
 }
 
-fn targets<P: Platform>(entry: &Entry<P>) -> Vec<EntryTarget> {
-    let world = entry.world.borrow();
+fn targets<P: Platform>(instance: &Instance<P>) -> Vec<TargetLine> {
+    let world = instance.world.borrow();
     let now = Instant::now();
-    let mut lines: Vec<EntryTarget> = world.targets().map(|target| target_line(target, now)).collect();
+    let mut lines: Vec<TargetLine> = world.targets().map(|target| target_line(target, now)).collect();
     lines.sort_by(|one, other| {
         (&one.service, &one.hall, &one.target).cmp(&(&other.service, &other.hall, &other.target))
     });
     lines
 }
 
-fn target_line(target: &Target, now: Instant) -> EntryTarget {
+fn target_line(target: &Target, now: Instant) -> TargetLine {
     let state = match target {
         _ if !target.is_ready() => "draining",
         _ if !target.is_trusted(now) => "left-alone",
         _ if target.is_cold(now) => "cold",
         _ => "ready",
     };
-    EntryTarget {
+    TargetLine {
         target: target.id.to_string(),
         service: target.service.to_string(),
         hall: target.hall.to_string(),
@@ -112,31 +112,31 @@
     }
 }
 
-fn instances<P: Platform>(entry: &Entry<P>) -> Vec<EntryInstance> {
-    let line = |(name, member): (&String, &crate::model::member::Member)| EntryInstance {
+fn instances<P: Platform>(instance: &Instance<P>) -> Vec<InstanceLine> {
+    let line = |(name, member): (&String, &crate::model::member::Member)| InstanceLine {
         name: name.clone(),
         hall: member.hall.clone(),
         region: member.region.clone(),
         callers: member.callers,
         peers: member.peer,
     };
-    entry.world.borrow().members.iter().map(line).collect()
+    instance.world.borrow().members.iter().map(line).collect()
 }
 
-/// The policies that lie in the store, as far as this entry knows it.
-fn show<P: Platform>(entry: &Entry<P>) -> Result<PolicyDocument, Refusal> {
-    let view = entry.view.borrow();
+/// The policies that lie in the store, as far as this instance knows it.
+fn show<P: Platform>(instance: &Instance<P>) -> Result<PolicyDocument, Refusal> {
+    let view = instance.view.borrow();
     let none = || refused(StatusCode::NOT_FOUND, "no policies are in force; remedy: `lockloft apply` some");
     let item = view.item(P::policies_key()).ok_or_else(none)?;
     PolicyDocument::read(&item.value).map_err(|error| refused(StatusCode::INTERNAL_SERVER_ERROR, error))
 }
 
-async fn take_policies<P: Platform>(entry: &Entry<P>, body: Incoming) -> Result<PoliciesApplied, Refusal> {
+async fn take_policies<P: Platform>(instance: &Instance<P>, body: Incoming) -> Result<PoliciesApplied, Refusal> {
     let body = Limited::new(body, MOST_BODY).collect().await;
     let body = body.map_err(|error| refused(StatusCode::PAYLOAD_TOO_LARGE, error))?.to_bytes();
     let request: ApplyRequest =
         serde_json::from_slice(&body).map_err(|error| refused(StatusCode::BAD_REQUEST, error))?;
-    let applied = apply(entry, &request).await;
+    let applied = apply(instance, &request).await;
     tracing::info!(
         event = "policies_applied",
         by = request.by,
@@ -147,27 +147,27 @@
     let revision = applied.map_err(|error| refused(error.status(), error))?;
     let policies =
         Policies::check(revision, &request.sources).map_err(|error| refused(StatusCode::BAD_REQUEST, error))?;
-    Ok(PoliciesApplied { revision, idle: idle(entry, &policies) })
+    Ok(PoliciesApplied { revision, idle: idle(instance, &policies) })
 }
 
 /// Names of the policies whose places select no target that is known now.
-fn idle<P: Platform>(entry: &Entry<P>, policies: &Policies) -> Vec<String> {
-    let world = entry.world.borrow();
+fn idle<P: Platform>(instance: &Instance<P>, policies: &Policies) -> Vec<String> {
+    let world = instance.world.borrow();
     let reached = world.targets().map(|target| policies.reach(target)).fold(PolicyMask::default(), PolicyMask::or);
     let names = policies.iter().enumerate().filter(|(position, _)| !reached.contains(*position));
     names.map(|(_, policy)| policy.name.clone()).collect()
 }
 
 /// A decision that sends nothing.
-fn why<P: Platform>(entry: &Entry<P>, uri: &Uri) -> Result<Why, Refusal> {
+fn why<P: Platform>(instance: &Instance<P>, uri: &Uri) -> Result<Why, Refusal> {
     let question = Question::read(uri)?;
-    let settings = entry.settings();
-    let world = entry.world.borrow();
+    let settings = instance.settings();
+    let world = instance.world.borrow();
     let unknown = || refused(StatusCode::SERVICE_UNAVAILABLE, "this entry has no configuration yet; ask another");
     let catalog = world.catalog.clone().ok_or_else(unknown)?;
     let route = question.route(&catalog)?;
     let object = question.object.as_ref().map_or(0, |object| hash_object(object.as_bytes()));
-    let part = entry.splits.borrow().peek(route, object);
+    let part = instance.splits.borrow().peek(route, object);
     let (trial, now) = (Trial::dry(), Instant::now());
     let facts = RequestFacts {
         service: &part.service,
@@ -179,7 +179,7 @@
         headers: &question.headers,
     };
     let active = world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &trial));
-    let warming = entry.health.is_current().then_some(Warming { own: &settings.name, bounds: settings.cold });
+    let warming = instance.health.is_current().then_some(Warming { own: &settings.name, bounds: settings.cold });
     let query = Query {
         route,
         service: &part.service,
@@ -197,7 +197,7 @@
         service: part.service.to_string(),
         config: catalog.version,
         policies: world.policies.as_ref().map(|policies| policies.revision),
-        view_age_ms: entry.health.knowledge_age().map(|age| age.as_millis() as u64),
+        view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
         acted: active.as_ref().map_or_else(Vec::new, Active::acted),
         chosen: chosen.map(|(target, _)| target.id.to_string()),
         targets: verdicts.iter().map(|(target, verdict)| why_line(target, *verdict, now)).collect(),
--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -1,4 +1,4 @@
-//! What an entry and the operators' tool say to each other: JSON over HTTP.
+//! What an instance and the operators' tool say to each other: JSON over HTTP.
 
 use crate::policy::Sources;
 use serde::{Deserialize, Serialize};
@@ -6,7 +6,7 @@
 
 /// Answer to `GET /status`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct EntryStatus {
+pub struct InstanceStatus {
     /// The answering instance.
     pub instance: String,
     /// Its hall.
@@ -37,7 +37,7 @@
 
 /// One instance in the answer to `GET /instances`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct EntryInstance {
+pub struct InstanceLine {
     /// Instance name.
     pub name: String,
     /// Its hall.
@@ -52,7 +52,7 @@
 
 /// One target in the answer to `GET /targets`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
-pub struct EntryTarget {
+pub struct TargetLine {
     /// Identity of its present life.
     pub target: String,
     /// Its service.
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -2,7 +2,7 @@
 //! the revision that follows the one in force. The write is conditional, so
 //! that of two operators one wins, and a lost answer is resolved by reading.
 
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::operator::api::ApplyRequest;
 use crate::platform::{Platform, Store, StoreError};
 use crate::policy::DeclarationError;
@@ -75,12 +75,12 @@
 ///
 /// # Errors
 /// [`ApplyError`]; nothing was applied but where it says so.
-pub async fn apply<P: Platform>(entry: &Entry<P>, request: &ApplyRequest) -> Result<u64, ApplyError> {
+pub async fn apply<P: Platform>(instance: &Instance<P>, request: &ApplyRequest) -> Result<u64, ApplyError> {
     Policies::check(0, &request.sources)?;
     let until = Instant::now() + PATIENCE;
     let mut expected = request.expect;
     loop {
-        let error = match attempt(entry, request, &mut expected).await {
+        let error = match attempt(instance, request, &mut expected).await {
             Ok(revision) => return Ok(revision),
             Err(ApplyError::Unknown(error)) => error,
             Err(error) => return Err(error),
@@ -96,11 +96,11 @@
 /// One read and one write. Without a revision given, the first that was read
 /// is the one expected from then on.
 async fn attempt<P: Platform>(
-    entry: &Entry<P>,
+    instance: &Instance<P>,
     request: &ApplyRequest,
     expected: &mut Option<u64>,
 ) -> Result<u64, ApplyError> {
-    let stored = read(entry).await.map_err(ApplyError::Unknown)?;
+    let stored = read(instance).await.map_err(ApplyError::Unknown)?;
     if stored.is_from(&request.id) {
         return Ok(stored.revision());
     }
@@ -120,13 +120,13 @@
     if value.len() > MOST_BYTES {
         return Err(ApplyError::TooLarge(value.len()));
     }
-    let put = entry.store.put_if(P::policies_key(), value, stored.at);
-    call(entry, "put_if", put).await.map_err(ApplyError::Unknown)?;
+    let put = instance.store.put_if(P::policies_key(), value, stored.at);
+    call(instance, "put_if", put).await.map_err(ApplyError::Unknown)?;
     Ok(document.revision)
 }
 
-async fn read<P: Platform>(entry: &Entry<P>) -> Result<Stored, StoreError> {
-    let listing = call(entry, "list", entry.store.list(P::policies_key())).await?;
+async fn read<P: Platform>(instance: &Instance<P>) -> Result<Stored, StoreError> {
+    let listing = call(instance, "list", instance.store.list(P::policies_key())).await?;
     let Some(item) = listing.items.into_iter().find(|item| item.key == P::policies_key()) else {
         return Ok(Stored { document: None, at: 0 });
     };
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,4 +1,4 @@
-//! What an entry instance asks of the platform it runs on. The names and
+//! What an instance asks of the platform it runs on. The names and
 //! formats behind these types are the platform crate's business.
 
 use crate::model::catalog::Catalog;
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Names of the headers by which callers, entries and targets understand one
+/// Names of the headers by which callers, instances and targets understand one
 /// another.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
@@ -150,7 +150,7 @@
 
 /// What the store says of a target.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct TargetEntry {
+pub struct TargetRegistration {
     /// Identity of this life of the target.
     pub id: Rc<str>,
     /// Service name.
@@ -179,7 +179,7 @@
     /// A hall whose targets are to get nothing.
     Evacuation(Rc<str>),
     /// A target.
-    Target(TargetEntry),
+    Target(TargetRegistration),
     /// The operators' policies, in lockloft's own form.
     Policies,
     /// A key that lockloft itself wrote, without its prefix.
--- a/src/policy/check.rs
+++ b/src/policy/check.rs
@@ -151,7 +151,7 @@
     })
 }
 
-/// Refuses what entries do not do, rather than pass over it.
+/// Refuses what instances do not do, rather than pass over it.
 fn refuse_unsupported(file: &File<RawOverlay>, raw: &RawPolicy, action: Action) -> Checked<()> {
     let refused = |field, text, remedy| {
         Err(DeclarationError::Mismatch { place: file.place("policy", &raw.name, field), text, remedy })
--- a/src/policy/labels.rs
+++ b/src/policy/labels.rs
@@ -16,9 +16,9 @@
     pub service: &'a str,
     /// The route that it took.
     pub route: &'a str,
-    /// The region of the entry that has it.
+    /// The region of the instance that has it.
     pub region: &'a str,
-    /// The hall of the entry that has it.
+    /// The hall of the instance that has it.
     pub hall: &'a str,
     /// Its method.
     pub method: &'a Method,
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' policies over an entry's way of sending: labels on places,
+//! The operators' policies over an instance's way of sending: labels on places,
 //! targets and requests, and what selectors over them allow, forbid, prefer,
 //! weigh and cap. The platform says what there is; this says how it is used.
 
--- a/src/policy/source.rs
+++ b/src/policy/source.rs
@@ -35,8 +35,8 @@
             return Ok(Self::single(&path.display().to_string(), &text));
         }
         let mut paths = Vec::new();
-        for entry in std::fs::read_dir(path)? {
-            let path = entry?.path();
+        for instance in std::fs::read_dir(path)? {
+            let path = instance?.path();
             if path.extension().is_some_and(|e| e == "toml") {
                 paths.push(path);
             }
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -5,7 +5,7 @@
 use crate::decision::target::Target;
 use crate::decision::world::World;
 use crate::instance::settings::Settings;
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::model::catalog::{Catalog, Part, Repeat, Route};
 use crate::platform::Platform;
 use crate::policy::{Active, RequestFacts, Trial};
@@ -29,8 +29,8 @@
 
 /// A request on its way to a target.
 pub struct Attempt<'a, P: Platform> {
-    /// The entry that has it.
-    pub entry: &'a Entry<P>,
+    /// The instance that has it.
+    pub instance: &'a Instance<P>,
     /// The configuration that decides.
     pub catalog: &'a Catalog,
     /// Its route.
@@ -51,9 +51,9 @@
     /// # Errors
     /// [`Refusal`] where no target's answer can be passed on.
     pub async fn run(&self, mut body: Held, story: &mut Story) -> Result<Response<AnswerBody>, Refusal> {
-        self.entry.retries.borrow_mut().earn();
+        self.instance.retries.borrow_mut().earn();
         let object = self.object();
-        let picked = self.entry.splits.borrow_mut().pick(self.route, object);
+        let picked = self.instance.splits.borrow_mut().pick(self.route, object);
         let mut tried = Vec::new();
         let mut unreachable = 0;
         let mut last = None;
@@ -118,8 +118,8 @@
     /// Hash of the object that the request is about; of the request itself
     /// where none is named or the route does not care.
     fn object(&self) -> u64 {
-        let named = self.parts.headers.get(&self.entry.names.object).filter(|_| self.route.affinity);
-        match named.or_else(|| self.parts.headers.get(&self.entry.names.request_id)) {
+        let named = self.parts.headers.get(&self.instance.names.object).filter(|_| self.route.affinity);
+        match named.or_else(|| self.parts.headers.get(&self.instance.names.request_id)) {
             Some(value) => hash_object(value.as_bytes()),
             None => rand::random(),
         }
@@ -127,9 +127,10 @@
 
     /// A target of the picked part, else of another part with any weight.
     fn choose(&self, object: u64, picked: &Part, tried: &[Rc<str>], story: &mut Story) -> Result<Rc<Target>, Refusal> {
-        let settings = self.entry.settings.borrow().clone();
-        let world = self.entry.world.borrow();
-        let warming = self.entry.health.is_current().then_some(Warming { own: &settings.name, bounds: settings.cold });
+        let settings = self.instance.settings.borrow().clone();
+        let world = self.instance.world.borrow();
+        let warming =
+            self.instance.health.is_current().then_some(Warming { own: &settings.name, bounds: settings.cold });
         let others = self.route.parts.iter().filter(|part| part.service != picked.service && part.weight > 0.0);
         let mut refusal = Refusal::NoTarget;
         for part in std::iter::once(picked).chain(others) {
@@ -179,7 +180,7 @@
     }
 
     fn note_fault(&self, fault: &Fault, target: &Target) {
-        let id = self.parts.headers.get(&self.entry.names.request_id);
+        let id = self.parts.headers.get(&self.instance.names.request_id);
         tracing::info!(
             event = "try_failed",
             id = id.and_then(|id| id.to_str().ok()),
@@ -191,8 +192,8 @@
     }
 
     fn may_try_again(&self) -> bool {
-        let paid = self.entry.retries.borrow_mut().spend();
-        let counter = if paid { &self.entry.metrics.retries } else { &self.entry.metrics.retries_denied };
+        let paid = self.instance.retries.borrow_mut().spend();
+        let counter = if paid { &self.instance.metrics.retries } else { &self.instance.metrics.retries_denied };
         counter.inc();
         paid
     }
@@ -204,7 +205,7 @@
         *request.uri_mut() = self.parts.uri.clone();
         *request.version_mut() = Version::HTTP_11;
         *request.headers_mut() = self.parts.headers.clone();
-        let names = &self.entry.names;
+        let names = &self.instance.names;
         let left = self.until.saturating_duration_since(Instant::now()).as_millis() as u64;
         request.headers_mut().insert(&names.deadline_ms, HeaderValue::from(left));
         let id = HeaderValue::from_str(&target.id).ok()?;
@@ -219,9 +220,9 @@
         };
         let started = Instant::now();
         let exchange = Exchange {
-            names: &self.entry.names,
+            names: &self.instance.names,
             in_flight: target.enter(started),
-            request_id: self.parts.headers.get(&self.entry.names.request_id),
+            request_id: self.parts.headers.get(&self.instance.names.request_id),
             until: self.until,
             deadline: self.until,
             sent,
--- a/src/proxy/held.rs
+++ b/src/proxy/held.rs
@@ -1,7 +1,7 @@
 //! A caller's request body on this side: held whole where that costs little, so
 //! that a request that did not run can go elsewhere.
 
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::platform::Platform;
 use crate::proxy::body::{RequestBody, Through};
 use crate::proxy::refusal::Refusal;
@@ -39,7 +39,7 @@
     /// # Errors
     /// [`Refusal`] where it is larger, or does not come whole until a time.
     pub async fn read<P: Platform>(
-        entry: &Entry<P>,
+        instance: &Instance<P>,
         most: u64,
         mut incoming: Incoming,
         until: Instant,
@@ -49,12 +49,12 @@
             return Err(Refusal::TooLarge);
         }
         if incoming.is_end_stream() {
-            return Ok(Held::Whole { bytes: Bytes::new(), _held: HeldBytes::none(&entry.held_bytes) });
+            return Ok(Held::Whole { bytes: Bytes::new(), _held: HeldBytes::none(&instance.held_bytes) });
         }
-        let mut held = HeldBytes::none(&entry.held_bytes);
+        let mut held = HeldBytes::none(&instance.held_bytes);
         let mut chunks = VecDeque::new();
-        let room = entry.settings.borrow().memory / HELD_PART;
-        while hint.lower() <= HELD_BODY && held.own <= HELD_BODY && entry.held_bytes.get() <= room {
+        let room = instance.settings.borrow().memory / HELD_PART;
+        while hint.lower() <= HELD_BODY && held.own <= HELD_BODY && instance.held_bytes.get() <= room {
             let frame = match timeout_at(until, incoming.frame()).await {
                 Err(_) | Ok(Some(Err(_))) => return Err(Refusal::BrokenBody),
                 Ok(Some(Ok(frame))) => frame,
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -1,4 +1,4 @@
-//! Answers that an entry makes itself.
+//! Answers that an instance makes itself.
 
 use crate::proxy::body::AnswerBody;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -8,7 +8,7 @@
 
 /// When a caller may come back after a refusal under load.
 const COME_BACK: Duration = Duration::from_millis(200);
-/// When a caller may come back while this entry knows too little.
+/// When a caller may come back while this instance knows too little.
 const COME_BACK_LATER: Duration = Duration::from_millis(500);
 
 /// Why a request got no answer from a target.
@@ -49,7 +49,7 @@
     /// Its time ran out before it was sent.
     #[error("the request's time ran out before it was sent; give it more time")]
     TooLate,
-    /// This entry stops.
+    /// This instance stops.
     #[error("this entry is stopping; ask another entry")]
     Stopping,
     /// The exchange broke after the request may have run.
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -1,7 +1,7 @@
 //! A caller's request: understood, attempted, answered and told in the log.
 
 use crate::decision::target::Target;
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::instance::stop::takes_requests;
 use crate::model::catalog::Catalog;
 use crate::net::headers::remove_hop_by_hop;
@@ -48,28 +48,28 @@
 }
 
 /// Answers a caller's request.
-pub async fn serve<P: Platform>(entry: &Entry<P>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub async fn serve<P: Platform>(instance: &Instance<P>, request: Request<Incoming>) -> Response<AnswerBody> {
     let started = Instant::now();
-    entry.last_request.set(started);
-    let id = request.headers().get(&entry.names.request_id).cloned();
+    instance.last_request.set(started);
+    let id = request.headers().get(&instance.names.request_id).cloned();
     let mut story = Story::default();
-    let served = route(entry, request, started, &mut story).await;
+    let served = route(instance, request, started, &mut story).await;
     let (outcome, response) = match served {
         Ok(response) => (ANSWERED, response),
         Err(refusal) => (refusal.word(), refusal.answer()),
     };
     let took = started.elapsed();
-    entry.metrics.requests.with_label_values(&[outcome]).inc();
-    entry.metrics.latency.with_label_values(&[outcome]).observe(took.as_secs_f64());
-    if outcome != ANSWERED || entry.log.lines().takes_success(std::time::Instant::now()) {
-        tell(entry, id.as_ref(), &story, outcome, response.status(), took);
+    instance.metrics.requests.with_label_values(&[outcome]).inc();
+    instance.metrics.latency.with_label_values(&[outcome]).observe(took.as_secs_f64());
+    if outcome != ANSWERED || instance.log.lines().takes_success(std::time::Instant::now()) {
+        tell(instance, id.as_ref(), &story, outcome, response.status(), took);
     }
     response
 }
 
 /// Writes the line of a request that has ended.
 fn tell<P: Platform>(
-    entry: &Entry<P>,
+    instance: &Instance<P>,
     id: Option<&HeaderValue>,
     story: &Story,
     outcome: &'static str,
@@ -87,7 +87,7 @@
         sends = story.sends,
         config = story.version,
         policies = (!story.policies.is_empty()).then(|| story.policies.join(",")),
-        view_age_ms = entry.health.knowledge_age().map(|age| age.as_millis() as u64),
+        view_age_ms = instance.health.knowledge_age().map(|age| age.as_millis() as u64),
         outcome,
         status = status.as_u16(),
         took_ms = took.as_millis() as u64,
@@ -95,39 +95,41 @@
 }
 
 async fn route<P: Platform>(
-    entry: &Entry<P>,
+    instance: &Instance<P>,
     request: Request<Incoming>,
     started: Instant,
     story: &mut Story,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    if !takes_requests(entry) {
+    if !takes_requests(instance) {
         return Err(Refusal::Stopping);
     }
-    let catalog = known_catalog(entry).await.ok_or(Refusal::NoCatalog)?;
+    let catalog = known_catalog(instance).await.ok_or(Refusal::NoCatalog)?;
     story.version = catalog.version;
     let host = host_of(&request).ok_or(Refusal::Malformed)?;
     let key = catalog.find(host, request.uri().path()).ok_or(Refusal::NoRoute)?;
     let route = catalog.route(key);
     story.route = Some(route.name.clone());
-    let deadline = match number(request.headers(), &entry.names.deadline_ms) {
+    let deadline = match number(request.headers(), &instance.names.deadline_ms) {
         Ok(Some(left)) => started + Duration::from_millis(left).saturating_sub(DEADLINE_MARGIN),
         Ok(None) => started + DEFAULT_DEADLINE,
         Err(()) => return Err(Refusal::Malformed),
     };
     let until = route.timeout.map_or(deadline, |timeout| deadline.min(started + timeout));
     let (mut parts, incoming) = request.into_parts();
-    let body = Held::read(entry, catalog.limits.body_bytes, incoming, until).await?;
+    let body = Held::read(instance, catalog.limits.body_bytes, incoming, until).await?;
     clean(&mut parts)?;
-    Attempt { entry, catalog: &catalog, route, parts, started, until, trial: Trial::default() }.run(body, story).await
+    Attempt { instance, catalog: &catalog, route, parts, started, until, trial: Trial::default() }
+        .run(body, story)
+        .await
 }
 
 /// The configuration in force. A process that has just started knows it within
 /// a few milliseconds; callers that come before wait that long.
-async fn known_catalog<P: Platform>(entry: &Entry<P>) -> Option<Rc<Catalog>> {
+async fn known_catalog<P: Platform>(instance: &Instance<P>) -> Option<Rc<Catalog>> {
     let until = Instant::now() + FIRST_CATALOG;
     loop {
-        let changed = entry.view_changed.notified();
-        if let Some(catalog) = &entry.world.borrow().catalog {
+        let changed = instance.view_changed.notified();
+        if let Some(catalog) = &instance.world.borrow().catalog {
             return Some(catalog.clone());
         }
         timeout_at(until, changed).await.ok()?;
--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -1,7 +1,7 @@
 //! One call to the store: bounded in time, counted, and noted for what it says
 //! of the store.
 
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::platform::{Platform, StoreError};
 use std::time::Duration;
 use tokio::time::timeout;
@@ -14,17 +14,17 @@
 /// # Errors
 /// [`StoreError`]; [`StoreError::Silent`] where the wait was too long.
 pub async fn call<P: Platform, T>(
-    entry: &Entry<P>,
+    instance: &Instance<P>,
     kind: &str,
     answer: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    entry.metrics.store_calls.with_label_values(&[kind]).inc();
+    instance.metrics.store_calls.with_label_values(&[kind]).inc();
     let result = timeout(CALL_TIMEOUT, answer).await.unwrap_or(Err(StoreError::Silent));
     match &result {
-        Ok(_) | Err(StoreError::LeaseOver | StoreError::Conflict) => entry.heard_store(),
+        Ok(_) | Err(StoreError::LeaseOver | StoreError::Conflict) => instance.heard_store(),
         Err(error) => {
-            entry.metrics.store_failures.inc();
-            entry.health.missed(error);
+            instance.metrics.store_failures.inc();
+            instance.health.missed(error);
         }
     }
     result
--- a/src/sync/health.rs
+++ b/src/sync/health.rs
@@ -10,18 +10,18 @@
 /// Time without an answer, beyond that between two renewals, after which the
 /// store counts as lost.
 const SILENCE: Duration = Duration::from_millis(700);
-/// Time from the store's return within which entries that have gone may be of
+/// Time from the store's return within which registrations that have gone may be of
 /// targets that could not renew them.
 const LAPSES_SEEN: Duration = Duration::from_millis(1_500);
-/// Time from the store's return within which such entries are back, or their
+/// Time from the store's return within which such registrations are back, or their
 /// targets gone. With the longest wait between calls before it, it ends before
-/// the operators hold an entry to what it should know.
+/// the operators hold an instance to what it should know.
 const LAPSES_BACK: Duration = Duration::from_millis(2_000);
-/// Age of what is known from which entries may have run out meanwhile. Where
+/// Age of what is known from which registrations may have run out meanwhile. Where
 /// peers kept it younger, the store was there for the targets too.
 const LAPSES_AFTER: Duration = Duration::from_millis(3_000);
 
-/// What one entry has seen of the store.
+/// What one instance has seen of the store.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     heard_at: Cell<Option<Instant>>,
@@ -62,14 +62,14 @@
     }
 
     /// Notes that the store came back `age` ago, as a peer has seen it. It says
-    /// nothing to an entry that did not miss the store itself.
+    /// nothing to an instance that did not miss the store itself.
     pub fn heard_return(&self, age: Duration) {
         if self.lost.get() {
             self.note_return(Instant::now().checked_sub(age));
         }
     }
 
-    /// Notes that the store was away from all whom this entry hears, and when
+    /// Notes that the store was away from all whom this instance hears, and when
     /// it came back.
     fn note_return(&self, at: Option<Instant>) {
         if self.knowledge_age().is_some_and(|age| age > LAPSES_AFTER) {
@@ -82,7 +82,7 @@
         self.returned_at.get().map(|returned| returned.elapsed())
     }
 
-    /// Until when targets are kept whose entries are now seen to have gone;
+    /// Until when targets are kept whose registrations are now seen to have gone;
     /// `None` where they went while the store was there.
     pub fn lapses_until(&self, now: Instant) -> Option<Instant> {
         let returned = self.returned_at.get()?;
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -1,6 +1,6 @@
-//! Keeps this entry's own key in the store, under a lease.
+//! Keeps this instance's own key in the store, under a lease.
 
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::model::member::Member;
 use crate::platform::{LeaseId, Platform, Store, StoreError};
 use crate::sync::backoff::Backoff;
@@ -18,19 +18,19 @@
 /// Time between looks while there is nothing to announce yet.
 const LOOK_EVERY: Duration = Duration::from_millis(300);
 
-/// Announces this entry once it is ready, and withdraws it when it stops.
-pub async fn run<P: Platform>(entry: Rc<Entry<P>>) {
+/// Announces this instance once it is ready, and withdraws it when it stops.
+pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let mut lease: Option<Held> = None;
     let mut backoff = Backoff::default();
-    while entry.stopping.get().is_none() {
-        let wait = step(&entry, &mut lease, &mut backoff).await;
+    while instance.stopping.get().is_none() {
+        let wait = step(&instance, &mut lease, &mut backoff).await;
         tokio::select! {
             () = sleep(wait) => {}
-            () = entry.stop_asked.notified() => {}
+            () = instance.stop_asked.notified() => {}
         }
     }
     if let Some(held) = lease {
-        let _ = call(&entry, "end", entry.store.end(held.lease)).await;
+        let _ = call(&instance, "end", instance.store.end(held.lease)).await;
     }
 }
 
@@ -40,16 +40,16 @@
     written: Instant,
 }
 
-async fn step<P: Platform>(entry: &Entry<P>, lease: &mut Option<Held>, backoff: &mut Backoff) -> Duration {
-    if !entry.is_ready() {
+async fn step<P: Platform>(instance: &Instance<P>, lease: &mut Option<Held>, backoff: &mut Backoff) -> Duration {
+    if !instance.is_ready() {
         return LOOK_EVERY;
     }
     let result = match lease {
-        None => announce(entry).await.map(|held| *lease = Some(held)),
-        Some(held) if is_key_missing(entry, held) => {
-            write_key(entry, held.lease).await.map(|()| held.written = Instant::now())
+        None => announce(instance).await.map(|held| *lease = Some(held)),
+        Some(held) if is_key_missing(instance, held) => {
+            write_key(instance, held.lease).await.map(|()| held.written = Instant::now())
         }
-        Some(held) => call(entry, "renew", entry.store.renew(held.lease)).await,
+        Some(held) => call(instance, "renew", instance.store.renew(held.lease)).await,
     };
     match result {
         Ok(()) => {
@@ -65,20 +65,20 @@
 }
 
 /// Whether the key was taken away while its lease goes on.
-fn is_key_missing<P: Platform>(entry: &Entry<P>, held: &Held) -> bool {
-    let name = &entry.settings.borrow().name;
-    held.written.elapsed() > SEEN_WITHIN && !entry.world.borrow().members.contains_key(name)
+fn is_key_missing<P: Platform>(instance: &Instance<P>, held: &Held) -> bool {
+    let name = &instance.settings.borrow().name;
+    held.written.elapsed() > SEEN_WITHIN && !instance.world.borrow().members.contains_key(name)
 }
 
-async fn announce<P: Platform>(entry: &Entry<P>) -> Result<Held, StoreError> {
-    let shortest = entry.settings().shortest_lease;
-    let lease = call(entry, "grant", entry.store.grant(LEASE.max(shortest))).await?;
-    write_key(entry, lease).await?;
+async fn announce<P: Platform>(instance: &Instance<P>) -> Result<Held, StoreError> {
+    let shortest = instance.settings().shortest_lease;
+    let lease = call(instance, "grant", instance.store.grant(LEASE.max(shortest))).await?;
+    write_key(instance, lease).await?;
     Ok(Held { lease, written: Instant::now() })
 }
 
-async fn write_key<P: Platform>(entry: &Entry<P>, lease: LeaseId) -> Result<(), StoreError> {
-    let settings = entry.settings();
+async fn write_key<P: Platform>(instance: &Instance<P>, lease: LeaseId) -> Result<(), StoreError> {
+    let settings = instance.settings();
     let member = Member {
         callers: settings.listen.callers,
         peer: settings.listen.peers,
@@ -86,5 +86,5 @@
         region: settings.region.to_string(),
     };
     let key = format!("{}{}", P::own_prefix(), settings.name);
-    call(entry, "put", entry.store.put(&key, member.value(), lease)).await
+    call(instance, "put", instance.store.put(&key, member.value(), lease)).await
 }
--- a/src/sync/peers/told.rs
+++ b/src/sync/peers/told.rs
@@ -1,6 +1,6 @@
 //! Changes of the store as peers tell them.
 
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::platform::{Event, Item, Listing, Platform};
 use crate::proxy::body::AnswerBody;
 use crate::sync::relay::STALE;
@@ -67,44 +67,44 @@
         self.age_ms.map(Duration::from_millis)
     }
 
-    /// Takes the changes into an entry's view; nothing where they are older.
-    pub fn take<P: Platform>(self, entry: &Entry<P>, source: &'static str) {
+    /// Takes the changes into an instance's view; nothing where they are older.
+    pub fn take<P: Platform>(self, instance: &Instance<P>, source: &'static str) {
         let at = self.at;
         if let Some(age) = self.returned_ms {
-            entry.health.heard_return(Duration::from_millis(age));
+            instance.health.heard_return(Duration::from_millis(age));
         }
         let Some(events) = self.events.into_iter().map(ToldEvent::event).collect::<Option<Vec<Event>>>() else {
             return;
         };
         if !self.whole {
-            return entry.take_events(events, at, source);
+            return instance.take_events(events, at, source);
         }
         let item = |event| match event {
             Event::Put(item) => Some(item),
             Event::Gone { .. } => None,
         };
-        entry.take_listing(Listing { items: events.into_iter().filter_map(item).collect(), at }, source);
+        instance.take_listing(Listing { items: events.into_iter().filter_map(item).collect(), at }, source);
     }
 }
 
 /// Answers a peer; waits as long as its question says for changes, or for word
 /// that there are none, so that such word passes from relay to relay at once.
-pub async fn show<P: Platform>(entry: &Entry<P>, query: &str) -> Response<AnswerBody> {
+pub async fn show<P: Platform>(instance: &Instance<P>, query: &str) -> Response<AnswerBody> {
     let (after, wait) = read_question(query);
     let changed = async {
         loop {
-            let changed = entry.view_changed.notified();
-            if entry.view.borrow().at() > after {
+            let changed = instance.view_changed.notified();
+            if instance.view.borrow().at() > after {
                 return;
             }
             changed.await;
         }
     };
-    let confirmed = entry.view_confirmed.notified();
+    let confirmed = instance.view_confirmed.notified();
     // News that turn stale are told at once: the peer then looks elsewhere.
     let turns_stale = async {
         loop {
-            let fresh_for = STALE.saturating_sub(entry.health.knowledge_age().unwrap_or(STALE));
+            let fresh_for = STALE.saturating_sub(instance.health.knowledge_age().unwrap_or(STALE));
             if fresh_for.is_zero() {
                 return;
             }
@@ -116,18 +116,18 @@
         () = confirmed => {}
         () = turns_stale => {}
     }
-    let told = tell(entry, after);
+    let told = tell(instance, after);
     Response::new(AnswerBody::whole(serde_json::to_vec(&told).expect("changes are plain strings")))
 }
 
-fn tell<P: Platform>(entry: &Entry<P>, after: u64) -> ToldChanges {
-    let view = entry.view.borrow();
-    let age_ms = entry.health.knowledge_age().map(|age| age.as_millis() as u64);
+fn tell<P: Platform>(instance: &Instance<P>, after: u64) -> ToldChanges {
+    let view = instance.view.borrow();
+    let age_ms = instance.health.knowledge_age().map(|age| age.as_millis() as u64);
     let (whole, events) = match view.changes_after(after) {
         Some(events) => (false, events.map(ToldEvent::of).collect()),
         None => (true, view.items().map(|item| ToldEvent::of(&Event::Put(item.clone()))).collect()),
     };
-    let returned_ms = entry.health.return_age().map(|age| age.as_millis() as u64);
+    let returned_ms = instance.health.return_age().map(|age| age.as_millis() as u64);
     ToldChanges { at: view.at(), age_ms, returned_ms, whole, events }
 }
 
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -1,10 +1,10 @@
-//! One entry of a hall watches the store, the others hear from it through a
-//! tree in which each entry tells a few. An entry follows only those whose names
+//! One instance of a hall watches the store, the others hear from it through a
+//! tree in which each instance tells a few. An instance follows only those whose names
 //! come before its own, so nobody follows in a circle. Whoever hears nothing from
 //! its relay, or stale news, follows another for a while, and watches the store
 //! itself where there is none.
 
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::platform::Platform;
 use crate::sync::peers::PeerLink;
 use std::collections::HashMap;
@@ -12,7 +12,7 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Entries that one entry tells.
+/// Instances that one instance tells.
 pub const FOLLOWERS: usize = 4;
 /// How long one question to the relay waits for changes. A frozen relay is
 /// noticed within this and the link's own patience.
@@ -24,7 +24,7 @@
 /// How long a relay that failed is not followed.
 const DISTRUST: Duration = Duration::from_secs(5);
 
-/// Positions of the relay of the entry at `position` of its hall, that one's
+/// Positions of the relay of the instance at `position` of its hall, that one's
 /// relay, and so on up to the first.
 pub fn ancestors(position: usize) -> impl Iterator<Item = usize> {
     std::iter::successors(parent(position), |position| parent(*position))
@@ -34,7 +34,7 @@
     Some(position.checked_sub(1)? / FOLLOWERS)
 }
 
-/// The relay that an entry follows, and the link to it.
+/// The relay that an instance follows, and the link to it.
 #[derive(Default)]
 pub struct Follower {
     link: Option<PeerLink>,
@@ -43,11 +43,11 @@
 }
 
 impl Follower {
-    /// The relay to be asked now; `None` where this entry watches the store
+    /// The relay to be asked now; `None` where this instance watches the store
     /// itself.
-    pub fn relay<P: Platform>(&self, entry: &Entry<P>) -> Option<SocketAddr> {
-        let settings = entry.settings.borrow().clone();
-        let world = entry.world.borrow();
+    pub fn relay<P: Platform>(&self, instance: &Instance<P>) -> Option<SocketAddr> {
+        let settings = instance.settings.borrow().clone();
+        let world = instance.world.borrow();
         let before = world.members.iter().take_while(|(name, _)| **name < settings.name);
         let relays: Vec<SocketAddr> =
             before.filter(|(_, member)| *member.hall == *settings.hall).map(|(_, member)| member.peer).collect();
@@ -59,8 +59,8 @@
 
     /// Asks the relay for changes and takes them in; distrusts it where it
     /// fails or its news are stale.
-    pub async fn follow<P: Platform>(&mut self, entry: &Entry<P>, relay: SocketAddr) {
-        if !self.hear(entry, relay).await {
+    pub async fn follow<P: Platform>(&mut self, instance: &Instance<P>, relay: SocketAddr) {
+        if !self.hear(instance, relay).await {
             self.link = None;
             let now = Instant::now();
             self.distrusted.retain(|_, until| *until > now);
@@ -69,18 +69,18 @@
         }
     }
 
-    async fn hear<P: Platform>(&mut self, entry: &Entry<P>, relay: SocketAddr) -> bool {
+    async fn hear<P: Platform>(&mut self, instance: &Instance<P>, relay: SocketAddr) -> bool {
         if self.link.as_ref().is_none_or(|link| link.peer != relay) {
             let Ok(link) = PeerLink::open(relay).await else { return false };
             self.link = Some(link);
         }
         let Some(link) = self.link.as_mut() else { return false };
-        let after = entry.view.borrow().at();
+        let after = instance.view.borrow().at();
         let Ok(told) = link.changes(after, WAIT).await else { return false };
         let Some(age) = told.age().filter(|age| *age < STALE) else { return false };
-        entry.metrics.relayed.inc();
-        told.take(entry, "relay");
-        entry.knew_store(age);
+        instance.metrics.relayed.inc();
+        told.take(instance, "relay");
+        instance.knew_store(age);
         true
     }
 }
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -1,7 +1,7 @@
 //! Keeps the view of the store up to date: by the hall's relay, or by a watch
 //! of its own over all keys, and a list where the history is gone.
 
-use crate::instance::state::Entry;
+use crate::instance::state::Instance;
 use crate::platform::{Platform, Store, StoreError, Watched};
 use crate::sync::backoff::Backoff;
 use crate::sync::relay::Follower;
@@ -26,20 +26,20 @@
 }
 
 /// Runs until the process ends.
-pub async fn run<P: Platform>(entry: Rc<Entry<P>>) {
+pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let mut follower = Follower::default();
     let mut next = Next::List;
     let mut backoff = Backoff::default();
     loop {
-        if let Some(relay) = follower.relay(&entry) {
-            follower.follow(&entry, relay).await;
+        if let Some(relay) = follower.relay(&instance) {
+            follower.follow(&instance, relay).await;
             // The relay may have told more than a watch could.
             next = Next::Watch;
             continue;
         }
         let result = match next {
-            Next::List => list(&entry).await,
-            Next::Watch => watch(&entry).await,
+            Next::List => list(&instance).await,
+            Next::Watch => watch(&instance).await,
         };
         match result {
             Ok(then) => {
@@ -47,41 +47,41 @@
                 backoff.reset();
             }
             Err(error) => {
-                entry.health.missed(&error);
-                entry.metrics.store_failures.inc();
+                instance.health.missed(&error);
+                instance.metrics.store_failures.inc();
                 sleep(backoff.wait()).await;
             }
         }
     }
 }
 
-async fn list<P: Platform>(entry: &Entry<P>) -> Result<Next, StoreError> {
-    entry.metrics.store_calls.with_label_values(&["list"]).inc();
-    let listing = timeout(LIST_TIMEOUT, entry.store.list(ALL)).await.map_err(|_| StoreError::Silent)??;
-    entry.heard_store();
-    entry.take_listing(listing, "list");
-    entry.knew_store(Duration::ZERO);
+async fn list<P: Platform>(instance: &Instance<P>) -> Result<Next, StoreError> {
+    instance.metrics.store_calls.with_label_values(&["list"]).inc();
+    let listing = timeout(LIST_TIMEOUT, instance.store.list(ALL)).await.map_err(|_| StoreError::Silent)??;
+    instance.heard_store();
+    instance.take_listing(listing, "list");
+    instance.knew_store(Duration::ZERO);
     Ok(Next::Watch)
 }
 
 /// Waits for changes. A watch says nothing while nothing changes, so it is
 /// begun anew where the store was lost meanwhile.
-async fn watch<P: Platform>(entry: &Entry<P>) -> Result<Next, StoreError> {
-    entry.metrics.store_calls.with_label_values(&["watch"]).inc();
-    entry.watching.set(true);
-    let after = entry.view.borrow().at();
+async fn watch<P: Platform>(instance: &Instance<P>) -> Result<Next, StoreError> {
+    instance.metrics.store_calls.with_label_values(&["watch"]).inc();
+    instance.watching.set(true);
+    let after = instance.view.borrow().at();
     let answer = tokio::select! {
-        answer = entry.store.watch(ALL, after, WAIT) => answer,
-        () = entry.store_back.notified() => return Ok(Next::Watch),
+        answer = instance.store.watch(ALL, after, WAIT) => answer,
+        () = instance.store_back.notified() => return Ok(Next::Watch),
     };
-    entry.watching.set(false);
+    instance.watching.set(false);
     let answer = answer?;
-    entry.heard_store();
+    instance.heard_store();
     match answer {
         Watched::HistoryGone => Ok(Next::List),
         Watched::Events { events, at } => {
-            entry.take_events(events, at, "watch");
-            entry.knew_store(Duration::ZERO);
+            instance.take_events(events, at, "watch");
+            instance.knew_store(Duration::ZERO);
             sleep(PAUSE).await;
             Ok(Next::Watch)
         }
--- a/src/telemetry/line.rs
+++ b/src/telemetry/line.rs
@@ -1,4 +1,4 @@
-//! The lines of an entry's log that concern one request, as they are read
+//! The lines of an instance's log that concern one request, as they are read
 //! back to explain it. `docs/OPERATIONS.md` describes each field.
 
 use serde::{Deserialize, Serialize};
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -210,7 +210,7 @@
     sender
 }
 
-/// Notes a change of what this entry believes.
+/// Notes a change of what this instance believes.
 pub fn belief(belief: &Belief, revision: u64, source: &'static str) {
     match belief {
         Belief::Catalog(version) => tracing::info!(event = "config_in_force", version, revision, source),
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,4 +1,4 @@
-//! Counters, gauges and histograms of an entry instance.
+//! Counters, gauges and histograms of an instance.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
@@ -6,8 +6,8 @@
 
 const LATENCY_BUCKETS: [f64; 12] = [0.005, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 3.0];
 
-/// All metrics of an entry.
-pub struct EntryMetrics {
+/// All metrics of an instance.
+pub struct Metrics {
     registry: Registry,
     /// Requests by outcome: `answered`, or the word of the refusal.
     pub requests: IntCounterVec,
@@ -25,7 +25,7 @@
     pub relayed: IntCounter,
     /// Version of the configuration in force.
     pub catalog_version: IntGauge,
-    /// Entries listed in the store.
+    /// Instances listed in the store.
     pub members: IntGauge,
     /// Requests being worked on.
     pub active: IntGauge,
@@ -39,7 +39,7 @@
     pub lines_left_out: IntGauge,
 }
 
-impl Default for EntryMetrics {
+impl Default for Metrics {
     fn default() -> Self {
         let registry = Registry::new();
         let counters = |name: &str, help: &str, label: &str| {
@@ -81,7 +81,7 @@
     metric
 }
 
-impl EntryMetrics {
+impl Metrics {
     /// The text form that Prometheus reads.
     pub fn text(&self) -> Vec<u8> {
         let mut text = Vec::new();
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,6 +1,6 @@
-//! The demonstration: a store, targets and entries on loopback, narrated.
+//! The demonstration: a store, targets and instances on loopback, narrated.
 
-use crate::site::{Ask, EntryProcess, RouteSpec, Site};
+use crate::site::{Ask, InstanceProcess, RouteSpec, Site};
 use crate::upstream::Upstream;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
@@ -12,28 +12,28 @@
 struct Show {
     site: Site,
     targets: Vec<Upstream>,
-    entries: Vec<EntryProcess>,
+    instances: Vec<InstanceProcess>,
 }
 
 /// Runs the demonstration; with `once` it ends by itself.
 pub async fn run(once: bool) -> ExitCode {
     let Ok(program) = std::env::current_exe() else { return ExitCode::FAILURE };
-    println!("Starting a store, 8 targets of one service and 4 entries in 4 halls of 2 regions ...");
+    println!("Starting a store, 8 targets of one service and 4 instances in 4 halls of 2 regions ...");
     let started = Instant::now();
     let mut show = Show::start(&program).await;
-    println!("All entries are ready after {:.1} s.\n", started.elapsed().as_secs_f64());
+    println!("All instances are ready after {:.1} s.\n", started.elapsed().as_secs_f64());
     show.serve().await;
     show.drain().await;
     show.evacuate().await;
     show.change().await;
-    show.lose_an_entry().await;
+    show.lose_an_instance().await;
     if once {
         println!("\nDone.");
         return ExitCode::SUCCESS;
     }
     println!("\nThe system goes on running; end it with Ctrl-C. Callers' addresses:");
-    for entry in &show.entries {
-        println!("  {} for callers, {}/metrics   # {}", entry.callers, entry.peers, entry.name);
+    for instance in &show.instances {
+        println!("  {} for callers, {}/metrics   # {}", instance.callers, instance.peers, instance.name);
     }
     std::future::pending().await
 }
@@ -48,27 +48,27 @@
             targets.push(target);
         }
         site.configure(1, &[RouteSpec::new("/buy/", "unsafe", "booking")], &["booking"]);
-        let mut entries = Vec::new();
+        let mut instances = Vec::new();
         for (number, hall) in HALLS.iter().enumerate() {
-            entries.push(site.ready_entry(&format!("e-{number}"), hall).await);
+            instances.push(site.ready_instance(&format!("e-{number}"), hall).await);
         }
-        for entry in &entries {
+        for instance in &instances {
             let end = Instant::now() + crate::site::PATIENCE;
-            while entry.resolve("a").await.len() < 2 && Instant::now() < end {
+            while instance.resolve("a").await.len() < 2 && Instant::now() < end {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
         }
-        Self { site, targets, entries }
+        Self { site, targets, instances }
     }
 
-    /// Sends purchases about 40 objects through all entries; gives how many
+    /// Sends purchases about 40 objects through all instances; gives how many
     /// were served, and each target's share.
     async fn purchases(&self) -> (usize, Vec<usize>) {
         let before: Vec<usize> = self.targets.iter().map(|target| target.runs().len()).collect();
         let mut served = 0;
         for object in 0..40 {
-            let entry = &self.entries[object % self.entries.len()];
-            let reply = Ask::post("/buy/ticket", "one berth").about(object).send(entry.callers).await;
+            let instance = &self.instances[object % self.instances.len()];
+            let reply = Ask::post("/buy/ticket", "one berth").about(object).send(instance.callers).await;
             served += usize::from(reply.is_ok_and(|reply| reply.status == 200));
         }
         let runs = self.targets.iter().zip(before).map(|(target, had)| target.runs().len() - had);
@@ -76,30 +76,30 @@
     }
 
     async fn serve(&self) {
-        println!("A caller in region a asks the directory: {}.", self.entries[0].resolve("a").await.join(", "));
+        println!("A caller in region a asks the directory: {}.", self.instances[0].resolve("a").await.join(", "));
         let ask = Ask::post("/buy/ticket", "one berth");
-        let reply = ask.send(self.entries[0].callers).await.expect("the entry answers");
+        let reply = ask.send(self.instances[0].callers).await.expect("the instance answers");
         println!("Its purchase {}: {}, {}.", ask.id, reply.status, String::from_utf8_lossy(&reply.body));
-        let line = self.entries[0].request_line(&ask.id).await;
-        println!("The entry's line for it:\n  {line}");
+        let line = self.instances[0].request_line(&ask.id).await;
+        println!("The instance's line for it:\n  {line}");
         let (served, runs) = self.purchases().await;
-        println!("40 purchases through all entries: {served} served, by target {runs:?}.\n");
+        println!("40 purchases through all instances: {served} served, by target {runs:?}.\n");
     }
 
     async fn seen_by_all(&self, event: &str, times: usize) -> Duration {
         let started = Instant::now();
-        let all = || self.entries.iter().all(|entry| entry.events(event).len() >= times);
+        let all = || self.instances.iter().all(|instance| instance.events(event).len() >= times);
         crate::site::until(event, all).await;
         started.elapsed()
     }
 
     async fn drain(&self) {
-        let before = self.entries.iter().map(|entry| entry.events("target").len()).max().unwrap_or(0);
+        let before = self.instances.iter().map(|instance| instance.events("target").len()).max().unwrap_or(0);
         self.site.list_as(&self.targets[0], "booking", HALLS[0], "draining", 2, 0);
         let took = self.seen_by_all("target", before + 1).await;
         let (served, runs) = self.purchases().await;
         println!(
-            "t-0 drains; all entries know after {:.1} s: {served} of 40 served, by target {runs:?}.",
+            "t-0 drains; all instances know after {:.1} s: {served} of 40 served, by target {runs:?}.",
             took.as_secs_f64()
         );
     }
@@ -126,11 +126,11 @@
         );
     }
 
-    async fn lose_an_entry(&mut self) {
-        let mut lost = self.entries.remove(1);
+    async fn lose_an_instance(&mut self) {
+        let mut lost = self.instances.remove(1);
         let killed = Instant::now();
         lost.kill();
-        while self.entries[0].resolve("a").await.len() > 1 && killed.elapsed() < crate::site::PATIENCE {
+        while self.instances[0].resolve("a").await.len() > 1 && killed.elapsed() < crate::site::PATIENCE {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let (served, _) = self.purchases().await;
--- a/standins/src/options.rs
+++ b/standins/src/options.rs
@@ -7,19 +7,19 @@
 Usage: standins COMMAND
 
 Commands:
-    demo [--once]        entries on a store, narrated; --once ends it
-    soak SEED [COUNT [ENTRIES]]
-                         5 or up to 32 entries under load and faults, seed after
+    demo [--once]        instances on a store, narrated; --once ends it
+    soak SEED [COUNT [INSTANCES]]
+                         5 or up to 32 instances under load and faults, seed after
                          seed; one JSON line each, exit 1 where a promise was
                          broken
-    entry SETTINGS       an entry instance on a store, as the tests start it
+    instance SETTINGS       an instance on a store, as the tests start it
 
 Examples:
     cargo run --release -p standins -- demo --once
     cargo run --release -p standins -- soak 7 3
 ";
 
-/// The most entry processes of a soak.
+/// The most instance processes of a soak.
 const MOST_ENTRIES: usize = 32;
 /// Exit code for a command line that cannot be read.
 const USAGE: u8 = 2;
@@ -28,10 +28,10 @@
 pub fn run(args: Vec<String>) -> ExitCode {
     let words: Vec<&str> = args.iter().map(String::as_str).collect();
     match words.as_slice() {
-        ["soak", seed] => block(soak(seed, "1", crate::soak::ENTRIES)),
-        ["soak", seed, count] => block(soak(seed, count, crate::soak::ENTRIES)),
-        ["soak", seed, count, entries] => match entries.parse() {
-            Ok(entries @ 2..=MOST_ENTRIES) => block(soak(seed, count, entries)),
+        ["soak", seed] => block(soak(seed, "1", crate::soak::INSTANCES)),
+        ["soak", seed, count] => block(soak(seed, count, crate::soak::INSTANCES)),
+        ["soak", seed, count, instances] => match instances.parse() {
+            Ok(instances @ 2..=MOST_ENTRIES) => block(soak(seed, count, instances)),
             _ => ExitCode::from(USAGE),
         },
         ["entry", settings] => platform::run(std::path::Path::new(settings)),
@@ -58,12 +58,12 @@
     }
 }
 
-async fn soak(seed: &str, count: &str, entries: usize) -> ExitCode {
+async fn soak(seed: &str, count: &str, instances: usize) -> ExitCode {
     let (Ok(first), Ok(count)) = (seed.parse::<u64>(), count.parse::<u64>()) else { return ExitCode::from(USAGE) };
     let Ok(program) = std::env::current_exe() else { return ExitCode::FAILURE };
     let mut kept = true;
     for seed in first..first + count {
-        let outcome = crate::soak::run(&program, crate::soak::Soak::new(seed, entries)).await;
+        let outcome = crate::soak::run(&program, crate::soak::Soak::new(seed, instances)).await;
         println!("{}", serde_json::to_string(&outcome).expect("an outcome is plain numbers"));
         kept &= outcome.broken.is_none();
     }
--- a/standins/src/site.rs
+++ b/standins/src/site.rs
@@ -1,4 +1,4 @@
-//! A site: a store, upstreams, and entry instances as processes of their own.
+//! A site: a store, upstreams, and instance instances as processes of their own.
 
 use crate::http::{self, Connection, NoReply, Reply};
 use crate::ports::{free_address, spawn};
@@ -112,8 +112,8 @@
     json!({"version": version, "resources": resources}).to_string()
 }
 
-/// A running entry instance.
-pub struct EntryProcess {
+/// A running instance instance.
+pub struct InstanceProcess {
     /// Its name.
     pub name: String,
     /// For callers.
@@ -130,13 +130,13 @@
     child: Option<Child>,
 }
 
-impl Drop for EntryProcess {
+impl Drop for InstanceProcess {
     fn drop(&mut self) {
         self.kill();
     }
 }
 
-impl EntryProcess {
+impl InstanceProcess {
     /// Starts the process.
     pub fn start(&mut self) {
         let log = File::options().create(true).append(true).open(&self.log).expect("the folder is ours");
@@ -144,7 +144,7 @@
         command.arg("entry").arg(&self.settings);
         command.stdin(Stdio::null()).stderr(log.try_clone().expect("a file can be cloned")).stdout(log);
         // SAFETY: prctl is async-signal-safe, and nothing else runs between
-        // fork and exec. The entry ends with whoever started it.
+        // fork and exec. The instance ends with whoever started it.
         unsafe {
             command.pre_exec(|| {
                 libc::prctl(libc::PR_SET_PDEATHSIG, libc::SIGKILL);
@@ -319,9 +319,9 @@
             .expect("the parts are good")
     }
 
-    /// Sends it to an entry over a connection of its own.
-    pub async fn send(&self, entry: SocketAddr) -> Result<Reply, NoReply> {
-        Connection::open(entry, None).await?.send(self.request(), Duration::from_secs(10)).await
+    /// Sends it to an instance over a connection of its own.
+    pub async fn send(&self, instance: SocketAddr) -> Result<Reply, NoReply> {
+        Connection::open(instance, None).await?.send(self.request(), Duration::from_secs(10)).await
     }
 }
 
@@ -329,7 +329,7 @@
 pub struct Site {
     /// The store.
     pub store: Store,
-    /// The store's address for all but those entries that got their own.
+    /// The store's address for all but those instances that got their own.
     pub door: Door,
     folder: PathBuf,
     program: PathBuf,
@@ -343,7 +343,7 @@
 }
 
 impl Site {
-    /// An empty site whose entries are run by `program entry SETTINGS`.
+    /// An empty site whose instances are run by `program instance SETTINGS`.
     pub async fn start(program: &Path) -> Self {
         let store = Store::start();
         let door = store.door().await.expect("loopback has free ports");
@@ -352,7 +352,7 @@
         Self { store, door, folder, program: program.to_owned(), stop_s: 6.0 }
     }
 
-    /// Entries started from now on are killed so long after a signal to stop.
+    /// Instances started from now on are killed so long after a signal to stop.
     pub fn stop_after(&mut self, seconds: f64) {
         self.stop_s = seconds;
     }
@@ -369,18 +369,18 @@
 
     /// Lists an upstream in some state.
     pub fn list_as(&self, upstream: &Upstream, service: &str, zone: &str, state: &str, sequence: u64, cold_ms: u64) {
-        let entry = upstream.entry(service, zone, state, sequence, cold_ms);
-        self.store.put(&format!("servers/{}", upstream.id), entry);
+        let registration = upstream.registration(service, zone, state, sequence, cold_ms);
+        self.store.put(&format!("servers/{}", upstream.id), registration);
     }
 
-    /// An entry that is not started yet, in a hall `REGION-...`.
-    pub fn entry(&self, name: &str, hall: &str) -> EntryProcess {
-        self.entry_at(name, hall, &self.door, &[])
+    /// An instance that is not started yet, in a hall `REGION-...`.
+    pub fn instance(&self, name: &str, hall: &str) -> InstanceProcess {
+        self.instance_at(name, hall, &self.door, &[])
     }
 
-    /// An entry with its own door to the store, and seeds.
-    pub fn entry_at(&self, name: &str, hall: &str, door: &Door, seeds: &[SocketAddr]) -> EntryProcess {
-        let entry = EntryProcess {
+    /// An instance with its own door to the store, and seeds.
+    pub fn instance_at(&self, name: &str, hall: &str, door: &Door, seeds: &[SocketAddr]) -> InstanceProcess {
+        let instance = InstanceProcess {
             name: name.to_owned(),
             callers: free_address(),
             readiness: free_address(),
@@ -401,22 +401,22 @@
              [limits]\nmemory_mb = 260\ndescriptors = 4100\n\
              [halls]\na-1 = \"a\"\na-2 = \"a\"\na-3 = \"a\"\nb-1 = \"b\"\nb-2 = \"b\"\nc-1 = \"c\"\n",
             seeds.join(", "),
-            entry.callers,
-            entry.readiness,
-            entry.directory,
-            entry.peers,
+            instance.callers,
+            instance.readiness,
+            instance.directory,
+            instance.peers,
             door.address,
             self.stop_s,
         );
-        std::fs::write(&entry.settings, text).expect("the folder is ours");
-        entry
+        std::fs::write(&instance.settings, text).expect("the folder is ours");
+        instance
     }
 
-    /// An entry that is started and ready.
-    pub async fn ready_entry(&self, name: &str, hall: &str) -> EntryProcess {
-        let mut entry = self.entry(name, hall);
-        entry.start();
-        entry.ready().await;
-        entry
+    /// An instance that is started and ready.
+    pub async fn ready_instance(&self, name: &str, hall: &str) -> InstanceProcess {
+        let mut instance = self.instance(name, hall);
+        instance.start();
+        instance.ready().await;
+        instance
     }
 }
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -1,4 +1,4 @@
-//! Callers of a soak: each keeps its connection until the entry closes it or
+//! Callers of a soak: each keeps its connection until the instance closes it or
 //! is gone, then takes another that the directory names.
 
 use super::record::Asked;
@@ -19,7 +19,7 @@
 /// Objects that requests are about.
 const OBJECTS: u32 = 60;
 
-/// Where an entry is reached.
+/// Where an instance is reached.
 #[derive(Clone, Copy, Debug)]
 pub struct Door {
     /// For requests.
@@ -30,7 +30,7 @@
 
 /// What all callers share.
 pub struct Shared {
-    /// All entries.
+    /// All instances.
     pub doors: Vec<Door>,
     /// What was seen.
     pub asked: Mutex<Vec<Asked>>,
@@ -44,7 +44,7 @@
     let mut held: Option<(usize, Connection)> = None;
     while !shared.stop.load(Relaxed) {
         tokio::time::sleep(Duration::from_millis(random.random_range(PAUSE_MS))).await;
-        let (entry, mut connection) = match held.take() {
+        let (instance, mut connection) = match held.take() {
             Some(held) => held,
             None => match connect(&shared, &mut random).await {
                 Some(new) => new,
@@ -59,13 +59,13 @@
         let sent = Instant::now();
         let reply = connection.send(ask.request(), WAIT).await;
         let mut asked =
-            Asked { id: ask.id.clone(), safe, entry, sent, ended: Instant::now(), status: None, sound: false };
+            Asked { id: ask.id.clone(), safe, instance, sent, ended: Instant::now(), status: None, sound: false };
         if let Ok(reply) = &reply {
             asked.status = Some(reply.status.as_u16());
             let signed = reply.header("lockloft-response-signature") == format!("signed-{}", ask.id);
             asked.sound = signed && reply.body.ends_with(ask.id.as_bytes());
             if reply.header("connection") != "close" {
-                held = Some((entry, connection));
+                held = Some((instance, connection));
             }
         }
         shared.asked.lock().expect("no holder panics").push(asked);
@@ -80,7 +80,7 @@
     ask.about(random.random_range(0..OBJECTS))
 }
 
-/// A connection to an entry that some directory names.
+/// A connection to an instance that some directory names.
 async fn connect(shared: &Shared, random: &mut StdRng) -> Option<(usize, Connection)> {
     let asked = shared.doors.choose(random)?;
     let reply = tokio::time::timeout(Duration::from_secs(1), http::get(asked.directory, "/-/resolve?region=a")).await;
@@ -88,6 +88,6 @@
     let named: Vec<SocketAddr> =
         answer["addresses"].as_array()?.iter().filter_map(|address| address.as_str()?.parse().ok()).collect();
     let chosen = named.choose(random)?;
-    let entry = shared.doors.iter().position(|door| door.callers == *chosen)?;
-    Some((entry, Connection::open(*chosen, None).await.ok()?))
+    let instance = shared.doors.iter().position(|door| door.callers == *chosen)?;
+    Some((instance, Connection::open(*chosen, None).await.ok()?))
 }
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -11,21 +11,21 @@
 /// What is done to the system, and for how long.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// An entry is killed and started again.
+    /// An instance is killed and started again.
     Kill(usize),
-    /// An entry stands still.
+    /// An instance stands still.
     Freeze(usize),
-    /// An entry is stopped as planned and started again.
+    /// An instance is stopped as planned and started again.
     Stop(usize),
-    /// An entry reads its settings again.
+    /// An instance reads its settings again.
     Reload(usize),
-    /// The store's door for an entry has a trouble.
+    /// The store's door for an instance has a trouble.
     Door(usize, Trouble),
     /// All doors are slow.
     SlowStore,
     /// The store forgets its history.
     Forget,
-    /// All entries' keys are taken away.
+    /// All instances' keys are taken away.
     Revoke,
     /// The way to an upstream has a trouble.
     Way(usize, Mode),
@@ -42,7 +42,7 @@
 }
 
 impl Fault {
-    /// Whether it strikes entries, their store or what they may know of it.
+    /// Whether it strikes instances, their store or what they may know of it.
     pub fn is_about_knowledge(self) -> bool {
         use Fault::{Door, Forget, Freeze, Kill, Revoke, SlowStore, Stop};
         matches!(self, Kill(_) | Freeze(_) | Stop(_) | Door(..) | SlowStore | Forget | Revoke)
@@ -63,8 +63,8 @@
 /// How much there is to strike.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
-    /// Entries.
-    pub entries: usize,
+    /// Instances.
+    pub instances: usize,
     /// Upstreams.
     pub upstreams: usize,
     /// Halls.
@@ -86,7 +86,7 @@
 }
 
 fn draw(random: &mut StdRng, size: Size) -> Fault {
-    let entry = random.random_range(0..size.entries);
+    let instance = random.random_range(0..size.instances);
     let upstream = random.random_range(0..size.upstreams);
     let troubles = [Trouble::Silent, Trouble::Busy, Trouble::TooMany, Trouble::Reset, Trouble::AnswersLost];
     let ways = [Mode::Delay(Duration::from_millis(150)), Mode::Silent, Mode::SilentBack, Mode::Reset];
@@ -105,11 +105,11 @@
         Misbehaviour::Full,
     ];
     match random.random_range(0..16) {
-        0 => Fault::Kill(entry),
-        1 => Fault::Freeze(entry),
-        2 | 3 => Fault::Stop(entry),
-        4 => Fault::Reload(entry),
-        5 | 6 => Fault::Door(entry, *troubles.choose(random).expect("there are some")),
+        0 => Fault::Kill(instance),
+        1 => Fault::Freeze(instance),
+        2 | 3 => Fault::Stop(instance),
+        4 => Fault::Reload(instance),
+        5 | 6 => Fault::Door(instance, *troubles.choose(random).expect("there are some")),
         7 => Fault::SlowStore,
         8 => [Fault::Forget, Fault::Revoke][random.random_range(0..2)],
         9 | 10 => Fault::Way(upstream, *ways.choose(random).expect("there are some")),
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -1,4 +1,4 @@
-//! A fault soak: real entry processes under load and faults from outside,
+//! A fault soak: real instance processes under load and faults from outside,
 //! chosen by a seed, while promises are checked from what callers and
 //! upstreams see.
 
@@ -19,8 +19,8 @@
 pub struct Soak {
     /// Decides every fault.
     pub seed: u64,
-    /// Entry processes.
-    pub entries: usize,
+    /// Instance processes.
+    pub instances: usize,
     /// Upstreams of the one service.
     pub upstreams: usize,
     /// Callers that keep their connections open.
@@ -29,14 +29,14 @@
     pub time: Duration,
 }
 
-/// Entries of a soak where no number is given.
-pub const ENTRIES: usize = 5;
+/// Instances of a soak where no number is given.
+pub const INSTANCES: usize = 5;
 
 impl Soak {
-    /// A soak of so many entries, with upstreams and callers in proportion.
-    pub fn new(seed: u64, entries: usize) -> Self {
-        let (upstreams, callers) = (entries * 8 / 5, entries * 16 / 5);
-        Self { seed, entries, upstreams, callers, time: Duration::from_secs(20) }
+    /// A soak of so many instances, with upstreams and callers in proportion.
+    pub fn new(seed: u64, instances: usize) -> Self {
+        let (upstreams, callers) = (instances * 8 / 5, instances * 16 / 5);
+        Self { seed, instances, upstreams, callers, time: Duration::from_secs(20) }
     }
 }
 
@@ -55,10 +55,10 @@
     pub broken: Broken,
 }
 
-/// Runs a soak whose entries are `program entry SETTINGS`.
+/// Runs a soak whose instances are `program instance SETTINGS`.
 pub async fn run(program: &Path, soak: Soak) -> Outcome {
     let mut scene = Scene::start(program, soak).await;
-    let size = Size { entries: soak.entries, upstreams: soak.upstreams, halls: scene::HALLS.len() };
+    let size = Size { instances: soak.instances, upstreams: soak.upstreams, halls: scene::HALLS.len() };
     let record = scene.play(&plan(soak.seed, size, soak.time)).await;
     Outcome {
         seed: soak.seed,
--- a/standins/src/soak/record.rs
+++ b/standins/src/soak/record.rs
@@ -26,8 +26,8 @@
     pub id: String,
     /// Whether it may run more than once.
     pub safe: bool,
-    /// The entry that it was sent to.
-    pub entry: usize,
+    /// The instance that it was sent to.
+    pub instance: usize,
     /// When it was sent.
     pub sent: Instant,
     /// When its answer came, or the connection broke.
@@ -74,13 +74,13 @@
     pub asked: Vec<Asked>,
     /// Lives of upstreams.
     pub lives: Vec<Life>,
-    /// Times in which faults touched what entries may know.
+    /// Times in which faults touched what instances may know.
     pub unsettled: Vec<Span>,
-    /// Planned stops, by entry.
+    /// Planned stops, by instance.
     pub stops: Vec<(usize, Span)>,
-    /// Unplanned faults of entries.
+    /// Unplanned faults of instances.
     pub struck: Vec<(usize, Span)>,
-    /// Times that an entry showed an older configuration than before.
+    /// Times that an instance showed an older configuration than before.
     pub went_back: usize,
     /// Faults that were made.
     pub faults: usize,
@@ -103,7 +103,7 @@
     pub after_evacuation: usize,
     /// A planned stop cut a request.
     pub cut_by_stop: usize,
-    /// An entry showed an older configuration than before.
+    /// An instance showed an older configuration than before.
     pub went_back: usize,
     /// Windows in which second tries exceeded the budget.
     pub over_budget: usize,
@@ -144,7 +144,7 @@
         }
     }
 
-    /// Whether nothing touched the entries' knowledge from `CALM` before
+    /// Whether nothing touched the instances' knowledge from `CALM` before
     /// `from` until `to`.
     fn is_calm(&self, from: Instant, to: Instant) -> bool {
         let before = from.checked_sub(CALM).unwrap_or(from);
@@ -167,12 +167,15 @@
     }
 
     /// Whether a request's connection broke by a planned stop and nothing
-    /// else that befell its entry.
+    /// else that befell its instance.
     fn is_cut_by_stop(&self, asked: &Asked) -> bool {
-        let stopped =
-            self.stops.iter().any(|(entry, span)| *entry == asked.entry && span.touches(asked.sent, asked.ended));
+        let stopped = self
+            .stops
+            .iter()
+            .any(|(instance, span)| *instance == asked.instance && span.touches(asked.sent, asked.ended));
         let early = asked.sent.checked_sub(CALM).unwrap_or(asked.sent);
-        let struck = self.struck.iter().any(|(entry, span)| *entry == asked.entry && span.touches(early, asked.ended));
+        let struck =
+            self.struck.iter().any(|(instance, span)| *instance == asked.instance && span.touches(early, asked.ended));
         // A connection that closes before the request was read is no cut; the
         // request has then run nowhere.
         let ran = self.lives.iter().flat_map(|life| &life.runs).any(|run| run.id == asked.id);
--- a/standins/src/soak/scene.rs
+++ b/standins/src/soak/scene.rs
@@ -1,12 +1,12 @@
-//! The system under soak: a store with a door for each entry, upstreams behind
-//! proxies, entry processes, and what the faults do to them.
+//! The system under soak: a store with a door for each instance, upstreams behind
+//! proxies, instance processes, and what the faults do to them.
 
 use super::Soak;
 use super::callers::{self, Door, Shared};
 use super::faults::{Fault, Planned};
 use super::record::{Life, Record, Span};
 use crate::proxy::{Mode, Proxy};
-use crate::site::{Ask, EntryProcess, RouteSpec, Site};
+use crate::site::{Ask, InstanceProcess, RouteSpec, Site};
 use crate::store::{self, Trouble};
 use crate::upstream::{Misbehaviour, Upstream};
 use std::collections::HashMap;
@@ -50,7 +50,7 @@
     soak: Soak,
     site: Site,
     doors: Vec<store::Door>,
-    entries: Vec<EntryProcess>,
+    instances: Vec<InstanceProcess>,
     servers: Vec<Server>,
     lives: Vec<Life>,
     evacuations: Vec<(usize, Span)>,
@@ -76,7 +76,7 @@
             soak,
             site,
             doors: Vec::new(),
-            entries: Vec::new(),
+            instances: Vec::new(),
             servers: Vec::new(),
             lives: Vec::new(),
             evacuations: Vec::new(),
@@ -89,15 +89,15 @@
             scene.add_server(number % HALLS.len(), Duration::ZERO).await;
         }
         scene.site.configure(1, &routes(1), &[SERVICE]);
-        for number in 0..soak.entries {
+        for number in 0..soak.instances {
             let door = scene.site.store.door().await.expect("loopback has free ports");
-            let mut entry = scene.site.entry_at(&format!("e-{number}"), HALLS[number % HALLS.len()], &door, &[]);
-            entry.start();
+            let mut instance = scene.site.instance_at(&format!("e-{number}"), HALLS[number % HALLS.len()], &door, &[]);
+            instance.start();
             scene.doors.push(door);
-            scene.entries.push(entry);
+            scene.instances.push(instance);
         }
-        for entry in &scene.entries {
-            entry.ready().await;
+        for instance in &scene.instances {
+            instance.ready().await;
         }
         scene
     }
@@ -114,14 +114,16 @@
 
     fn list(&self, server: &Server, state: &str, cold: Duration) {
         let cold = cold.as_millis() as u64;
-        let entry = server.upstream.entry(SERVICE, HALLS[server.hall], state, server.sequence, cold);
-        let entry = entry.replace(&server.upstream.address.to_string(), &server.proxy.address.to_string());
-        self.site.store.put(&format!("servers/{}", server.upstream.id), entry);
+        let registration = server.upstream.registration(SERVICE, HALLS[server.hall], state, server.sequence, cold);
+        let registration =
+            registration.replace(&server.upstream.address.to_string(), &server.proxy.address.to_string());
+        self.site.store.put(&format!("servers/{}", server.upstream.id), registration);
     }
 
     /// Plays the faults under load, lets all heal, and gives what was seen.
     pub async fn play(&mut self, planned: &[Planned]) -> Record {
-        let doors = self.entries.iter().map(|entry| Door { callers: entry.callers, directory: entry.directory });
+        let doors =
+            self.instances.iter().map(|instance| Door { callers: instance.callers, directory: instance.directory });
         let shared =
             Arc::new(Shared { doors: doors.collect(), asked: Default::default(), stop: AtomicBool::new(false) });
         let tasks: Vec<_> = (0..self.soak.callers as u64)
@@ -165,22 +167,22 @@
     /// Begins a fault; false where it cannot be made now.
     async fn begin(&mut self, fault: Fault) -> bool {
         match fault {
-            Fault::Kill(entry) | Fault::Freeze(entry) | Fault::Stop(entry) | Fault::Reload(entry)
-                if self.stopping.contains_key(&entry) =>
+            Fault::Kill(instance) | Fault::Freeze(instance) | Fault::Stop(instance) | Fault::Reload(instance)
+                if self.stopping.contains_key(&instance) =>
             {
                 return false;
             }
-            Fault::Kill(entry) => {
-                self.entries[entry].kill();
-                self.shown.remove(&entry);
+            Fault::Kill(instance) => {
+                self.instances[instance].kill();
+                self.shown.remove(&instance);
             }
-            Fault::Freeze(entry) => self.entries[entry].signal(libc::SIGSTOP),
-            Fault::Stop(entry) => {
-                self.entries[entry].terminate();
-                self.stopping.insert(entry, Instant::now());
+            Fault::Freeze(instance) => self.instances[instance].signal(libc::SIGSTOP),
+            Fault::Stop(instance) => {
+                self.instances[instance].terminate();
+                self.stopping.insert(instance, Instant::now());
             }
-            Fault::Reload(entry) => self.entries[entry].signal(libc::SIGHUP),
-            Fault::Door(entry, trouble) => self.doors[entry].set(trouble),
+            Fault::Reload(instance) => self.instances[instance].signal(libc::SIGHUP),
+            Fault::Door(instance, trouble) => self.doors[instance].set(trouble),
             Fault::SlowStore => self.doors.iter().for_each(|door| door.slow(Duration::from_millis(300))),
             Fault::Forget => self.site.store.forget_history(),
             Fault::Revoke => self.site.store.remove_all("lockloft/"),
@@ -209,15 +211,15 @@
             self.record.unsettled.push(span);
         }
         match undo.fault {
-            Fault::Kill(entry) => {
-                self.entries[entry].start();
-                self.record.struck.push((entry, span));
+            Fault::Kill(instance) => {
+                self.instances[instance].start();
+                self.record.struck.push((instance, span));
             }
-            Fault::Freeze(entry) => {
-                self.entries[entry].signal(libc::SIGCONT);
-                self.record.struck.push((entry, span));
+            Fault::Freeze(instance) => {
+                self.instances[instance].signal(libc::SIGCONT);
+                self.record.struck.push((instance, span));
             }
-            Fault::Door(entry, _) => self.doors[entry].set(Trouble::None),
+            Fault::Door(instance, _) => self.doors[instance].set(Trouble::None),
             Fault::SlowStore => self.doors.iter().for_each(|door| door.slow(Duration::ZERO)),
             Fault::Way(server, _) => self.servers[server].proxy.set(Mode::Pass),
             Fault::Upstream(server, _) => self.servers[server].upstream.set(Misbehaviour::None),
@@ -246,36 +248,36 @@
         self.servers.swap(position, last);
     }
 
-    /// Starts entries again that have ended as planned.
+    /// Starts instances again that have ended as planned.
     async fn restart_stopped(&mut self) {
         let ended: Vec<usize> =
-            self.stopping.keys().copied().filter(|entry| self.entries[*entry].has_ended()).collect();
-        for entry in ended {
-            let from = self.stopping.remove(&entry).expect("it is there");
+            self.stopping.keys().copied().filter(|instance| self.instances[*instance].has_ended()).collect();
+        for instance in ended {
+            let from = self.stopping.remove(&instance).expect("it is there");
             let span = Span { from, to: Instant::now() };
-            self.record.stops.push((entry, span));
+            self.record.stops.push((instance, span));
             self.record.unsettled.push(span);
-            self.shown.remove(&entry);
-            self.entries[entry].start();
+            self.shown.remove(&instance);
+            self.instances[instance].start();
         }
     }
 
-    /// Asks one entry whether it still knows the configuration it has shown.
+    /// Asks one instance whether it still knows the configuration it has shown.
     async fn look_at_versions(&mut self) {
-        let entry = rand::random_range(0..self.entries.len());
-        let life = self.entries[entry].pid();
-        let shown = self.shown.get(&entry).copied().unwrap_or(1);
+        let instance = rand::random_range(0..self.instances.len());
+        let life = self.instances[instance].pid();
+        let shown = self.shown.get(&instance).copied().unwrap_or(1);
         let version = if rand::random() { shown } else { self.version };
         let ask = Ask::get(&format!("/since-{version}/x"));
-        let asked = tokio::time::timeout(Duration::from_millis(300), ask.send(self.entries[entry].callers)).await;
+        let asked = tokio::time::timeout(Duration::from_millis(300), ask.send(self.instances[instance].callers)).await;
         let Ok(Ok(reply)) = asked else { return };
-        if self.entries[entry].pid() != life {
+        if self.instances[instance].pid() != life {
             return;
         }
         match reply.status.as_u16() {
-            404 if version <= shown && self.shown.contains_key(&entry) => self.record.went_back += 1,
+            404 if version <= shown && self.shown.contains_key(&instance) => self.record.went_back += 1,
             200 => {
-                self.shown.insert(entry, shown.max(version));
+                self.shown.insert(instance, shown.max(version));
             }
             _ => {}
         }
@@ -286,8 +288,8 @@
         let mut served = 0;
         let after = 200;
         for number in 0..after {
-            let entry = &self.entries[number % self.entries.len()];
-            let reply = Ask::get("/look/a").about(number).send(entry.callers).await;
+            let instance = &self.instances[number % self.instances.len()];
+            let reply = Ask::get("/look/a").about(number).send(instance.callers).await;
             served += usize::from(reply.is_ok_and(|reply| reply.status == 200));
         }
         let mut record = std::mem::take(&mut self.record);
@@ -310,8 +312,8 @@
             self.restart_stopped().await;
             tokio::time::sleep(TICK).await;
         }
-        for entry in &self.entries {
-            entry.ready().await;
+        for instance in &self.instances {
+            instance.ready().await;
         }
         tokio::time::sleep(HEAL).await;
     }
--- a/standins/src/upstream.rs
+++ b/standins/src/upstream.rs
@@ -172,8 +172,8 @@
         self.shared.lock().connections
     }
 
-    /// Its entry for the store.
-    pub fn entry(&self, service: &str, zone: &str, state: &str, sequence: u64, warmup_ms: u64) -> String {
+    /// Its registration for the store.
+    pub fn registration(&self, service: &str, zone: &str, state: &str, sequence: u64, warmup_ms: u64) -> String {
         serde_json::json!({
             "address": self.address,
             "info": {"service": service, "version": "v1", "zone": zone, "capacity": self.shared.slots},
--- a/standins/tests/entry_forwarding.rs
+++ b/standins/tests/entry_forwarding.rs
@@ -1,4 +1,4 @@
-//! Requests through an entry instance: whole answers to their own requests,
+//! Requests through an instance: whole answers to their own requests,
 //! never run twice, never falsely said not to have run.
 
 mod common;
@@ -6,17 +6,17 @@
 use common::{program, raw};
 use hyper::StatusCode;
 use standins::http::NoReply;
-use standins::site::{Ask, EntryProcess, HOST, RouteSpec, Site, until};
+use standins::site::{Ask, HOST, InstanceProcess, RouteSpec, Site, until};
 use standins::upstream::{Misbehaviour, Upstream};
 use std::time::{Duration, Instant};
 
 struct Scene {
     site: Site,
-    entry: EntryProcess,
+    instance: InstanceProcess,
     upstreams: Vec<Upstream>,
 }
 
-/// One entry and `count` upstreams of a service that takes all routes.
+/// One instance and `count` upstreams of a service that takes all routes.
 async fn scene(count: usize) -> Scene {
     scene_with(count, |_| {}).await
 }
@@ -36,8 +36,8 @@
     ];
     routes.iter_mut().for_each(change);
     site.configure(3, &routes, &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
-    Scene { site, entry, upstreams }
+    let instance = site.ready_instance("e-1", "a-1").await;
+    Scene { site, instance, upstreams }
 }
 
 impl Scene {
@@ -52,7 +52,7 @@
     /// Earns second tries: the budget starts empty.
     async fn earn_retries(&self) {
         for _ in 0..30 {
-            assert_eq!(Ask::get("/look/a").send(self.entry.callers).await.unwrap().status, 200);
+            assert_eq!(Ask::get("/look/a").send(self.instance.callers).await.unwrap().status, 200);
         }
     }
 }
@@ -61,7 +61,7 @@
 async fn the_answer_is_the_targets_own_with_its_signature() {
     let scene = scene(2).await;
     let ask = Ask::post("/buy/x?berth=2", "two berths");
-    let reply = ask.send(scene.entry.callers).await.unwrap();
+    let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
     assert!(reply.body.ends_with(ask.id.as_bytes()));
@@ -77,7 +77,7 @@
         "POST /send/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: chunked-1\r\nLockloft-Deadline-Ms: 2000\r\n\
          Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"
     );
-    assert!(raw(scene.entry.callers, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
+    assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
     assert_eq!(scene.upstreams[0].runs()[0].body, b"hello world");
 }
 
@@ -85,7 +85,7 @@
 async fn a_body_too_large_to_be_held_passes_through_unchanged() {
     let scene = scene(1).await;
     let body: Vec<u8> = (0..2_000_000u32).map(|n| (n % 251) as u8).collect();
-    let reply = Ask::post("/send/x", body.clone()).send(scene.entry.callers).await.unwrap();
+    let reply = Ask::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     assert_eq!(scene.upstreams[0].runs()[0].body, body);
 }
@@ -96,26 +96,26 @@
     let text = format!(
         "POST /send/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: big-1\r\nContent-Length: 9000000\r\n\r\n"
     );
-    assert!(raw(scene.entry.callers, text.as_bytes()).await.starts_with("HTTP/1.1 413"));
+    assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 413"));
     assert_eq!(scene.upstreams[0].arrivals(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_and_oversized_heads_get_400_and_431() {
     let scene = scene(1).await;
-    assert!(raw(scene.entry.callers, b"nonsense\r\n\r\n").await.starts_with("HTTP/1.1 400"));
+    assert!(raw(scene.instance.callers, b"nonsense\r\n\r\n").await.starts_with("HTTP/1.1 400"));
     let text = format!("GET /look/x HTTP/1.1\r\nHost: {HOST}\r\nX: {}\r\n\r\n", "x".repeat(40_000));
-    assert!(raw(scene.entry.callers, text.as_bytes()).await.starts_with("HTTP/1.1 431"));
+    assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 431"));
     let text =
         format!("GET /look/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Deadline-Ms: soon\r\nConnection: close\r\n\r\n");
-    assert!(raw(scene.entry.callers, text.as_bytes()).await.starts_with("HTTP/1.1 400"));
+    assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 400"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_head_that_comes_too_slowly_is_closed() {
     let scene = scene(1).await;
     let started = Instant::now();
-    let answer = raw(scene.entry.callers, b"GET /look/x HTTP/1.1\r\nHo").await;
+    let answer = raw(scene.instance.callers, b"GET /look/x HTTP/1.1\r\nHo").await;
     assert!(answer.is_empty(), "{answer}");
     assert!(started.elapsed() < Duration::from_secs(4), "the limit is one second");
 }
@@ -123,20 +123,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unknown_path_gets_404_and_before_any_configuration_503() {
     let scene = scene(1).await;
-    assert_eq!(Ask::get("/nowhere/x").send(scene.entry.callers).await.unwrap().status, 404);
+    assert_eq!(Ask::get("/nowhere/x").send(scene.instance.callers).await.unwrap().status, 404);
     let site = Site::start(program()).await;
-    let mut entry = site.entry("e-1", "a-1");
-    entry.start();
+    let mut instance = site.instance("e-1", "a-1");
+    instance.start();
     let end = Instant::now() + standins::site::PATIENCE;
     let reply = loop {
-        match Ask::get("/nowhere/x").send(entry.callers).await {
+        match Ask::get("/nowhere/x").send(instance.callers).await {
             Ok(reply) => break reply,
-            Err(_) => assert!(Instant::now() < end, "the entry does not listen"),
+            Err(_) => assert!(Instant::now() < end, "the instance does not listen"),
         }
     };
     assert_eq!(reply.status, 503);
     assert!(!reply.header("retry-after").is_empty());
-    assert!(!entry.is_ready().await);
+    assert!(!instance.is_ready().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -153,7 +153,7 @@
     ] {
         scene.all(misbehaviour);
         let ask = Ask::post("/buy/x", "one");
-        let reply = ask.send(scene.entry.callers).await.unwrap();
+        let reply = ask.send(scene.instance.callers).await.unwrap();
         // A target that failed too often is left alone for a moment: then the
         // request did not run.
         let expected =
@@ -168,7 +168,8 @@
 
 async fn until_served(scene: &Scene) {
     let end = Instant::now() + standins::site::PATIENCE;
-    while Ask::post("/buy/x", "one").send(scene.entry.callers).await.map(|reply| reply.status) != Ok(StatusCode::OK) {
+    while Ask::post("/buy/x", "one").send(scene.instance.callers).await.map(|reply| reply.status) != Ok(StatusCode::OK)
+    {
         assert!(Instant::now() < end, "nothing is served any more");
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
@@ -183,7 +184,7 @@
     for misbehaviour in [Misbehaviour::LoseAnswer, Misbehaviour::BreakOff] {
         home.set(misbehaviour);
         let ask = Ask::get("/look/a");
-        let reply = ask.send(scene.entry.callers).await.unwrap();
+        let reply = ask.send(scene.instance.callers).await.unwrap();
         assert_eq!(reply.status, 200, "{misbehaviour:?}");
         assert!(reply.body.ends_with(ask.id.as_bytes()));
         assert_eq!(scene.runs_of(&ask.id), 2, "{misbehaviour:?}");
@@ -195,7 +196,7 @@
     let scene = scene(2).await;
     scene.all(Misbehaviour::LoseAnswer);
     for _ in 0..100 {
-        let _ = Ask::get("/look/a").send(scene.entry.callers).await;
+        let _ = Ask::get("/look/a").send(scene.instance.callers).await;
     }
     let arrivals: u64 = scene.upstreams.iter().map(Upstream::arrivals).sum();
     assert!(arrivals <= 120, "{arrivals} arrivals of 100 requests at a ratio of 0.2");
@@ -208,7 +209,7 @@
         scene.all(misbehaviour);
         for _ in 0..20 {
             let ask = Ask::get("/look/a");
-            let reply = ask.send(scene.entry.callers).await.unwrap();
+            let reply = ask.send(scene.instance.callers).await.unwrap();
             if reply.status == 200 {
                 assert!(reply.body.ends_with(ask.id.as_bytes()));
             }
@@ -221,11 +222,11 @@
     let scene = scene(1).await;
     scene.all(Misbehaviour::Unframed);
     let ask = Ask::post("/buy/x", "one");
-    let reply = ask.send(scene.entry.callers).await.unwrap();
+    let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     assert!(reply.body.ends_with(ask.id.as_bytes()));
     scene.all(Misbehaviour::UnframedReset);
-    let reply = Ask::post("/buy/x", "one").send(scene.entry.callers).await.unwrap();
+    let reply = Ask::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 502);
 }
 
@@ -234,10 +235,10 @@
     let scene = scene(1).await;
     scene.all(Misbehaviour::Early);
     let body = vec![7u8; 3_000_000];
-    let reply = Ask::post("/send/x", body.clone()).send(scene.entry.callers).await.unwrap();
+    let reply = Ask::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 503);
     scene.all(Misbehaviour::None);
-    let reply = Ask::post("/send/x", body.clone()).send(scene.entry.callers).await.unwrap();
+    let reply = Ask::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     // Nothing else was taken for the rest of the first body.
     assert_eq!(scene.upstreams[0].runs().len(), 1);
@@ -251,15 +252,15 @@
     scene.upstreams[0].set(Misbehaviour::Full);
     for object in 0..10 {
         let ask = Ask::post("/buy/x", "one").about(object);
-        assert_eq!(ask.send(scene.entry.callers).await.unwrap().status, 200);
+        assert_eq!(ask.send(scene.instance.callers).await.unwrap().status, 200);
         assert_eq!(scene.runs_of(&ask.id), 1);
         for _ in 0..10 {
-            Ask::get("/look/a").send(scene.entry.callers).await.unwrap();
+            Ask::get("/look/a").send(scene.instance.callers).await.unwrap();
         }
     }
     scene.all(Misbehaviour::Full);
     let ask = Ask::post("/buy/x", "one");
-    let reply = ask.send(scene.entry.callers).await.unwrap();
+    let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").parse::<f64>().unwrap() > 0.0);
     assert_eq!(scene.runs_of(&ask.id), 0);
@@ -275,9 +276,9 @@
     let other = Upstream::start_at(address, "u-other", 4, Duration::from_millis(5)).await.unwrap();
     for object in 0..8 {
         let ask = Ask::post("/buy/x", "one").about(object);
-        assert_eq!(ask.send(scene.entry.callers).await.unwrap().status, 200);
+        assert_eq!(ask.send(scene.instance.callers).await.unwrap().status, 200);
         for _ in 0..10 {
-            Ask::get("/look/a").about("fixed").send(scene.entry.callers).await.unwrap();
+            Ask::get("/look/a").about("fixed").send(scene.instance.callers).await.unwrap();
         }
     }
     assert!(other.arrivals() > 0, "no object lived at the address");
@@ -290,8 +291,8 @@
     scene.upstreams.remove(0).stop().await;
     for object in 0..20 {
         let ask = Ask::post("/buy/x", "one").about(object);
-        let status = ask.send(scene.entry.callers).await.unwrap().status;
-        assert_eq!(status, 200, "{}", scene.entry.log());
+        let status = ask.send(scene.instance.callers).await.unwrap().status;
+        assert_eq!(status, 200, "{}", scene.instance.log());
         assert_eq!(scene.runs_of(&ask.id), 1);
     }
 }
@@ -301,7 +302,7 @@
     let scene = scene_with(1, |route| route.timeout_ms = 300).await;
     scene.all(Misbehaviour::Silent);
     let started = Instant::now();
-    let reply = Ask::post("/buy/x", "one").send(scene.entry.callers).await.unwrap();
+    let reply = Ask::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 504);
     let took = started.elapsed();
     assert!((Duration::from_millis(290)..Duration::from_millis(700)).contains(&took), "{took:?}");
@@ -312,7 +313,7 @@
 async fn a_caller_that_leaves_cancels_its_request_at_the_target() {
     let scene = scene(1).await;
     scene.upstreams[0].work(Duration::from_secs(3));
-    let callers = scene.entry.callers;
+    let callers = scene.instance.callers;
     let caller = tokio::spawn(async move { Ask::get("/look/a").send(callers).await });
     until("the request's arrival", || scene.upstreams[0].runs().len() == 1).await;
     caller.abort();
@@ -324,7 +325,7 @@
     let scene = scene(1).await;
     scene.all(Misbehaviour::Fail);
     let ask = Ask::post("/buy/x", "one");
-    let reply = ask.send(scene.entry.callers).await.unwrap();
+    let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!((reply.status.as_u16(), reply.body.as_ref()), (500, b"failed".as_slice()));
     assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
 }
@@ -332,7 +333,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_connection_that_rests_within_the_limit_stays_usable() {
     let scene = scene(1).await;
-    let mut connection = standins::http::Connection::open(scene.entry.callers, None).await.unwrap();
+    let mut connection = standins::http::Connection::open(scene.instance.callers, None).await.unwrap();
     let first = connection.send(Ask::get("/look/a").request(), Duration::from_secs(5)).await.unwrap();
     assert_eq!(first.status, 200);
     // Four fifths of the five seconds that the configuration allows.
@@ -345,14 +346,14 @@
 async fn every_request_has_one_line_in_the_log_with_its_outcome() {
     let scene = scene(1).await;
     let ask = Ask::get("/look/a");
-    ask.send(scene.entry.callers).await.unwrap();
-    let line = scene.entry.request_line(&ask.id).await;
+    ask.send(scene.instance.callers).await.unwrap();
+    let line = scene.instance.request_line(&ask.id).await;
     assert_eq!((line["outcome"].as_str(), line["status"].as_u64()), (Some("answered"), Some(200)));
     assert_eq!((line["target"].as_str(), line["config"].as_u64()), (Some("u-0"), Some(3)));
     let ask = Ask::get("/nowhere/a");
-    ask.send(scene.entry.callers).await.unwrap();
-    assert_eq!(scene.entry.request_line(&ask.id).await["outcome"], "no-route");
-    assert!(scene.entry.metric("lockloft_entry_requests_total", "answered").await >= 1.0);
+    ask.send(scene.instance.callers).await.unwrap();
+    assert_eq!(scene.instance.request_line(&ask.id).await["outcome"], "no-route");
+    assert!(scene.instance.metric("lockloft_entry_requests_total", "answered").await >= 1.0);
     let text = line.to_string();
     assert!(
         matches!(lockloft::telemetry::line::Line::read(&text), Some(lockloft::telemetry::line::Line::Request(_))),
@@ -367,32 +368,32 @@
     let upstream = Upstream::start("u-0", 4, Duration::from_millis(5)).await.unwrap();
     site.list(&upstream, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
-    let mut entry = site.entry("e-1", "a-1");
-    entry.edit_settings(|text| text.replace("descriptors = 4100", "descriptors = 40"));
-    entry.start();
-    entry.ready().await;
+    let mut instance = site.instance("e-1", "a-1");
+    instance.edit_settings(|text| text.replace("descriptors = 4100", "descriptors = 40"));
+    instance.start();
+    instance.ready().await;
     let mut held = Vec::new();
     for _ in 0..20 {
-        let mut connection = standins::http::Connection::open(entry.callers, None).await.unwrap();
+        let mut connection = standins::http::Connection::open(instance.callers, None).await.unwrap();
         let reply = connection.send(Ask::get("/look/a").request(), Duration::from_secs(5)).await.unwrap();
         assert_eq!(reply.status, 200);
         held.push(connection);
     }
-    let mut one_more = standins::http::Connection::open(entry.callers, None).await.unwrap();
+    let mut one_more = standins::http::Connection::open(instance.callers, None).await.unwrap();
     let waits = one_more.send(Ask::get("/look/a").request(), Duration::from_millis(300)).await;
     assert_eq!(waits.map(|reply| reply.status.as_u16()), Err::<u16, _>(NoReply::Broken));
     held.clear();
-    assert_eq!(Ask::get("/look/a").send(entry.callers).await.unwrap().status, 200);
+    assert_eq!(Ask::get("/look/a").send(instance.callers).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_counts_as_held_until_its_request_has_ended() {
     let scene = scene(1).await;
     scene.upstreams[0].work(Duration::from_millis(400));
-    let callers = scene.entry.callers;
+    let callers = scene.instance.callers;
     let request = tokio::spawn(async move { Ask::post("/send/x", vec![7; 100_000]).send(callers).await });
     until("the request's arrival", || scene.upstreams[0].runs().len() == 1).await;
-    assert_eq!(scene.entry.metric("lockloft_entry_held_body_bytes", "").await, 100_000.0);
+    assert_eq!(scene.instance.metric("lockloft_entry_held_body_bytes", "").await, 100_000.0);
     assert_eq!(request.await.unwrap().unwrap().status, 200);
-    assert_eq!(scene.entry.metric("lockloft_entry_held_body_bytes", "").await, 0.0);
+    assert_eq!(scene.instance.metric("lockloft_entry_held_body_bytes", "").await, 0.0);
 }
--- a/standins/tests/entry_knowledge.rs
+++ b/standins/tests/entry_knowledge.rs
@@ -1,10 +1,10 @@
-//! What an entry instance knows, from where, and what it does when the store
+//! What an instance knows, from where, and what it does when the store
 //! is away: configuration, drains, evacuations, members.
 
 mod common;
 
 use common::program;
-use standins::site::{Ask, EntryProcess, RouteSpec, Site, until};
+use standins::site::{Ask, InstanceProcess, RouteSpec, Site, until};
 use standins::store::Trouble;
 use standins::upstream::Upstream;
 use std::collections::HashMap;
@@ -20,11 +20,11 @@
     vec![RouteSpec::new("/look/", "safe", "shop")]
 }
 
-/// Waits until a path is answered with a status by an entry.
-async fn until_status(entry: &EntryProcess, path: &str, status: u16) {
+/// Waits until a path is answered with a status by an instance.
+async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
     let end = Instant::now() + standins::site::PATIENCE;
     loop {
-        let reply = Ask::get(path).send(entry.callers).await;
+        let reply = Ask::get(path).send(instance.callers).await;
         if reply.as_ref().is_ok_and(|reply| reply.status == status) {
             return;
         }
@@ -33,11 +33,11 @@
     }
 }
 
-/// Waits until what an entry knows was last current so many milliseconds ago.
-async fn until_view_is_older(entry: &EntryProcess, least_ms: u64) {
+/// Waits until what an instance knows was last current so many milliseconds ago.
+async fn until_view_is_older(instance: &InstanceProcess, least_ms: u64) {
     let end = Instant::now() + standins::site::PATIENCE;
     loop {
-        let reply = standins::http::get(entry.peers, "/status").await.unwrap();
+        let reply = standins::http::get(instance.peers, "/status").await.unwrap();
         let status: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
         if status["view_age_ms"].as_u64().is_some_and(|age| age > least_ms) {
             return;
@@ -48,10 +48,10 @@
 }
 
 /// Objects 0 to 39, asked for once each; how many went to which upstream.
-async fn spread(entry: &EntryProcess, upstreams: &[&Upstream]) -> HashMap<String, usize> {
+async fn spread(instance: &InstanceProcess, upstreams: &[&Upstream]) -> HashMap<String, usize> {
     let before: Vec<usize> = upstreams.iter().map(|upstream| upstream.runs().len()).collect();
     for object in 0..40 {
-        assert_eq!(Ask::get("/look/a").about(object).send(entry.callers).await.unwrap().status, 200);
+        assert_eq!(Ask::get("/look/a").about(object).send(instance.callers).await.unwrap().status, 200);
     }
     let after = upstreams.iter().zip(before).map(|(upstream, had)| (upstream.id.clone(), upstream.runs().len() - had));
     after.collect()
@@ -62,15 +62,15 @@
     let site = Site::start(program()).await;
     let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
     site.configure(5, &shop(), &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
+    let instance = site.ready_instance("e-1", "a-1").await;
     let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
     site.configure(9, &both, &["shop"]);
-    until_status(&entry, "/new/x", 200).await;
+    until_status(&instance, "/new/x", 200).await;
     site.configure(7, &shop(), &["shop"]);
     // A later change proves that the older version was seen and left.
     site.store.put("op/evacuate/b-1", "{}");
-    until("the evacuation's line", || !entry.events("evacuation").is_empty()).await;
-    assert_eq!(Ask::get("/new/x").send(entry.callers).await.unwrap().status, 200);
+    until("the evacuation's line", || !instance.events("evacuation").is_empty()).await;
+    assert_eq!(Ask::get("/new/x").send(instance.callers).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -78,12 +78,12 @@
     let site = Site::start(program()).await;
     let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
     site.configure(5, &shop(), &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
+    let instance = site.ready_instance("e-1", "a-1").await;
     site.store.put("op/config", "{\"version\": 6, \"resources\": [{\"resource_type\": \"routes\", \"spec\": {}}]}");
-    until("the refusal's line", || entry.events("value_refused").len() == 1).await;
-    let line = &entry.events("value_refused")[0];
+    until("the refusal's line", || instance.events("value_refused").len() == 1).await;
+    let line = &instance.events("value_refused")[0];
     assert!(line["error"].as_str().unwrap().contains("op/config"), "{line}");
-    assert_eq!(Ask::get("/look/x").send(entry.callers).await.unwrap().status, 200);
+    assert_eq!(Ask::get("/look/x").send(instance.callers).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -91,23 +91,23 @@
     let site = Site::start(program()).await;
     let (one, two) = (upstream(&site, "u-1", "shop", "a-1").await, upstream(&site, "u-2", "shop", "a-1").await);
     site.configure(1, &shop(), &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
-    let counts = spread(&entry, &[&one, &two]).await;
+    let instance = site.ready_instance("e-1", "a-1").await;
+    let counts = spread(&instance, &[&one, &two]).await;
     assert!(counts["u-1"] > 0 && counts["u-2"] > 0, "{counts:?}");
     site.list_as(&one, "shop", "a-1", "draining", 2, 0);
-    until("the draining's line", || entry.log().contains("draining")).await;
-    assert_eq!(spread(&entry, &[&one, &two]).await["u-1"], 0);
+    until("the draining's line", || instance.log().contains("draining")).await;
+    assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     // A write that is older by its sequence does not bring it back.
     site.list_as(&one, "shop", "a-1", "ready", 1, 0);
     site.store.put("op/evacuate/c-1", "{}");
-    until("the evacuation's line", || !entry.events("evacuation").is_empty()).await;
-    assert_eq!(spread(&entry, &[&one, &two]).await["u-1"], 0);
+    until("the evacuation's line", || !instance.events("evacuation").is_empty()).await;
+    assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     site.store.remove("servers/u-1");
-    until("the line of its end", || entry.log().contains("\"gone\"")).await;
+    until("the line of its end", || instance.log().contains("\"gone\"")).await;
     site.list_as(&one, "shop", "a-1", "ready", 1, 0);
     site.store.remove("op/evacuate/c-1");
-    until("the end of the evacuation", || entry.events("evacuation").len() == 2).await;
-    assert_eq!(spread(&entry, &[&one, &two]).await["u-1"], 0);
+    until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
+    assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -115,14 +115,14 @@
     let site = Site::start(program()).await;
     let (one, two) = (upstream(&site, "u-1", "shop", "a-1").await, upstream(&site, "u-2", "shop", "a-2").await);
     site.configure(1, &shop(), &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
+    let instance = site.ready_instance("e-1", "a-1").await;
     site.store.put("op/evacuate/a-1", "{}");
-    until("the evacuation's line", || entry.events("evacuation").len() == 1).await;
-    assert_eq!(spread(&entry, &[&one, &two]).await["u-1"], 0);
+    until("the evacuation's line", || instance.events("evacuation").len() == 1).await;
+    assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     site.store.remove("op/evacuate/a-1");
-    until("the end of the evacuation", || entry.events("evacuation").len() == 2).await;
+    until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
     let end = Instant::now() + standins::site::PATIENCE;
-    while spread(&entry, &[&one, &two]).await["u-1"] == 0 {
+    while spread(&instance, &[&one, &two]).await["u-1"] == 0 {
         assert!(Instant::now() < end, "the hall never came back");
     }
 }
@@ -134,11 +134,11 @@
     let mut route = RouteSpec::new("/look/", "safe", "shop");
     route.regions = vec!["b".to_owned()];
     site.configure(1, &[route.clone()], &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
-    assert_eq!(spread(&entry, &[&one, &two]).await["u-1"], 0);
+    let instance = site.ready_instance("e-1", "a-1").await;
+    assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     route.regions = vec!["c".to_owned()];
     site.configure(2, &[route], &["shop"]);
-    until_status(&entry, "/look/a", 503).await;
+    until_status(&instance, "/look/a", 503).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -150,11 +150,11 @@
         upstream(&site, "u-3", "shop", "a-2").await,
     ];
     site.configure(1, &shop(), &["shop"]);
-    let (first, second) = (site.ready_entry("e-1", "a-1").await, site.ready_entry("e-2", "a-2").await);
+    let (first, second) = (site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await);
     for object in 0..20 {
-        for entry in [&first, &second] {
+        for instance in [&first, &second] {
             for _ in 0..2 {
-                Ask::get("/look/a").about(object).send(entry.callers).await.unwrap();
+                Ask::get("/look/a").about(object).send(instance.callers).await.unwrap();
             }
         }
     }
@@ -171,9 +171,9 @@
     let mut route = RouteSpec::new("/look/", "safe", "shop");
     route.parts = vec![("shop".to_owned(), 70.0), ("other".to_owned(), 30.0)];
     site.configure(1, &[route], &["shop", "other"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
+    let instance = site.ready_instance("e-1", "a-1").await;
     for number in 0..400 {
-        Ask::get("/look/a").about(number % 10).send(entry.callers).await.unwrap();
+        Ask::get("/look/a").about(number % 10).send(instance.callers).await.unwrap();
     }
     let share = two.runs().len() as f64 / (one.runs().len() + two.runs().len()) as f64;
     assert!((0.2..0.4).contains(&share), "{share}");
@@ -184,15 +184,15 @@
     let site = Site::start(program()).await;
     let (one, two) = (upstream(&site, "u-1", "shop", "a-1").await, upstream(&site, "u-2", "shop", "a-1").await);
     site.configure(1, &shop(), &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
+    let instance = site.ready_instance("e-1", "a-1").await;
     site.door.set(Trouble::Reset);
-    until("the loss of the store", || entry.events("store_lost").len() == 1).await;
+    until("the loss of the store", || instance.events("store_lost").len() == 1).await;
     site.store.remove("servers/u-1");
     site.store.forget_history();
     site.door.set(Trouble::None);
-    until("the line of its end", || entry.log().contains("\"gone\"")).await;
-    assert_eq!(spread(&entry, &[&one, &two]).await["u-1"], 0);
-    assert_eq!(entry.events("store_regained").len(), 1);
+    until("the line of its end", || instance.log().contains("\"gone\"")).await;
+    assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
+    assert_eq!(instance.events("store_regained").len(), 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -201,16 +201,16 @@
         let site = Site::start(program()).await;
         let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
         site.configure(1, &shop(), &["shop"]);
-        let _other = site.ready_entry("e-1", "a-1").await;
+        let _other = site.ready_instance("e-1", "a-1").await;
         let door = site.store.door().await.unwrap();
-        let mut entry = site.entry_at("e-2", "a-2", &door, &[]);
-        entry.start();
-        entry.ready().await;
-        until("the sight of each other", || entry.events("member").len() >= 2).await;
+        let mut instance = site.instance_at("e-2", "a-2", &door, &[]);
+        instance.start();
+        instance.ready().await;
+        until("the sight of each other", || instance.events("member").len() >= 2).await;
         door.set(trouble);
         let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
         site.configure(2, &both, &["shop"]);
-        until_status(&entry, "/new/x", 200).await;
+        until_status(&instance, "/new/x", 200).await;
     }
 }
 
@@ -219,12 +219,12 @@
     let site = Site::start(program()).await;
     let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let first = site.ready_entry("e-1", "a-1").await;
+    let first = site.ready_instance("e-1", "a-1").await;
     site.door.set(Trouble::Silent);
-    let mut entry = site.entry_at("e-2", "a-2", &site.door, &[first.peers]);
-    entry.start();
-    entry.ready().await;
-    until_status(&entry, "/look/x", 200).await;
+    let mut instance = site.instance_at("e-2", "a-2", &site.door, &[first.peers]);
+    instance.start();
+    instance.ready().await;
+    until_status(&instance, "/look/x", 200).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -232,9 +232,9 @@
     let site = Site::start(program()).await;
     let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let one = site.ready_entry("e-1", "a-1").await;
-    let mut two = site.ready_entry("e-2", "a-2").await;
-    let far = site.ready_entry("e-3", "b-1").await;
+    let one = site.ready_instance("e-1", "a-1").await;
+    let mut two = site.ready_instance("e-2", "a-2").await;
+    let far = site.ready_instance("e-3", "b-1").await;
     let end = Instant::now() + standins::site::PATIENCE;
     loop {
         let mut named = one.resolve("a").await;
@@ -250,7 +250,7 @@
     let killed = Instant::now();
     two.kill();
     while one.resolve("a").await.len() != 1 {
-        assert!(killed.elapsed() < Duration::from_secs(6), "a dead entry is named for too long");
+        assert!(killed.elapsed() < Duration::from_secs(6), "a dead instance is named for too long");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
     // A planned stop leaves the directory at once.
@@ -258,7 +258,7 @@
     far.terminate();
     let asked = Instant::now();
     while one.resolve("b").await.contains(&far_at) {
-        assert!(asked.elapsed() < Duration::from_secs(2), "a stopping entry is named for too long");
+        assert!(asked.elapsed() < Duration::from_secs(2), "a stopping instance is named for too long");
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
@@ -267,7 +267,7 @@
 async fn an_entry_whose_key_was_taken_away_announces_itself_again() {
     let site = Site::start(program()).await;
     site.configure(1, &shop(), &["shop"]);
-    let _entry = site.ready_entry("e-1", "a-1").await;
+    let _instance = site.ready_instance("e-1", "a-1").await;
     until("the first key", || site.store.keys("lockloft/").len() == 1).await;
     site.store.remove_all("lockloft/");
     until("the second key", || site.store.keys("lockloft/").len() == 1).await;
@@ -277,16 +277,16 @@
 async fn a_reload_takes_new_settings_and_keeps_the_old_where_they_are_wrong() {
     let site = Site::start(program()).await;
     site.configure(1, &shop(), &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
-    entry.edit_settings(|text| text.replace("retry_ratio = 0.2", "retry_ratio = 2"));
-    entry.signal(libc::SIGHUP);
-    until("the refusal's line", || entry.events("reload_refused").len() == 1).await;
-    let error = entry.events("reload_refused")[0]["error"].as_str().unwrap().to_owned();
+    let instance = site.ready_instance("e-1", "a-1").await;
+    instance.edit_settings(|text| text.replace("retry_ratio = 0.2", "retry_ratio = 2"));
+    instance.signal(libc::SIGHUP);
+    until("the refusal's line", || instance.events("reload_refused").len() == 1).await;
+    let error = instance.events("reload_refused")[0]["error"].as_str().unwrap().to_owned();
     assert!(error.contains("bounds.retry_ratio") && error.contains("give a share"), "{error}");
-    entry.edit_settings(|text| text.replace("retry_ratio = 2", "retry_ratio = 0.1"));
-    entry.signal(libc::SIGHUP);
-    until("the reload's line", || entry.events("reloaded").len() == 1).await;
-    assert!(entry.is_ready().await);
+    instance.edit_settings(|text| text.replace("retry_ratio = 2", "retry_ratio = 0.1"));
+    instance.signal(libc::SIGHUP);
+    until("the reload's line", || instance.events("reloaded").len() == 1).await;
+    assert!(instance.is_ready().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -295,13 +295,13 @@
     let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     site.door.slow(Duration::from_millis(100));
-    let mut entry = site.entry("e-1", "a-1");
-    entry.start();
+    let mut instance = site.instance("e-1", "a-1");
+    instance.start();
     let end = Instant::now() + standins::site::PATIENCE;
     let reply = loop {
-        match Ask::get("/look/a").send(entry.callers).await {
+        match Ask::get("/look/a").send(instance.callers).await {
             Ok(reply) => break reply,
-            Err(_) => assert!(Instant::now() < end, "the entry does not listen"),
+            Err(_) => assert!(Instant::now() < end, "the instance does not listen"),
         }
     };
     assert_eq!(reply.status, 200);
@@ -313,20 +313,20 @@
     let lives = upstream(&site, "lives", "shop", "a-1").await;
     let ends = upstream(&site, "ends", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
+    let instance = site.ready_instance("e-1", "a-1").await;
     site.door.set(Trouble::Silent);
-    until("the store counts as lost", || !entry.events("store_lost").is_empty()).await;
-    // Entries run out after three heartbeats, not sooner.
-    until_view_is_older(&entry, 4_000).await;
+    until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
+    // Instances run out after three heartbeats, not sooner.
+    until_view_is_older(&instance, 4_000).await;
     site.store.remove_all("servers/");
     site.door.set(Trouble::None);
     let state =
-        |id: &str, state: &str| entry.events("target").iter().any(|line| line["id"] == id && line["state"] == state);
+        |id: &str, state: &str| instance.events("target").iter().any(|line| line["id"] == id && line["state"] == state);
     until("both are seen to have lapsed", || state("lives", "lapsed") && state("ends", "lapsed")).await;
-    assert!(spread(&entry, &[&lives, &ends]).await.values().all(|runs| *runs > 0), "both serve on");
+    assert!(spread(&instance, &[&lives, &ends]).await.values().all(|runs| *runs > 0), "both serve on");
     site.list_as(&lives, "shop", "a-1", "ready", 2, 0);
     until("one is gone", || state("ends", "gone")).await;
-    let runs = spread(&entry, &[&lives, &ends]).await;
+    let runs = spread(&instance, &[&lives, &ends]).await;
     assert_eq!((runs["lives"], runs["ends"]), (40, 0));
     assert!(!state("lives", "gone"));
 }
@@ -337,19 +337,20 @@
     let _stays = upstream(&site, "stays", "shop", "a-1").await;
     let _goes = upstream(&site, "goes", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let others = site.ready_entry("e-1", "a-1").await;
+    let others = site.ready_instance("e-1", "a-1").await;
     let door = site.store.door().await.unwrap();
-    let mut entry = site.entry_at("e-2", "a-2", &door, &[others.peers]);
-    entry.start();
-    entry.ready().await;
+    let mut instance = site.instance_at("e-2", "a-2", &door, &[others.peers]);
+    instance.start();
+    instance.ready().await;
     door.set(Trouble::Busy);
-    until("the store counts as lost", || !entry.events("store_lost").is_empty()).await;
+    until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
     site.store.put("op/evacuate/b-1", "{}");
-    until("a peer's news", || entry.events("evacuation").iter().any(|line| line["source"] == "peer")).await;
+    until("a peer's news", || instance.events("evacuation").iter().any(|line| line["source"] == "peer")).await;
     door.set(Trouble::None);
-    until("the store answers again", || !entry.events("store_regained").is_empty()).await;
+    until("the store answers again", || !instance.events("store_regained").is_empty()).await;
     site.store.remove_all("servers/goes");
-    let seen = |state: &str| entry.events("target").iter().any(|line| line["id"] == "goes" && line["state"] == state);
+    let seen =
+        |state: &str| instance.events("target").iter().any(|line| line["id"] == "goes" && line["state"] == state);
     until("the target's end is seen", || seen("gone") || seen("lapsed")).await;
-    assert!(!seen("lapsed"), "the others kept the entry's knowledge current: nothing can have run out");
+    assert!(!seen("lapsed"), "the others kept the instance's knowledge current: nothing can have run out");
 }
--- a/standins/tests/entry_log.rs
+++ b/standins/tests/entry_log.rs
@@ -1,4 +1,4 @@
-//! The log of an entry instance never holds anything up, and is bounded.
+//! The log of an instance never holds anything up, and is bounded.
 
 mod common;
 
@@ -108,19 +108,19 @@
     let upstream = Upstream::start("u-1", 50, Duration::from_millis(1)).await.unwrap();
     site.list(&upstream, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
-    let mut entry = site.entry("e-1", "a-1");
-    entry.edit_settings(|text| format!("{text}\n[log]\nbytes_per_second = {RATE}\n"));
+    let mut instance = site.instance("e-1", "a-1");
+    instance.edit_settings(|text| format!("{text}\n[log]\nbytes_per_second = {RATE}\n"));
     let started = Instant::now();
-    entry.start();
-    entry.ready().await;
+    instance.start();
+    instance.ready().await;
     for object in 0..400 {
-        assert_eq!(Ask::get("/look/a").about(object % 7).send(entry.callers).await.unwrap().status, 200);
+        assert_eq!(Ask::get("/look/a").about(object % 7).send(instance.callers).await.unwrap().status, 200);
     }
-    until("the line of lines left out", || !entry.events("log_lines_left_out").is_empty()).await;
-    let written = entry.log().len();
+    until("the line of lines left out", || !instance.events("log_lines_left_out").is_empty()).await;
+    let written = instance.log().len();
     let most = RATE as f64 * (started.elapsed().as_secs_f64() + 2.0);
     assert!((written as f64) < most, "{written} bytes in {:?}", started.elapsed());
     // The last batch may still be on its way to the file.
-    let left_out = entry.metric("lockloft_entry_log_lines_left_out", "").await as usize;
-    until("each line is written or counted", || entry.events("request").len() + left_out == 400).await;
+    let left_out = instance.metric("lockloft_entry_log_lines_left_out", "").await as usize;
+    until("each line is written or counted", || instance.events("request").len() + left_out == 400).await;
 }
--- a/standins/tests/entry_policies.rs
+++ b/standins/tests/entry_policies.rs
@@ -1,4 +1,4 @@
-//! The operators' policies at running entries: applied through any of them, in
+//! The operators' policies at running instances: applied through any of them, in
 //! force everywhere, and never going back.
 
 mod common;
@@ -8,7 +8,7 @@
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
-use standins::site::{Ask, EntryProcess, RouteSpec, Site, until};
+use standins::site::{Ask, InstanceProcess, RouteSpec, Site, until};
 use standins::store::Trouble;
 use standins::upstream::Upstream;
 use std::time::{Duration, Instant};
@@ -16,11 +16,11 @@
 const DRAIN: &str = "[[policy]]\nname = \"leave\"\nplaces = { hall = \"a-1\" }\ndrain = true\n";
 const NOTHING: &str = "";
 
-/// Two halls with an upstream each, and two entries.
+/// Two halls with an upstream each, and two instances.
 struct Scene {
     site: Site,
     upstreams: [Upstream; 2],
-    entries: [EntryProcess; 2],
+    instances: [InstanceProcess; 2],
 }
 
 impl Scene {
@@ -31,38 +31,38 @@
         site.list(&one, "shop", "a-1");
         site.list(&other, "shop", "a-2");
         site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
-        let entries = [site.ready_entry("e-1", "a-1").await, site.ready_entry("e-2", "a-2").await];
-        Self { site, upstreams: [one, other], entries }
+        let instances = [site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await];
+        Self { site, upstreams: [one, other], instances }
     }
 
-    /// Waits until an entry has a revision of the policies in force.
-    async fn in_force(&self, entry: usize, revision: u64) {
+    /// Waits until an instance has a revision of the policies in force.
+    async fn in_force(&self, instance: usize, revision: u64) {
         let end = Instant::now() + standins::site::PATIENCE;
-        while status(&self.entries[entry]).await["policies"] != revision {
-            assert!(Instant::now() < end, "revision {revision} is not in force at entry {entry}");
+        while status(&self.instances[instance]).await["policies"] != revision {
+            assert!(Instant::now() < end, "revision {revision} is not in force at instance {instance}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
     /// How many of 40 objects the upstream of the drained hall gets.
-    async fn to_drained_hall(&self, entry: usize) -> usize {
+    async fn to_drained_hall(&self, instance: usize) -> usize {
         let before = self.upstreams[0].runs().len();
         for object in 0..40 {
-            let reply = Ask::get("/look/a").about(object).send(self.entries[entry].callers).await.unwrap();
+            let reply = Ask::get("/look/a").about(object).send(self.instances[instance].callers).await.unwrap();
             assert_eq!(reply.status, 200);
         }
         self.upstreams[0].runs().len() - before
     }
 }
 
-async fn status(entry: &EntryProcess) -> Value {
-    serde_json::from_slice(&http::get(entry.peers, "/status").await.unwrap().body).unwrap()
+async fn status(instance: &InstanceProcess) -> Value {
+    serde_json::from_slice(&http::get(instance.peers, "/status").await.unwrap().body).unwrap()
 }
 
-async fn apply(entry: &EntryProcess, id: &str, expect: Option<u64>, text: &str) -> Reply {
+async fn apply(instance: &InstanceProcess, id: &str, expect: Option<u64>, text: &str) -> Reply {
     let sources = Sources::single("policies.toml", text);
     let request = ApplyRequest { id: id.into(), by: "anna".into(), expect, sources };
-    http::post(entry.peers, "/policies", serde_json::to_vec(&request).unwrap()).await.unwrap()
+    http::post(instance.peers, "/policies", serde_json::to_vec(&request).unwrap()).await.unwrap()
 }
 
 fn message(reply: &Reply) -> String {
@@ -74,16 +74,16 @@
 async fn policies_applied_at_one_entry_are_in_force_at_all_and_explained() {
     let scene = Scene::start().await;
     assert!(scene.to_drained_hall(1).await > 0);
-    let reply = apply(&scene.entries[0], "one", None, DRAIN).await;
+    let reply = apply(&scene.instances[0], "one", None, DRAIN).await;
     assert_eq!(reply.status, 200, "{}", message(&reply));
-    for entry in 0..2 {
-        scene.in_force(entry, 1).await;
-        assert_eq!(scene.to_drained_hall(entry).await, 0);
+    for instance in 0..2 {
+        scene.in_force(instance, 1).await;
+        assert_eq!(scene.to_drained_hall(instance).await, 0);
     }
     let ask = Ask::get("/look/a");
-    ask.send(scene.entries[1].callers).await.unwrap();
-    assert_eq!(scene.entries[1].request_line(&ask.id).await["policies"], "leave");
-    let why = http::get(scene.entries[1].peers, "/why?host=shop.example&path=/look/a&object=3").await.unwrap();
+    ask.send(scene.instances[1].callers).await.unwrap();
+    assert_eq!(scene.instances[1].request_line(&ask.id).await["policies"], "leave");
+    let why = http::get(scene.instances[1].peers, "/why?host=shop.example&path=/look/a&object=3").await.unwrap();
     let why: Value = serde_json::from_slice(&why.body).unwrap();
     assert_eq!(why["chosen"], "u-2", "{why}");
     assert_eq!(why["acted"], serde_json::json!(["leave"]));
@@ -93,15 +93,15 @@
 async fn of_two_operators_one_wins_and_bad_policies_change_nothing() {
     let scene = Scene::start().await;
     let (one, other) = tokio::join!(
-        apply(&scene.entries[0], "one", Some(0), DRAIN),
-        apply(&scene.entries[1], "two", Some(0), NOTHING)
+        apply(&scene.instances[0], "one", Some(0), DRAIN),
+        apply(&scene.instances[1], "two", Some(0), NOTHING)
     );
     let mut statuses = [one.status.as_u16(), other.status.as_u16()];
     statuses.sort_unstable();
     assert_eq!(statuses, [200, 409]);
     let loser = if one.status == 409 { &one } else { &other };
     assert!(message(loser).contains("revision 1 by anna"), "{}", message(loser));
-    let bad = apply(&scene.entries[0], "bad", None, "[[policy]]\nname = \"x\"\n").await;
+    let bad = apply(&scene.instances[0], "bad", None, "[[policy]]\nname = \"x\"\n").await;
     assert_eq!(bad.status, 400);
     assert!(message(&bad).contains("policies.toml:2") && message(&bad).contains("remedy"), "{}", message(&bad));
     scene.in_force(0, 1).await;
@@ -112,54 +112,54 @@
 async fn an_apply_whose_answer_is_lost_is_resolved_by_reading() {
     let mut scene = Scene::start().await;
     let door = scene.site.store.door().await.unwrap();
-    let mut entry = scene.site.entry_at("e-3", "a-1", &door, &[]);
-    entry.start();
-    entry.ready().await;
+    let mut instance = scene.site.instance_at("e-3", "a-1", &door, &[]);
+    instance.start();
+    instance.ready().await;
     door.set(Trouble::AnswersLost);
     let applied = tokio::spawn(async move {
-        let reply = apply(&entry, "lost", None, DRAIN).await;
-        (entry, reply)
+        let reply = apply(&instance, "lost", None, DRAIN).await;
+        (instance, reply)
     });
     scene.in_force(1, 1).await;
     door.set(Trouble::None);
-    let (entry, reply) = applied.await.unwrap();
+    let (instance, reply) = applied.await.unwrap();
     assert_eq!(reply.status, 200, "{}", message(&reply));
-    assert_eq!(status(&entry).await["store_lost"], false);
+    assert_eq!(status(&instance).await["store_lost"], false);
     // The write was done once: the next one follows it.
-    scene.entries[0] = entry;
-    assert_eq!(apply(&scene.entries[0], "next", Some(1), NOTHING).await.status, 200);
+    scene.instances[0] = instance;
+    assert_eq!(apply(&scene.instances[0], "next", Some(1), NOTHING).await.status, 200);
     scene.in_force(1, 2).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn policies_outlast_their_entries_and_the_store_s_outage() {
     let mut scene = Scene::start().await;
-    assert_eq!(apply(&scene.entries[0], "one", None, DRAIN).await.status, 200);
+    assert_eq!(apply(&scene.instances[0], "one", None, DRAIN).await.status, 200);
     scene.in_force(1, 1).await;
-    scene.entries[0].kill();
-    scene.entries[0].start();
-    scene.entries[0].ready().await;
+    scene.instances[0].kill();
+    scene.instances[0].start();
+    scene.instances[0].ready().await;
     scene.in_force(0, 1).await;
     assert_eq!(scene.to_drained_hall(0).await, 0);
     let door = scene.site.store.door().await.unwrap();
-    let mut entry = scene.site.entry_at("e-3", "a-1", &door, &[scene.entries[1].peers]);
+    let mut instance = scene.site.instance_at("e-3", "a-1", &door, &[scene.instances[1].peers]);
     door.set(Trouble::Silent);
-    entry.start();
-    until("the entry knows the policies by a peer", || !entry.events("policies_in_force").is_empty()).await;
-    let refused = apply(&entry, "unheard", None, NOTHING).await;
+    instance.start();
+    until("the instance knows the policies by a peer", || !instance.events("policies_in_force").is_empty()).await;
+    let refused = apply(&instance, "unheard", None, NOTHING).await;
     assert_eq!(refused.status, 503);
     assert!(message(&refused).contains("may still come into force"), "{}", message(&refused));
-    assert_eq!(status(&scene.entries[1]).await["policies"], 1);
+    assert_eq!(status(&scene.instances[1]).await["policies"], 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_tool_speaks_to_entries() {
+async fn the_tool_speaks_to_instances() {
     let scene = Scene::start().await;
     let folder = std::env::temp_dir().join(standins::site::fresh_id());
     std::fs::create_dir(&folder).unwrap();
     let file = folder.join("policies.toml");
     std::fs::write(&file, DRAIN).unwrap();
-    let (address, file) = (scene.entries[0].peers.to_string(), file.display().to_string());
+    let (address, file) = (scene.instances[0].peers.to_string(), file.display().to_string());
     let tool = async |arguments: &[&str]| {
         let mut all = vec!["--entry".to_owned(), address.clone()];
         all.extend(arguments.iter().map(|argument| (*argument).to_owned()));
@@ -178,7 +178,7 @@
     for command in commands {
         assert_eq!(tool(command).await, success, "{command:?}");
     }
-    assert_eq!(status(&scene.entries[1]).await["policies"], 1, "--wait waited for all entries");
+    assert_eq!(status(&scene.instances[1]).await["policies"], 1, "--wait waited for all instances");
     assert_eq!(tool(&["apply", &file, "--expect", "0"]).await, format!("{:?}", std::process::ExitCode::from(3)));
     assert_eq!(tool(&["history"]).await, format!("{:?}", std::process::ExitCode::from(2)));
     std::fs::remove_dir_all(folder).unwrap();
--- a/standins/tests/entry_relay.rs
+++ b/standins/tests/entry_relay.rs
@@ -1,10 +1,10 @@
-//! How the entries of a hall hear of the store through one another.
+//! How the instances of a hall hear of the store through one another.
 
 mod common;
 
 use common::program;
 use lockloft::sync::relay::FOLLOWERS;
-use standins::site::{Ask, EntryProcess, RouteSpec, Site, until};
+use standins::site::{Ask, InstanceProcess, RouteSpec, Site, until};
 use standins::store::Trouble;
 use standins::upstream::Upstream;
 use std::time::{Duration, Instant};
@@ -19,11 +19,11 @@
     vec![RouteSpec::new("/look/", "safe", "shop")]
 }
 
-/// Waits until a path is answered with a status by an entry.
-async fn until_status(entry: &EntryProcess, path: &str, status: u16) {
+/// Waits until a path is answered with a status by an instance.
+async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
     let end = Instant::now() + standins::site::PATIENCE;
     loop {
-        let reply = Ask::get(path).send(entry.callers).await;
+        let reply = Ask::get(path).send(instance.callers).await;
         if reply.as_ref().is_ok_and(|reply| reply.status == status) {
             return;
         }
@@ -32,20 +32,20 @@
     }
 }
 
-/// Entries `e-1` and so on of one hall, all listed, the relay first.
-async fn hall(site: &Site, count: usize) -> Vec<EntryProcess> {
-    let mut entries = Vec::new();
+/// Instances `e-1` and so on of one hall, all listed, the relay first.
+async fn hall(site: &Site, count: usize) -> Vec<InstanceProcess> {
+    let mut instances = Vec::new();
     for number in 1..=count {
-        entries.push(site.ready_entry(&format!("e-{number}"), "a-1").await);
+        instances.push(site.ready_instance(&format!("e-{number}"), "a-1").await);
     }
     let end = Instant::now() + standins::site::PATIENCE;
-    for entry in &entries {
-        while entry.resolve("a").await.len() < count {
-            assert!(Instant::now() < end, "{} does not see all", entry.name);
+    for instance in &instances {
+        while instance.resolve("a").await.len() < count {
+            assert!(Instant::now() < end, "{} does not see all", instance.name);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
-    entries
+    instances
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -53,19 +53,19 @@
     let site = Site::start(program()).await;
     let upstream = upstream(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let entries = hall(&site, 4).await;
-    until("the relay's news", || entries[3].log().contains("\"source\":\"relay\"")).await;
+    let instances = hall(&site, 4).await;
+    until("the relay's news", || instances[3].log().contains("\"source\":\"relay\"")).await;
     // Whatever watches the others still have in the store end with a change.
     site.store.put("op/evacuate/b-1", "{}");
-    until("the evacuation", || entries.iter().all(|entry| entry.events("evacuation").len() == 1)).await;
+    until("the evacuation", || instances.iter().all(|instance| instance.events("evacuation").len() == 1)).await;
     let before = site.store.calls("kv-watch");
     for sequence in 2..8 {
         site.list_as(&upstream, "shop", "a-1", if sequence % 2 == 0 { "draining" } else { "ready" }, sequence, 0);
-        let seen = |entry: &EntryProcess| entry.events("target").len() as u64 >= sequence;
-        until("the change", || entries.iter().all(seen)).await;
+        let seen = |instance: &InstanceProcess| instance.events("target").len() as u64 >= sequence;
+        until("the change", || instances.iter().all(seen)).await;
     }
     let calls = site.store.calls("kv-watch") - before;
-    assert!(calls <= 8, "{calls} watches for 6 changes and 4 entries");
+    assert!(calls <= 8, "{calls} watches for 6 changes and 4 instances");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -75,11 +75,11 @@
         let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
         site.configure(1, &shop(), &["shop"]);
         let door = site.store.door().await.unwrap();
-        let mut relay = site.entry_at("e-0", "a-1", &door, &[]);
+        let mut relay = site.instance_at("e-0", "a-1", &door, &[]);
         relay.start();
         relay.ready().await;
-        let entries = hall(&site, 4).await;
-        until("the relay's news", || entries[3].log().contains("\"source\":\"relay\"")).await;
+        let instances = hall(&site, 4).await;
+        until("the relay's news", || instances[3].log().contains("\"source\":\"relay\"")).await;
         match trouble {
             "dies" => relay.kill(),
             "freezes" => relay.signal(libc::SIGSTOP),
@@ -88,8 +88,8 @@
         let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
         site.configure(2, &both, &["shop"]);
         let changed = Instant::now();
-        for entry in &entries {
-            until_status(entry, "/new/x", 200).await;
+        for instance in &instances {
+            until_status(instance, "/new/x", 200).await;
         }
         // The shortest bound on a configuration.
         assert!(changed.elapsed() < Duration::from_secs(2), "{trouble}: {:?}", changed.elapsed());
@@ -97,14 +97,14 @@
     }
 }
 
-/// Waits until all these entries have heard of a number of evacuations, begun
+/// Waits until all these instances have heard of a number of evacuations, begun
 /// one after the other; gives the watches that the store saw meanwhile.
-async fn watches_for_evacuations(site: &Site, entries: &[EntryProcess], halls: &[&str]) -> u64 {
+async fn watches_for_evacuations(site: &Site, instances: &[InstanceProcess], halls: &[&str]) -> u64 {
     let before = site.store.calls("kv-watch");
     for hall in halls {
         site.store.put(&format!("op/evacuate/{hall}"), "{}");
-        let heard = |entry: &EntryProcess| entry.events("evacuation").iter().any(|line| line["hall"] == *hall);
-        until("the evacuation", || entries.iter().all(heard)).await;
+        let heard = |instance: &InstanceProcess| instance.events("evacuation").iter().any(|line| line["hall"] == *hall);
+        until("the evacuation", || instances.iter().all(heard)).await;
     }
     site.store.calls("kv-watch") - before
 }
@@ -114,13 +114,13 @@
     let site = Site::start(program()).await;
     let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let mut entries = hall(&site, FOLLOWERS + 3).await;
-    watches_for_evacuations(&site, &entries, &["b-1"]).await;
-    entries.remove(0).kill();
-    watches_for_evacuations(&site, &entries, &["b-2"]).await;
+    let mut instances = hall(&site, FOLLOWERS + 3).await;
+    watches_for_evacuations(&site, &instances, &["b-1"]).await;
+    instances.remove(0).kill();
+    watches_for_evacuations(&site, &instances, &["b-2"]).await;
     // Within the time for which the dead relay is not followed.
-    let watches = watches_for_evacuations(&site, &entries, &["c-1", "c-2", "c-3", "c-4"]).await;
-    assert!(watches <= 8, "{watches} watches for 4 changes and {} entries", entries.len());
+    let watches = watches_for_evacuations(&site, &instances, &["c-1", "c-2", "c-3", "c-4"]).await;
+    assert!(watches <= 8, "{watches} watches for 4 changes and {} instances", instances.len());
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -128,16 +128,16 @@
     let site = Site::start(program()).await;
     let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let entries = hall(&site, FOLLOWERS + 3).await;
-    watches_for_evacuations(&site, &entries, &["b-1"]).await;
-    let leaf = &entries[FOLLOWERS + 2];
-    let left = |entry: &EntryProcess| entry.events("relay_left").len();
-    let before: Vec<usize> = entries.iter().map(left).collect();
+    let instances = hall(&site, FOLLOWERS + 3).await;
+    watches_for_evacuations(&site, &instances, &["b-1"]).await;
+    let leaf = &instances[FOLLOWERS + 2];
+    let left = |instance: &InstanceProcess| instance.events("relay_left").len();
+    let before: Vec<usize> = instances.iter().map(left).collect();
     let heard = leaf.metric("lockloft_entry_relay_answers_total", "").await;
     let end = Instant::now() + standins::site::PATIENCE;
     while leaf.metric("lockloft_entry_relay_answers_total", "").await < heard + 6.0 {
         assert!(Instant::now() < end, "the leaf hears nothing");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    assert_eq!(entries.iter().map(left).collect::<Vec<_>>(), before, "nobody left its relay");
+    assert_eq!(instances.iter().map(left).collect::<Vec<_>>(), before, "nobody left its relay");
 }
--- a/standins/tests/entry_stop.rs
+++ b/standins/tests/entry_stop.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry instance.
+//! A planned stop of an instance.
 
 use standins::site::{Ask, RouteSpec, Site};
 use standins::upstream::Upstream;
@@ -21,27 +21,27 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_under_way_ends_well_and_its_connection_is_closed() {
     let (site, _upstream) = site(Duration::from_millis(300), 6.0).await;
-    let mut entry = site.ready_entry("e-1", "a-1").await;
-    let callers = entry.callers;
+    let mut instance = site.ready_instance("e-1", "a-1").await;
+    let callers = instance.callers;
     let request = tokio::spawn(async move { Ask::post("/buy/x", "one").send(callers).await });
     standins::site::until("the request's arrival", || _upstream.arrivals() == 1).await;
-    entry.terminate();
+    instance.terminate();
     let reply = request.await.unwrap().unwrap();
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("connection"), "close");
-    assert!(!entry.is_ready().await);
-    assert!(entry.ended().await.success());
+    assert!(!instance.is_ready().await);
+    assert!(instance.ended().await.success());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_go_on_being_served_after_the_signal_and_none_is_cut_by_the_end() {
     let (site, _upstream) = site(Duration::from_millis(150), 4.0).await;
-    let mut entry = site.ready_entry("e-1", "a-1").await;
-    entry.terminate();
+    let mut instance = site.ready_instance("e-1", "a-1").await;
+    instance.terminate();
     let asked = Instant::now();
     let (mut served, mut refused) = (0, 0);
     // A caller that does not heed the directory goes on to the very end.
-    while let Ok(reply) = Ask::post("/buy/x", "one").send(entry.callers).await {
+    while let Ok(reply) = Ask::post("/buy/x", "one").send(instance.callers).await {
         match reply.status.as_u16() {
             200 => served += 1,
             503 => refused += 1,
@@ -55,7 +55,7 @@
     }
     assert!(served > 0, "nothing was served after the signal");
     assert!(refused > 0, "requests were taken to the very end, after {:?}", asked.elapsed());
-    entry.ended().await;
+    instance.ended().await;
     assert_eq!(_upstream.runs().iter().filter(|run| run.cut).count(), 0);
 }
 
@@ -64,16 +64,16 @@
     let (site, upstream) = site(Duration::from_millis(150), 6.0).await;
     let mut runs = Vec::new();
     for number in 0..12u64 {
-        let mut entry = site.ready_entry(&format!("e-{number}"), "a-1").await;
+        let mut instance = site.ready_instance(&format!("e-{number}"), "a-1").await;
         runs.push(tokio::spawn(async move {
-            entry.terminate();
+            instance.terminate();
             let asked = Instant::now();
             tokio::time::sleep(Duration::from_millis(1_200)).await;
-            Ask::post("/buy/x", "one").send(entry.callers).await.unwrap();
+            Ask::post("/buy/x", "one").send(instance.callers).await.unwrap();
             // A second of quiet is over now; the end comes within 0.1 s.
             tokio::time::sleep_until((asked + Duration::from_millis(2_190 + 10 * number)).into()).await;
-            let reply = Ask::post("/buy/x", "one").send(entry.callers).await;
-            entry.ended().await;
+            let reply = Ask::post("/buy/x", "one").send(instance.callers).await;
+            instance.ended().await;
             reply
         }));
     }
--- a/standins/tests/entry_targets.rs
+++ b/standins/tests/entry_targets.rs
@@ -1,9 +1,9 @@
-//! What an entry instance makes of targets that are slow, silent or cold.
+//! What an instance makes of targets that are slow, silent or cold.
 
 mod common;
 
 use common::program;
-use standins::site::{Ask, EntryProcess, RouteSpec, Site, config};
+use standins::site::{Ask, InstanceProcess, RouteSpec, Site, config};
 use standins::upstream::Upstream;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
@@ -22,9 +22,9 @@
 }
 
 impl Load {
-    fn start(entry: &EntryProcess) -> Self {
+    fn start(instance: &InstanceProcess) -> Self {
         let stop = Arc::new(AtomicBool::new(false));
-        let callers = (0..6u32).map(|caller| tokio::spawn(ask_on(entry.callers, caller, stop.clone())));
+        let callers = (0..6u32).map(|caller| tokio::spawn(ask_on(instance.callers, caller, stop.clone())));
         Self { stop: stop.clone(), callers: callers.collect() }
     }
 
@@ -36,16 +36,16 @@
     }
 }
 
-async fn ask_on(entry: std::net::SocketAddr, caller: u32, stop: Arc<AtomicBool>) {
+async fn ask_on(instance: std::net::SocketAddr, caller: u32, stop: Arc<AtomicBool>) {
     let mut number = caller;
     while !stop.load(Relaxed) {
         number += 7;
-        let _ = Ask::get("/look/a").about(number % 60).send(entry).await;
+        let _ = Ask::get("/look/a").about(number % 60).send(instance).await;
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-async fn scene() -> (Site, EntryProcess, Vec<Upstream>) {
+async fn scene() -> (Site, InstanceProcess, Vec<Upstream>) {
     let site = Site::start(program()).await;
     let mut upstreams = Vec::new();
     for number in 0..4 {
@@ -54,8 +54,8 @@
         upstreams.push(upstream);
     }
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
-    let entry = site.ready_entry("e-1", "a-1").await;
-    (site, entry, upstreams)
+    let instance = site.ready_instance("e-1", "a-1").await;
+    (site, instance, upstreams)
 }
 
 /// Runs that began at an upstream after a time.
@@ -79,8 +79,8 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_much_slower_than_its_peers_gets_a_try_now_and_then_until_it_recovers() {
-    let (_site, entry, upstreams) = scene().await;
-    let load = Load::start(&entry);
+    let (_site, instance, upstreams) = scene().await;
+    let load = Load::start(&instance);
     until_share(&upstreams, "its share before", |share| share > 0.1).await;
     upstreams[0].work(Duration::from_millis(900));
     until_share(&upstreams, "its share while slow", |share| share < 0.03).await;
@@ -91,14 +91,14 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cold_target_gets_no_more_than_its_rate_from_all_entries_together() {
-    let (site, entry, upstreams) = scene().await;
-    let mut entries = vec![entry];
+    let (site, instance, upstreams) = scene().await;
+    let mut instances = vec![instance];
     for name in ["e-2", "e-3"] {
-        entries.push(site.ready_entry(name, "a-2").await);
+        instances.push(site.ready_instance(name, "a-2").await);
     }
     let cold = Upstream::start("cold", 6, Duration::from_millis(40)).await.unwrap();
     site.list_as(&cold, "shop", "a-1", "ready", 1, 60_000);
-    let loads: Vec<Load> = entries.iter().map(Load::start).collect();
+    let loads: Vec<Load> = instances.iter().map(Load::start).collect();
     standins::site::until("the cold target got 30 requests", || cold.runs().len() >= 30).await;
     for load in loads {
         load.end().await;
@@ -112,9 +112,9 @@
 }
 
 /// Sends this many requests at once; gives the connections that were opened.
-async fn burst(entry: &EntryProcess, upstream: &Upstream, count: usize) -> u64 {
+async fn burst(instance: &InstanceProcess, upstream: &Upstream, count: usize) -> u64 {
     let before = upstream.connections();
-    let address = entry.callers;
+    let address = instance.callers;
     let ask = || tokio::spawn(async move { Ask::get("/look/a").send(address).await });
     let asks: Vec<_> = (0..count).map(|_| ask()).collect();
     for ask in asks {
@@ -124,18 +124,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_more_connections_are_kept_idle_than_the_target_takes_from_all_entries() {
+async fn no_more_connections_are_kept_idle_than_the_target_takes_from_all_instances() {
     let site = Site::start(program()).await;
     let upstream = Upstream::start("u-1", 8, Duration::from_millis(40)).await.unwrap();
     site.list(&upstream, "shop", "a-1");
     let routes = [RouteSpec::new("/look/", "safe", "shop")];
     let config = config(1, &routes, &["shop"]).replace("\"max_connections\":300", "\"max_connections\":4");
     site.store.put("op/config", config);
-    let entry = site.ready_entry("e-1", "a-1").await;
+    let instance = site.ready_instance("e-1", "a-1").await;
     let end = Instant::now() + standins::site::PATIENCE;
     // Two are kept, so that each burst of six opens four, once the bound is known.
-    while burst(&entry, &upstream, 6).await != 4 {
+    while burst(&instance, &upstream, 6).await != 4 {
         assert!(Instant::now() < end, "idle connections are not bounded");
     }
-    assert_eq!(burst(&entry, &upstream, 2).await, 0);
+    assert_eq!(burst(&instance, &upstream, 2).await, 0);
 }
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -1,4 +1,4 @@
-//! A short soak of entries; long ones are run by hand (`standins soak`).
+//! A short soak of instances; long ones are run by hand (`standins soak`).
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_promise_is_broken_in_a_short_soak() {
-    let soak = Soak { seed: 7, entries: 3, upstreams: 4, callers: 6, time: Duration::from_secs(8) };
+    let soak = Soak { seed: 7, instances: 3, upstreams: 4, callers: 6, time: Duration::from_secs(8) };
     let outcome = soak::run(program(), soak).await;
     assert!(outcome.broken.is_none(), "{outcome:?}");
     assert!(outcome.faults > 5 && outcome.served > 100, "{outcome:?}");
@@ -21,7 +21,7 @@
 
     fn asked(id: &str, status: Option<u16>) -> Asked {
         let now = Instant::now();
-        Asked { id: id.to_owned(), safe: false, entry: 0, sent: now, ended: now, status, sound: true }
+        Asked { id: id.to_owned(), safe: false, instance: 0, sent: now, ended: now, status, sound: true }
     }
 
     fn run(id: &str, at: Instant) -> Run {
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -41,7 +41,7 @@
 }
 
 #[test]
-fn policies_for_entries_are_checked_offline() {
+fn policies_are_checked_offline() {
     let said = Run::lockloft(&["check", "--policies", "examples/policies.toml"]).ends(0);
     assert_eq!(said.out, "good: 4 policies\n");
     let bad = file("bad-policies.toml", "[[policy]]\nname = \"a\"\nplaces = {}\npriority = 3\n");
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn an_entry_is_asked_only_what_it_answers() {
+fn an_instance_is_asked_only_what_it_answers() {
     let nobody = "127.0.0.1:1";
     Run::lockloft(&["--entry", nobody, "status"]).ends(4);
     for wrong in [
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn explain_tells_a_request_from_the_lines_of_several_entries() {
+fn explain_tells_a_request_from_the_lines_of_several_instances() {
     let lines = [
         "0.5 e-1 {\"timestamp\":\"2026-01-01T00:00:01.0Z\",\"level\":\"INFO\",\"event\":\"try_failed\",\"id\":\"r-1\",\"target\":\"t-1\",\"hall\":\"a-1\",\"fault\":\"not-executed\",\"after_ms\":4}",
         "{\"timestamp\":\"2026-01-01T00:00:01.5Z\",\"level\":\"INFO\",\"event\":\"request\",\"id\":\"r-1\",\"route\":\"buy\",\"service\":\"shop\",\"target\":\"t-2\",\"hall\":\"a-2\",\"load\":2.0,\"sends\":2,\"config\":7,\"view_age_ms\":300,\"outcome\":\"answered\",\"status\":200,\"took_ms\":160}",
--- a/tests/entry_choice.rs
+++ b/tests/entry_choice.rs
@@ -22,8 +22,8 @@
 }
 
 proptest! {
-    /// Entries that see two different member lists keep the bound together,
-    /// whatever the lists have in common; entries that see the same one use
+    /// Instances that see two different member lists keep the bound together,
+    /// whatever the lists have in common; instances that see the same one use
     /// the rate well.
     #[test]
     fn a_cold_target_s_rate_holds_over_disagreeing_views(
--- a/tests/entry_logic.rs
+++ b/tests/entry_logic.rs
@@ -1,4 +1,4 @@
-//! The pure parts of an entry instance against naive versions.
+//! The pure parts of an instance against naive versions.
 
 mod scene;
 
@@ -149,7 +149,7 @@
 }
 
 proptest! {
-    /// Every entry but the first has a relay before it, and none has more
+    /// Every instance but the first has a relay before it, and none has more
     /// followers than it can tell.
     #[test]
     fn the_tree_of_a_hall_is_bounded_and_has_no_circle(count in 1usize..400) {
--- a/tests/entry_policies.rs
+++ b/tests/entry_policies.rs
@@ -1,4 +1,4 @@
-//! The operators' policies over an entry's choice of targets.
+//! The operators' policies over an instance's choice of targets.
 
 mod scene;
 
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -9,7 +9,7 @@
 use lockloft::decision::world::World;
 use lockloft::model::catalog::{CallerLimits, Catalog, Part, Repeat, Route, Service};
 use lockloft::model::member::Member;
-use lockloft::platform::{Event, Fact, Item, Listing, Platform, TargetEntry, TargetState};
+use lockloft::platform::{Event, Fact, Item, Listing, Platform, TargetRegistration, TargetState};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -79,7 +79,7 @@
         let words: Vec<&str> = text.split(' ').collect();
         Ok(match words.as_slice() {
             ["evacuated", hall] => Fact::Evacuation((*hall).into()),
-            [hall, slots, state, sequence, cold_ms] => Fact::Target(TargetEntry {
+            [hall, slots, state, sequence, cold_ms] => Fact::Target(TargetRegistration {
                 id: item.key.as_str().into(),
                 service: "shop".into(),
                 address: "127.0.0.1:1".parse().unwrap(),
