--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -5,7 +5,7 @@
 use crate::decision::cold::ColdBounds;
 use crate::decision::target::Target;
 use crate::decision::world::World;
-use crate::model::catalog::{Catalog, Route};
+use crate::model::config::{Config, Route};
 use crate::policy::{Active, Order, Standing};
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -155,10 +155,10 @@
 /// # Errors
 /// [`NoTarget`] where none may be used, none has room, or a cap forbids those
 /// that have.
-pub fn choose(world: &World, catalog: &Catalog, query: &Query<'_>) -> Result<Rc<Target>, NoTarget> {
+pub fn choose(world: &World, config: &Config, query: &Query<'_>) -> Result<Rc<Target>, NoTarget> {
     let ranking = rank(world, query);
     let preferred = ranking.candidates.first().ok_or(NoTarget::NoneUsable)?.target;
-    let most = most_load(catalog, query);
+    let most = most_load(config, query);
     let mut is_capped = false;
     for Candidate { target, .. } in &ranking.candidates {
         if !has_room(target, most, query) {
@@ -201,10 +201,10 @@
 
 /// What the choice makes of every target of the service, the object's own
 /// first. Nothing is sent, earned or spent where the query's trial is dry.
-pub fn explain(world: &World, catalog: &Catalog, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
+pub fn explain(world: &World, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     let ranking = rank(world, query);
-    let most = most_load(catalog, query);
-    let chosen = choose(world, catalog, query).ok().map(|target| target.id.clone());
+    let most = most_load(config, query);
+    let chosen = choose(world, config, query).ok().map(|target| target.id.clone());
     let mut verdicts = Vec::new();
     for Candidate { target, .. } in &ranking.candidates {
         let verdict = match has_room(target, most, query) {
@@ -224,8 +224,8 @@
 }
 
 /// Load, in slots, up to which the request is sent to a target.
-fn most_load(catalog: &Catalog, query: &Query<'_>) -> f64 {
-    let rank = catalog.rank(query.service, query.route.priority);
+fn most_load(config: &Config, query: &Query<'_>) -> f64 {
+    let rank = config.rank(query.service, query.route.priority);
     (MOST_URGENT_LOAD - LOAD_STEP * rank as f64).max(LEAST_URGENT_LOAD)
 }
 
--- a/src/decision/split.rs
+++ b/src/decision/split.rs
@@ -2,7 +2,7 @@
 //! an object stays with its service, corrected by what was counted.
 
 use crate::decision::choice::unit;
-use crate::model::catalog::{Part, Route};
+use crate::model::config::{Route, WeightedService};
 use std::collections::HashMap;
 use std::rc::Rc;
 
@@ -21,29 +21,29 @@
 }
 
 impl Splits {
-    /// The part for an object, counted at once.
-    pub fn pick<'a>(&mut self, route: &'a Route, object: u64) -> &'a Part {
-        let part = self.peek(route, object);
-        if route.parts.len() == 1 {
-            return part;
+    /// The service for an object, counted at once.
+    pub fn pick<'a>(&mut self, route: &'a Route, object: u64) -> &'a WeightedService {
+        let weighted = self.peek(route, object);
+        if route.services.len() == 1 {
+            return weighted;
         }
         let counted = self.routes.entry(route.name.clone()).or_default();
         for count in counted.values_mut() {
             *count *= 1.0 - 1.0 / MEMORY;
         }
-        *counted.entry(part.service.clone()).or_default() += 1.0;
-        part
+        *counted.entry(weighted.service.clone()).or_default() += 1.0;
+        weighted
     }
 
-    /// The part that an object would get now.
-    pub fn peek<'a>(&self, route: &'a Route, object: u64) -> &'a Part {
-        if let [only] = route.parts.as_slice() {
+    /// The service that an object would get now.
+    pub fn peek<'a>(&self, route: &'a Route, object: u64) -> &'a WeightedService {
+        if let [only] = route.services.as_slice() {
             return only;
         }
         let none = HashMap::new();
         let counted = self.routes.get(&route.name).unwrap_or(&none);
-        let corrected = corrected_weights(&route.parts, counted);
-        &route.parts[pick_by_weight(&corrected, unit(object, SPLIT_SEED))]
+        let corrected = corrected_weights(&route.services, counted);
+        &route.services[pick_by_weight(&corrected, unit(object, SPLIT_SEED))]
     }
 
     /// Forgets routes that are no longer there.
@@ -52,17 +52,17 @@
     }
 }
 
-fn corrected_weights(parts: &[Part], counted: &HashMap<Rc<str>, f64>) -> Vec<f64> {
-    let total: f64 = parts.iter().map(|part| part.weight).sum();
-    let seen: f64 = parts.iter().filter_map(|part| counted.get(&part.service)).sum();
+fn corrected_weights(services: &[WeightedService], counted: &HashMap<Rc<str>, f64>) -> Vec<f64> {
+    let total: f64 = services.iter().map(|weighted| weighted.weight).sum();
+    let seen: f64 = services.iter().filter_map(|weighted| counted.get(&weighted.service)).sum();
     // Few counts say little: the correction grows with them.
     let trust = (seen / (MEMORY / 4.0)).min(1.0);
-    let corrected = |part: &Part| {
-        let share = part.weight / total.max(f64::MIN_POSITIVE);
-        let had = counted.get(&part.service).copied().unwrap_or(0.0) / seen.max(1.0);
+    let corrected = |weighted: &WeightedService| {
+        let share = weighted.weight / total.max(f64::MIN_POSITIVE);
+        let had = counted.get(&weighted.service).copied().unwrap_or(0.0) / seen.max(1.0);
         if share == 0.0 { 0.0 } else { (share + trust * GAIN * (share - had)).max(0.0) }
     };
-    parts.iter().map(corrected).collect()
+    services.iter().map(corrected).collect()
 }
 
 fn pick_by_weight(weights: &[f64], position: f64) -> usize {
--- a/src/decision/world.rs
+++ b/src/decision/world.rs
@@ -1,9 +1,9 @@
-//! What the store's items mean: the catalog in force, targets, evacuated
+//! What the store's items mean: the config in force, targets, evacuated
 //! halls and the other instances.
 
 use crate::decision::cold::{ColdBounds, own_rate};
 use crate::decision::target::Target;
-use crate::model::catalog::Catalog;
+use crate::model::config::Config;
 use crate::model::member::Member;
 use crate::platform::{Event, Fact, Item, Platform, Removal, TargetRegistration, TranslateError};
 use crate::policy::{Policies, PolicyDocument};
@@ -25,7 +25,7 @@
 #[derive(Debug)]
 pub enum Belief {
     /// A later configuration is in force.
-    Catalog(u64),
+    Config(u64),
     /// Later policies of the operators are in force.
     Policies { revision: u64, by: String },
     /// A hall is evacuated, or no longer.
@@ -48,7 +48,7 @@
 #[derive(Debug)]
 pub struct World {
     /// The configuration in force; `None` before the first.
-    pub catalog: Option<Rc<Catalog>>,
+    pub config: Option<Rc<Config>>,
     /// The operators' policies in force; `None` where there are none.
     pub policies: Option<Rc<Policies>>,
     /// Other instances and this one, by name.
@@ -66,7 +66,7 @@
     /// An empty world whose halls lie in these regions.
     pub fn new(regions: HashMap<Rc<str>, Rc<str>>) -> Self {
         Self {
-            catalog: None,
+            config: None,
             policies: None,
             members: BTreeMap::new(),
             evacuated: HashSet::new(),
@@ -109,9 +109,9 @@
 
     /// Bounds idle connections to targets by what these take from all instances.
     pub fn share_connections(&self) {
-        let Some(catalog) = &self.catalog else { return };
+        let Some(config) = &self.config else { return };
         for (service, targets) in &self.by_service {
-            let Some(service) = catalog.services.get(service) else { continue };
+            let Some(service) = config.services.get(service) else { continue };
             for target in targets {
                 target.pool.share_connections(service.max_connections, self.members.len());
             }
@@ -141,7 +141,7 @@
             return false;
         }
         let rate = || {
-            let service = self.catalog.as_ref().and_then(|catalog| catalog.services.get(&target.service));
+            let service = self.config.as_ref().and_then(|config| config.services.get(&target.service));
             let shared = service.map_or(0, |service| bounds.shared_rate(service.warmup_rate));
             own_rate(shared, target.hash, own, self.members.keys().map(String::as_str))
         };
@@ -173,13 +173,13 @@
 
     fn learn(&mut self, fact: Fact, value: &[u8], now: Instant) -> Option<Belief> {
         match fact {
-            Fact::Catalog(catalog) => {
-                let version = catalog.version;
-                if self.catalog.as_ref().is_some_and(|known| known.version >= version) {
+            Fact::Config(config) => {
+                let version = config.version;
+                if self.config.as_ref().is_some_and(|known| known.version >= version) {
                     return None;
                 }
-                self.catalog = Some(Rc::new(catalog));
-                Some(Belief::Catalog(version))
+                self.config = Some(Rc::new(config));
+                Some(Belief::Config(version))
             }
             Fact::Evacuation(hall) => {
                 let name = hall.to_string();
@@ -277,7 +277,7 @@
     /// nothing says so in time.
     fn chill(&self, hall: &str, now: Instant) {
         for target in self.targets.values().filter(|target| *target.hall == *hall) {
-            let warmup = self.catalog.as_ref().and_then(|catalog| catalog.services.get(&target.service));
+            let warmup = self.config.as_ref().and_then(|config| config.services.get(&target.service));
             if let Some(service) = warmup {
                 target.set_cold(service.warmup, now);
             }
--- a/src/instance/fronts.rs
+++ b/src/instance/fronts.rs
@@ -26,7 +26,7 @@
     idle_time: Duration::from_secs(15),
     connections: 256,
 };
-/// Part of the descriptors that callers' connections may take, as a divisor.
+/// WeightedService of the descriptors that callers' connections may take, as a divisor.
 const CALLERS_PART: u32 = 2;
 
 /// Answers requests of callers.
@@ -63,7 +63,7 @@
 
     fn limits(&self) -> ConnectionLimits {
         let world = self.0.world.borrow();
-        let limits = world.catalog.as_ref().map(|catalog| catalog.limits).unwrap_or_default();
+        let limits = world.config.as_ref().map(|config| config.limits).unwrap_or_default();
         ConnectionLimits {
             head_bytes: limits.head_bytes,
             head_time: limits.head_time,
--- a/src/instance/state.rs
+++ b/src/instance/state.rs
@@ -15,10 +15,10 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Part of the allowed retry ratio that is used: views of what counts as a
+/// WeightedService of the allowed retry ratio that is used: views of what counts as a
 /// request differ between us and the targets.
 const RATIO_USED: f64 = 0.5;
-/// Part of the allowed slack that all instances together may save up.
+/// WeightedService of the allowed slack that all instances together may save up.
 const SLACK_USED: f64 = 0.5;
 
 /// An instance.
@@ -100,7 +100,7 @@
 
     /// Whether callers should come here.
     pub fn is_ready(&self) -> bool {
-        self.stopping.get().is_none() && self.world.borrow().catalog.is_some()
+        self.stopping.get().is_none() && self.world.borrow().config.is_some()
     }
 
     /// Takes in a list of the store's items.
@@ -130,18 +130,18 @@
         for belief in beliefs {
             crate::telemetry::log::belief(belief, revision, source);
             match belief {
-                Belief::Catalog(version) => self.catalog_changed(*version),
+                Belief::Config(version) => self.config_changed(*version),
                 Belief::Member { .. } => self.members_changed(),
                 _ => {}
             }
         }
     }
 
-    fn catalog_changed(&self, version: u64) {
-        self.metrics.catalog_version.set(version as i64);
+    fn config_changed(&self, version: u64) {
+        self.metrics.config_version.set(version as i64);
         let world = self.world.borrow();
-        let Some(catalog) = &world.catalog else { return };
-        let split = catalog.split_routes();
+        let Some(config) = &world.config else { return };
+        let split = config.split_routes();
         self.splits.borrow_mut().retain(|name| split.contains(name));
     }
 
--- a/src/model/catalog.rs
+++ b/src/model/config.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A route's place in its [`Catalog`].
+/// A route's place in its [`Config`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RouteKey(usize);
 
@@ -19,17 +19,17 @@
 
 /// One service of a route and its part of the route's requests.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Part {
+pub struct WeightedService {
     /// Service name.
     pub service: Rc<str>,
-    /// Share of the route's requests, relative to the other parts.
+    /// Share of the route's requests, relative to the other services.
     pub weight: f64,
 }
 
 /// Where requests of one host and path prefix go, and how.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, unique in the catalog.
+    /// Name, unique in the config.
     pub name: Rc<str>,
     /// Host, without a port, in lower case.
     pub host: String,
@@ -38,7 +38,7 @@
     /// Whether requests may be repeated.
     pub repeat: Repeat,
     /// Services that take the requests; at least one.
-    pub parts: Vec<Part>,
+    pub services: Vec<WeightedService>,
     /// Longest time a request is held; `None` for no bound.
     pub timeout: Option<Duration>,
     /// Time within which an answer is worth most.
@@ -99,7 +99,7 @@
 
 /// One version of the configuration.
 #[derive(Debug)]
-pub struct Catalog {
+pub struct Config {
     /// Version; later ones are higher.
     pub version: u64,
     /// Services by name.
@@ -111,15 +111,15 @@
     urgency: HashMap<Rc<str>, Vec<u32>>,
 }
 
-impl Catalog {
+impl Config {
     /// Indexes a version.
     pub fn new(version: u64, routes: Vec<Route>, services: HashMap<Rc<str>, Service>, limits: CallerLimits) -> Self {
         let mut by_host: HashMap<String, Vec<RouteKey>> = HashMap::new();
         let mut urgency: HashMap<Rc<str>, Vec<u32>> = HashMap::new();
         for (position, route) in routes.iter().enumerate() {
             by_host.entry(route.host.clone()).or_default().push(RouteKey(position));
-            for part in &route.parts {
-                urgency.entry(part.service.clone()).or_default().push(route.priority);
+            for weighted in &route.services {
+                urgency.entry(weighted.service.clone()).or_default().push(route.priority);
             }
         }
         for keys in by_host.values_mut() {
@@ -132,14 +132,14 @@
         Self { version, services, limits, routes, by_host, urgency }
     }
 
-    /// The route of a key of this catalog.
+    /// The route of a key of this config.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.routes[key.0]
     }
 
     /// Names of the routes that are split over several services.
     pub fn split_routes(&self) -> HashSet<&str> {
-        self.routes.iter().filter(|route| route.parts.len() > 1).map(|route| &*route.name).collect()
+        self.routes.iter().filter(|route| route.services.len() > 1).map(|route| &*route.name).collect()
     }
 
     /// The route of `host` with the longest prefix that begins `path`.
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,5 @@
 //! What the operators and the platform describe, decoded: plain data without
 //! behaviour over time. Relies on nothing else of lockloft.
 
-pub mod catalog;
+pub mod config;
 pub mod member;
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -5,7 +5,7 @@
 use crate::decision::choice::{Query, Verdict, Warming, explain, hash_object};
 use crate::decision::target::Target;
 use crate::instance::state::Instance;
-use crate::model::catalog::{Catalog, Route};
+use crate::model::config::{Config, Route};
 use crate::operator::api::{ApplyRequest, Refused};
 use crate::operator::api::{InstanceLine, InstanceStatus, PoliciesApplied, TargetLine, Why, WhyTarget};
 use crate::platform::Platform;
@@ -70,7 +70,7 @@
         instance: settings.name.clone(),
         hall: settings.hall.to_string(),
         region: settings.region.to_string(),
-        config: world.catalog.as_ref().map(|catalog| catalog.version),
+        config: world.config.as_ref().map(|config| config.version),
         policies: world.policies.as_ref().map(|policies| policies.revision),
         view_revision: instance.view.borrow().at(),
         view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
@@ -164,13 +164,13 @@
     let settings = instance.settings();
     let world = instance.world.borrow();
     let unknown = || refused(StatusCode::SERVICE_UNAVAILABLE, "this entry has no configuration yet; ask another");
-    let catalog = world.catalog.clone().ok_or_else(unknown)?;
-    let route = question.route(&catalog)?;
+    let config = world.config.clone().ok_or_else(unknown)?;
+    let route = question.route(&config)?;
     let object = question.object.as_ref().map_or(0, |object| hash_object(object.as_bytes()));
-    let part = instance.splits.borrow().peek(route, object);
+    let weighted = instance.splits.borrow().peek(route, object);
     let (trial, now) = (Trial::dry(), Instant::now());
     let facts = RequestFacts {
-        service: &part.service,
+        service: &weighted.service,
         route: &route.name,
         region: &settings.region,
         hall: &settings.hall,
@@ -182,7 +182,7 @@
     let warming = instance.health.is_current().then_some(Warming { own: &settings.name, bounds: settings.cold });
     let query = Query {
         route,
-        service: &part.service,
+        service: &weighted.service,
         object,
         region: &settings.region,
         warming,
@@ -190,12 +190,12 @@
         tried: &[],
         now,
     };
-    let verdicts = explain(&world, &catalog, &query);
+    let verdicts = explain(&world, &config, &query);
     let chosen = verdicts.iter().find(|(_, verdict)| *verdict == Verdict::Chosen);
     Ok(Why {
         route: route.name.to_string(),
-        service: part.service.to_string(),
-        config: catalog.version,
+        service: weighted.service.to_string(),
+        config: config.version,
         policies: world.policies.as_ref().map(|policies| policies.revision),
         view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
         acted: active.as_ref().map_or_else(Vec::new, Active::acted),
@@ -249,8 +249,8 @@
         })
     }
 
-    fn route<'a>(&self, catalog: &'a Catalog) -> Result<&'a Route, Refusal> {
+    fn route<'a>(&self, config: &'a Config) -> Result<&'a Route, Refusal> {
         let none = || refused(StatusCode::NOT_FOUND, "no route takes this host and path; correct them or add a route");
-        catalog.find(&self.host, self.uri.path()).map(|key| catalog.route(key)).ok_or_else(none)
+        config.find(&self.host, self.uri.path()).map(|key| config.route(key)).ok_or_else(none)
     }
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,7 +1,7 @@
 //! What an instance asks of the platform it runs on. The names and
 //! formats behind these types are the platform crate's business.
 
-use crate::model::catalog::Catalog;
+use crate::model::config::Config;
 use bytes::Bytes;
 use hyper::header::HeaderName;
 use std::future::Future;
@@ -175,7 +175,7 @@
 #[derive(Debug)]
 pub enum Fact {
     /// The operators' configuration.
-    Catalog(Catalog),
+    Config(Config),
     /// A hall whose targets are to get nothing.
     Evacuation(Rc<str>),
     /// A target.
@@ -222,7 +222,7 @@
     fn policies_key() -> &'static str;
     /// Translates an item.
     fn read(item: &Item) -> Result<Fact, TranslateError>;
-    /// What a key stands for when it has gone; the catalog never goes.
+    /// What a key stands for when it has gone; the config never goes.
     fn read_gone(key: &str) -> Removal;
     /// Reads a caller's question to the directory; `None` for any other path.
     fn directory_question(path: &str, query: &str) -> Option<CallerPlace>;
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -6,7 +6,7 @@
 use crate::decision::world::World;
 use crate::instance::settings::Settings;
 use crate::instance::state::Instance;
-use crate::model::catalog::{Catalog, Part, Repeat, Route};
+use crate::model::config::{Config, Repeat, Route, WeightedService};
 use crate::platform::Platform;
 use crate::policy::{Active, RequestFacts, Trial};
 use crate::proxy::body::{AnswerBody, RequestBody};
@@ -32,7 +32,7 @@
     /// The instance that has it.
     pub instance: &'a Instance<P>,
     /// The configuration that decides.
-    pub catalog: &'a Catalog,
+    pub config: &'a Config,
     /// Its route.
     pub route: &'a Route,
     /// Its head.
@@ -125,19 +125,26 @@
         }
     }
 
-    /// A target of the picked part, else of another part with any weight.
-    fn choose(&self, object: u64, picked: &Part, tried: &[Rc<str>], story: &mut Story) -> Result<Rc<Target>, Refusal> {
+    /// A target of the picked service, else of another with any weight.
+    fn choose(
+        &self,
+        object: u64,
+        picked: &WeightedService,
+        tried: &[Rc<str>],
+        story: &mut Story,
+    ) -> Result<Rc<Target>, Refusal> {
         let settings = self.instance.settings.borrow().clone();
         let world = self.instance.world.borrow();
         let warming =
             self.instance.health.is_current().then_some(Warming { own: &settings.name, bounds: settings.cold });
-        let others = self.route.parts.iter().filter(|part| part.service != picked.service && part.weight > 0.0);
+        let others =
+            self.route.services.iter().filter(|weighted| weighted.service != picked.service && weighted.weight > 0.0);
         let mut refusal = Refusal::NoTarget;
-        for part in std::iter::once(picked).chain(others) {
-            let active = self.active(&world, &settings, &part.service, object);
+        for weighted in std::iter::once(picked).chain(others) {
+            let active = self.active(&world, &settings, &weighted.service, object);
             let query = Query {
                 route: self.route,
-                service: &part.service,
+                service: &weighted.service,
                 object,
                 region: &settings.region,
                 warming,
@@ -145,18 +152,18 @@
                 tried,
                 now: Instant::now(),
             };
-            let chosen = choose(&world, self.catalog, &query);
+            let chosen = choose(&world, self.config, &query);
             story.policies = active.as_ref().map_or_else(Vec::new, Active::acted);
             let is_capped = matches!(chosen, Err(NoTarget::Capped(_)));
             match chosen {
                 Ok(target) => {
-                    story.service = Some(part.service.clone());
+                    story.service = Some(weighted.service.clone());
                     return Ok(target);
                 }
                 Err(NoTarget::Full(preferred) | NoTarget::Capped(preferred)) => {
                     refusal = if is_capped { Refusal::Capped } else { Refusal::Full };
                     story.load = preferred.load(Instant::now());
-                    story.service = Some(part.service.clone());
+                    story.service = Some(weighted.service.clone());
                     story.target = Some(preferred);
                 }
                 Err(NoTarget::NoneUsable) => {}
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -168,7 +168,7 @@
                 back.settle(&self.in_flight);
                 AnswerBody::whole(bytes)
             }
-            Read::Part(head, rest) => AnswerBody::Passed(Box::new(Passed {
+            Read::WeightedService(head, rest) => AnswerBody::Passed(Box::new(Passed {
                 head,
                 rest,
                 deadline: Box::pin(sleep_until(self.deadline)),
@@ -190,13 +190,13 @@
 
 enum Read {
     Whole(Bytes),
-    Part(VecDeque<Bytes>, Incoming),
+    WeightedService(VecDeque<Bytes>, Incoming),
 }
 
 /// Reads an answer whole unless it is large.
 async fn read_whole(mut incoming: Incoming) -> Result<Read, hyper::Error> {
     if incoming.size_hint().lower() > HELD_ANSWER as u64 {
-        return Ok(Read::Part(VecDeque::new(), incoming));
+        return Ok(Read::WeightedService(VecDeque::new(), incoming));
     }
     let mut chunks = VecDeque::new();
     let mut size = 0;
@@ -205,7 +205,7 @@
         size += chunk.len();
         chunks.push_back(chunk);
         if size > HELD_ANSWER {
-            return Ok(Read::Part(chunks, incoming));
+            return Ok(Read::WeightedService(chunks, incoming));
         }
     }
     if chunks.len() == 1 {
--- a/src/proxy/held.rs
+++ b/src/proxy/held.rs
@@ -16,7 +16,7 @@
 
 /// Request bodies up to this size are held whole.
 const HELD_BODY: u64 = 512 * 1024;
-/// Part of the memory that held request bodies may take.
+/// WeightedService of the memory that held request bodies may take.
 const HELD_PART: u64 = 8;
 
 /// A request's body.
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -16,7 +16,7 @@
 pub enum Refusal {
     /// No configuration is known yet.
     #[error("this entry has no configuration yet; ask another entry")]
-    NoCatalog,
+    NoConfig,
     /// No route takes the host and path.
     #[error("no route takes this host and path; correct them or add a route")]
     NoRoute,
@@ -64,7 +64,7 @@
     /// The word for logs and metrics.
     pub fn word(self) -> &'static str {
         match self {
-            Refusal::NoCatalog => "no-configuration",
+            Refusal::NoConfig => "no-configuration",
             Refusal::NoRoute => "no-route",
             Refusal::Malformed => "malformed",
             Refusal::TooLarge => "too-large",
@@ -100,7 +100,7 @@
             Refusal::Full | Refusal::Capped | Refusal::TurnedAway | Refusal::Unreachable | Refusal::TooLate => {
                 Some(COME_BACK)
             }
-            Refusal::NoCatalog | Refusal::NoTarget | Refusal::Stopping => Some(COME_BACK_LATER),
+            Refusal::NoConfig | Refusal::NoTarget | Refusal::Stopping => Some(COME_BACK_LATER),
             _ => None,
         }
     }
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -3,7 +3,7 @@
 use crate::decision::target::Target;
 use crate::instance::state::Instance;
 use crate::instance::stop::takes_requests;
-use crate::model::catalog::Catalog;
+use crate::model::config::Config;
 use crate::net::headers::remove_hop_by_hop;
 use crate::platform::Platform;
 use crate::policy::Trial;
@@ -24,7 +24,7 @@
 /// Time that a request without a deadline gets.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
 /// How long a request waits for the first configuration.
-const FIRST_CATALOG: Duration = Duration::from_millis(250);
+const FIRST_CONFIG: Duration = Duration::from_millis(250);
 /// How much before the caller's deadline its answer is sent.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(15);
 
@@ -103,11 +103,11 @@
     if !takes_requests(instance) {
         return Err(Refusal::Stopping);
     }
-    let catalog = known_catalog(instance).await.ok_or(Refusal::NoCatalog)?;
-    story.version = catalog.version;
+    let config = known_config(instance).await.ok_or(Refusal::NoConfig)?;
+    story.version = config.version;
     let host = host_of(&request).ok_or(Refusal::Malformed)?;
-    let key = catalog.find(host, request.uri().path()).ok_or(Refusal::NoRoute)?;
-    let route = catalog.route(key);
+    let key = config.find(host, request.uri().path()).ok_or(Refusal::NoRoute)?;
+    let route = config.route(key);
     story.route = Some(route.name.clone());
     let deadline = match number(request.headers(), &instance.names.deadline_ms) {
         Ok(Some(left)) => started + Duration::from_millis(left).saturating_sub(DEADLINE_MARGIN),
@@ -116,21 +116,19 @@
     };
     let until = route.timeout.map_or(deadline, |timeout| deadline.min(started + timeout));
     let (mut parts, incoming) = request.into_parts();
-    let body = Held::read(instance, catalog.limits.body_bytes, incoming, until).await?;
+    let body = Held::read(instance, config.limits.body_bytes, incoming, until).await?;
     clean(&mut parts)?;
-    Attempt { instance, catalog: &catalog, route, parts, started, until, trial: Trial::default() }
-        .run(body, story)
-        .await
+    Attempt { instance, config: &config, route, parts, started, until, trial: Trial::default() }.run(body, story).await
 }
 
 /// The configuration in force. A process that has just started knows it within
 /// a few milliseconds; callers that come before wait that long.
-async fn known_catalog<P: Platform>(instance: &Instance<P>) -> Option<Rc<Catalog>> {
-    let until = Instant::now() + FIRST_CATALOG;
+async fn known_config<P: Platform>(instance: &Instance<P>) -> Option<Rc<Config>> {
+    let until = Instant::now() + FIRST_CONFIG;
     loop {
         let changed = instance.view_changed.notified();
-        if let Some(catalog) = &instance.world.borrow().catalog {
-            return Some(catalog.clone());
+        if let Some(config) = &instance.world.borrow().config {
+            return Some(config.clone());
         }
         timeout_at(until, changed).await.ok()?;
     }
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -17,7 +17,7 @@
 const BATCHES: usize = 1;
 /// Seconds of the rate that may be saved up for a burst of lines.
 const BURST: f64 = 2.0;
-/// Part of what may be saved up that is kept for lines that are not of answered
+/// WeightedService of what may be saved up that is kept for lines that are not of answered
 /// requests.
 const KEPT_PART: f64 = 0.5;
 /// Time between lines that tell of lines left out.
@@ -213,7 +213,7 @@
 /// Notes a change of what this instance believes.
 pub fn belief(belief: &Belief, revision: u64, source: &'static str) {
     match belief {
-        Belief::Catalog(version) => tracing::info!(event = "config_in_force", version, revision, source),
+        Belief::Config(version) => tracing::info!(event = "config_in_force", version, revision, source),
         Belief::Policies { revision: policies, by } => {
             tracing::info!(event = "policies_in_force", policies, by, revision, source)
         }
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -24,7 +24,7 @@
     /// Answers of a relay.
     pub relayed: IntCounter,
     /// Version of the configuration in force.
-    pub catalog_version: IntGauge,
+    pub config_version: IntGauge,
     /// Instances listed in the store.
     pub members: IntGauge,
     /// Requests being worked on.
@@ -57,7 +57,7 @@
             store_calls: counters("lockloft_entry_store_calls_total", "Calls to the store", "kind"),
             store_failures: counter("lockloft_entry_store_failures_total", "Calls to the store that gave nothing"),
             relayed: counter("lockloft_entry_relay_answers_total", "Answers of the hall's relay"),
-            catalog_version: gauge("lockloft_entry_config_version", "Version of the configuration in force"),
+            config_version: gauge("lockloft_entry_config_version", "Version of the configuration in force"),
             members: gauge("lockloft_entry_members", "Entries listed in the store"),
             active: gauge("lockloft_entry_active_requests", "Requests being worked on"),
             connections: gauge("lockloft_entry_connections", "Connections of callers"),
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -7,7 +7,7 @@
 use lockloft::decision::target::LoadReport;
 use lockloft::model::member::Member;
 use proptest::prelude::*;
-use scene::{Scene, catalog, route};
+use scene::{Scene, config, route};
 use std::collections::{BTreeSet, HashMap};
 use std::rc::Rc;
 use std::time::Duration;
@@ -102,7 +102,7 @@
     let (mut urgent, mut patient) = (route("urgent", "a", "/u/"), route("patient", "a", "/p/"));
     urgent.priority = 1;
     patient.priority = 2;
-    scene.catalog = catalog(vec![urgent.clone(), patient.clone()]);
+    scene.config = config(vec![urgent.clone(), patient.clone()]);
     let mut held = Vec::new();
     while let Ok(target) = scene.choose_on(&patient, 7, &[]) {
         held.push(target.enter(scene.now));
@@ -150,7 +150,7 @@
             tried: &[],
             now: scene.now,
         };
-        if let Ok(target) = choose(&scene.world, &scene.catalog, &query) {
+        if let Ok(target) = choose(&scene.world, &scene.config, &query) {
             target.enter(scene.now);
             sent += 1;
         }
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -5,12 +5,12 @@
 use bytes::Bytes;
 use lockloft::decision::retry::RetryBudget;
 use lockloft::decision::split::Splits;
-use lockloft::model::catalog::{Part, Route};
+use lockloft::model::config::{Route, WeightedService};
 use lockloft::platform::{Event, Item, Listing};
 use lockloft::sync::relay::{FOLLOWERS, ancestors};
 use lockloft::sync::view::StoreView;
 use proptest::prelude::*;
-use scene::{catalog, route};
+use scene::{config, route};
 use std::collections::BTreeMap;
 
 // The view of the store against a plain replay.
@@ -105,9 +105,9 @@
             .filter(|route| route.host == host && path.starts_with(&route.prefix))
             .max_by_key(|route| route.prefix.len())
             .map(|route| route.name.clone());
-        let catalog = catalog(routes);
-        let found = catalog.find(&format!("{}:80", host.to_uppercase()), &path);
-        prop_assert_eq!(found.map(|key| catalog.route(key).name.clone()), naive);
+        let config = config(routes);
+        let found = config.find(&format!("{}:80", host.to_uppercase()), &path);
+        prop_assert_eq!(found.map(|key| config.route(key).name.clone()), naive);
     }
 
     /// Whatever objects come, the counted shares of a split stay near its
@@ -118,15 +118,15 @@
         objects in prop::collection::vec(any::<u64>(), 8..60),
     ) {
         let mut split = route("split", "a", "/");
-        split.parts = vec![
-            Part { service: "one".into(), weight },
-            Part { service: "two".into(), weight: 1.0 - weight },
+        split.services = vec![
+            WeightedService { service: "one".into(), weight },
+            WeightedService { service: "two".into(), weight: 1.0 - weight },
         ];
         let mut splits = Splits::default();
         let mut ones = 0;
         for number in 0..2_000 {
-            let part = splits.pick(&split, objects[number * 7 % objects.len()]);
-            ones += usize::from(&*part.service == "one");
+            let weighted = splits.pick(&split, objects[number * 7 % objects.len()]);
+            ones += usize::from(&*weighted.service == "one");
         }
         let share = ones as f64 / 2_000.0;
         prop_assert!((share - weight).abs() < 0.2, "{} of {}", share, weight);
@@ -171,7 +171,10 @@
 #[test]
 fn a_part_with_no_weight_gets_nothing() {
     let mut split = route("split", "a", "/");
-    split.parts = vec![Part { service: "none".into(), weight: 0.0 }, Part { service: "all".into(), weight: 5.0 }];
+    split.services = vec![
+        WeightedService { service: "none".into(), weight: 0.0 },
+        WeightedService { service: "all".into(), weight: 5.0 },
+    ];
     let mut splits = Splits::default();
     for object in 0..1_000 {
         assert_eq!(&*splits.pick(&split, object).service, "all");
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -52,7 +52,7 @@
     asked: &Asked,
     object: u64,
     trial: &Trial,
-    with: impl Fn(&lockloft::decision::world::World, &lockloft::model::catalog::Catalog, &Query<'_>) -> T,
+    with: impl Fn(&lockloft::decision::world::World, &lockloft::model::config::Config, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
     let facts = RequestFacts {
@@ -75,7 +75,7 @@
         tried: &[],
         now: scene.now,
     };
-    let decided = with(&scene.world, &scene.catalog, &query);
+    let decided = with(&scene.world, &scene.config, &query);
     (decided, active.as_ref().map_or_else(Vec::new, Active::acted))
 }
 
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -7,7 +7,7 @@
 use lockloft::decision::choice::{NoTarget, Query, choose};
 use lockloft::decision::target::Target;
 use lockloft::decision::world::World;
-use lockloft::model::catalog::{CallerLimits, Catalog, Part, Repeat, Route, Service};
+use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
 use lockloft::model::member::Member;
 use lockloft::platform::{Event, Fact, Item, Listing, Platform, TargetRegistration, TargetState};
 use std::collections::HashMap;
@@ -22,7 +22,7 @@
         host: host.to_owned(),
         prefix: prefix.to_owned(),
         repeat: Repeat::Safe,
-        parts: vec![Part { service: "shop".into(), weight: 1.0 }],
+        services: vec![WeightedService { service: "shop".into(), weight: 1.0 }],
         timeout: None,
         objective: Duration::from_millis(300),
         priority: 1,
@@ -32,20 +32,20 @@
     }
 }
 
-/// A catalog with these routes.
-pub fn catalog(routes: Vec<Route>) -> Catalog {
-    Catalog::new(1, routes, HashMap::new(), CallerLimits::default())
+/// A config with these routes.
+pub fn config(routes: Vec<Route>) -> Config {
+    Config::new(1, routes, HashMap::new(), CallerLimits::default())
 }
 
-/// A catalog whose service bears `rate` requests a second while cold.
-pub fn catalog_with_rate(rate: f64) -> Catalog {
+/// A config whose service bears `rate` requests a second while cold.
+pub fn catalog_with_rate(rate: f64) -> Config {
     let service = Service {
         max_connections: 100,
         warmup: Duration::from_secs(3),
         warmup_rate: rate,
         health_path: "/health".to_owned(),
     };
-    Catalog::new(1, Vec::new(), HashMap::from([("shop".into(), service)]), CallerLimits::default())
+    Config::new(1, Vec::new(), HashMap::from([("shop".into(), service)]), CallerLimits::default())
 }
 
 /// A platform whose values are plain words.
@@ -74,7 +74,7 @@
             return Ok(Fact::Own(item.key.clone()));
         }
         if let Some(rate) = text.strip_prefix("catalog ") {
-            return Ok(Fact::Catalog(catalog_with_rate(rate.parse().unwrap())));
+            return Ok(Fact::Config(catalog_with_rate(rate.parse().unwrap())));
         }
         let words: Vec<&str> = text.split(' ').collect();
         Ok(match words.as_slice() {
@@ -141,10 +141,10 @@
     }
 }
 
-/// A world, its catalog and a time.
+/// A world, its config and a time.
 pub struct Scene {
     pub world: World,
-    pub catalog: Catalog,
+    pub config: Config,
     pub revision: u64,
     pub now: Instant,
 }
@@ -155,7 +155,7 @@
     pub fn new() -> Self {
         let regions = [("a-1", "a"), ("a-2", "a"), ("b-1", "b"), ("b-2", "b")];
         let world = World::new(regions.iter().map(|(hall, region)| ((*hall).into(), (*region).into())).collect());
-        let mut scene = Self { world, catalog: catalog(Vec::new()), revision: 0, now: Instant::now() };
+        let mut scene = Self { world, config: config(Vec::new()), revision: 0, now: Instant::now() };
         for number in 0..8 {
             let hall = regions[number / 2].0;
             scene.put(&format!("t{number}"), &format!("{hall} 4 ready 1 0"));
@@ -187,6 +187,6 @@
     pub fn choose_on(&self, route: &Route, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
         let query =
             Query { route, service: "shop", object, region: "a", warming: None, active: None, tried, now: self.now };
-        choose(&self.world, &self.catalog, &query)
+        choose(&self.world, &self.config, &query)
     }
 }
