--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -2,7 +2,7 @@
 //! targets as long as these have room, within what the operators' policies
 //! leave.
 
-use crate::decision::cold::ColdBounds;
+use crate::decision::slow_start::SlowStartBounds;
 use crate::decision::target::Target;
 use crate::decision::world::World;
 use crate::model::config::{Config, Route};
@@ -17,14 +17,14 @@
 const OWN_REGION_WEIGHT: f64 = 4.0;
 /// Load, in slots, up to which the most urgent requests of a service are
 /// sent to a target.
-const MOST_URGENT_LOAD: f64 = 2.0;
+const MAX_LOAD_MOST_URGENT: f64 = 2.0;
 /// How much earlier each less urgent rank is refused, in slots.
 const LOAD_STEP: f64 = 0.35;
 /// The least load, in slots, at which requests are refused.
-const LEAST_URGENT_LOAD: f64 = 1.3;
+const MAX_LOAD_LEAST_URGENT: f64 = 1.3;
 /// Targets among which an object's requests are spread, of those that policies
 /// put in the same order.
-const TARGETS_PER_OBJECT: usize = 2;
+const TARGETS_PER_KEY: usize = 2;
 
 /// Why no target was chosen.
 #[derive(Clone, Debug)]
@@ -40,7 +40,7 @@
 
 /// Why a target may not be used for a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Obstacle {
+pub enum Exclusion {
     /// It is leaving.
     Draining,
     /// Its hall is evacuated.
@@ -54,7 +54,7 @@
     /// A drain policy selects it.
     Drained,
     /// It failed, and is left alone for a while.
-    LeftAlone,
+    Ejected,
     /// It is far slower than its peers.
     Slow,
     /// It is cold, and what it bears is used up or other instances' to use.
@@ -63,20 +63,20 @@
     Tried,
 }
 
-impl Obstacle {
+impl Exclusion {
     /// The word for it in answers to operators.
     pub fn word(self) -> &'static str {
         match self {
-            Obstacle::Draining => "draining",
-            Obstacle::Evacuated => "evacuated",
-            Obstacle::RegionNotAllowed => "region-not-allowed",
-            Obstacle::Denied => "denied",
-            Obstacle::NotAllowed => "not-allowed",
-            Obstacle::Drained => "drained",
-            Obstacle::LeftAlone => "left-alone",
-            Obstacle::Slow => "slow",
-            Obstacle::Cold => "cold",
-            Obstacle::Tried => "tried",
+            Exclusion::Draining => "draining",
+            Exclusion::Evacuated => "evacuated",
+            Exclusion::RegionNotAllowed => "region-not-allowed",
+            Exclusion::Denied => "denied",
+            Exclusion::NotAllowed => "not-allowed",
+            Exclusion::Drained => "drained",
+            Exclusion::Ejected => "left-alone",
+            Exclusion::Slow => "slow",
+            Exclusion::Cold => "cold",
+            Exclusion::Tried => "tried",
         }
     }
 }
@@ -88,7 +88,7 @@
 }
 
 /// The hash by which an object is placed.
-pub fn hash_object(value: &[u8]) -> u64 {
+pub fn hash_affinity(value: &[u8]) -> u64 {
     xxh3_64(value)
 }
 
@@ -102,9 +102,9 @@
     /// It has no room.
     Full,
     /// The object lives at other targets.
-    Farther,
+    NotPreferred,
     /// It may not be used.
-    Hindered(Obstacle),
+    Excluded(Exclusion),
 }
 
 impl Verdict {
@@ -114,8 +114,8 @@
             Verdict::Chosen => "chosen",
             Verdict::Next => "next",
             Verdict::Full => "full",
-            Verdict::Farther => "farther",
-            Verdict::Hindered(obstacle) => obstacle.word(),
+            Verdict::NotPreferred => "farther",
+            Verdict::Excluded(exclusion) => exclusion.word(),
         }
     }
 }
@@ -132,7 +132,7 @@
     /// The instance's own region.
     pub region: &'a str,
     /// Who may warm cold targets; nobody while what is known may be stale.
-    pub warming: Option<Warming<'a>>,
+    pub slow_start: Option<SlowStartShare<'a>>,
     /// The operators' policies that select the request.
     pub active: Option<&'a Active<'a>>,
     /// Targets already tried.
@@ -143,11 +143,11 @@
 
 /// An instance that may send cold targets its part of their rate.
 #[derive(Clone, Copy, Debug)]
-pub struct Warming<'a> {
+pub struct SlowStartShare<'a> {
     /// Its name among the members.
     pub own: &'a str,
     /// What cold targets may receive.
-    pub bounds: ColdBounds,
+    pub bounds: SlowStartBounds,
 }
 
 /// Chooses a target.
@@ -158,7 +158,7 @@
 pub fn choose(world: &World, config: &Config, query: &Query<'_>) -> Result<Rc<Target>, NoTarget> {
     let ranking = rank(world, query);
     let preferred = ranking.candidates.first().ok_or(NoTarget::NoneUsable)?.target;
-    let most = most_load(config, query);
+    let most = max_load(config, query);
     let mut is_capped = false;
     for Candidate { target, .. } in &ranking.candidates {
         if !has_room(target, most, query) {
@@ -192,7 +192,7 @@
     let hall = &ranking.natural.as_ref()?.target.hall;
     let typical = world.typical_time(query.service);
     let is_open = |target: &&Rc<Target>| {
-        target.hall == *hall && has_room(target, most, query) && obstacle(world, query, target, typical).is_none()
+        target.hall == *hall && has_room(target, most, query) && exclusion(world, query, target, typical).is_none()
     };
     let key = |target: &Rc<Target>| (order(query, target), draw(query, target));
     let order = |one: &&Rc<Target>, other: &&Rc<Target>| key(one).partial_cmp(&key(other)).unwrap_or(Ordering::Equal);
@@ -203,7 +203,7 @@
 /// first. Nothing is sent, earned or spent where the query's trial is dry.
 pub fn explain(world: &World, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     let ranking = rank(world, query);
-    let most = most_load(config, query);
+    let most = max_load(config, query);
     let chosen = choose(world, config, query).ok().map(|target| target.id.clone());
     let mut verdicts = Vec::new();
     for Candidate { target, .. } in &ranking.candidates {
@@ -217,16 +217,16 @@
     let typical = world.typical_time(query.service);
     let is_ranked = |target: &Target| ranking.candidates.iter().any(|candidate| candidate.target.id == target.id);
     for target in world.targets_of(query.service).iter().filter(|target| !is_ranked(target)) {
-        let obstacle = obstacle(world, query, target, typical);
-        verdicts.push((target.clone(), obstacle.map_or(Verdict::Farther, Verdict::Hindered)));
+        let exclusion = exclusion(world, query, target, typical);
+        verdicts.push((target.clone(), exclusion.map_or(Verdict::NotPreferred, Verdict::Excluded)));
     }
     verdicts
 }
 
 /// Load, in slots, up to which the request is sent to a target.
-fn most_load(config: &Config, query: &Query<'_>) -> f64 {
+fn max_load(config: &Config, query: &Query<'_>) -> f64 {
     let rank = config.rank(query.service, query.route.priority);
-    (MOST_URGENT_LOAD - LOAD_STEP * rank as f64).max(LEAST_URGENT_LOAD)
+    (MAX_LOAD_MOST_URGENT - LOAD_STEP * rank as f64).max(MAX_LOAD_LEAST_URGENT)
 }
 
 fn has_room(target: &Target, most: f64, query: &Query<'_>) -> bool {
@@ -255,7 +255,7 @@
         let place = self.candidates.partition_point(|other| key(other) <= key(&candidate));
         self.candidates.insert(place, candidate);
         let peers = |other: &&Candidate<'_>| other.order == candidate.order;
-        if self.candidates.iter().filter(peers).count() > TARGETS_PER_OBJECT {
+        if self.candidates.iter().filter(peers).count() > TARGETS_PER_KEY {
             let last = self.candidates.iter().rposition(|other| other.order == candidate.order);
             last.map(|last| self.candidates.remove(last));
         }
@@ -278,15 +278,15 @@
 fn rank<'a>(world: &'a World, query: &Query<'_>) -> Ranking<'a> {
     let typical = world.typical_time(query.service);
     let has_caps = query.active.is_some_and(Active::has_caps);
-    let mut ranking = Ranking { candidates: Vec::with_capacity(TARGETS_PER_OBJECT + 1), natural: None };
+    let mut ranking = Ranking { candidates: Vec::with_capacity(TARGETS_PER_KEY + 1), natural: None };
     for target in world.targets_of(query.service) {
-        let obstacle = obstacle(world, query, target, typical);
-        if obstacle.is_some() && !has_caps {
+        let exclusion = exclusion(world, query, target, typical);
+        if exclusion.is_some() && !has_caps {
             continue;
         }
         let order = order(query, target);
         let candidate = Candidate { order, draw: draw(query, target), target };
-        if obstacle.is_none() {
+        if exclusion.is_none() {
             ranking.add(candidate);
         }
         if has_caps && is_ever_usable(query, target) {
@@ -318,34 +318,36 @@
 
 /// What keeps a target from being used; `None` where nothing does. `typical`
 /// is the middle of the times that the service's targets take, seconds.
-pub fn obstacle(world: &World, query: &Query<'_>, target: &Target, typical: f64) -> Option<Obstacle> {
+pub fn exclusion(world: &World, query: &Query<'_>, target: &Target, typical: f64) -> Option<Exclusion> {
     let first = [
-        (!target.is_ready() || target.has_lapsed(query.now), Obstacle::Draining),
-        (!query.route.allows(&target.region), Obstacle::RegionNotAllowed),
-        (world.is_evacuated(&target.hall), Obstacle::Evacuated),
-        (!target.is_trusted(query.now), Obstacle::LeftAlone),
-        (query.tried.contains(&target.id), Obstacle::Tried),
+        (!target.is_ready() || target.has_lapsed(query.now), Exclusion::Draining),
+        (!query.route.allows(&target.region), Exclusion::RegionNotAllowed),
+        (world.is_evacuated(&target.hall), Exclusion::Evacuated),
+        (!target.is_trusted(query.now), Exclusion::Ejected),
+        (query.tried.contains(&target.id), Exclusion::Tried),
     ];
-    if let Some((_, obstacle)) = first.into_iter().find(|(holds, _)| *holds) {
-        return Some(obstacle);
+    if let Some((_, exclusion)) = first.into_iter().find(|(holds, _)| *holds) {
+        return Some(exclusion);
     }
     match query.active.map(|active| active.standing(target)) {
-        Some(Standing::Denied) => return Some(Obstacle::Denied),
-        Some(Standing::NotAllowed) => return Some(Obstacle::NotAllowed),
-        Some(Standing::Drained(_)) => return Some(Obstacle::Drained),
+        Some(Standing::Denied) => return Some(Exclusion::Denied),
+        Some(Standing::NotAllowed) => return Some(Exclusion::NotAllowed),
+        Some(Standing::Drained(_)) => return Some(Exclusion::Drained),
         Some(Standing::Open(_)) | None => {}
     }
-    if is_to_be_spared(query, target, typical) {
-        return Some(Obstacle::Slow);
+    if is_skipped_as_slow(query, target, typical) {
+        return Some(Exclusion::Slow);
     }
-    (target.is_cold(query.now) && !may_warm(world, query, target)).then_some(Obstacle::Cold)
+    (target.is_in_slow_start(query.now) && !may_send_in_slow_start(world, query, target)).then_some(Exclusion::Cold)
 }
 
 /// Whether the target is too slow to be sent more than a try now and then.
-fn is_to_be_spared(query: &Query<'_>, target: &Target, typical: f64) -> bool {
+fn is_skipped_as_slow(query: &Query<'_>, target: &Target, typical: f64) -> bool {
     target.is_slow(typical, query.route.objective, query.now) && !target.may_try_slow(query.now)
 }
 
-fn may_warm(world: &World, query: &Query<'_>, target: &Target) -> bool {
-    query.warming.is_some_and(|warming| world.may_warm(target, warming.own, warming.bounds, query.now))
+fn may_send_in_slow_start(world: &World, query: &Query<'_>, target: &Target) -> bool {
+    query
+        .slow_start
+        .is_some_and(|slow_start| world.may_send_in_slow_start(target, slow_start.own, slow_start.bounds, query.now))
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -2,9 +2,9 @@
 //! rule; `docs/DECISIONS.md` lists them with their constants.
 
 pub mod choice;
-pub mod cold;
 pub mod directory;
 pub mod retry;
+pub mod slow_start;
 pub mod split;
 pub mod target;
 pub mod world;
--- a/src/decision/cold.rs
+++ b/src/decision/slow_start.rs
@@ -15,14 +15,14 @@
 /// The operators' bound on what a cold target receives, beyond the rate that
 /// it bears.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct ColdBounds {
+pub struct SlowStartBounds {
     /// Factor on the rate.
     pub overage: f64,
     /// Requests a second besides.
     pub slack: f64,
 }
 
-impl ColdBounds {
+impl SlowStartBounds {
     /// Requests a second that the instances send to a cold target together, of
     /// the `rate` that it bears.
     pub fn shared_rate(&self, rate: f64) -> u32 {
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -1,7 +1,7 @@
 //! A target as this instance knows it: what the store says, what answers say,
 //! and what is under way there.
 
-use crate::decision::cold;
+use crate::decision::slow_start;
 use crate::net::pool::Pool;
 use crate::platform::{TargetRegistration, TargetState};
 use crate::policy::{Policies, PolicyMask};
@@ -81,7 +81,7 @@
 
 /// This instance's part of the rate of a cold target.
 #[derive(Clone, Copy, Debug, Default)]
-struct ColdShare {
+struct SlowStartRate {
     /// Requests a second.
     rate: u32,
     /// When the members changed by whom the rate was last shared out.
@@ -113,8 +113,8 @@
     pub pool: Pool,
     state: Cell<TargetState>,
     sequence: Cell<u64>,
-    cold_until: Cell<Option<Instant>>,
-    cold_share: Cell<ColdShare>,
+    slow_start_until: Cell<Option<Instant>>,
+    slow_start_rate: Cell<SlowStartRate>,
     in_flight: Cell<u32>,
     others: Cell<Option<OthersLoad>>,
     failures: Cell<Failures>,
@@ -139,8 +139,8 @@
             pool: Pool::new(registration.address),
             state: Cell::new(registration.state),
             sequence: Cell::new(registration.sequence),
-            cold_until: Cell::new(None),
-            cold_share: Cell::new(ColdShare::default()),
+            slow_start_until: Cell::new(None),
+            slow_start_rate: Cell::new(SlowStartRate::default()),
             in_flight: Cell::new(0),
             others: Cell::new(None),
             failures: Cell::new(Failures::default()),
@@ -149,7 +149,7 @@
             lapses_at: Cell::new(None),
             reach: Cell::new(None),
         };
-        target.set_cold(registration.cold, now);
+        target.begin_slow_start(registration.cold, now);
         target
     }
 
@@ -161,7 +161,7 @@
         self.lapses_at.set(None);
         self.sequence.set(registration.sequence);
         self.state.set(registration.state);
-        self.set_cold(registration.cold, now);
+        self.begin_slow_start(registration.cold, now);
         true
     }
 
@@ -187,19 +187,19 @@
     }
 
     /// Marks it as cold for some time from now on; never shortens.
-    pub fn set_cold(&self, remaining: Duration, now: Instant) {
+    pub fn begin_slow_start(&self, remaining: Duration, now: Instant) {
         if remaining.is_zero() {
             return;
         }
         let until = now + remaining;
-        if self.cold_until.get().is_none_or(|known| known < until) {
-            self.cold_until.set(Some(until));
+        if self.slow_start_until.get().is_none_or(|known| known < until) {
+            self.slow_start_until.set(Some(until));
         }
     }
 
     /// Whether it is cold.
-    pub fn is_cold(&self, now: Instant) -> bool {
-        self.cold_until.get().is_some_and(|until| now < until)
+    pub fn is_in_slow_start(&self, now: Instant) -> bool {
+        self.slow_start_until.get().is_some_and(|until| now < until)
     }
 
     /// The policies whose places select it, worked out once for each revision.
@@ -216,12 +216,12 @@
 
     /// Whether this instance may send a cold target a request now. Its part of
     /// the target's rate is worked out anew where the members have changed.
-    pub fn takes_while_cold(&self, members_at: Instant, rate: impl FnOnce() -> u32, now: Instant) -> bool {
-        let mut share = self.cold_share.get();
+    pub fn has_slow_start_share(&self, members_at: Instant, rate: impl FnOnce() -> u32, now: Instant) -> bool {
+        let mut share = self.slow_start_rate.get();
         if share.members_at != Some(members_at) {
             share.rate = rate();
             share.members_at = Some(members_at);
-            self.cold_share.set(share);
+            self.slow_start_rate.set(share);
         }
         share.rate > 0 && share.next.is_none_or(|next| next <= now)
     }
@@ -256,8 +256,8 @@
         }
         pace.tried = Some(now);
         self.pace.set(pace);
-        if self.is_cold(now) {
-            self.spend_cold_share(now);
+        if self.is_in_slow_start(now) {
+            self.spend_slow_start(now);
         }
         self.in_flight.set(self.in_flight.get() + 1);
         let failures = self.failures.get();
@@ -307,9 +307,9 @@
         self.in_flight.get() == 0 && tried.is_none_or(|tried| now.saturating_duration_since(tried) > SLOW_TRY_EVERY)
     }
 
-    fn spend_cold_share(&self, now: Instant) {
-        let share = self.cold_share.get();
-        self.cold_share.set(ColdShare { next: Some(now + cold::spacing(share.rate)), ..share });
+    fn spend_slow_start(&self, now: Instant) {
+        let share = self.slow_start_rate.get();
+        self.slow_start_rate.set(SlowStartRate { next: Some(now + slow_start::spacing(share.rate)), ..share });
     }
 
     /// Notes a failure that speaks against the target; gives the time for
--- a/src/decision/world.rs
+++ b/src/decision/world.rs
@@ -1,11 +1,11 @@
 //! What the store's items mean: the config in force, targets, evacuated
 //! halls and the other instances.
 
-use crate::decision::cold::{ColdBounds, own_rate};
+use crate::decision::slow_start::{SlowStartBounds, own_rate};
 use crate::decision::target::Target;
 use crate::model::config::Config;
 use crate::model::member::Member;
-use crate::platform::{Event, Fact, Item, Platform, Removal, TargetRegistration, TranslateError};
+use crate::platform::{Event, Item, Platform, Record, RecordError, RemovedRecord, TargetRegistration};
 use crate::policy::{Policies, PolicyDocument};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
@@ -23,7 +23,7 @@
 
 /// A change of what this instance believes, for the log.
 #[derive(Debug)]
-pub enum Belief {
+pub enum StateChange {
     /// A later configuration is in force.
     Config(u64),
     /// Later policies of the operators are in force.
@@ -35,7 +35,7 @@
     /// Another instance came or went.
     Member { name: String, present: bool },
     /// A value was refused.
-    Refused(TranslateError),
+    Refused(RecordError),
 }
 
 #[derive(Debug)]
@@ -136,16 +136,16 @@
     /// Whether `own` may send a cold target a request now, of the rate that
     /// all instances share. While the members change nobody sends any: the
     /// others may not see the same ones yet.
-    pub fn may_warm(&self, target: &Target, own: &str, bounds: ColdBounds, now: Instant) -> bool {
+    pub fn may_send_in_slow_start(&self, target: &Target, own: &str, bounds: SlowStartBounds, now: Instant) -> bool {
         if now.saturating_duration_since(self.members_at) < MEMBERS_STEADY {
             return false;
         }
         let rate = || {
             let service = self.config.as_ref().and_then(|config| config.services.get(&target.service));
-            let shared = service.map_or(0, |service| bounds.shared_rate(service.warmup_rate));
+            let shared = service.map_or(0, |service| bounds.shared_rate(service.slow_start_rate));
             own_rate(shared, target.hash, own, self.members.keys().map(String::as_str))
         };
-        target.takes_while_cold(self.members_at, rate, now)
+        target.has_slow_start_share(self.members_at, rate, now)
     }
 
     /// Addresses at which peers listen, but for this instance's own.
@@ -155,51 +155,56 @@
 
     /// Takes in changes of the store. Where the store was away until lately,
     /// targets whose registrations went are kept until `kept_until`.
-    pub fn apply<P: Platform>(&mut self, changes: &[Event], now: Instant, kept_until: Option<Instant>) -> Vec<Belief> {
+    pub fn apply<P: Platform>(
+        &mut self,
+        changes: &[Event],
+        now: Instant,
+        kept_until: Option<Instant>,
+    ) -> Vec<StateChange> {
         self.departed.retain(|_, departed| now.saturating_duration_since(departed.at) < REMEMBERED);
-        let mut beliefs = Vec::new();
+        let mut state_changes = Vec::new();
         for change in changes {
             match change {
                 Event::Put(item) => match P::read(item) {
-                    Ok(Fact::Policies) => beliefs.extend(self.learn_policies(item)),
-                    Ok(fact) => beliefs.extend(self.learn(fact, &item.value, now)),
-                    Err(error) => beliefs.push(Belief::Refused(error)),
+                    Ok(Record::Policies) => state_changes.extend(self.learn_policies(item)),
+                    Ok(fact) => state_changes.extend(self.learn(fact, &item.value, now)),
+                    Err(error) => state_changes.push(StateChange::Refused(error)),
                 },
-                Event::Gone { key, .. } => beliefs.extend(self.forget(P::read_gone(key), now, kept_until)),
+                Event::Gone { key, .. } => state_changes.extend(self.forget(P::read_gone(key), now, kept_until)),
             }
         }
-        beliefs
+        state_changes
     }
 
-    fn learn(&mut self, fact: Fact, value: &[u8], now: Instant) -> Option<Belief> {
+    fn learn(&mut self, fact: Record, value: &[u8], now: Instant) -> Option<StateChange> {
         match fact {
-            Fact::Config(config) => {
+            Record::Config(config) => {
                 let version = config.version;
                 if self.config.as_ref().is_some_and(|known| known.version >= version) {
                     return None;
                 }
                 self.config = Some(Rc::new(config));
-                Some(Belief::Config(version))
+                Some(StateChange::Config(version))
             }
-            Fact::Evacuation(hall) => {
+            Record::Evacuation(hall) => {
                 let name = hall.to_string();
-                self.evacuated.insert(hall).then_some(Belief::Evacuation { hall: name, on: true })
+                self.evacuated.insert(hall).then_some(StateChange::Evacuation { hall: name, on: true })
             }
-            Fact::Target(registration) => self.learn_target(&registration, now),
-            Fact::Own(name) => {
+            Record::Target(registration) => self.learn_target(&registration, now),
+            Record::Own(name) => {
                 let member = Member::read(value)?;
                 if self.members.insert(name.clone(), member).is_none() {
                     self.members_at = now;
                 }
-                Some(Belief::Member { name, present: true })
+                Some(StateChange::Member { name, present: true })
             }
-            Fact::Policies | Fact::Unknown => None,
+            Record::Policies | Record::Unknown => None,
         }
     }
 
     /// Takes later policies in force, whole or not at all.
-    fn learn_policies(&mut self, item: &Item) -> Option<Belief> {
-        let refused = |problem: String| Belief::Refused(TranslateError { key: item.key.clone(), problem });
+    fn learn_policies(&mut self, item: &Item) -> Option<StateChange> {
+        let refused = |problem: String| StateChange::Refused(RecordError { key: item.key.clone(), problem });
         let document = match PolicyDocument::read(&item.value) {
             Ok(document) => document,
             Err(problem) => return Some(refused(problem)),
@@ -211,14 +216,14 @@
             Ok(policies) => self.policies = Some(Rc::new(policies)),
             Err(error) => return Some(refused(error.to_string())),
         }
-        Some(Belief::Policies { revision: document.revision, by: document.by })
+        Some(StateChange::Policies { revision: document.revision, by: document.by })
     }
 
-    fn learn_target(&mut self, registration: &TargetRegistration, now: Instant) -> Option<Belief> {
+    fn learn_target(&mut self, registration: &TargetRegistration, now: Instant) -> Option<StateChange> {
         let state = if registration.state == crate::platform::TargetState::Ready { "ready" } else { "draining" };
-        let belief = Belief::Target { id: registration.id.clone(), state };
+        let state_change = StateChange::Target { id: registration.id.clone(), state };
         if let Some(known) = self.targets.get(&registration.id) {
-            return known.update(registration, now).then_some(belief);
+            return known.update(registration, now).then_some(state_change);
         }
         if self.departed.get(&registration.id).is_some_and(|departed| registration.sequence <= departed.sequence) {
             return None;
@@ -226,60 +231,60 @@
         let target = Rc::new(Target::new(registration, self.region_of(&registration.hall), now));
         self.targets.insert(registration.id.clone(), target.clone());
         self.by_service.entry(registration.service.clone()).or_default().push(target);
-        Some(belief)
+        Some(state_change)
     }
 
-    fn forget(&mut self, removal: Removal, now: Instant, kept_until: Option<Instant>) -> Option<Belief> {
+    fn forget(&mut self, removal: RemovedRecord, now: Instant, kept_until: Option<Instant>) -> Option<StateChange> {
         match removal {
-            Removal::Evacuation(hall) => {
+            RemovedRecord::Evacuation(hall) => {
                 if !self.evacuated.remove(hall.as_str()) {
                     return None;
                 }
-                self.chill(&hall, now);
-                Some(Belief::Evacuation { hall, on: false })
+                self.restart_slow_start(&hall, now);
+                Some(StateChange::Evacuation { hall, on: false })
             }
-            Removal::Target(id) => {
+            RemovedRecord::Target(id) => {
                 let target = self.targets.get(id.as_str())?.clone();
                 match kept_until.filter(|_| target.is_ready()) {
                     Some(until) => {
                         target.lapse(until);
-                        Some(Belief::Target { id: target.id.clone(), state: "lapsed" })
+                        Some(StateChange::Target { id: target.id.clone(), state: "lapsed" })
                     }
                     None => Some(self.remove_target(&target, now)),
                 }
             }
-            Removal::Own(name) => {
+            RemovedRecord::Own(name) => {
                 self.members.remove(&name)?;
                 self.members_at = now;
-                Some(Belief::Member { name, present: false })
+                Some(StateChange::Member { name, present: false })
             }
-            Removal::Unknown => None,
+            RemovedRecord::Unknown => None,
         }
     }
 
-    fn remove_target(&mut self, target: &Target, now: Instant) -> Belief {
+    fn remove_target(&mut self, target: &Target, now: Instant) -> StateChange {
         self.targets.remove(&target.id);
         if let Some(list) = self.by_service.get_mut(&target.service) {
             list.retain(|other| other.id != target.id);
         }
         self.departed.insert(target.id.clone(), Departed { sequence: target.sequence(), at: now });
-        Belief::Target { id: target.id.clone(), state: "gone" }
+        StateChange::Target { id: target.id.clone(), state: "gone" }
     }
 
     /// Removes targets whose registrations went while the store was away and did not
     /// come back.
-    pub fn remove_lapsed(&mut self, now: Instant) -> Vec<Belief> {
+    pub fn remove_lapsed(&mut self, now: Instant) -> Vec<StateChange> {
         let lapsed: Vec<Rc<Target>> = self.targets.values().filter(|target| target.has_lapsed(now)).cloned().collect();
         lapsed.iter().map(|target| self.remove_target(target, now)).collect()
     }
 
     /// Targets that come back from an evacuation may have turned cold, and
     /// nothing says so in time.
-    fn chill(&self, hall: &str, now: Instant) {
+    fn restart_slow_start(&self, hall: &str, now: Instant) {
         for target in self.targets.values().filter(|target| *target.hall == *hall) {
             let warmup = self.config.as_ref().and_then(|config| config.services.get(&target.service));
             if let Some(service) = warmup {
-                target.set_cold(service.warmup, now);
+                target.begin_slow_start(service.warmup, now);
             }
         }
     }
--- a/src/instance/settings.rs
+++ b/src/instance/settings.rs
@@ -1,6 +1,6 @@
 //! Settings of an instance, read from TOML and checked.
 
-use crate::decision::cold::ColdBounds;
+use crate::decision::slow_start::SlowStartBounds;
 use serde::Deserialize;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -119,7 +119,7 @@
     /// Second tries allowed besides in a budget's window, over all instances.
     pub retry_slack: f64,
     /// What a cold target may receive, over all instances.
-    pub cold: ColdBounds,
+    pub cold: SlowStartBounds,
     /// Memory of the process, bytes.
     pub memory: u64,
     /// Descriptors of the process.
@@ -173,7 +173,7 @@
             directory_ttl: check.seconds("bounds.directory_ttl_s", raw.bounds.directory_ttl_s)?,
             retry_ratio: check.share("bounds.retry_ratio", raw.bounds.retry_ratio)?,
             retry_slack: check.at_least_zero("bounds.retry_slack", raw.bounds.retry_slack)?,
-            cold: ColdBounds {
+            cold: SlowStartBounds {
                 overage: check.at_least_zero("bounds.cold_overage", raw.bounds.cold_overage)?,
                 slack: check.at_least_zero("bounds.cold_slack", raw.bounds.cold_slack)?,
             },
--- a/src/instance/state.rs
+++ b/src/instance/state.rs
@@ -2,7 +2,7 @@
 
 use crate::decision::retry::RetryBudget;
 use crate::decision::split::Splits;
-use crate::decision::world::{Belief, World};
+use crate::decision::world::{StateChange, World};
 use crate::instance::settings::Settings;
 use crate::platform::{Event, HeaderNames, Listing, Platform};
 use crate::sync::health::StoreHealth;
@@ -120,18 +120,18 @@
             return;
         }
         let now = Instant::now();
-        let beliefs = self.world.borrow_mut().apply::<P>(changes, now, self.health.lapses_until(now));
+        let state_changes = self.world.borrow_mut().apply::<P>(changes, now, self.health.lapses_until(now));
         self.view_changed.notify_waiters();
-        self.take_beliefs(&beliefs, source);
+        self.handle_changes(&state_changes, source);
     }
 
-    fn take_beliefs(&self, beliefs: &[Belief], source: &'static str) {
+    fn handle_changes(&self, state_changes: &[StateChange], source: &'static str) {
         let revision = self.view.borrow().at();
-        for belief in beliefs {
-            crate::telemetry::log::belief(belief, revision, source);
-            match belief {
-                Belief::Config(version) => self.config_changed(*version),
-                Belief::Member { .. } => self.members_changed(),
+        for state_change in state_changes {
+            crate::telemetry::log::state_change(state_change, revision, source);
+            match state_change {
+                StateChange::Config(version) => self.config_changed(*version),
+                StateChange::Member { .. } => self.members_changed(),
                 _ => {}
             }
         }
@@ -171,8 +171,8 @@
 
     /// Removes targets whose registrations did not come back after the store did.
     pub fn remove_lapsed(&self) {
-        let beliefs = self.world.borrow_mut().remove_lapsed(Instant::now());
-        self.take_beliefs(&beliefs, "lapse");
+        let state_changes = self.world.borrow_mut().remove_lapsed(Instant::now());
+        self.handle_changes(&state_changes, "lapse");
     }
 }
 
--- a/src/model/config.rs
+++ b/src/model/config.rs
@@ -68,7 +68,7 @@
     /// How long a target stays cold after its start.
     pub warmup: Duration,
     /// Requests a second that a cold target bears.
-    pub warmup_rate: f64,
+    pub slow_start_rate: f64,
     /// Path of the health check.
     pub health_path: String,
 }
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -2,7 +2,7 @@
 //! policies in force; and the policies that they apply.
 
 use super::apply::apply;
-use crate::decision::choice::{Query, Verdict, Warming, explain, hash_object};
+use crate::decision::choice::{Query, SlowStartShare, Verdict, explain, hash_affinity};
 use crate::decision::target::Target;
 use crate::instance::state::Instance;
 use crate::model::config::{Config, Route};
@@ -97,7 +97,7 @@
     let state = match target {
         _ if !target.is_ready() => "draining",
         _ if !target.is_trusted(now) => "left-alone",
-        _ if target.is_cold(now) => "cold",
+        _ if target.is_in_slow_start(now) => "cold",
         _ => "ready",
     };
     TargetLine {
@@ -166,7 +166,7 @@
     let unknown = || refused(StatusCode::SERVICE_UNAVAILABLE, "this entry has no configuration yet; ask another");
     let config = world.config.clone().ok_or_else(unknown)?;
     let route = question.route(&config)?;
-    let object = question.object.as_ref().map_or(0, |object| hash_object(object.as_bytes()));
+    let object = question.object.as_ref().map_or(0, |object| hash_affinity(object.as_bytes()));
     let weighted = instance.splits.borrow().peek(route, object);
     let (trial, now) = (Trial::dry(), Instant::now());
     let facts = RequestFacts {
@@ -179,13 +179,14 @@
         headers: &question.headers,
     };
     let active = world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &trial));
-    let warming = instance.health.is_current().then_some(Warming { own: &settings.name, bounds: settings.cold });
+    let slow_start =
+        instance.health.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
     let query = Query {
         route,
         service: &weighted.service,
         object,
         region: &settings.region,
-        warming,
+        slow_start,
         active: active.as_ref(),
         tried: &[],
         now,
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -173,7 +173,7 @@
 
 /// An item of the store, in the product's terms.
 #[derive(Debug)]
-pub enum Fact {
+pub enum Record {
     /// The operators' configuration.
     Config(Config),
     /// A hall whose targets are to get nothing.
@@ -191,7 +191,7 @@
 /// A value that cannot be translated.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 #[error("{key}: {problem}; the last good value stays in force, correct the value")]
-pub struct TranslateError {
+pub struct RecordError {
     /// The key.
     pub key: String,
     /// What is wrong.
@@ -221,9 +221,9 @@
     /// The key of the operators' policies.
     fn policies_key() -> &'static str;
     /// Translates an item.
-    fn read(item: &Item) -> Result<Fact, TranslateError>;
+    fn read(item: &Item) -> Result<Record, RecordError>;
     /// What a key stands for when it has gone; the config never goes.
-    fn read_gone(key: &str) -> Removal;
+    fn read_gone(key: &str) -> RemovedRecord;
     /// Reads a caller's question to the directory; `None` for any other path.
     fn directory_question(path: &str, query: &str) -> Option<CallerPlace>;
     /// The directory's answer, as JSON.
@@ -232,7 +232,7 @@
 
 /// What went with a key.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Removal {
+pub enum RemovedRecord {
     /// The evacuation of a hall.
     Evacuation(String),
     /// A target.
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -1,7 +1,7 @@
 //! One request of a caller at the targets: chosen, sent, and sent again only
 //! where that is safe.
 
-use crate::decision::choice::{NoTarget, Query, Warming, choose, hash_object};
+use crate::decision::choice::{NoTarget, Query, SlowStartShare, choose, hash_affinity};
 use crate::decision::target::Target;
 use crate::decision::world::World;
 use crate::instance::settings::Settings;
@@ -120,7 +120,7 @@
     fn object(&self) -> u64 {
         let named = self.parts.headers.get(&self.instance.names.object).filter(|_| self.route.affinity);
         match named.or_else(|| self.parts.headers.get(&self.instance.names.request_id)) {
-            Some(value) => hash_object(value.as_bytes()),
+            Some(value) => hash_affinity(value.as_bytes()),
             None => rand::random(),
         }
     }
@@ -135,8 +135,8 @@
     ) -> Result<Rc<Target>, Refusal> {
         let settings = self.instance.settings.borrow().clone();
         let world = self.instance.world.borrow();
-        let warming =
-            self.instance.health.is_current().then_some(Warming { own: &settings.name, bounds: settings.cold });
+        let slow_start =
+            self.instance.health.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
         let others =
             self.route.services.iter().filter(|weighted| weighted.service != picked.service && weighted.weight > 0.0);
         let mut refusal = Refusal::NoTarget;
@@ -147,7 +147,7 @@
                 service: &weighted.service,
                 object,
                 region: &settings.region,
-                warming,
+                slow_start,
                 active: active.as_ref(),
                 tried,
                 now: Instant::now(),
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -1,6 +1,6 @@
 //! Structured lines on standard output: bounded, and never waited for.
 
-use crate::decision::world::Belief;
+use crate::decision::world::StateChange;
 use crate::platform::StoreError;
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
@@ -211,16 +211,16 @@
 }
 
 /// Notes a change of what this instance believes.
-pub fn belief(belief: &Belief, revision: u64, source: &'static str) {
-    match belief {
-        Belief::Config(version) => tracing::info!(event = "config_in_force", version, revision, source),
-        Belief::Policies { revision: policies, by } => {
+pub fn state_change(state_change: &StateChange, revision: u64, source: &'static str) {
+    match state_change {
+        StateChange::Config(version) => tracing::info!(event = "config_in_force", version, revision, source),
+        StateChange::Policies { revision: policies, by } => {
             tracing::info!(event = "policies_in_force", policies, by, revision, source)
         }
-        Belief::Evacuation { hall, on } => tracing::info!(event = "evacuation", hall, on, revision, source),
-        Belief::Target { id, state } => tracing::info!(event = "target", id = &**id, state, revision, source),
-        Belief::Member { name, present } => tracing::info!(event = "member", name, present, revision, source),
-        Belief::Refused(error) => tracing::error!(event = "value_refused", %error, revision, source),
+        StateChange::Evacuation { hall, on } => tracing::info!(event = "evacuation", hall, on, revision, source),
+        StateChange::Target { id, state } => tracing::info!(event = "target", id = &**id, state, revision, source),
+        StateChange::Member { name, present } => tracing::info!(event = "member", name, present, revision, source),
+        StateChange::Refused(error) => tracing::error!(event = "value_refused", %error, revision, source),
     }
 }
 
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -2,8 +2,8 @@
 
 mod scene;
 
-use lockloft::decision::choice::{NoTarget, Query, Warming, choose};
-use lockloft::decision::cold::{ColdBounds, own_rate};
+use lockloft::decision::choice::{NoTarget, Query, SlowStartShare, choose};
+use lockloft::decision::slow_start::{SlowStartBounds, own_rate};
 use lockloft::decision::target::LoadReport;
 use lockloft::model::member::Member;
 use proptest::prelude::*;
@@ -34,7 +34,7 @@
         one in prop::collection::btree_set(any::<u8>(), 1..100),
         other in prop::collection::btree_set(any::<u8>(), 1..100),
     ) {
-        let bounds = ColdBounds { overage, slack };
+        let bounds = SlowStartBounds { overage, slack };
         let shared = bounds.shared_rate(rate);
         let (one, other) = (member_names(&one), member_names(&other));
         let (first, second) = (rate_of_view(shared, target, &one), rate_of_view(shared, target, &other));
@@ -135,17 +135,17 @@
 /// What `own` sends a cold target in `seconds` of a caller's steady load.
 fn sent_while_cold(scene: &mut Scene, own: &str, seconds: u64) -> usize {
     let end = scene.now + Duration::from_secs(seconds);
-    let bounds = ColdBounds { overage: 1.5, slack: 5.0 };
+    let bounds = SlowStartBounds { overage: 1.5, slack: 5.0 };
     let mut sent = 0;
     while scene.now < end {
-        let warming = Some(Warming { own, bounds });
+        let slow_start = Some(SlowStartShare { own, bounds });
         let route = route("r", "a", "/");
         let query = Query {
             route: &route,
             service: "shop",
             object: 7,
             region: "a",
-            warming,
+            slow_start,
             active: None,
             tried: &[],
             now: scene.now,
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -3,7 +3,7 @@
 mod scene;
 
 use hyper::{HeaderMap, Method, Uri};
-use lockloft::decision::choice::{NoTarget, Obstacle, Query, Verdict, choose, explain};
+use lockloft::decision::choice::{Exclusion, NoTarget, Query, Verdict, choose, explain};
 use lockloft::decision::target::Target;
 use lockloft::policy::Sources;
 use lockloft::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
@@ -70,7 +70,7 @@
         service: "shop",
         object,
         region: "a",
-        warming: None,
+        slow_start: None,
         active: active.as_ref(),
         tried: &[],
         now: scene.now,
@@ -187,13 +187,13 @@
     let (verdicts, _) = decide(&scene, &Asked::plain(), 7, &Trial::dry(), explain);
     let of = |id: &str| verdicts.iter().find(|(target, _)| &*target.id == id).unwrap().1;
     assert_eq!(verdicts.len(), 8);
-    assert_eq!([of("t0"), of("t1")], [Verdict::Hindered(Obstacle::Drained); 2]);
-    assert_eq!([of("t4"), of("t5")], [Verdict::Hindered(Obstacle::Denied); 2]);
-    assert_eq!(of("t7"), Verdict::Hindered(Obstacle::Draining));
+    assert_eq!([of("t0"), of("t1")], [Verdict::Excluded(Exclusion::Drained); 2]);
+    assert_eq!([of("t4"), of("t5")], [Verdict::Excluded(Exclusion::Denied); 2]);
+    assert_eq!(of("t7"), Verdict::Excluded(Exclusion::Draining));
     let rest = [of("t2"), of("t3"), of("t6")];
     assert_eq!(rest.iter().filter(|verdict| **verdict == Verdict::Chosen).count(), 1);
     assert_eq!(rest.iter().filter(|verdict| **verdict == Verdict::Next).count(), 1);
-    assert_eq!(rest.iter().filter(|verdict| **verdict == Verdict::Farther).count(), 1);
+    assert_eq!(rest.iter().filter(|verdict| **verdict == Verdict::NotPreferred).count(), 1);
 }
 
 #[test]
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -9,7 +9,7 @@
 use lockloft::decision::world::World;
 use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
 use lockloft::model::member::Member;
-use lockloft::platform::{Event, Fact, Item, Listing, Platform, TargetRegistration, TargetState};
+use lockloft::platform::{Event, Item, Listing, Platform, Record, TargetRegistration, TargetState};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -42,7 +42,7 @@
     let service = Service {
         max_connections: 100,
         warmup: Duration::from_secs(3),
-        warmup_rate: rate,
+        slow_start_rate: rate,
         health_path: "/health".to_owned(),
     };
     Config::new(1, Vec::new(), HashMap::from([("shop".into(), service)]), CallerLimits::default())
@@ -65,21 +65,21 @@
     fn policies_key() -> &'static str {
         "policies"
     }
-    fn read(item: &Item) -> Result<Fact, lockloft::platform::TranslateError> {
+    fn read(item: &Item) -> Result<Record, lockloft::platform::RecordError> {
         if item.key == Self::policies_key() {
-            return Ok(Fact::Policies);
+            return Ok(Record::Policies);
         }
         let text = String::from_utf8_lossy(&item.value).into_owned();
         if Member::read(&item.value).is_some() {
-            return Ok(Fact::Own(item.key.clone()));
+            return Ok(Record::Own(item.key.clone()));
         }
         if let Some(rate) = text.strip_prefix("catalog ") {
-            return Ok(Fact::Config(catalog_with_rate(rate.parse().unwrap())));
+            return Ok(Record::Config(catalog_with_rate(rate.parse().unwrap())));
         }
         let words: Vec<&str> = text.split(' ').collect();
         Ok(match words.as_slice() {
-            ["evacuated", hall] => Fact::Evacuation((*hall).into()),
-            [hall, slots, state, sequence, cold_ms] => Fact::Target(TargetRegistration {
+            ["evacuated", hall] => Record::Evacuation((*hall).into()),
+            [hall, slots, state, sequence, cold_ms] => Record::Target(TargetRegistration {
                 id: item.key.as_str().into(),
                 service: "shop".into(),
                 address: "127.0.0.1:1".parse().unwrap(),
@@ -90,11 +90,11 @@
                 sequence: sequence.parse().unwrap(),
                 cold: Duration::from_millis(cold_ms.parse().unwrap()),
             }),
-            _ => Fact::Unknown,
+            _ => Record::Unknown,
         })
     }
-    fn read_gone(key: &str) -> lockloft::platform::Removal {
-        lockloft::platform::Removal::Target(key.to_owned())
+    fn read_gone(key: &str) -> lockloft::platform::RemovedRecord {
+        lockloft::platform::RemovedRecord::Target(key.to_owned())
     }
     fn directory_question(_: &str, _: &str) -> Option<lockloft::platform::CallerPlace> {
         None
@@ -186,7 +186,7 @@
     /// The same on a route of its own.
     pub fn choose_on(&self, route: &Route, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
         let query =
-            Query { route, service: "shop", object, region: "a", warming: None, active: None, tried, now: self.now };
+            Query { route, service: "shop", object, region: "a", slow_start: None, active: None, tried, now: self.now };
         choose(&self.world, &self.config, &query)
     }
 }
