--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -190,9 +190,9 @@
 /// cap lets out of it.
 fn best_at_home<'a>(world: &'a World, query: &Query<'_>, ranking: &Ranking<'a>, most: f64) -> Option<&'a Rc<Target>> {
     let hall = &ranking.natural.as_ref()?.target.hall;
-    let typical = world.typical_time(query.service);
+    let median = world.median_latency(query.service);
     let is_open = |target: &&Rc<Target>| {
-        target.hall == *hall && has_room(target, most, query) && exclusion(world, query, target, typical).is_none()
+        target.hall == *hall && has_room(target, most, query) && exclusion(world, query, target, median).is_none()
     };
     let key = |target: &Rc<Target>| (order(query, target), draw(query, target));
     let order = |one: &&Rc<Target>, other: &&Rc<Target>| key(one).partial_cmp(&key(other)).unwrap_or(Ordering::Equal);
@@ -214,10 +214,10 @@
         };
         verdicts.push(((*target).clone(), verdict));
     }
-    let typical = world.typical_time(query.service);
+    let median = world.median_latency(query.service);
     let is_ranked = |target: &Target| ranking.candidates.iter().any(|candidate| candidate.target.id == target.id);
     for target in world.targets_of(query.service).iter().filter(|target| !is_ranked(target)) {
-        let exclusion = exclusion(world, query, target, typical);
+        let exclusion = exclusion(world, query, target, median);
         verdicts.push((target.clone(), exclusion.map_or(Verdict::NotPreferred, Verdict::Excluded)));
     }
     verdicts
@@ -276,11 +276,11 @@
 }
 
 fn rank<'a>(world: &'a World, query: &Query<'_>) -> Ranking<'a> {
-    let typical = world.typical_time(query.service);
+    let median = world.median_latency(query.service);
     let has_caps = query.active.is_some_and(Active::has_caps);
     let mut ranking = Ranking { candidates: Vec::with_capacity(TARGETS_PER_KEY + 1), natural: None };
     for target in world.targets_of(query.service) {
-        let exclusion = exclusion(world, query, target, typical);
+        let exclusion = exclusion(world, query, target, median);
         if exclusion.is_some() && !has_caps {
             continue;
         }
@@ -316,11 +316,11 @@
     }
 }
 
-/// What keeps a target from being used; `None` where nothing does. `typical`
+/// What keeps a target from being used; `None` where nothing does. `median`
 /// is the middle of the times that the service's targets take, seconds.
-pub fn exclusion(world: &World, query: &Query<'_>, target: &Target, typical: f64) -> Option<Exclusion> {
+pub fn exclusion(world: &World, query: &Query<'_>, target: &Target, median: f64) -> Option<Exclusion> {
     let first = [
-        (!target.is_ready() || target.has_lapsed(query.now), Exclusion::Draining),
+        (!target.is_ready() || target.has_expired(query.now), Exclusion::Draining),
         (!query.route.allows(&target.region), Exclusion::RegionNotAllowed),
         (world.is_evacuated(&target.hall), Exclusion::Evacuated),
         (!target.is_trusted(query.now), Exclusion::Ejected),
@@ -335,15 +335,15 @@
         Some(Standing::Drained(_)) => return Some(Exclusion::Drained),
         Some(Standing::Open(_)) | None => {}
     }
-    if is_skipped_as_slow(query, target, typical) {
+    if is_skipped_as_slow(query, target, median) {
         return Some(Exclusion::Slow);
     }
     (target.is_in_slow_start(query.now) && !may_send_in_slow_start(world, query, target)).then_some(Exclusion::Cold)
 }
 
 /// Whether the target is too slow to be sent more than a try now and then.
-fn is_skipped_as_slow(query: &Query<'_>, target: &Target, typical: f64) -> bool {
-    target.is_slow(typical, query.route.objective, query.now) && !target.may_try_slow(query.now)
+fn is_skipped_as_slow(query: &Query<'_>, target: &Target, median: f64) -> bool {
+    target.is_slow(median, query.route.objective, query.now) && !target.may_try_slow(query.now)
 }
 
 fn may_send_in_slow_start(world: &World, query: &Query<'_>, target: &Target) -> bool {
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -15,13 +15,13 @@
 /// Age at which a target's own report of its load no longer counts.
 const REPORT_LIFE: Duration = Duration::from_millis(1_500);
 /// Weight of a new time in the average.
-const PACE_WEIGHT: f64 = 0.2;
+const LATENCY_WEIGHT: f64 = 0.2;
 /// Weight of a new time that is better than the average: a target that has
 /// recovered is believed sooner.
 const RECOVERY_WEIGHT: f64 = 0.5;
 /// How many times slower than its peers a target is left alone.
 const SLOW_FACTOR: f64 = 3.0;
-/// How many typical times a target may give no answer at all; work on an
+/// How many median times a target may give no answer at all; work on an
 /// object that it has not lately seen takes several.
 const SILENT_FACTOR: f64 = 4.5;
 /// Time between tries of a slow target.
@@ -31,7 +31,7 @@
 /// First time that a failing target is left alone.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
 /// Longest time that a failing target is left alone.
-const LONGEST_EJECTION: Duration = Duration::from_secs(4);
+const MAX_EJECTION: Duration = Duration::from_secs(4);
 
 /// A target's report of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -54,19 +54,19 @@
 }
 
 #[derive(Clone, Copy, Debug)]
-struct OthersLoad {
+struct ReportedLoad {
     requests: u32,
     at: Instant,
 }
 
 /// How long answers take, recent ones counting more.
 #[derive(Clone, Copy, Debug, Default)]
-struct Pace {
+struct Latency {
     /// Seconds; `None` before the first answer.
     average: Option<f64>,
     /// The last time of an answer, or of the first of the requests now under
     /// way.
-    quiet_since: Option<Instant>,
+    silent_since: Option<Instant>,
     /// When a slow target was last tried.
     tried: Option<Instant>,
 }
@@ -116,11 +116,11 @@
     slow_start_until: Cell<Option<Instant>>,
     slow_start_rate: Cell<SlowStartRate>,
     in_flight: Cell<u32>,
-    others: Cell<Option<OthersLoad>>,
+    others: Cell<Option<ReportedLoad>>,
     failures: Cell<Failures>,
-    pace: Cell<Pace>,
+    latency: Cell<Latency>,
     replaced: Cell<bool>,
-    lapses_at: Cell<Option<Instant>>,
+    expires_at: Cell<Option<Instant>>,
     reach: Cell<Option<(u64, PolicyMask)>>,
 }
 
@@ -144,9 +144,9 @@
             in_flight: Cell::new(0),
             others: Cell::new(None),
             failures: Cell::new(Failures::default()),
-            pace: Cell::new(Pace::default()),
+            latency: Cell::new(Latency::default()),
             replaced: Cell::new(false),
-            lapses_at: Cell::new(None),
+            expires_at: Cell::new(None),
             reach: Cell::new(None),
         };
         target.begin_slow_start(registration.cold, now);
@@ -158,7 +158,7 @@
         if registration.sequence < self.sequence.get() {
             return false;
         }
-        self.lapses_at.set(None);
+        self.expires_at.set(None);
         self.sequence.set(registration.sequence);
         self.state.set(registration.state);
         self.begin_slow_start(registration.cold, now);
@@ -177,13 +177,13 @@
 
     /// Keeps a target whose registration went while the store was away until a time:
     /// if it lives, its registration is back by then.
-    pub fn lapse(&self, until: Instant) {
-        self.lapses_at.set(self.lapses_at.get().or(Some(until)));
+    pub fn expire_at(&self, until: Instant) {
+        self.expires_at.set(self.expires_at.get().or(Some(until)));
     }
 
     /// Whether its registration went while the store was away and did not come back.
-    pub fn has_lapsed(&self, now: Instant) -> bool {
-        self.lapses_at.get().is_some_and(|until| until <= now)
+    pub fn has_expired(&self, now: Instant) -> bool {
+        self.expires_at.get().is_some_and(|until| until <= now)
     }
 
     /// Marks it as cold for some time from now on; never shortens.
@@ -235,7 +235,7 @@
     pub fn report(&self, report: LoadReport, now: Instant) {
         let all = report.running + report.waiting;
         let others = all.saturating_sub(self.in_flight.get());
-        self.others.set(Some(OthersLoad { requests: others, at: now }));
+        self.others.set(Some(ReportedLoad { requests: others, at: now }));
     }
 
     /// Requests that are probably running or waiting there, those of other
@@ -250,12 +250,12 @@
 
     /// Counts a request in until the guard is dropped.
     pub fn enter(self: &Rc<Self>, now: Instant) -> InFlight {
-        let mut pace = self.pace.get();
+        let mut latency = self.latency.get();
         if self.in_flight.get() == 0 {
-            pace.quiet_since = Some(now);
+            latency.silent_since = Some(now);
         }
-        pace.tried = Some(now);
-        self.pace.set(pace);
+        latency.tried = Some(now);
+        self.latency.set(latency);
         if self.is_in_slow_start(now) {
             self.spend_slow_start(now);
         }
@@ -268,42 +268,42 @@
     }
 
     /// Notes a sound answer after `took`.
-    pub fn succeeded(&self, took: Duration, now: Instant) {
+    pub fn record_success(&self, took: Duration, now: Instant) {
         self.failures.set(Failures::default());
-        self.note_pace(took, now);
+        self.record_latency(took, now);
     }
 
     /// Notes that an answer took `took`, or that none had come after it.
-    pub fn note_pace(&self, took: Duration, now: Instant) {
-        let mut pace = self.pace.get();
+    pub fn record_latency(&self, took: Duration, now: Instant) {
+        let mut latency = self.latency.get();
         let took = took.as_secs_f64();
-        let average = pace.average.unwrap_or(took);
-        let weight = if took < average { RECOVERY_WEIGHT } else { PACE_WEIGHT };
-        pace.average = Some(average + weight * (took - average));
-        pace.quiet_since = Some(now);
-        self.pace.set(pace);
+        let average = latency.average.unwrap_or(took);
+        let weight = if took < average { RECOVERY_WEIGHT } else { LATENCY_WEIGHT };
+        latency.average = Some(average + weight * (took - average));
+        latency.silent_since = Some(now);
+        self.latency.set(latency);
     }
 
     /// The average time of an answer, seconds.
-    pub fn average_time(&self) -> Option<f64> {
-        self.pace.get().average
+    pub fn average_latency(&self) -> Option<f64> {
+        self.latency.get().average
     }
 
-    /// Whether it is much slower than `typical`, seconds, or has long been
+    /// Whether it is much slower than `median`, seconds, or has long been
     /// silent for that, and its answers come after `objective`.
-    pub fn is_slow(&self, typical: f64, objective: Duration, now: Instant) -> bool {
-        let pace = self.pace.get();
-        let silent = pace.quiet_since.filter(|_| self.in_flight.get() > 0);
+    pub fn is_slow(&self, median: f64, objective: Duration, now: Instant) -> bool {
+        let latency = self.latency.get();
+        let silent = latency.silent_since.filter(|_| self.in_flight.get() > 0);
         let silence = silent.map_or(0.0, |since| now.saturating_duration_since(since).as_secs_f64());
-        let average = pace.average.unwrap_or(0.0);
+        let average = latency.average.unwrap_or(0.0);
         let objective = objective.as_secs_f64();
-        (average > SLOW_FACTOR * typical && average > objective)
-            || (silence > SILENT_FACTOR * typical && silence > objective)
+        (average > SLOW_FACTOR * median && average > objective)
+            || (silence > SILENT_FACTOR * median && silence > objective)
     }
 
     /// Whether a slow target may be tried again.
     pub fn may_try_slow(&self, now: Instant) -> bool {
-        let tried = self.pace.get().tried;
+        let tried = self.latency.get().tried;
         self.in_flight.get() == 0 && tried.is_none_or(|tried| now.saturating_duration_since(tried) > SLOW_TRY_EVERY)
     }
 
@@ -314,7 +314,7 @@
 
     /// Notes a failure that speaks against the target; gives the time for
     /// which it is left alone, where it is.
-    pub fn failed(&self, now: Instant) -> Option<Duration> {
+    pub fn record_failure(&self, now: Instant) -> Option<Duration> {
         let failures = self.failures.get();
         let in_a_row = failures.in_a_row + 1;
         let again = failures.until.is_some_and(|until| now >= until);
@@ -322,14 +322,14 @@
             self.failures.set(Failures { in_a_row, ..failures });
             return None;
         }
-        let lasting = (FIRST_EJECTION * 2u32.pow(failures.ejections.min(8))).min(LONGEST_EJECTION);
+        let lasting = (FIRST_EJECTION * 2u32.pow(failures.ejections.min(8))).min(MAX_EJECTION);
         let next = Failures { in_a_row, ejections: failures.ejections + 1, until: Some(now + lasting), trial: false };
         self.failures.set(next);
         Some(lasting)
     }
 
     /// Notes that another target answers at its address: this life is over.
-    pub fn was_replaced(&self) {
+    pub fn mark_replaced(&self) {
         self.replaced.set(true);
         self.pool.clear();
     }
--- a/src/decision/world.rs
+++ b/src/decision/world.rs
@@ -15,7 +15,7 @@
 
 /// How long the last sequence of a target that went is remembered, so that an
 /// registration written late does not bring it back.
-const REMEMBERED: Duration = Duration::from_secs(120);
+const TOMBSTONE_TTL: Duration = Duration::from_secs(120);
 
 /// How long the members must have stayed the same before cold targets are sent
 /// anything: longer than another instance may lag behind.
@@ -39,7 +39,7 @@
 }
 
 #[derive(Debug)]
-struct Departed {
+struct Tombstone {
     sequence: u64,
     at: Instant,
 }
@@ -56,8 +56,8 @@
     evacuated: HashSet<Rc<str>>,
     targets: HashMap<Rc<str>, Rc<Target>>,
     by_service: HashMap<Rc<str>, Vec<Rc<Target>>>,
-    departed: HashMap<Rc<str>, Departed>,
-    typical: HashMap<Rc<str>, f64>,
+    tombstones: HashMap<Rc<str>, Tombstone>,
+    median: HashMap<Rc<str>, f64>,
     regions: HashMap<Rc<str>, Rc<str>>,
     members_at: Instant,
 }
@@ -72,8 +72,8 @@
             evacuated: HashSet::new(),
             targets: HashMap::new(),
             by_service: HashMap::new(),
-            departed: HashMap::new(),
-            typical: HashMap::new(),
+            tombstones: HashMap::new(),
+            median: HashMap::new(),
             regions,
             members_at: Instant::now(),
         }
@@ -91,19 +91,19 @@
 
     /// The middle of the times that the service's targets take, seconds; very
     /// long where nothing is known.
-    pub fn typical_time(&self, service: &str) -> f64 {
-        self.typical.get(service).copied().unwrap_or(f64::INFINITY)
+    pub fn median_latency(&self, service: &str) -> f64 {
+        self.median.get(service).copied().unwrap_or(f64::INFINITY)
     }
 
-    /// Works out the typical times anew.
-    pub fn update_typical_times(&mut self) {
+    /// Works out the median times anew.
+    pub fn update_median_latencies(&mut self) {
         for (service, targets) in &self.by_service {
-            let mut times: Vec<f64> = targets.iter().filter_map(|target| target.average_time()).collect();
+            let mut times: Vec<f64> = targets.iter().filter_map(|target| target.average_latency()).collect();
             if times.is_empty() {
                 continue;
             }
             times.sort_by(f64::total_cmp);
-            self.typical.insert(service.clone(), times[times.len() / 2]);
+            self.median.insert(service.clone(), times[times.len() / 2]);
         }
     }
 
@@ -154,14 +154,14 @@
     }
 
     /// Takes in changes of the store. Where the store was away until lately,
-    /// targets whose registrations went are kept until `kept_until`.
+    /// targets whose registrations went are kept until `grace_until`.
     pub fn apply<P: Platform>(
         &mut self,
         changes: &[Event],
         now: Instant,
-        kept_until: Option<Instant>,
+        grace_until: Option<Instant>,
     ) -> Vec<StateChange> {
-        self.departed.retain(|_, departed| now.saturating_duration_since(departed.at) < REMEMBERED);
+        self.tombstones.retain(|_, tombstones| now.saturating_duration_since(tombstones.at) < TOMBSTONE_TTL);
         let mut state_changes = Vec::new();
         for change in changes {
             match change {
@@ -170,7 +170,7 @@
                     Ok(fact) => state_changes.extend(self.learn(fact, &item.value, now)),
                     Err(error) => state_changes.push(StateChange::Refused(error)),
                 },
-                Event::Gone { key, .. } => state_changes.extend(self.forget(P::read_gone(key), now, kept_until)),
+                Event::Gone { key, .. } => state_changes.extend(self.forget(P::read_gone(key), now, grace_until)),
             }
         }
         state_changes
@@ -225,7 +225,8 @@
         if let Some(known) = self.targets.get(&registration.id) {
             return known.update(registration, now).then_some(state_change);
         }
-        if self.departed.get(&registration.id).is_some_and(|departed| registration.sequence <= departed.sequence) {
+        if self.tombstones.get(&registration.id).is_some_and(|tombstones| registration.sequence <= tombstones.sequence)
+        {
             return None;
         }
         let target = Rc::new(Target::new(registration, self.region_of(&registration.hall), now));
@@ -234,7 +235,7 @@
         Some(state_change)
     }
 
-    fn forget(&mut self, removal: RemovedRecord, now: Instant, kept_until: Option<Instant>) -> Option<StateChange> {
+    fn forget(&mut self, removal: RemovedRecord, now: Instant, grace_until: Option<Instant>) -> Option<StateChange> {
         match removal {
             RemovedRecord::Evacuation(hall) => {
                 if !self.evacuated.remove(hall.as_str()) {
@@ -245,9 +246,9 @@
             }
             RemovedRecord::Target(id) => {
                 let target = self.targets.get(id.as_str())?.clone();
-                match kept_until.filter(|_| target.is_ready()) {
+                match grace_until.filter(|_| target.is_ready()) {
                     Some(until) => {
-                        target.lapse(until);
+                        target.expire_at(until);
                         Some(StateChange::Target { id: target.id.clone(), state: "lapsed" })
                     }
                     None => Some(self.remove_target(&target, now)),
@@ -267,14 +268,14 @@
         if let Some(list) = self.by_service.get_mut(&target.service) {
             list.retain(|other| other.id != target.id);
         }
-        self.departed.insert(target.id.clone(), Departed { sequence: target.sequence(), at: now });
+        self.tombstones.insert(target.id.clone(), Tombstone { sequence: target.sequence(), at: now });
         StateChange::Target { id: target.id.clone(), state: "gone" }
     }
 
     /// Removes targets whose registrations went while the store was away and did not
     /// come back.
-    pub fn remove_lapsed(&mut self, now: Instant) -> Vec<StateChange> {
-        let lapsed: Vec<Rc<Target>> = self.targets.values().filter(|target| target.has_lapsed(now)).cloned().collect();
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<StateChange> {
+        let lapsed: Vec<Rc<Target>> = self.targets.values().filter(|target| target.has_expired(now)).cloned().collect();
         lapsed.iter().map(|target| self.remove_target(target, now)).collect()
     }
 
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -20,7 +20,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep};
 
-/// Time between looks after idle connections and typical times.
+/// Time between looks after idle connections and median times.
 const SWEEP_EVERY: Duration = Duration::from_millis(500);
 
 /// Why an instance did not start.
@@ -84,14 +84,14 @@
     TcpListener::bind(address).await.map_err(|source| StartError::Listen { field, address, source })
 }
 
-/// Works out typical times, removes targets whose registrations lapsed, and closes
+/// Works out median times, removes targets whose registrations lapsed, and closes
 /// connections to targets that have rested too long.
 async fn sweep<P: Platform>(instance: Rc<Instance<P>>) {
     loop {
         sleep(SWEEP_EVERY).await;
         let now = Instant::now();
-        instance.remove_lapsed();
-        instance.world.borrow_mut().update_typical_times();
+        instance.remove_expired();
+        instance.world.borrow_mut().update_median_latencies();
         let world = instance.world.borrow();
         world.share_connections();
         for target in world.targets() {
--- a/src/instance/state.rs
+++ b/src/instance/state.rs
@@ -120,7 +120,7 @@
             return;
         }
         let now = Instant::now();
-        let state_changes = self.world.borrow_mut().apply::<P>(changes, now, self.health.lapses_until(now));
+        let state_changes = self.world.borrow_mut().apply::<P>(changes, now, self.health.grace_until(now));
         self.view_changed.notify_waiters();
         self.handle_changes(&state_changes, source);
     }
@@ -170,8 +170,8 @@
     }
 
     /// Removes targets whose registrations did not come back after the store did.
-    pub fn remove_lapsed(&self) {
-        let state_changes = self.world.borrow_mut().remove_lapsed(Instant::now());
+    pub fn remove_expired(&self) {
+        let state_changes = self.world.borrow_mut().remove_expired(Instant::now());
         self.handle_changes(&state_changes, "lapse");
     }
 }
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -75,7 +75,7 @@
         match timeout_at(until, self.dispatch(request)).await {
             Ok(result) => result,
             Err(_) => {
-                target.note_pace(started.elapsed(), Instant::now());
+                target.record_latency(started.elapsed(), Instant::now());
                 Err(Fault::Silent)
             }
         }
@@ -86,21 +86,21 @@
         let now = Instant::now();
         let target = self.in_flight.target();
         if !self.is_ours(&response) {
-            speaks_against(target);
+            record_failure(target);
             return Err(Fault::Lost);
         }
         if let Some(report) = text(response.headers(), &self.names.load).and_then(LoadReport::parse) {
             target.report(report, now);
         }
         if response.status() == StatusCode::MISDIRECTED_REQUEST {
-            target.was_replaced();
+            target.mark_replaced();
             return Err(Fault::NotExecuted);
         }
         if response.headers().contains_key(&self.names.not_executed) {
             return Err(Fault::NotExecuted);
         }
         if response.status().is_success() && !response.headers().contains_key(&self.names.signature) {
-            speaks_against(target);
+            record_failure(target);
             return Err(Fault::Lost);
         }
         self.finish(response, connection).await
@@ -114,20 +114,20 @@
                 Ok(response) => return Ok((response, connection)),
                 Err(SendError::Unsent(unsent)) => request = *unsent,
                 Err(SendError::Lost) => {
-                    speaks_against(target);
+                    record_failure(target);
                     return Err(Fault::Lost);
                 }
             }
         }
         let Ok(mut connection) = target.pool.connect().await else {
-            speaks_against(target);
+            record_failure(target);
             return Err(Fault::Unreachable(Box::new(request)));
         };
         match connection.send(request).await {
             Ok(response) => Ok((response, connection)),
             Err(SendError::Unsent(unsent)) => Err(Fault::Unreachable(unsent)),
             Err(SendError::Lost) => {
-                speaks_against(target);
+                record_failure(target);
                 Err(Fault::Lost)
             }
         }
@@ -154,14 +154,14 @@
         let read = match read_whole(incoming).await {
             Ok(read) => read,
             Err(_) => {
-                speaks_against(target);
+                record_failure(target);
                 return Err(Fault::Lost);
             }
         };
         if parts.status.is_server_error() {
-            speaks_against(target);
+            record_failure(target);
         } else {
-            target.succeeded(self.started.elapsed(), Instant::now());
+            target.record_success(self.started.elapsed(), Instant::now());
         }
         let body = match read {
             Read::Whole(bytes) => {
@@ -181,8 +181,8 @@
 
 /// Notes a failure that speaks against a target, and tells where it is left
 /// alone for it.
-fn speaks_against(target: &Target) {
-    if let Some(lasting) = target.failed(Instant::now()) {
+fn record_failure(target: &Target) {
+    if let Some(lasting) = target.record_failure(Instant::now()) {
         let for_ms = lasting.as_millis() as u64;
         tracing::info!(event = "target_left_alone", id = &*target.id, hall = &*target.hall, for_ms);
     }
--- a/src/sync/health.rs
+++ b/src/sync/health.rs
@@ -12,14 +12,14 @@
 const SILENCE: Duration = Duration::from_millis(700);
 /// Time from the store's return within which registrations that have gone may be of
 /// targets that could not renew them.
-const LAPSES_SEEN: Duration = Duration::from_millis(1_500);
+const GRACE_WINDOW: Duration = Duration::from_millis(1_500);
 /// Time from the store's return within which such registrations are back, or their
 /// targets gone. With the longest wait between calls before it, it ends before
 /// the operators hold an instance to what it should know.
-const LAPSES_BACK: Duration = Duration::from_millis(2_000);
+const GRACE: Duration = Duration::from_millis(2_000);
 /// Age of what is known from which registrations may have run out meanwhile. Where
 /// peers kept it younger, the store was there for the targets too.
-const LAPSES_AFTER: Duration = Duration::from_millis(3_000);
+const GRACE_AFTER: Duration = Duration::from_millis(3_000);
 
 /// What one instance has seen of the store.
 #[derive(Debug, Default)]
@@ -72,7 +72,7 @@
     /// Notes that the store was away from all whom this instance hears, and when
     /// it came back.
     fn note_return(&self, at: Option<Instant>) {
-        if self.knowledge_age().is_some_and(|age| age > LAPSES_AFTER) {
+        if self.knowledge_age().is_some_and(|age| age > GRACE_AFTER) {
             self.returned_at.set(self.returned_at.get().max(at));
         }
     }
@@ -84,9 +84,9 @@
 
     /// Until when targets are kept whose registrations are now seen to have gone;
     /// `None` where they went while the store was there.
-    pub fn lapses_until(&self, now: Instant) -> Option<Instant> {
+    pub fn grace_until(&self, now: Instant) -> Option<Instant> {
         let returned = self.returned_at.get()?;
-        (now.saturating_duration_since(returned) < LAPSES_SEEN).then_some(returned + LAPSES_BACK)
+        (now.saturating_duration_since(returned) < GRACE_WINDOW).then_some(returned + GRACE)
     }
 
     /// Notes that what is known was current `age` ago.
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -196,14 +196,14 @@
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     for _ in 0..3 {
-        first.failed(scene.now);
+        first.record_failure(scene.now);
     }
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     scene.now += Duration::from_millis(600);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
     let trial = first.enter(scene.now);
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
-    first.succeeded(Duration::from_millis(50), scene.now);
+    first.record_success(Duration::from_millis(50), scene.now);
     drop(trial);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
 }
@@ -219,15 +219,15 @@
 #[test]
 fn a_target_whose_entry_lapsed_while_the_store_was_away_is_kept_for_a_while() {
     let mut scene = Scene::new();
-    let kept_until = Some(scene.now + Duration::from_secs(2));
+    let grace_until = Some(scene.now + Duration::from_secs(2));
     let first = scene.choose(7, &[]).unwrap();
-    scene.remove(&first.id, kept_until);
+    scene.remove(&first.id, grace_until);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
     scene.now += Duration::from_millis(1_900);
-    assert!(scene.world.remove_lapsed(scene.now).is_empty());
+    assert!(scene.world.remove_expired(scene.now).is_empty());
     scene.now += Duration::from_millis(200);
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id, "it did not come back");
-    assert_eq!(scene.world.remove_lapsed(scene.now).len(), 1);
+    assert_eq!(scene.world.remove_expired(scene.now).len(), 1);
 }
 
 #[test]
@@ -237,7 +237,7 @@
     scene.remove(&first.id, Some(scene.now + Duration::from_secs(2)));
     scene.put(first.id.as_ref(), &format!("{} 4 ready 2 0", first.hall));
     scene.now += Duration::from_secs(5);
-    assert!(scene.world.remove_lapsed(scene.now).is_empty());
+    assert!(scene.world.remove_expired(scene.now).is_empty());
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
 }
 
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -172,10 +172,10 @@
 
     /// Removes a key of the store; the target is kept until a time where one
     /// is given.
-    pub fn remove(&mut self, key: &str, kept_until: Option<Instant>) {
+    pub fn remove(&mut self, key: &str, grace_until: Option<Instant>) {
         self.revision += 1;
         let event = Event::Gone { key: key.to_owned(), revision: self.revision };
-        self.world.apply::<Plain>(&[event], self.now, kept_until);
+        self.world.apply::<Plain>(&[event], self.now, grace_until);
     }
 
     /// Chooses a target for an object.
