--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -6,7 +6,7 @@
 use crate::decision::target::Target;
 use crate::decision::world::World;
 use crate::model::config::{Config, Route};
-use crate::policy::{Active, Order, Standing};
+use crate::policy::{Active, Order, PolicyVerdict};
 use std::cmp::Ordering;
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -173,7 +173,7 @@
     if !is_capped {
         return Err(NoTarget::Full(preferred.clone()));
     }
-    match best_at_home(world, query, &ranking, most) {
+    match best_in_default_hall(world, query, &ranking, most) {
         Some(target) => Ok(chosen(target, query)),
         None => Err(NoTarget::Capped(preferred.clone())),
     }
@@ -188,8 +188,13 @@
 
 /// The best target in the hall that place alone gives, for a request that no
 /// cap lets out of it.
-fn best_at_home<'a>(world: &'a World, query: &Query<'_>, ranking: &Ranking<'a>, most: f64) -> Option<&'a Rc<Target>> {
-    let hall = &ranking.natural.as_ref()?.target.hall;
+fn best_in_default_hall<'a>(
+    world: &'a World,
+    query: &Query<'_>,
+    ranking: &Ranking<'a>,
+    most: f64,
+) -> Option<&'a Rc<Target>> {
+    let hall = &ranking.default_target.as_ref()?.target.hall;
     let median = world.median_latency(query.service);
     let is_open = |target: &&Rc<Target>| {
         target.hall == *hall && has_room(target, most, query) && exclusion(world, query, target, median).is_none()
@@ -200,7 +205,7 @@
 }
 
 /// What the choice makes of every target of the service, the object's own
-/// first. Nothing is sent, earned or spent where the query's trial is dry.
+/// first. Nothing is sent, earned or spent where the query's charge is dry.
 pub fn explain(world: &World, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     let ranking = rank(world, query);
     let most = max_load(config, query);
@@ -246,7 +251,7 @@
     candidates: Vec<Candidate<'a>>,
     /// The target that place and preference alone would give, whatever is
     /// drained, cold or failing; looked for only where a cap asks.
-    natural: Option<Candidate<'a>>,
+    default_target: Option<Candidate<'a>>,
 }
 
 impl<'a> Ranking<'a> {
@@ -261,24 +266,24 @@
         }
     }
 
-    fn add_natural(&mut self, candidate: Candidate<'a>) {
+    fn add_default(&mut self, candidate: Candidate<'a>) {
         let key = |one: &Candidate<'_>| (one.order.rank, one.draw);
-        if self.natural.as_ref().is_none_or(|known| key(&candidate) < key(known)) {
-            self.natural = Some(candidate);
+        if self.default_target.as_ref().is_none_or(|known| key(&candidate) < key(known)) {
+            self.default_target = Some(candidate);
         }
     }
 
     /// Whether caps let the request go to a target; pays for a move.
     fn may_move_to(&self, target: &Target, query: &Query<'_>) -> bool {
-        let (Some(active), Some(natural)) = (query.active, &self.natural) else { return true };
-        natural.target.hall == target.hall || active.pay()
+        let (Some(active), Some(default_target)) = (query.active, &self.default_target) else { return true };
+        default_target.target.hall == target.hall || active.charge_caps()
     }
 }
 
 fn rank<'a>(world: &'a World, query: &Query<'_>) -> Ranking<'a> {
     let median = world.median_latency(query.service);
     let has_caps = query.active.is_some_and(Active::has_caps);
-    let mut ranking = Ranking { candidates: Vec::with_capacity(TARGETS_PER_KEY + 1), natural: None };
+    let mut ranking = Ranking { candidates: Vec::with_capacity(TARGETS_PER_KEY + 1), default_target: None };
     for target in world.targets_of(query.service) {
         let exclusion = exclusion(world, query, target, median);
         if exclusion.is_some() && !has_caps {
@@ -290,7 +295,7 @@
             ranking.add(candidate);
         }
         if has_caps && is_ever_usable(query, target) {
-            ranking.add_natural(candidate);
+            ranking.add_default(candidate);
         }
     }
     ranking
@@ -304,14 +309,14 @@
 
 /// Whether the request might go to a target if that had no trouble.
 fn is_ever_usable(query: &Query<'_>, target: &Target) -> bool {
-    let standing = query.active.map(|active| active.standing(target));
-    query.route.allows(&target.region) && !matches!(standing, Some(Standing::Denied | Standing::NotAllowed))
+    let verdict = query.active.map(|active| active.verdict(target));
+    query.route.allows(&target.region) && !matches!(verdict, Some(PolicyVerdict::Denied | PolicyVerdict::NotAllowed))
 }
 
 /// The order that policies give a target.
 fn order(query: &Query<'_>, target: &Target) -> Order {
-    match query.active.map(|active| active.standing(target)) {
-        Some(Standing::Open(order) | Standing::Drained(order)) => order,
+    match query.active.map(|active| active.verdict(target)) {
+        Some(PolicyVerdict::Open(order) | PolicyVerdict::Drained(order)) => order,
         _ => Order::default(),
     }
 }
@@ -329,11 +334,11 @@
     if let Some((_, exclusion)) = first.into_iter().find(|(holds, _)| *holds) {
         return Some(exclusion);
     }
-    match query.active.map(|active| active.standing(target)) {
-        Some(Standing::Denied) => return Some(Exclusion::Denied),
-        Some(Standing::NotAllowed) => return Some(Exclusion::NotAllowed),
-        Some(Standing::Drained(_)) => return Some(Exclusion::Drained),
-        Some(Standing::Open(_)) | None => {}
+    match query.active.map(|active| active.verdict(target)) {
+        Some(PolicyVerdict::Denied) => return Some(Exclusion::Denied),
+        Some(PolicyVerdict::NotAllowed) => return Some(Exclusion::NotAllowed),
+        Some(PolicyVerdict::Drained(_)) => return Some(Exclusion::Drained),
+        Some(PolicyVerdict::Open(_)) | None => {}
     }
     if is_skipped_as_slow(query, target, median) {
         return Some(Exclusion::Slow);
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -20,7 +20,7 @@
     }
 
     /// Changes how many tries may be saved.
-    pub fn set_most(&mut self, most: f64) {
+    pub fn set_max_saved(&mut self, most: f64) {
         self.most = most;
         self.saved = self.saved.min(most);
     }
--- a/src/instance/fronts.rs
+++ b/src/instance/fronts.rs
@@ -27,7 +27,7 @@
     connections: 256,
 };
 /// WeightedService of the descriptors that callers' connections may take, as a divisor.
-const CALLERS_PART: u32 = 2;
+const CALLER_DIVISOR: u32 = 2;
 
 /// Answers requests of callers.
 pub struct CallerFront<P: Platform>(pub Rc<Instance<P>>);
@@ -68,7 +68,7 @@
             head_bytes: limits.head_bytes,
             head_time: limits.head_time,
             idle_time: limits.idle_time,
-            connections: (self.0.settings.borrow().descriptors / CALLERS_PART).max(1),
+            connections: (self.0.settings.borrow().descriptors / CALLER_DIVISOR).max(1),
         }
     }
 
--- a/src/instance/settings.rs
+++ b/src/instance/settings.rs
@@ -10,7 +10,7 @@
 use thiserror::Error;
 
 /// The least rate of log lines, bytes a second.
-const LEAST_LOG_RATE: u64 = 10_000;
+const MIN_LOG_RATE: u64 = 10_000;
 
 /// Why settings cannot be used.
 #[derive(Debug, Error)]
@@ -156,7 +156,7 @@
         check.name("instance.name", &raw.instance.name)?;
         check.name("instance.hall", &raw.instance.hall)?;
         check.name("instance.region", &raw.instance.region)?;
-        if raw.log.bytes_per_second < LEAST_LOG_RATE {
+        if raw.log.bytes_per_second < MIN_LOG_RATE {
             return Err(check.error("log.bytes_per_second", "is too low for failures to be told; give 10,000 or more"));
         }
         if raw.limits.memory_mb == 0 {
--- a/src/instance/state.rs
+++ b/src/instance/state.rs
@@ -149,7 +149,7 @@
         let members = self.world.borrow().members.len();
         self.metrics.members.set(members as i64);
         let settings = self.settings();
-        self.retries.borrow_mut().set_most(most_saved(&settings, members));
+        self.retries.borrow_mut().set_max_saved(max_saved(&settings, members));
     }
 
     /// Notes an answer of the store, whatever it said.
@@ -178,9 +178,9 @@
 
 /// A retry budget for one of `members` instances.
 fn budget(settings: &Settings, members: usize) -> RetryBudget {
-    RetryBudget::new(settings.retry_ratio * RATIO_USED, most_saved(settings, members))
+    RetryBudget::new(settings.retry_ratio * RATIO_USED, max_saved(settings, members))
 }
 
-fn most_saved(settings: &Settings, members: usize) -> f64 {
+fn max_saved(settings: &Settings, members: usize) -> f64 {
     settings.retry_slack * SLACK_USED / members.max(1) as f64
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -21,7 +21,7 @@
 const MAX_IDLE: usize = 16;
 /// WeightedService of the connections that a target takes which all instances together may
 /// keep idle, as a divisor.
-const IDLE_PART: usize = 2;
+const IDLE_DIVISOR: usize = 2;
 
 /// Why a request got no answer.
 #[derive(Debug)]
@@ -37,7 +37,7 @@
 pub struct Pool {
     address: SocketAddr,
     idle: RefCell<Vec<Idle>>,
-    most_idle: Cell<usize>,
+    max_idle: Cell<usize>,
 }
 
 #[derive(Debug)]
@@ -93,15 +93,15 @@
 impl Pool {
     /// An empty pool.
     pub fn new(address: SocketAddr) -> Self {
-        Self { address, idle: RefCell::new(Vec::new()), most_idle: Cell::new(MAX_IDLE) }
+        Self { address, idle: RefCell::new(Vec::new()), max_idle: Cell::new(MAX_IDLE) }
     }
 
     /// Bounds what is kept idle by this instance's part of the connections that
     /// the target takes from all `members` instances; 0 where it does not say.
     pub fn share_connections(&self, taken: u32, members: usize) {
-        let part = taken as usize / IDLE_PART / members.max(1);
+        let part = taken as usize / IDLE_DIVISOR / members.max(1);
         let most = if taken == 0 { MAX_IDLE } else { part.clamp(1, MAX_IDLE) };
-        self.most_idle.set(most);
+        self.max_idle.set(most);
     }
 
     /// An idle connection that should still be open.
@@ -128,7 +128,7 @@
         // A second of margin: a close that crosses a request loses it.
         let rest = rest.map_or(DEFAULT_REST, |rest| rest.saturating_sub(Duration::from_secs(1)).min(DEFAULT_REST));
         let mut idle = self.idle.borrow_mut();
-        if !connection.sender.is_closed() && idle.len() < self.most_idle.get() && !rest.is_zero() {
+        if !connection.sender.is_closed() && idle.len() < self.max_idle.get() && !rest.is_zero() {
             idle.push(Idle { connection, until: Instant::now() + rest });
         }
     }
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -18,7 +18,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 /// The least buffer that hyper takes for a head.
-const LEAST_HEAD: usize = 8 * 1024;
+const MIN_HEAD_BUFFER: usize = 8 * 1024;
 /// Wait where no more connections can be taken.
 const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
 
@@ -191,7 +191,7 @@
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits.head_bytes.max(LEAST_HEAD));
+    builder.max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER));
     let mut connection = pin!(builder.serve_connection(noted, service));
     handler.connections(1);
     loop {
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -9,7 +9,7 @@
 use crate::operator::api::{ApplyRequest, Refused};
 use crate::operator::api::{InstanceLine, InstanceStatus, PoliciesApplied, TargetLine, Why, WhyTarget};
 use crate::platform::Platform;
-use crate::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
+use crate::policy::{Active, CapCharge, Policies, PolicyDocument, PolicyMask, RequestFacts};
 use crate::proxy::body::AnswerBody;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -20,7 +20,7 @@
 use tokio::time::Instant;
 
 /// Largest body of an apply, bytes.
-const MOST_BODY: usize = 1 << 20;
+const MAX_BODY: usize = 1 << 20;
 /// Begins the query keys that stand for headers in a question for a decision.
 const HEADER_KEY: &str = "header.";
 
@@ -132,7 +132,7 @@
 }
 
 async fn take_policies<P: Platform>(instance: &Instance<P>, body: Incoming) -> Result<PoliciesApplied, Refusal> {
-    let body = Limited::new(body, MOST_BODY).collect().await;
+    let body = Limited::new(body, MAX_BODY).collect().await;
     let body = body.map_err(|error| refused(StatusCode::PAYLOAD_TOO_LARGE, error))?.to_bytes();
     let request: ApplyRequest =
         serde_json::from_slice(&body).map_err(|error| refused(StatusCode::BAD_REQUEST, error))?;
@@ -168,7 +168,7 @@
     let route = question.route(&config)?;
     let object = question.object.as_ref().map_or(0, |object| hash_affinity(object.as_bytes()));
     let weighted = instance.splits.borrow().peek(route, object);
-    let (trial, now) = (Trial::dry(), Instant::now());
+    let (charge, now) = (CapCharge::dry(), Instant::now());
     let facts = RequestFacts {
         service: &weighted.service,
         route: &route.name,
@@ -178,7 +178,7 @@
         uri: &question.uri,
         headers: &question.headers,
     };
-    let active = world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &trial));
+    let active = world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
     let slow_start =
         instance.health.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
     let query = Query {
@@ -199,7 +199,7 @@
         config: config.version,
         policies: world.policies.as_ref().map(|policies| policies.revision),
         view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
-        acted: active.as_ref().map_or_else(Vec::new, Active::acted),
+        acted: active.as_ref().map_or_else(Vec::new, Active::applied),
         chosen: chosen.map(|(target, _)| target.id.to_string()),
         targets: verdicts.iter().map(|(target, verdict)| why_line(target, *verdict, now)).collect(),
     })
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -19,7 +19,7 @@
 /// Wait after a call that gave nothing, milliseconds.
 const BACKOFF_MS: std::ops::Range<u64> = 100..300;
 /// Largest document, bytes.
-const MOST_BYTES: usize = 512 * 1024;
+const MAX_BYTES: usize = 512 * 1024;
 
 /// Why policies were not applied.
 #[derive(Debug, Error)]
@@ -28,7 +28,7 @@
     #[error(transparent)]
     Declaration(#[from] DeclarationError),
     /// They are too large for the store.
-    #[error("the files have {0} bytes, more than {MOST_BYTES}; remedy: put fewer labels on single targets")]
+    #[error("the files have {0} bytes, more than {MAX_BYTES}; remedy: put fewer labels on single targets")]
     TooLarge(usize),
     /// Another change came first.
     #[error(
@@ -117,7 +117,7 @@
         sources: request.sources.clone(),
     };
     let value = document.value();
-    if value.len() > MOST_BYTES {
+    if value.len() > MAX_BYTES {
         return Err(ApplyError::TooLarge(value.len()));
     }
     let put = instance.store.put_if(P::policies_key(), value, stored.at);
--- a/src/policy/active.rs
+++ b/src/policy/active.rs
@@ -12,15 +12,15 @@
 
 /// What has happened to a request so far, over all its tries.
 #[derive(Debug, Default)]
-pub struct Trial {
+pub struct CapCharge {
     /// Whether its caps have been earned for.
     earned: Cell<bool>,
     /// Whether it has been paid for as moved.
     paid: Cell<bool>,
 }
 
-impl Trial {
-    /// A trial that neither earns nor pays, for a decision that sends nothing.
+impl CapCharge {
+    /// A charge that neither earns nor pays, for a decision that sends nothing.
     pub fn dry() -> Self {
         Self { earned: Cell::new(true), paid: Cell::new(true) }
     }
@@ -28,7 +28,7 @@
 
 /// What policies say of a target for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum PolicyVerdict {
     /// It may be used. The smaller order goes first.
     Open(Order),
     /// A denial selects it.
@@ -60,39 +60,44 @@
     policies: Rc<Policies>,
     mask: PolicyMask,
     weight: Option<usize>,
-    acted: Cell<PolicyMask>,
-    trial: &'a Trial,
+    applied: Cell<PolicyMask>,
+    charge: &'a CapCharge,
 }
 
 impl<'a> Active<'a> {
     /// Finds the policies that select a request about `object`; `None` where
     /// none does. Earns for its caps once a request.
-    pub fn find(policies: &Rc<Policies>, request: &RequestFacts<'_>, object: u64, trial: &'a Trial) -> Option<Self> {
+    pub fn find(
+        policies: &Rc<Policies>,
+        request: &RequestFacts<'_>,
+        object: u64,
+        charge: &'a CapCharge,
+    ) -> Option<Self> {
         let mask = policies.of_request(request);
         if mask.is_empty() {
             return None;
         }
         let weight = weight_of(policies, mask, unit(object, WEIGHT_SEED));
-        let active = Self { policies: policies.clone(), mask, weight, acted: Cell::default(), trial };
-        if !trial.earned.replace(true) {
+        let active = Self { policies: policies.clone(), mask, weight, applied: Cell::default(), charge };
+        if !charge.earned.replace(true) {
             active.earn();
         }
         Some(active)
     }
 
     /// What the policies say of a target.
-    pub fn standing(&self, target: &Target) -> Standing {
+    pub fn verdict(&self, target: &Target) -> PolicyVerdict {
         let reach = target.reach(&self.policies).and(self.mask);
         let policies = &self.policies;
         let denials = reach.and(policies.denials);
         if !denials.is_empty() {
             self.note(denials);
-            return Standing::Denied;
+            return PolicyVerdict::Denied;
         }
         let allowances = self.mask.and(policies.allowances);
         if !allowances.is_empty() && reach.and(allowances).is_empty() {
             self.note(allowances);
-            return Standing::NotAllowed;
+            return PolicyVerdict::NotAllowed;
         }
         let order = Order {
             unwanted: self.weight.is_some_and(|position| !reach.contains(position)),
@@ -101,9 +106,9 @@
         let drains = reach.and(policies.drains);
         if !drains.is_empty() {
             self.note(drains);
-            return Standing::Drained(order);
+            return PolicyVerdict::Drained(order);
         }
-        Standing::Open(order)
+        PolicyVerdict::Open(order)
     }
 
     /// Whether a cap bounds what may be moved.
@@ -113,20 +118,20 @@
 
     /// Pays for a move out of the hall that place alone gives; false where a
     /// cap leaves no credit for it.
-    pub fn pay(&self) -> bool {
-        if self.trial.paid.get() {
+    pub fn charge_caps(&self) -> bool {
+        if self.charge.paid.get() {
             return true;
         }
         let mut spent = PolicyMask::default();
         for position in self.caps().positions() {
             if !self.policies.credits[position].spend() {
                 spent.positions().for_each(|other| self.policies.credits[other].refund());
-                self.acted.set(self.acted.get().or(only(position)));
+                self.applied.set(self.applied.get().or(only(position)));
                 return false;
             }
             spent.insert(position);
         }
-        self.trial.paid.set(true);
+        self.charge.paid.set(true);
         true
     }
 
@@ -145,12 +150,12 @@
     }
 
     /// Names of the policies that had a part in the choice, in name order.
-    pub fn acted(&self) -> Vec<String> {
-        self.policies.names(self.acted.get()).map(str::to_owned).collect()
+    pub fn applied(&self) -> Vec<String> {
+        self.policies.names(self.applied.get()).map(str::to_owned).collect()
     }
 
     fn note(&self, mask: PolicyMask) {
-        self.acted.set(self.acted.get().or(mask));
+        self.applied.set(self.applied.get().or(mask));
     }
 
     fn caps(&self) -> PolicyMask {
--- a/src/policy/check.rs
+++ b/src/policy/check.rs
@@ -9,7 +9,7 @@
 use super::raw::RawPolicy;
 use super::read_action::read_action;
 use super::selector::Selector;
-use super::{DeclarationError, MOST_POLICIES, Policies, PolicyDocument, Sources};
+use super::{DeclarationError, MAX_POLICIES, Policies, PolicyDocument, Sources};
 use serde::Deserialize;
 use toml::Spanned;
 
@@ -68,9 +68,9 @@
             names.label(file, &mut labels)?;
             for raw in &file.raw.policy {
                 names.policy.add(file, "policy", &raw.name)?;
-                if list.len() == MOST_POLICIES {
+                if list.len() == MAX_POLICIES {
                     let place = file.place("policy", &raw.name, "");
-                    return Err(DeclarationError::TooMany { place, kind: "policies", most: MOST_POLICIES });
+                    return Err(DeclarationError::TooMany { place, kind: "policies", most: MAX_POLICIES });
                 }
                 list.push(policy(file, raw, &mut interner)?);
             }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -17,7 +17,7 @@
 pub mod selector;
 mod source;
 
-pub use active::{Active, Order, Standing, Trial};
+pub use active::{Active, CapCharge, Order, PolicyVerdict};
 pub use document::PolicyDocument;
 pub use error::{DeclarationError, Place};
 pub use labels::RequestFacts;
@@ -30,7 +30,7 @@
 use labels::Labels;
 
 /// The most policies of one document: a [`PolicyMask`] has one bit for each.
-pub const MOST_POLICIES: usize = 128;
+pub const MAX_POLICIES: usize = 128;
 
 /// A set of the policies of one document, by their positions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -8,7 +8,7 @@
 use crate::instance::state::Instance;
 use crate::model::config::{Config, Repeat, Route, WeightedService};
 use crate::platform::Platform;
-use crate::policy::{Active, RequestFacts, Trial};
+use crate::policy::{Active, CapCharge, RequestFacts};
 use crate::proxy::body::{AnswerBody, RequestBody};
 use crate::proxy::exchange::{Exchange, Fault};
 use crate::proxy::held::Held;
@@ -23,7 +23,7 @@
 use tokio::time::Instant;
 
 /// The least time left with which a request is sent.
-const LEAST_LEFT: Duration = Duration::from_millis(5);
+const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
 /// Tries that reached no target at all, besides those that did.
 const UNREACHABLE_TRIES: u32 = 2;
 
@@ -42,7 +42,7 @@
     /// When an answer is no longer of use.
     pub until: Instant,
     /// What the operators' caps have earned and spent for it.
-    pub trial: Trial,
+    pub charge: CapCharge,
 }
 
 impl<P: Platform> Attempt<'_, P> {
@@ -66,7 +66,7 @@
                     break;
                 }
             };
-            if Instant::now() + LEAST_LEFT >= self.until {
+            if Instant::now() + MIN_TIME_LEFT >= self.until {
                 last = Some(Refusal::TooLate);
                 break;
             }
@@ -153,7 +153,7 @@
                 now: Instant::now(),
             };
             let chosen = choose(&world, self.config, &query);
-            story.policies = active.as_ref().map_or_else(Vec::new, Active::acted);
+            story.policies = active.as_ref().map_or_else(Vec::new, Active::applied);
             let is_capped = matches!(chosen, Err(NoTarget::Capped(_)));
             match chosen {
                 Ok(target) => {
@@ -183,7 +183,7 @@
             uri: &self.parts.uri,
             headers: &self.parts.headers,
         };
-        Active::find(world.policies.as_ref()?, &facts, object, &self.trial)
+        Active::find(world.policies.as_ref()?, &facts, object, &self.charge)
     }
 
     fn note_fault(&self, fault: &Fault, target: &Target) {
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -17,7 +17,7 @@
 
 /// Answers up to this size are read whole before they are passed on, so that
 /// one that breaks off can still be replaced.
-const HELD_ANSWER: usize = 64 * 1024;
+const MAX_BUFFERED_ANSWER: usize = 64 * 1024;
 /// Header in which a target says how long it keeps an idle connection.
 const KEEP_ALIVE: &str = "keep-alive";
 
@@ -195,7 +195,7 @@
 
 /// Reads an answer whole unless it is large.
 async fn read_whole(mut incoming: Incoming) -> Result<Read, hyper::Error> {
-    if incoming.size_hint().lower() > HELD_ANSWER as u64 {
+    if incoming.size_hint().lower() > MAX_BUFFERED_ANSWER as u64 {
         return Ok(Read::WeightedService(VecDeque::new(), incoming));
     }
     let mut chunks = VecDeque::new();
@@ -204,7 +204,7 @@
         let Ok(chunk) = frame?.into_data() else { continue };
         size += chunk.len();
         chunks.push_back(chunk);
-        if size > HELD_ANSWER {
+        if size > MAX_BUFFERED_ANSWER {
             return Ok(Read::WeightedService(chunks, incoming));
         }
     }
--- a/src/proxy/held.rs
+++ b/src/proxy/held.rs
@@ -15,9 +15,9 @@
 use tokio::time::{Instant, timeout_at};
 
 /// Request bodies up to this size are held whole.
-const HELD_BODY: u64 = 512 * 1024;
+const MAX_BUFFERED_BODY: u64 = 512 * 1024;
 /// WeightedService of the memory that held request bodies may take.
-const HELD_PART: u64 = 8;
+const BUFFER_DIVISOR: u64 = 8;
 
 /// A request's body.
 #[derive(Debug)]
@@ -53,8 +53,8 @@
         }
         let mut held = HeldBytes::none(&instance.held_bytes);
         let mut chunks = VecDeque::new();
-        let room = instance.settings.borrow().memory / HELD_PART;
-        while hint.lower() <= HELD_BODY && held.own <= HELD_BODY && instance.held_bytes.get() <= room {
+        let room = instance.settings.borrow().memory / BUFFER_DIVISOR;
+        while hint.lower() <= MAX_BUFFERED_BODY && held.own <= MAX_BUFFERED_BODY && instance.held_bytes.get() <= room {
             let frame = match timeout_at(until, incoming.frame()).await {
                 Err(_) | Ok(Some(Err(_))) => return Err(Refusal::BrokenBody),
                 Ok(Some(Ok(frame))) => frame,
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -6,7 +6,7 @@
 use crate::model::config::Config;
 use crate::net::headers::remove_hop_by_hop;
 use crate::platform::Platform;
-use crate::policy::Trial;
+use crate::policy::CapCharge;
 use crate::proxy::attempt::Attempt;
 use crate::proxy::body::AnswerBody;
 use crate::proxy::held::Held;
@@ -118,7 +118,9 @@
     let (mut parts, incoming) = request.into_parts();
     let body = Held::read(instance, config.limits.body_bytes, incoming, until).await?;
     clean(&mut parts)?;
-    Attempt { instance, config: &config, route, parts, started, until, trial: Trial::default() }.run(body, story).await
+    Attempt { instance, config: &config, route, parts, started, until, charge: CapCharge::default() }
+        .run(body, story)
+        .await
 }
 
 /// The configuration in force. A process that has just started knows it within
--- a/src/sync/peers/told.rs
+++ b/src/sync/peers/told.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 /// Longest time a question waits for changes.
-const LONGEST_WAIT: Duration = Duration::from_secs(5);
+const MAX_WAIT: Duration = Duration::from_secs(5);
 
 /// One change.
 #[derive(Debug, Serialize, Deserialize)]
@@ -112,7 +112,7 @@
         }
     };
     tokio::select! {
-        _ = timeout(wait.min(LONGEST_WAIT), changed) => {}
+        _ = timeout(wait.min(MAX_WAIT), changed) => {}
         () = confirmed => {}
         () = turns_stale => {}
     }
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -10,7 +10,7 @@
 use tracing_subscriber::fmt::MakeWriter;
 
 /// Bytes of lines that wait to be written; more are dropped and counted.
-const MOST_PENDING: usize = 256 * 1024;
+const MAX_PENDING: usize = 256 * 1024;
 /// Time between writes.
 const WRITE_EVERY: Duration = Duration::from_millis(100);
 /// Batches handed to the writing thread and not yet written.
@@ -103,7 +103,7 @@
         let mut budget = self.budget.lock().expect("no holder panics");
         budget.earn(now);
         let mut pending = self.pending.lock().expect("no holder panics");
-        if pending.len() + line.len() > MOST_PENDING || !budget.spend(line.len()) {
+        if pending.len() + line.len() > MAX_PENDING || !budget.spend(line.len()) {
             self.dropped.fetch_add(1, Relaxed);
             return;
         }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -6,7 +6,7 @@
 use lockloft::decision::choice::{Exclusion, NoTarget, Query, Verdict, choose, explain};
 use lockloft::decision::target::Target;
 use lockloft::policy::Sources;
-use lockloft::policy::{Active, Policies, PolicyDocument, PolicyMask, RequestFacts, Trial};
+use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, PolicyMask, RequestFacts};
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::{BTreeSet, HashMap};
@@ -44,14 +44,14 @@
 
 /// Chooses for an object, with the names of the policies that had a part.
 fn governed(scene: &Scene, asked: &Asked, object: u64) -> (Result<Rc<Target>, NoTarget>, Vec<String>) {
-    decide(scene, asked, object, &Trial::default(), choose)
+    decide(scene, asked, object, &CapCharge::default(), choose)
 }
 
 fn decide<T>(
     scene: &Scene,
     asked: &Asked,
     object: u64,
-    trial: &Trial,
+    trial: &CapCharge,
     with: impl Fn(&lockloft::decision::world::World, &lockloft::model::config::Config, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
@@ -76,7 +76,7 @@
         now: scene.now,
     };
     let decided = with(&scene.world, &scene.config, &query);
-    (decided, active.as_ref().map_or_else(Vec::new, Active::acted))
+    (decided, active.as_ref().map_or_else(Vec::new, Active::applied))
 }
 
 fn halls(scene: &Scene, asked: &Asked, objects: std::ops::Range<u64>) -> HashMap<String, u32> {
@@ -184,7 +184,7 @@
         "[[policy]]\nname = \"d\"\nplaces = { hall = \"a-1\" }\ndrain = true\n\
          [[policy]]\nname = \"n\"\nplaces = { hall = \"b-1\" }\ndeny = true\n",
     );
-    let (verdicts, _) = decide(&scene, &Asked::plain(), 7, &Trial::dry(), explain);
+    let (verdicts, _) = decide(&scene, &Asked::plain(), 7, &CapCharge::dry(), explain);
     let of = |id: &str| verdicts.iter().find(|(target, _)| &*target.id == id).unwrap().1;
     assert_eq!(verdicts.len(), 8);
     assert_eq!([of("t0"), of("t1")], [Verdict::Excluded(Exclusion::Drained); 2]);
