--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -201,10 +201,10 @@
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     scene.now += Duration::from_millis(600);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
-    let charge = first.enter(scene.now);
+    let trial = first.enter(scene.now);
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     first.record_success(Duration::from_millis(50), scene.now);
-    drop(charge);
+    drop(trial);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
 }
 
