--- a/standins/src/upstream.rs
+++ b/standins/src/upstream.rs
@@ -46,6 +46,11 @@
     Fail,
     /// It is full: it answers 503 and does not run the request.
     Full,
+    /// It works on and answers though its connection was closed meanwhile.
+    Deaf,
+    /// It sends these bytes, `{id}` in them being the request's identity, and
+    /// closes the connection.
+    Says(&'static str),
 }
 
 /// One request that an upstream began to work on.
@@ -267,14 +272,14 @@
     if misbehaviour == Misbehaviour::Dark {
         std::future::pending::<()>().await;
     }
-    if !work(stream, shared, &call).await {
+    if !work(stream, shared, &call, misbehaviour).await {
         return false;
     }
     say(stream, shared, &call, misbehaviour).await
 }
 
 /// Works on a request; false where its connection closed meanwhile.
-async fn work(stream: &mut TcpStream, shared: &Arc<Shared>, call: &Call) -> bool {
+async fn work(stream: &mut TcpStream, shared: &Arc<Shared>, call: &Call, misbehaviour: Misbehaviour) -> bool {
     shared.lock().waiting += 1;
     let permit = shared.room.acquire().await.expect("the semaphore is never closed");
     let (position, time) = {
@@ -296,7 +301,7 @@
     let mut byte = [0];
     let finished = tokio::select! {
         () = tokio::time::sleep(time) => true,
-        closed = stream.peek(&mut byte) => match closed {
+        closed = stream.peek(&mut byte), if misbehaviour != Misbehaviour::Deaf => match closed {
             // Bytes of a next request are none of this one's business.
             Ok(size) if size > 0 => { tokio::time::sleep(time).await; true }
             _ => false,
@@ -322,6 +327,10 @@
             let _ = stream.write_all(b"this is no answer\r\n\r\n").await;
             false
         }
+        Misbehaviour::Says(text) => {
+            let _ = stream.write_all(text.replace("{id}", call.id()).as_bytes()).await;
+            false
+        }
         Misbehaviour::Unsigned => stream.write_all(&answer(shared, call.id(), 200, &body, &[])).await.is_ok(),
         Misbehaviour::WrongId => stream.write_all(&answer(shared, "another", 200, &body, &signed)).await.is_ok(),
         Misbehaviour::Fail => stream.write_all(&answer(shared, call.id(), 500, "failed", &signed)).await.is_ok(),
--- /dev/null
+++ b/standins/tests/answer_order.rs
@@ -0,0 +1,150 @@
+//! Answers that come late or out of order: each reaches its own request, and
+//! nobody gets that of a request which was given up.
+
+mod common;
+
+use common::{program, raw};
+use standins::http::{Connection, NoReply};
+use standins::site::{Ask, EntryProcess, HOST, RouteSpec, Site, until};
+use standins::upstream::{Misbehaviour, Upstream};
+use std::time::Duration;
+
+/// Requests that are under way together.
+const TOGETHER: usize = 6;
+
+struct Scene {
+    _site: Site,
+    entry: EntryProcess,
+    upstream: Upstream,
+}
+
+/// An upstream with room for all, whose one object is warm.
+async fn scene(timeout_ms: u64) -> Scene {
+    let site = Site::start(program()).await;
+    let upstream = Upstream::start("u-0", 64, Duration::from_millis(1)).await.unwrap();
+    site.list(&upstream, "shop", "a-1");
+    let mut routes = [RouteSpec::new("/look/", "safe", "shop"), RouteSpec::new("/buy/", "unsafe", "shop")];
+    routes.iter_mut().for_each(|route| route.timeout_ms = timeout_ms);
+    site.configure(1, &routes, &["shop"]);
+    let entry = site.ready_entry("e-1", "a-1").await;
+    let scene = Scene { _site: site, entry, upstream };
+    scene.served("/look/a").await;
+    scene
+}
+
+impl Scene {
+    /// Asks and demands the request's own answer.
+    async fn served(&self, path: &str) {
+        let ask = Ask::post(path, "one");
+        let reply = ask.send(self.entry.callers).await.unwrap();
+        assert_eq!(reply.status, 200);
+        assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
+        assert!(reply.body.ends_with(ask.id.as_bytes()), "the answer of another request came: {reply:?}");
+    }
+
+    async fn arrived(&self, id: &str) {
+        until("the request's arrival", || self.upstream.runs().iter().any(|run| run.id == id)).await;
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn answers_out_of_order_reach_their_own_requests() {
+    let scene = scene(0).await;
+    let mut inversions = 0;
+    for round in 0..10 {
+        let mut tasks = tokio::task::JoinSet::new();
+        for number in 0..TOGETHER {
+            // The later a request comes, the sooner it is answered.
+            scene.upstream.work(Duration::from_millis(280 - 50 * number as u64));
+            let path = if (round + number) % 2 == 0 { "/look/a" } else { "/buy/a" };
+            let (ask, callers) = (Ask::post(path, "one"), scene.entry.callers);
+            let id = ask.id.clone();
+            tasks.spawn(async move { (number, ask.id.clone(), ask.send(callers).await.unwrap()) });
+            scene.arrived(&id).await;
+        }
+        let mut order = Vec::new();
+        while let Some(ended) = tasks.join_next().await {
+            let (number, id, reply) = ended.unwrap();
+            assert_eq!(reply.status, 200);
+            assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{id}"));
+            assert!(reply.body.ends_with(id.as_bytes()), "the answer of another request came: {reply:?}");
+            order.push(number);
+        }
+        inversions += usize::from(!order.is_sorted());
+    }
+    assert!(inversions > 0, "all answers came in the order of their requests");
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn late_answers_after_cancellation_reach_nobody_else() {
+    let scene = scene(0).await;
+    for misbehaviour in [Misbehaviour::None, Misbehaviour::Deaf] {
+        for path in ["/look/a", "/buy/a"].repeat(5) {
+            scene.upstream.set(misbehaviour);
+            scene.upstream.work(Duration::from_millis(60));
+            // Gives up before the answer: its connection is dropped.
+            let ask = Ask::post(path, "one");
+            let mut connection = Connection::open(scene.entry.callers, None).await.unwrap();
+            let lost = connection.send(ask.request(), Duration::from_millis(25)).await;
+            assert_eq!(lost.map(|reply| reply.status.as_u16()), Err(NoReply::Broken));
+            drop(connection);
+            scene.upstream.set(Misbehaviour::None);
+            scene.upstream.work(Duration::from_millis(1));
+            for _ in 0..4 {
+                scene.served(path).await;
+            }
+        }
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn answers_that_come_after_the_route_s_time_reach_nobody_else() {
+    let scene = scene(100).await;
+    for path in ["/look/a", "/buy/a"].repeat(4) {
+        scene.upstream.set(Misbehaviour::Deaf);
+        scene.upstream.work(Duration::from_millis(130));
+        // The caller's own connection stays in use after the timeout.
+        let mut connection = Connection::open(scene.entry.callers, None).await.unwrap();
+        let late = connection.send(Ask::post(path, "one").request(), Duration::from_secs(5)).await.unwrap();
+        assert_eq!(late.status, 504);
+        scene.upstream.set(Misbehaviour::None);
+        scene.upstream.work(Duration::from_millis(1));
+        for _ in 0..4 {
+            let ask = Ask::post(path, "one");
+            let reply = connection.send(ask.request(), Duration::from_secs(5)).await.unwrap();
+            assert!(reply.status != 200 || reply.body.ends_with(ask.id.as_bytes()), "{reply:?}");
+            scene.served(path).await;
+        }
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn answers_to_requests_sent_at_once_come_in_their_order() {
+    let scene = scene(0).await;
+    let ids: Vec<String> = (0..4).map(|_| standins::site::fresh_id()).collect();
+    let request = |id: &String| {
+        let close = if *id == ids[3] { "Connection: close\r\n" } else { "" };
+        format!(
+            "GET /look/a HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: {id}\r\nLockloft-Affinity-Key: 1\r\n{close}\r\n"
+        )
+    };
+    let text: String = ids.iter().map(request).collect();
+    let answers = raw(scene.entry.callers, text.as_bytes()).await;
+    let places: Vec<usize> = ids.iter().map(|id| answers.find(&format!("u-0 {id}")).unwrap()).collect();
+    assert!(places.is_sorted(), "{answers}");
+    assert_eq!(answers.matches("HTTP/1.1 200").count(), 4, "{answers}");
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_request_that_its_caller_left_halfway_runs_nowhere() {
+    let scene = scene(0).await;
+    let mut stream = tokio::net::TcpStream::connect(scene.entry.callers).await.unwrap();
+    let half = format!(
+        "POST /buy/a HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: half-1\r\nContent-Length: 10\r\n\r\nhalf"
+    );
+    tokio::io::AsyncWriteExt::write_all(&mut stream, half.as_bytes()).await.unwrap();
+    drop(stream);
+    let line = scene.entry.request_line("half-1").await;
+    assert_eq!(line["sends"], 0, "{line}");
+    assert!(scene.upstream.runs().iter().all(|run| run.id != "half-1"));
+}
--- /dev/null
+++ b/standins/tests/broken_answers.rs
@@ -0,0 +1,200 @@
+//! Answers of targets that are no good HTTP or break off: a caller gets a
+//! whole answer to its own request, or one that says that there is none.
+
+mod common;
+
+use common::{program, raw};
+use hyper::StatusCode;
+use standins::http::NoReply;
+use standins::site::{Ask, EntryProcess, HOST, PATIENCE, RouteSpec, Site};
+use standins::upstream::{Misbehaviour, Upstream};
+use std::time::{Duration, Instant};
+
+/// The head of an answer that is good up to there.
+const HEAD: &str = "HTTP/1.1 200 OK\r\nLockloft-Request-Id: {id}\r\nLockloft-Response-Signature: signed-{id}\r\n";
+/// Answers up to this size are read whole before they are passed on.
+const LARGE: usize = 200_000;
+
+/// What stands behind the head in answers that are broken.
+const BROKEN: [&str; 14] = [
+    // Chunks that break off, at each place.
+    "Transfer-Encoding: chunked\r\n\r\n",
+    "Transfer-Encoding: chunked\r\n\r\n5\r\nhel",
+    "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n",
+    "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\n",
+    "Transfer-Encoding: chunked\r\n\r\n5\r\nhello\r\n0\r\nTrailer: hal",
+    // Chunks whose size is no size, or not theirs.
+    "Transfer-Encoding: chunked\r\n\r\nfive\r\nhello\r\n0\r\n\r\n",
+    "Transfer-Encoding: chunked\r\n\r\n-5\r\nhello\r\n0\r\n\r\n",
+    "Transfer-Encoding: chunked\r\n\r\nfffffffffffffffff\r\nhello\r\n0\r\n\r\n",
+    "Transfer-Encoding: chunked\r\n\r\n3\r\nhello\r\n0\r\n\r\n",
+    // Lengths that are none, contradict each other, or are not reached.
+    "Content-Length: -5\r\n\r\nhello",
+    "Content-Length: five\r\n\r\nhello",
+    "Content-Length: 5\r\nContent-Length: 7\r\n\r\nhello",
+    "Content-Length: 9\r\n\r\nhello",
+    // A head that does not end.
+    "Content-Length: 5\r\nX-Cut: of",
+];
+
+/// Answers whose head is broken from its first line on.
+const HEADLESS: [&str; 5] = [
+    "",
+    "HTTP/1.1 20\r\n\r\n",
+    "HTTP/1.1 abc OK\r\nContent-Length: 0\r\n\r\n",
+    "HTTP/1.1 200 OK\r\nno colon here\r\n\r\n",
+    "HTTP/9.9 200 OK\r\nContent-Length: 0\r\n\r\n",
+];
+
+struct Scene {
+    _site: Site,
+    entry: EntryProcess,
+    upstreams: Vec<Upstream>,
+}
+
+async fn scene(count: usize) -> Scene {
+    let site = Site::start(program()).await;
+    let mut upstreams = Vec::new();
+    for number in 0..count {
+        let upstream = Upstream::start(&format!("u-{number}"), 4, Duration::from_millis(2)).await.unwrap();
+        site.list(&upstream, "shop", "a-1");
+        upstreams.push(upstream);
+    }
+    let routes = [RouteSpec::new("/look/", "safe", "shop"), RouteSpec::new("/buy/", "unsafe", "shop")];
+    site.configure(1, &routes, &["shop"]);
+    let entry = site.ready_entry("e-1", "a-1").await;
+    Scene { _site: site, entry, upstreams }
+}
+
+impl Scene {
+    fn all(&self, misbehaviour: Misbehaviour) {
+        self.upstreams.iter().for_each(|upstream| upstream.set(misbehaviour));
+    }
+
+    fn runs_of(&self, id: &str) -> usize {
+        self.upstreams.iter().flat_map(Upstream::runs).filter(|run| run.id == id).count()
+    }
+
+    /// Waits until requests are served again: a target that failed gets a
+    /// moment's rest. Each answer on the way has to be the request's own.
+    async fn served(&self) {
+        let end = Instant::now() + PATIENCE;
+        loop {
+            let ask = Ask::post("/buy/x", "one");
+            let reply = ask.send(self.entry.callers).await.unwrap();
+            if reply.status == 200 {
+                assert!(reply.body.ends_with(ask.id.as_bytes()), "the answer of another request: {reply:?}");
+                return;
+            }
+            assert_eq!(reply.status, 503, "nothing is broken any more");
+            assert!(Instant::now() < end, "nothing is served any more");
+            tokio::time::sleep(Duration::from_millis(20)).await;
+        }
+    }
+}
+
+fn broken() -> impl Iterator<Item = &'static str> {
+    let behind_head = BROKEN.iter().map(|rest| &*format!("{HEAD}{rest}").leak());
+    HEADLESS.into_iter().chain(behind_head)
+}
+
+/// A large answer in chunks, or with a length, that ends before it is whole.
+fn large(is_chunked: bool) -> &'static str {
+    let part = "x".repeat(LARGE);
+    let text = match is_chunked {
+        true => format!("{HEAD}Transfer-Encoding: chunked\r\n\r\n{LARGE:x}\r\n{part}\r\n"),
+        false => format!("{HEAD}Content-Length: {}\r\n\r\n{part}", LARGE + 1),
+    };
+    text.leak()
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_broken_answer_to_a_request_that_may_run_once_is_a_502_and_spoils_no_other() {
+    let scene = scene(1).await;
+    for text in broken() {
+        scene.served().await;
+        scene.all(Misbehaviour::Says(text));
+        let ask = Ask::post("/buy/x", "one");
+        let reply = ask.send(scene.entry.callers).await.unwrap();
+        assert_eq!(reply.status, StatusCode::BAD_GATEWAY, "{text:?}");
+        assert_eq!(scene.runs_of(&ask.id), 1, "{text:?}");
+        assert!(reply.header("lockloft-response-signature").is_empty(), "{text:?}");
+        assert!(!String::from_utf8_lossy(&reply.body).contains("hel"), "{text:?}: {reply:?}");
+        scene.all(Misbehaviour::None);
+    }
+    scene.served().await;
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_safe_request_gets_another_target_s_answer_in_place_of_a_broken_one() {
+    let scene = scene(2).await;
+    for text in broken() {
+        // Second tries have to be earned.
+        for _ in 0..10 {
+            assert_eq!(Ask::get("/look/a").send(scene.entry.callers).await.unwrap().status, 200);
+        }
+        let home = scene.upstreams.iter().max_by_key(|upstream| upstream.runs().len()).unwrap();
+        home.set(Misbehaviour::Says(text));
+        let ask = Ask::get("/look/a");
+        let reply = ask.send(scene.entry.callers).await.unwrap();
+        assert_eq!(reply.status, 200, "{text:?}");
+        assert!(reply.body.ends_with(ask.id.as_bytes()), "{text:?}");
+        assert_eq!(scene.runs_of(&ask.id), 2, "{text:?}");
+        home.set(Misbehaviour::None);
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_chunked_answer_that_breaks_off_is_not_made_whole() {
+    let scene = scene(1).await;
+    for text in [large(true), &*format!("{HEAD}{}", BROKEN[2]).leak()] {
+        scene.served().await;
+        scene.all(Misbehaviour::Says(text));
+        let request = format!(
+            "GET /look/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: cut-1\r\nLockloft-Deadline-Ms: 2000\r\n\
+             Connection: close\r\n\r\n"
+        );
+        let answer = raw(scene.entry.callers, request.as_bytes()).await;
+        assert!(!answer.ends_with("0\r\n\r\n"), "a short answer was closed as if it were whole");
+        assert!(!answer.starts_with("HTTP/1.1 200") || answer.contains("chunked"), "its length is a lie");
+        scene.all(Misbehaviour::None);
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_large_answer_that_breaks_off_breaks_visibly() {
+    let scene = scene(1).await;
+    for text in [large(true), large(false)] {
+        for path in ["/look/x", "/buy/x"] {
+            scene.served().await;
+            scene.all(Misbehaviour::Says(text));
+            let ask = Ask::post(path, "one");
+            match ask.send(scene.entry.callers).await {
+                Err(broken) => assert_eq!(broken, NoReply::Broken),
+                Ok(reply) => assert_eq!(reply.status, 502, "never short and well-formed"),
+            }
+            assert_eq!(scene.runs_of(&ask.id), 1, "a part of it was passed on already");
+            scene.all(Misbehaviour::None);
+        }
+    }
+    scene.served().await;
+}
+
+/// Of a length and chunks at once, one reading leaves bytes that look like an
+/// answer to the next request.
+#[tokio::test(flavor = "multi_thread")]
+async fn an_answer_with_two_readings_spoils_no_other() {
+    let scene = scene(1).await;
+    let smuggled = "HTTP/1.1 200 OK\r\nContent-Length: 8\r\n\r\nsmuggled";
+    for framing in
+        ["Content-Length: 5\r\nTransfer-Encoding: chunked", "Transfer-Encoding: chunked\r\nContent-Length: 5"]
+    {
+        scene.served().await;
+        scene.all(Misbehaviour::Says(format!("{HEAD}{framing}\r\n\r\n0\r\n\r\n{smuggled}").leak()));
+        let mut connection = standins::http::Connection::open(scene.entry.callers, None).await.unwrap();
+        let first = connection.send(Ask::post("/buy/x", "one").request(), Duration::from_secs(5)).await;
+        assert!(!first.is_ok_and(|reply| String::from_utf8_lossy(&reply.body).contains("smuggled")));
+        scene.all(Misbehaviour::None);
+        scene.served().await;
+    }
+}
--- /dev/null
+++ b/standins/tests/garbage.rs
@@ -0,0 +1,123 @@
+//! Garbage at the addresses of peers, operators and the directory, and from
+//! peers: refused, and nothing changes by it.
+
+mod common;
+
+use common::{program, raw};
+use serde_json::{Value, json};
+use standins::http;
+use standins::site::{Ask, EntryProcess, PATIENCE, RouteSpec, Site};
+use standins::store::Trouble;
+use standins::upstream::Upstream;
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
+use tokio::net::TcpListener;
+
+async fn scene() -> (Site, Upstream, EntryProcess) {
+    let site = Site::start(program()).await;
+    let upstream = Upstream::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
+    site.list(&upstream, "shop", "a-1");
+    site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
+    let entry = site.ready_entry("e-1", "a-1").await;
+    (site, upstream, entry)
+}
+
+/// What the instance has in force, without what changes by itself.
+async fn in_force(entry: &EntryProcess) -> Value {
+    let reply = http::get(entry.peers, "/status").await.unwrap();
+    let status: Value = serde_json::from_slice(&reply.body).unwrap();
+    json!([status["config"], status["policies"], status["members"], status["targets"], status["evacuated"]])
+}
+
+/// Answers each connection with these bytes, whatever it asks.
+async fn garbage_server(text: &'static [u8]) -> SocketAddr {
+    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let address = listener.local_addr().unwrap();
+    tokio::spawn(async move {
+        while let Ok((mut stream, _)) = listener.accept().await {
+            let _ = stream.read(&mut [0; 4_096]).await;
+            let _ = stream.write_all(text).await;
+        }
+    });
+    address
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn garbage_at_any_address_changes_nothing() {
+    let (site, _upstream, entry) = scene().await;
+    let (before, revision) = (in_force(&entry).await, site.store.keys("").len());
+    let garbage: [&[u8]; 5] = [
+        b"NOT HTTP AT ALL\r\n\r\n",
+        &[0xff; 4_096],
+        &[0; 64],
+        b"\x00\x00\x00\x7f\xff\xff\xff\x7f",
+        b"POST /policies HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\nConnection: close\r\n\r\nfive\r\nhello\r\n",
+    ];
+    for address in [entry.peers, entry.directory, entry.readiness, entry.callers] {
+        for bytes in garbage {
+            let answer = raw(address, bytes).await;
+            assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
+        }
+    }
+    assert_eq!(in_force(&entry).await, before);
+    assert_eq!(site.store.keys("").len(), revision, "something was written");
+    assert!(entry.is_ready().await);
+    assert_eq!(Ask::get("/look/a").send(entry.callers).await.unwrap().status, 200);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_question_or_an_apply_that_cannot_be_read_is_refused_and_changes_nothing() {
+    let (_site, _upstream, entry) = scene().await;
+    let before = in_force(&entry).await;
+    let good = json!({"id": "i", "by": "anna", "expect": null, "sources": {"files": []}});
+    let without = |field: &str| {
+        let mut request = good.clone();
+        request.as_object_mut().unwrap().remove(field);
+        request.to_string().into_bytes()
+    };
+    let bodies = [Vec::new(), b"{".to_vec(), b"[]".to_vec(), vec![0xff; 100], without("id"), without("sources")];
+    for body in bodies {
+        let shown = String::from_utf8_lossy(&body).into_owned();
+        let reply = http::post(entry.peers, "/policies", body).await.unwrap();
+        assert_eq!(reply.status, 400, "{shown}");
+        let refused: Value = serde_json::from_slice(&reply.body).unwrap();
+        assert!(!refused["message"].as_str().unwrap().is_empty(), "{shown}");
+    }
+    let reply = http::post(entry.peers, "/policies", vec![b' '; (1 << 20) + 1]).await.unwrap();
+    assert_eq!(reply.status, 413);
+    for (path, expected, word) in [
+        ("/why", 400, "host is missing; give host=VALUE"),
+        ("/why?host=shop.example", 400, "path is missing; give path=VALUE"),
+        ("/why?host=shop.example&path=/nowhere/a", 404, "correct them or add a route"),
+        ("/why?host=shop.example&path=/look/a&method=%20", 400, "method"),
+        ("/why?host=shop.example&path=/look/a&header.%20=x", 400, "header name"),
+        ("/policies", 404, "remedy: `lockloft apply` some"),
+    ] {
+        let reply = http::get(entry.peers, path).await.unwrap();
+        let text = String::from_utf8_lossy(&reply.body).into_owned();
+        assert_eq!(reply.status, expected, "{path}: {text}");
+        assert!(text.contains(word), "{path}: {text}");
+    }
+    assert_eq!(in_force(&entry).await, before);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn peers_that_answer_garbage_do_not_keep_an_instance_from_learning() {
+    let (site, _upstream, first) = scene().await;
+    let garbage = [
+        garbage_server(b"this is no answer\r\n\r\n").await,
+        garbage_server(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}").await,
+        garbage_server(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot json!").await,
+        garbage_server(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"at\"\r\n").await,
+    ];
+    site.door.set(Trouble::Silent);
+    let mut entry = site.entry_at("e-2", "a-2", &site.door, &[garbage.as_slice(), &[first.peers]].concat());
+    entry.start();
+    let end = Instant::now() + PATIENCE;
+    while !Ask::get("/look/a").send(entry.callers).await.is_ok_and(|reply| reply.status == 200) {
+        assert!(Instant::now() < end, "it learned nothing: {}", entry.log());
+        tokio::time::sleep(Duration::from_millis(50)).await;
+    }
+    assert_eq!(in_force(&entry).await[0], 1);
+}
--- /dev/null
+++ b/standins/tests/recovery_of_instances.rs
@@ -0,0 +1,155 @@
+//! Instances that are cut off, paused, killed and replaced, together or twice.
+
+mod common;
+
+use common::program;
+use standins::http;
+use standins::site::{Ask, EntryProcess, PATIENCE, RouteSpec, Site, until};
+use standins::store::Trouble;
+use standins::upstream::Upstream;
+use std::time::{Duration, Instant};
+
+async fn upstream(site: &Site, id: &str, hall: &str) -> Upstream {
+    let upstream = Upstream::start(id, 8, Duration::from_millis(2)).await.unwrap();
+    site.list(&upstream, "shop", hall);
+    upstream
+}
+
+fn shop() -> RouteSpec {
+    RouteSpec::new("/look/", "safe", "shop")
+}
+
+async fn site() -> Site {
+    let site = Site::start(program()).await;
+    site.configure(1, &[shop()], &["shop"]);
+    site
+}
+
+async fn status(entry: &EntryProcess) -> serde_json::Value {
+    serde_json::from_slice(&http::get(entry.peers, "/status").await.unwrap().body).unwrap()
+}
+
+async fn until_status(entry: &EntryProcess, path: &str, status: u16) {
+    let end = Instant::now() + PATIENCE;
+    while !Ask::get(path).send(entry.callers).await.is_ok_and(|reply| reply.status == status) {
+        assert!(Instant::now() < end, "{path} was never answered with {status} by {}", entry.name);
+        tokio::time::sleep(Duration::from_millis(20)).await;
+    }
+}
+
+/// Whether an entry answers 20 objects, each with its own answer.
+async fn serves(entry: &EntryProcess) {
+    for object in 0..20 {
+        let ask = Ask::get("/look/a").about(object);
+        let reply = ask.send(entry.callers).await.unwrap();
+        assert_eq!(reply.status, 200, "{}", entry.name);
+        assert!(reply.body.ends_with(ask.id.as_bytes()));
+    }
+}
+
+async fn until_named(asked: &EntryProcess, entry: &EntryProcess, is_named: bool) {
+    let (end, address) = (Instant::now() + PATIENCE, entry.callers.to_string());
+    while asked.resolve("a").await.contains(&address) != is_named {
+        assert!(Instant::now() < end, "that {} is named stays {}", entry.name, !is_named);
+        tokio::time::sleep(Duration::from_millis(20)).await;
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn instances_cut_off_from_everything_serve_their_own_callers() {
+    let site = site().await;
+    let _upstreams = [upstream(&site, "u-1", "a-1").await, upstream(&site, "u-2", "b-1").await];
+    let mut entries = Vec::new();
+    for (name, hall) in [("e-1", "a-1"), ("e-2", "b-1")] {
+        let door = site.store.door().await.unwrap();
+        let mut entry = site.entry_at(name, hall, &door, &[]);
+        entry.start();
+        entry.ready().await;
+        entries.push((entry, door));
+    }
+    for (entry, _) in &entries {
+        until("the sight of each other", || entry.events("member").len() >= 2).await;
+    }
+    // Each learns nothing more: not of the store, nor of its frozen peer.
+    entries.iter().for_each(|(_, door)| door.set(Trouble::Silent));
+    for number in 0..2 {
+        let (entry, peer) = (&entries[number].0, &entries[1 - number].0);
+        peer.signal(libc::SIGSTOP);
+        until("the store counts as lost", || !entry.events("store_lost").is_empty()).await;
+        serves(entry).await;
+        assert!(entry.is_ready().await);
+        peer.signal(libc::SIGCONT);
+    }
+    entries.iter().for_each(|(_, door)| door.set(Trouble::None));
+    site.configure(2, &[shop(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
+    for (entry, _) in &entries {
+        until_status(entry, "/new/a", 200).await;
+        serves(entry).await;
+    }
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_paused_instance_is_not_named_and_acts_on_nothing_that_changed_meanwhile() {
+    let site = site().await;
+    let (left, stays) = (upstream(&site, "u-1", "a-1").await, upstream(&site, "u-2", "a-1").await);
+    let (paused, other) = (site.ready_entry("e-1", "a-1").await, site.ready_entry("e-2", "a-2").await);
+    until_named(&other, &paused, true).await;
+    paused.signal(libc::SIGSTOP);
+    until("the lapse of its lease", || site.store.keys("lockloft/").len() == 1).await;
+    until_named(&other, &paused, false).await;
+    site.list_as(&left, "shop", "a-1", "draining", 2, 0);
+    site.configure(2, &[shop(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
+    until_status(&other, "/new/a", 200).await;
+    paused.signal(libc::SIGCONT);
+    // It announces itself again, and what it did not know is in force soon.
+    until("its new key", || site.store.keys("lockloft/").len() == 2).await;
+    until_named(&other, &paused, true).await;
+    until_status(&paused, "/new/a", 200).await;
+    let before = left.runs().len();
+    serves(&paused).await;
+    assert_eq!(left.runs().len(), before, "a target that is leaving got new work");
+    assert!(!stays.runs().is_empty());
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_second_death_in_a_hall_of_three_is_taken_over_too() {
+    let site = site().await;
+    let _upstream = upstream(&site, "u-1", "a-1").await;
+    let mut entries = Vec::new();
+    for name in ["e-1", "e-2", "e-3"] {
+        entries.push(site.ready_entry(name, "a-1").await);
+    }
+    let survivor = entries.pop().unwrap();
+    until("the sight of all", || survivor.events("member").len() >= 3).await;
+    for (version, entry) in entries.iter_mut().enumerate() {
+        entry.kill();
+        let route = format!("/new-{version}/");
+        site.configure(version as u64 + 2, &[shop(), RouteSpec::new(&route, "safe", "shop")], &["shop"]);
+        until_status(&survivor, &format!("{route}a"), 200).await;
+        until_named(&survivor, entry, false).await;
+        serves(&survivor).await;
+    }
+    assert_eq!(status(&survivor).await["members"], 1);
+}
+
+#[tokio::test(flavor = "multi_thread")]
+async fn a_replaced_instance_serves_while_the_store_is_down() {
+    let site = site().await;
+    let _upstream = upstream(&site, "u-1", "a-1").await;
+    let first = site.ready_entry("e-1", "a-1").await;
+    let mut replaced = site.entry_at("e-2", "a-1", &site.door, &[first.peers]);
+    replaced.start();
+    replaced.ready().await;
+    site.door.set(Trouble::Silent);
+    replaced.kill();
+    // Also when nobody has learned anything of the store for a while.
+    until("the store counts as lost", || !first.events("store_lost").is_empty()).await;
+    replaced.start();
+    until_status(&replaced, "/look/a", 200).await;
+    serves(&replaced).await;
+    serves(&first).await;
+    assert_eq!(status(&replaced).await["store_lost"], true);
+    site.door.set(Trouble::None);
+    until("its key", || site.store.keys("lockloft/").len() == 2).await;
+    until_named(&first, &replaced, true).await;
+}
