--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -8,6 +8,8 @@
 mod listing;
 pub mod options;
 mod request;
+#[cfg(test)]
+mod tests;
 mod why;
 
 use client::Client;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -5,7 +5,7 @@
 pub mod action;
 mod active;
 mod check;
-mod credit;
+pub mod credit;
 mod document;
 mod error;
 mod file;
