--- a/src/instance/fronts.rs
+++ b/src/instance/fronts.rs
@@ -5,7 +5,7 @@
 use crate::net::server::{ConnectionLimits, Handler};
 use crate::operator;
 use crate::platform::Platform;
-use crate::proxy::body::AnswerBody;
+use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::serve::serve;
 use crate::sync::peers;
 use hyper::body::Incoming;
@@ -51,6 +51,8 @@
 }
 
 impl<P: Platform> Handler for CallerFront<P> {
+    type Body = AnswerBody;
+
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let active = Active::new(&self.0);
         let mut response = serve(&self.0, request).await;
@@ -81,6 +83,8 @@
 pub struct DirectoryFront<P: Platform>(pub Rc<Instance<P>>);
 
 impl<P: Platform> Handler for DirectoryFront<P> {
+    type Body = AnswerBody;
+
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let (path, query) = (request.uri().path(), request.uri().query().unwrap_or(""));
         if path == P::ready_path() {
@@ -94,7 +98,7 @@
             return plain(StatusCode::SERVICE_UNAVAILABLE);
         }
         let answer = P::directory_answer(&instances, DIRECTORY_TTL.min(settings.directory_ttl));
-        let mut response = Response::new(AnswerBody::whole(answer));
+        let mut response = Response::new(AnswerBody::buffered(answer));
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         response
     }
@@ -110,6 +114,8 @@
 pub struct PeerFront<P: Platform>(pub Rc<Instance<P>>);
 
 impl<P: Platform> Handler for PeerFront<P> {
+    type Body = AnswerBody;
+
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         match request.uri().path() {
             peers::CHANGES_PATH => peers::show(&self.0, request.uri().query().unwrap_or("")).await,
@@ -118,7 +124,7 @@
                 metrics.held_bytes.set(self.0.held_bytes.get() as i64);
                 metrics.lines_dropped.set(self.0.log.lines().dropped() as i64);
                 metrics.lines_left_out.set(self.0.log.lines().left_out() as i64);
-                Response::new(AnswerBody::whole(metrics.text()))
+                Response::new(AnswerBody::buffered(metrics.text()))
             }
             _ => {
                 let answered = operator::answer::answer(&self.0, request).await;
@@ -135,7 +141,7 @@
 }
 
 fn plain(status: StatusCode) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(""));
+    let mut response = Response::new(AnswerBody::buffered(""));
     *response.status_mut() = status;
     response
 }
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -4,4 +4,5 @@
 pub mod dial;
 pub mod headers;
 pub mod pool;
+pub mod request_body;
 pub mod server;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,7 +1,7 @@
 //! Connections to one target.
 
 use crate::net::dial;
-use crate::proxy::body::RequestBody;
+use crate::net::request_body::RequestBody;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{SendRequest, handshake};
 use hyper::{Request, Response};
--- /dev/null
+++ b/src/net/request_body.rs
@@ -0,0 +1,146 @@
+//! Bodies of requests on their way to a target: held in memory, or streamed.
+//!
+//! Owns the rest of a streamed body. Relies on hyper alone.
+
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+use std::cell::Cell;
+use std::collections::VecDeque;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use thiserror::Error;
+use tokio::time::timeout;
+
+/// How long the rest of a body that was given up is read.
+const DISCARD_FOR: Duration = Duration::from_secs(2);
+
+/// Why a body broke off.
+#[derive(Debug, Error)]
+pub enum BodyError {
+    /// Its connection broke.
+    #[error("the body's connection broke: {0}")]
+    Broken(#[from] hyper::Error),
+    /// It took too long.
+    #[error("the body did not end in time")]
+    Late,
+    /// It is larger than allowed.
+    #[error("the body is larger than allowed")]
+    TooLarge,
+}
+
+/// A request's body for a target.
+#[derive(Debug)]
+pub enum RequestBody {
+    /// Held whole, so that it can be sent again.
+    Buffered(Full<Bytes>),
+    /// Passed streamed as it comes; sent once at most.
+    Streamed(StreamedBody),
+}
+
+/// A body passed streamed, with a flag for its end. Where it is given up, the
+/// rest is read and thrown away for a while: a caller that is still sending
+/// when its connection closes may never see the answer.
+#[derive(Debug)]
+pub struct StreamedBody {
+    head: VecDeque<Bytes>,
+    rest: Option<Incoming>,
+    allowance: u64,
+    finished: Rc<Cell<bool>>,
+}
+
+impl StreamedBody {
+    /// A body of which `head` was read before it was known to be large, and
+    /// at most `allowance` bytes may still come.
+    pub fn new(head: VecDeque<Bytes>, rest: Incoming, allowance: u64) -> Self {
+        Self { head, rest: Some(rest), allowance, finished: Rc::new(Cell::new(false)) }
+    }
+
+    /// Set once the last byte was taken.
+    pub fn finished(&self) -> Rc<Cell<bool>> {
+        self.finished.clone()
+    }
+
+    fn is_rest_read(&self) -> bool {
+        self.rest.as_ref().is_none_or(Body::is_end_stream)
+    }
+}
+
+impl Drop for StreamedBody {
+    fn drop(&mut self) {
+        if let Some(rest) = self.rest.take().filter(|rest| !rest.is_end_stream()) {
+            tokio::task::spawn_local(timeout(DISCARD_FOR, discard(rest)));
+        }
+    }
+}
+
+async fn discard(mut rest: Incoming) {
+    while let Some(Ok(_)) = rest.frame().await {}
+}
+
+impl Body for RequestBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        match self.get_mut() {
+            RequestBody::Buffered(full) => Pin::new(full).poll_frame(context).map_err(|never| match never {}),
+            RequestBody::Streamed(streamed) => streamed.poll_frame(context),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            RequestBody::Buffered(full) => full.is_end_stream(),
+            RequestBody::Streamed(streamed) => streamed.head.is_empty() && streamed.is_rest_read(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            RequestBody::Buffered(full) => full.size_hint(),
+            RequestBody::Streamed(streamed) => {
+                let rest = streamed.rest.as_ref().map_or_else(|| SizeHint::with_exact(0), Body::size_hint);
+                with_head(&streamed.head, rest)
+            }
+        }
+    }
+}
+
+/// The size of a body of which `head` was read already.
+pub fn with_head(head: &VecDeque<Bytes>, rest: SizeHint) -> SizeHint {
+    let held: u64 = head.iter().map(|chunk| chunk.len() as u64).sum();
+    rest.exact().map_or_else(SizeHint::default, |exact| SizeHint::with_exact(held + exact))
+}
+
+impl StreamedBody {
+    fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if let Some(chunk) = self.head.pop_front() {
+            self.note_end();
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
+        }
+        let Some(rest) = self.rest.as_mut() else { return Poll::Ready(None) };
+        let polled = std::task::ready!(Pin::new(rest).poll_frame(context));
+        let Some(frame) = polled else {
+            self.finished.set(true);
+            return Poll::Ready(None);
+        };
+        let frame = frame?;
+        if let Some(chunk) = frame.data_ref() {
+            let Some(left) = self.allowance.checked_sub(chunk.len() as u64) else {
+                return Poll::Ready(Some(Err(BodyError::TooLarge)));
+            };
+            self.allowance = left;
+        }
+        self.note_end();
+        Poll::Ready(Some(Ok(frame)))
+    }
+
+    fn note_end(&mut self) {
+        if self.head.is_empty() && self.is_rest_read() {
+            self.finished.set(true);
+        }
+    }
+}
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -1,7 +1,6 @@
 //! Connections of callers and peers: accepted, served, and closed when they
 //! rest too long or send a head too slowly.
 
-use crate::proxy::body::{AnswerBody, BodyError};
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use hyper::rt::{Read, ReadBufCursor, Write};
 use hyper::server::conn::http1;
@@ -102,25 +101,22 @@
 }
 
 /// An answer's body that notes its end.
-struct NotedBody {
-    body: AnswerBody,
+struct NotedBody<B> {
+    body: B,
     progress: Rc<Progress>,
 }
 
-impl Drop for NotedBody {
+impl<B> Drop for NotedBody<B> {
     fn drop(&mut self) {
         self.progress.enter(Phase::Resting);
     }
 }
 
-impl Body for NotedBody {
+impl<B: Body<Data = Bytes> + Unpin> Body for NotedBody<B> {
     type Data = Bytes;
-    type Error = BodyError;
+    type Error = B::Error;
 
-    fn poll_frame(
-        mut self: Pin<&mut Self>,
-        context: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+    fn poll_frame(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, B::Error>>> {
         Pin::new(&mut self.body).poll_frame(context)
     }
 
@@ -135,8 +131,10 @@
 
 /// What answers the requests of a listener.
 pub trait Handler: 'static {
+    /// The body of an answer.
+    type Body: Body<Data = Bytes, Error: std::error::Error + Send + Sync> + Unpin;
     /// Answers a request.
-    fn answer(self: Rc<Self>, request: Request<Incoming>) -> impl Future<Output = Response<AnswerBody>>;
+    fn answer(self: Rc<Self>, request: Request<Incoming>) -> impl Future<Output = Response<Self::Body>>;
     /// Bounds on its connections, asked for each new one.
     fn limits(&self) -> ConnectionLimits;
     /// Told when a connection opens (1) and closes (-1).
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -10,7 +10,7 @@
 use crate::operator::api::{InstanceLine, InstanceStatus, PoliciesApplied, TargetLine, Why, WhyTarget};
 use crate::platform::Platform;
 use crate::policy::{Active, CapCharge, Policies, PolicyDocument, PolicyMask, RequestFacts};
-use crate::proxy::body::AnswerBody;
+use crate::proxy::answer_body::AnswerBody;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderMap, HeaderName, HeaderValue};
@@ -57,7 +57,7 @@
 }
 
 fn respond(status: StatusCode, body: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::whole(body));
+    let mut response = Response::new(AnswerBody::buffered(body));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
--- /dev/null
+++ b/src/proxy/answer_body.rs
@@ -0,0 +1,117 @@
+//! Bodies of answers on their way to a caller: held in memory, or streamed.
+//!
+//! Owns the connection of a streamed answer until its end, and its place among
+//! the target's requests in flight. Relies on the target's pool.
+
+use crate::decision::target::InFlight;
+use crate::net::pool::Connection;
+use crate::net::request_body::{BodyError, with_head};
+use bytes::Bytes;
+use http_body_util::Full;
+use hyper::body::{Body, Frame, Incoming, SizeHint};
+use std::cell::Cell;
+use std::collections::VecDeque;
+use std::future::Future;
+use std::pin::Pin;
+use std::rc::Rc;
+use std::task::{Context, Poll};
+use std::time::Duration;
+use tokio::time::Sleep;
+
+/// The body of an answer to a caller.
+pub enum AnswerBody {
+    /// Held whole.
+    Buffered(Full<Bytes>),
+    /// Passed through from a target.
+    Streamed(Box<StreamedAnswer>),
+}
+
+impl AnswerBody {
+    /// A body that is held whole.
+    pub fn buffered(bytes: impl Into<Bytes>) -> Self {
+        AnswerBody::Buffered(Full::new(bytes.into()))
+    }
+}
+
+/// What becomes of the connection after the whole answer.
+pub struct Reuse {
+    /// The connection.
+    pub connection: Connection,
+    /// How long the target keeps it; `None` where it is to be closed.
+    pub rest: Option<Option<Duration>>,
+    /// Whether the request's body was sent whole.
+    pub sent: Rc<Cell<bool>>,
+}
+
+impl Reuse {
+    /// Puts the connection back where that is safe, closes it otherwise.
+    pub fn settle(self, in_flight: &InFlight) {
+        if let Some(rest) = self.rest.filter(|_| self.sent.get()) {
+            in_flight.target().pool.keep(self.connection, rest);
+        }
+    }
+}
+
+/// An answer's body streamed through until a deadline.
+pub struct StreamedAnswer {
+    /// What was read before.
+    pub head: VecDeque<Bytes>,
+    /// The rest.
+    pub rest: Incoming,
+    /// When it is broken off.
+    pub deadline: Pin<Box<Sleep>>,
+    /// Its connection and its place at the target.
+    pub carrier: Option<(Reuse, InFlight)>,
+}
+
+impl Body for AnswerBody {
+    type Data = Bytes;
+    type Error = BodyError;
+
+    fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        match self.get_mut() {
+            AnswerBody::Buffered(full) => Pin::new(full).poll_frame(context).map_err(|never| match never {}),
+            AnswerBody::Streamed(streamed) => streamed.poll_frame(context),
+        }
+    }
+
+    fn is_end_stream(&self) -> bool {
+        match self {
+            AnswerBody::Buffered(full) => full.is_end_stream(),
+            AnswerBody::Streamed(streamed) => streamed.head.is_empty() && streamed.rest.is_end_stream(),
+        }
+    }
+
+    fn size_hint(&self) -> SizeHint {
+        match self {
+            AnswerBody::Buffered(full) => full.size_hint(),
+            AnswerBody::Streamed(streamed) => with_head(&streamed.head, streamed.rest.size_hint()),
+        }
+    }
+}
+
+impl StreamedAnswer {
+    fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
+        if let Some(chunk) = self.head.pop_front() {
+            return Poll::Ready(Some(Ok(Frame::data(chunk))));
+        }
+        if self.deadline.as_mut().poll(context).is_ready() {
+            self.carrier = None;
+            return Poll::Ready(Some(Err(BodyError::Late)));
+        }
+        let polled = std::task::ready!(Pin::new(&mut self.rest).poll_frame(context));
+        match polled {
+            Some(Ok(frame)) => Poll::Ready(Some(Ok(frame))),
+            Some(Err(error)) => {
+                self.carrier = None;
+                Poll::Ready(Some(Err(error.into())))
+            }
+            None => {
+                if let Some((reuse, in_flight)) = self.carrier.take() {
+                    reuse.settle(&in_flight);
+                }
+                Poll::Ready(None)
+            }
+        }
+    }
+}
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -7,11 +7,12 @@
 use crate::instance::settings::Settings;
 use crate::instance::state::Instance;
 use crate::model::config::{Config, Repeat, Route, WeightedService};
+use crate::net::request_body::RequestBody;
 use crate::platform::Platform;
 use crate::policy::{Active, CapCharge, RequestFacts};
-use crate::proxy::body::{AnswerBody, RequestBody};
+use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::exchange::{Exchange, Fault};
-use crate::proxy::held::Held;
+use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
 use crate::proxy::serve::Story;
 use hyper::header::HeaderValue;
@@ -50,7 +51,7 @@
     ///
     /// # Errors
     /// [`Refusal`] where no target's answer can be passed on.
-    pub async fn run(&self, mut body: Held, story: &mut Story) -> Result<Response<AnswerBody>, Refusal> {
+    pub async fn run(&self, mut body: IncomingBody, story: &mut Story) -> Result<Response<AnswerBody>, Refusal> {
         self.instance.retries.borrow_mut().earn();
         let object = self.object();
         let picked = self.instance.splits.borrow_mut().pick(self.route, object);
@@ -206,7 +207,7 @@
     }
 
     /// The request for one target; `None` where its body is gone.
-    fn request(&self, body: &mut Held, target: &Target) -> Option<Request<RequestBody>> {
+    fn request(&self, body: &mut IncomingBody, target: &Target) -> Option<Request<RequestBody>> {
         let mut request = Request::new(body.send()?);
         *request.method_mut() = self.parts.method.clone();
         *request.uri_mut() = self.parts.uri.clone();
@@ -222,8 +223,8 @@
 
     async fn send(&self, request: Request<RequestBody>, target: &Rc<Target>) -> Result<Response<AnswerBody>, Fault> {
         let sent = match request.body() {
-            RequestBody::Through(through) => through.finished(),
-            RequestBody::Whole(_) => Rc::new(Cell::new(true)),
+            RequestBody::Streamed(streamed) => streamed.finished(),
+            RequestBody::Buffered(_) => Rc::new(Cell::new(true)),
         };
         let started = Instant::now();
         let exchange = Exchange {
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -2,8 +2,9 @@
 
 use crate::decision::target::{InFlight, LoadReport, Target};
 use crate::net::pool::{Connection, SendError};
+use crate::net::request_body::RequestBody;
 use crate::platform::HeaderNames;
-use crate::proxy::body::{AnswerBody, Passed, RequestBody, Return};
+use crate::proxy::answer_body::{AnswerBody, Reuse, StreamedAnswer};
 use bytes::Bytes;
 use http_body_util::BodyExt;
 use hyper::body::{Body, Incoming};
@@ -149,7 +150,7 @@
         let rest = kept_for(response.headers());
         let (mut parts, incoming) = response.into_parts();
         crate::net::headers::remove_hop_by_hop(&mut parts.headers);
-        let back = Return { connection, rest, sent: self.sent };
+        let reuse = Reuse { connection, rest, sent: self.sent };
         let target = &self.in_flight.target().clone();
         let read = match read_whole(incoming).await {
             Ok(read) => read,
@@ -164,15 +165,15 @@
             target.record_success(self.started.elapsed(), Instant::now());
         }
         let body = match read {
-            Read::Whole(bytes) => {
-                back.settle(&self.in_flight);
-                AnswerBody::whole(bytes)
+            Read::Buffered(bytes) => {
+                reuse.settle(&self.in_flight);
+                AnswerBody::buffered(bytes)
             }
-            Read::WeightedService(head, rest) => AnswerBody::Passed(Box::new(Passed {
+            Read::Streamed(head, rest) => AnswerBody::Streamed(Box::new(StreamedAnswer {
                 head,
                 rest,
                 deadline: Box::pin(sleep_until(self.deadline)),
-                carrier: Some((back, self.in_flight)),
+                carrier: Some((reuse, self.in_flight)),
             })),
         };
         Ok(Response::from_parts(parts, body))
@@ -189,14 +190,14 @@
 }
 
 enum Read {
-    Whole(Bytes),
-    WeightedService(VecDeque<Bytes>, Incoming),
+    Buffered(Bytes),
+    Streamed(VecDeque<Bytes>, Incoming),
 }
 
 /// Reads an answer whole unless it is large.
 async fn read_whole(mut incoming: Incoming) -> Result<Read, hyper::Error> {
     if incoming.size_hint().lower() > MAX_BUFFERED_ANSWER as u64 {
-        return Ok(Read::WeightedService(VecDeque::new(), incoming));
+        return Ok(Read::Streamed(VecDeque::new(), incoming));
     }
     let mut chunks = VecDeque::new();
     let mut size = 0;
@@ -205,14 +206,14 @@
         size += chunk.len();
         chunks.push_back(chunk);
         if size > MAX_BUFFERED_ANSWER {
-            return Ok(Read::WeightedService(chunks, incoming));
+            return Ok(Read::Streamed(chunks, incoming));
         }
     }
     if chunks.len() == 1 {
-        return Ok(Read::Whole(chunks.pop_front().expect("there is one")));
+        return Ok(Read::Buffered(chunks.pop_front().expect("there is one")));
     }
     let whole: Vec<u8> = chunks.into_iter().flatten().collect();
-    Ok(Read::Whole(Bytes::from(whole)))
+    Ok(Read::Buffered(Bytes::from(whole)))
 }
 
 fn text<'a>(headers: &'a HeaderMap, name: &hyper::header::HeaderName) -> Option<&'a str> {
--- a/src/proxy/held.rs
+++ b/src/proxy/incoming_body.rs
@@ -1,9 +1,9 @@
-//! A caller's request body on this side: held whole where that costs little, so
-//! that a request that did not run can go elsewhere.
+//! A caller's request body as it comes: buffered where that costs little, so that
+//! a request that did not run can go to another target; streamed otherwise.
 
 use crate::instance::state::Instance;
+use crate::net::request_body::{RequestBody, StreamedBody};
 use crate::platform::Platform;
-use crate::proxy::body::{RequestBody, Through};
 use crate::proxy::refusal::Refusal;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -21,19 +21,19 @@
 
 /// A request's body.
 #[derive(Debug)]
-pub enum Held {
+pub enum IncomingBody {
     /// All of it.
-    Whole {
+    Buffered {
         /// Its bytes.
         bytes: Bytes,
         /// Counts them while they are held.
-        _held: HeldBytes,
+        _held: BufferedBytes,
     },
     /// Passed through as it comes; `None` once it was sent.
-    Through(Option<Through>),
+    Streamed(Option<StreamedBody>),
 }
 
-impl Held {
+impl IncomingBody {
     /// Reads a body of at most `most` bytes.
     ///
     /// # Errors
@@ -43,22 +43,25 @@
         most: u64,
         mut incoming: Incoming,
         until: Instant,
-    ) -> Result<Held, Refusal> {
+    ) -> Result<IncomingBody, Refusal> {
         let hint = incoming.size_hint();
         if hint.lower() > most {
             return Err(Refusal::TooLarge);
         }
         if incoming.is_end_stream() {
-            return Ok(Held::Whole { bytes: Bytes::new(), _held: HeldBytes::none(&instance.held_bytes) });
+            return Ok(IncomingBody::Buffered {
+                bytes: Bytes::new(),
+                _held: BufferedBytes::none(&instance.held_bytes),
+            });
         }
-        let mut held = HeldBytes::none(&instance.held_bytes);
+        let mut held = BufferedBytes::none(&instance.held_bytes);
         let mut chunks = VecDeque::new();
         let room = instance.settings.borrow().memory / BUFFER_DIVISOR;
         while hint.lower() <= MAX_BUFFERED_BODY && held.own <= MAX_BUFFERED_BODY && instance.held_bytes.get() <= room {
             let frame = match timeout_at(until, incoming.frame()).await {
                 Err(_) | Ok(Some(Err(_))) => return Err(Refusal::BrokenBody),
                 Ok(Some(Ok(frame))) => frame,
-                Ok(None) => return Ok(Held::Whole { bytes: join(chunks), _held: held }),
+                Ok(None) => return Ok(IncomingBody::Buffered { bytes: join(chunks), _held: held }),
             };
             if let Ok(chunk) = frame.into_data() {
                 held.add(chunk.len() as u64);
@@ -66,33 +69,33 @@
             }
         }
         let allowance = most.checked_sub(held.own).ok_or(Refusal::TooLarge)?;
-        Ok(Held::Through(Some(Through::new(chunks, incoming, allowance))))
+        Ok(IncomingBody::Streamed(Some(StreamedBody::new(chunks, incoming, allowance))))
     }
 
     /// The body for one target; `None` where it is gone.
     pub fn send(&mut self) -> Option<RequestBody> {
         match self {
-            Held::Whole { bytes, .. } => Some(RequestBody::Whole(Full::new(bytes.clone()))),
-            Held::Through(through) => through.take().map(RequestBody::Through),
+            IncomingBody::Buffered { bytes, .. } => Some(RequestBody::Buffered(Full::new(bytes.clone()))),
+            IncomingBody::Streamed(streamed) => streamed.take().map(RequestBody::Streamed),
         }
     }
 
     /// Takes back a body of which nothing was sent.
     pub fn restore(&mut self, request: Request<RequestBody>) {
-        if let (Held::Through(slot), RequestBody::Through(through)) = (self, request.into_body()) {
-            *slot = Some(through);
+        if let (IncomingBody::Streamed(slot), RequestBody::Streamed(streamed)) = (self, request.into_body()) {
+            *slot = Some(streamed);
         }
     }
 }
 
 /// Bytes of one body that are held, counted in a total until they are let go.
 #[derive(Debug)]
-pub struct HeldBytes {
+pub struct BufferedBytes {
     total: Rc<Cell<u64>>,
     own: u64,
 }
 
-impl HeldBytes {
+impl BufferedBytes {
     fn none(total: &Rc<Cell<u64>>) -> Self {
         Self { total: total.clone(), own: 0 }
     }
@@ -103,7 +106,7 @@
     }
 }
 
-impl Drop for HeldBytes {
+impl Drop for BufferedBytes {
     fn drop(&mut self) {
         self.total.set(self.total.get() - self.own);
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,8 +1,8 @@
 //! The way of a request: from the caller's connection to a target and back.
 
+pub mod answer_body;
 pub mod attempt;
-pub mod body;
 pub mod exchange;
-pub mod held;
+pub mod incoming_body;
 pub mod refusal;
 pub mod serve;
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -1,6 +1,6 @@
 //! Answers that an instance makes itself.
 
-use crate::proxy::body::AnswerBody;
+use crate::proxy::answer_body::AnswerBody;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use std::time::Duration;
@@ -111,6 +111,6 @@
         if let Some(wait) = self.retry_after() {
             builder = builder.header(RETRY_AFTER, format!("{:.1}", wait.as_secs_f64()));
         }
-        builder.body(AnswerBody::whole(self.to_string())).expect("the headers are constant and valid")
+        builder.body(AnswerBody::buffered(self.to_string())).expect("the headers are constant and valid")
     }
 }
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -7,9 +7,9 @@
 use crate::net::headers::remove_hop_by_hop;
 use crate::platform::Platform;
 use crate::policy::CapCharge;
+use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::attempt::Attempt;
-use crate::proxy::body::AnswerBody;
-use crate::proxy::held::Held;
+use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
@@ -116,7 +116,7 @@
     };
     let until = route.timeout.map_or(deadline, |timeout| deadline.min(started + timeout));
     let (mut parts, incoming) = request.into_parts();
-    let body = Held::read(instance, config.limits.body_bytes, incoming, until).await?;
+    let body = IncomingBody::read(instance, config.limits.body_bytes, incoming, until).await?;
     clean(&mut parts)?;
     Attempt { instance, config: &config, route, parts, started, until, charge: CapCharge::default() }
         .run(body, story)
--- a/src/sync/peers/told.rs
+++ b/src/sync/peers/told.rs
@@ -2,7 +2,7 @@
 
 use crate::instance::state::Instance;
 use crate::platform::{Event, Item, Listing, Platform};
-use crate::proxy::body::AnswerBody;
+use crate::proxy::answer_body::AnswerBody;
 use crate::sync::relay::STALE;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
@@ -117,7 +117,7 @@
         () = turns_stale => {}
     }
     let told = tell(instance, after);
-    Response::new(AnswerBody::whole(serde_json::to_vec(&told).expect("changes are plain strings")))
+    Response::new(AnswerBody::buffered(serde_json::to_vec(&told).expect("changes are plain strings")))
 }
 
 fn tell<P: Platform>(instance: &Instance<P>, after: u64) -> ToldChanges {
