--- a/src/instance/fronts.rs
+++ b/src/instance/fronts.rs
@@ -26,7 +26,7 @@
     idle_time: Duration::from_secs(15),
     connections: 256,
 };
-/// WeightedService of the descriptors that callers' connections may take, as a divisor.
+/// Part of the descriptors that callers' connections may take, as a divisor.
 const CALLER_DIVISOR: u32 = 2;
 
 /// Answers requests of callers.
--- a/src/instance/state.rs
+++ b/src/instance/state.rs
@@ -15,10 +15,10 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// WeightedService of the allowed retry ratio that is used: views of what counts as a
+/// Part of the allowed retry ratio that is used: views of what counts as a
 /// request differ between us and the targets.
 const RATIO_USED: f64 = 0.5;
-/// WeightedService of the allowed slack that all instances together may save up.
+/// Part of the allowed slack that all instances together may save up.
 const SLACK_USED: f64 = 0.5;
 
 /// An instance.
--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -15,7 +15,7 @@
 /// Time between looks.
 const LOOK_EVERY: Duration = Duration::from_millis(50);
 
-/// WeightedService of the time until the kill in which requests are still taken. Whoever
+/// Part of the time until the kill in which requests are still taken. Whoever
 /// comes later may not be answered before the end, and is sent elsewhere.
 const TAKING_PART: f64 = 0.5;
 
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -19,7 +19,7 @@
 const DEFAULT_REST: Duration = Duration::from_secs(4);
 /// Idle connections that are kept to one target at the most.
 const MAX_IDLE: usize = 16;
-/// WeightedService of the connections that a target takes which all instances together may
+/// Part of the connections that a target takes which all instances together may
 /// keep idle, as a divisor.
 const IDLE_DIVISOR: usize = 2;
 
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -16,7 +16,7 @@
 
 /// Request bodies up to this size are held whole.
 const MAX_BUFFERED_BODY: u64 = 512 * 1024;
-/// WeightedService of the memory that held request bodies may take.
+/// Part of the memory that held request bodies may take.
 const BUFFER_DIVISOR: u64 = 8;
 
 /// A request's body.
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -17,7 +17,7 @@
 const BATCHES: usize = 1;
 /// Seconds of the rate that may be saved up for a burst of lines.
 const BURST: f64 = 2.0;
-/// WeightedService of what may be saved up that is kept for lines that are not of answered
+/// Part of what may be saved up that is kept for lines that are not of answered
 /// requests.
 const KEPT_PART: f64 = 0.5;
 /// Time between lines that tell of lines left out.
