--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -5,12 +5,12 @@
 use crate::decision::slow_start::SlowStartBounds;
 use crate::decision::target::Target;
 use crate::decision::world::World;
+use crate::hash::unit;
 use crate::model::config::{Config, Route};
 use crate::policy::{Active, Order, PolicyVerdict};
 use std::cmp::Ordering;
 use std::rc::Rc;
 use tokio::time::Instant;
-use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
 /// How much likelier an object lives at a target of the instance's own region
 /// than at one as large elsewhere.
@@ -81,17 +81,6 @@
     }
 }
 
-/// A position in [0, 1) for a pair of hashes.
-pub fn unit(hash: u64, seed: u64) -> f64 {
-    let mixed = xxh3_64_with_seed(&hash.to_le_bytes(), seed);
-    (mixed >> 11) as f64 / (1u64 << 53) as f64
-}
-
-/// The hash by which an object is placed.
-pub fn hash_affinity(value: &[u8]) -> u64 {
-    xxh3_64(value)
-}
-
 /// What a dry decision says of a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
@@ -141,6 +130,14 @@
     pub now: Instant,
 }
 
+impl Query<'_> {
+    /// What the operators' policies say of a target; `None` where none selects the
+    /// request.
+    fn verdict(&self, target: &Target) -> Option<PolicyVerdict> {
+        self.active.map(|active| active.verdict(target.selecting(active.document())))
+    }
+}
+
 /// An instance that may send cold targets its part of their rate.
 #[derive(Clone, Copy, Debug)]
 pub struct SlowStartShare<'a> {
@@ -181,7 +178,7 @@
 
 fn chosen(target: &Rc<Target>, query: &Query<'_>) -> Rc<Target> {
     if let Some(active) = query.active {
-        active.note_choice(target);
+        active.note_choice(target.selecting(active.document()));
     }
     target.clone()
 }
@@ -309,13 +306,13 @@
 
 /// Whether the request might go to a target if that had no trouble.
 fn is_ever_usable(query: &Query<'_>, target: &Target) -> bool {
-    let verdict = query.active.map(|active| active.verdict(target));
+    let verdict = query.verdict(target);
     query.route.allows(&target.region) && !matches!(verdict, Some(PolicyVerdict::Denied | PolicyVerdict::NotAllowed))
 }
 
 /// The order that policies give a target.
 fn order(query: &Query<'_>, target: &Target) -> Order {
-    match query.active.map(|active| active.verdict(target)) {
+    match query.verdict(target) {
         Some(PolicyVerdict::Open(order) | PolicyVerdict::Drained(order)) => order,
         _ => Order::default(),
     }
@@ -334,7 +331,7 @@
     if let Some((_, exclusion)) = first.into_iter().find(|(holds, _)| *holds) {
         return Some(exclusion);
     }
-    match query.active.map(|active| active.verdict(target)) {
+    match query.verdict(target) {
         Some(PolicyVerdict::Denied) => return Some(Exclusion::Denied),
         Some(PolicyVerdict::NotAllowed) => return Some(Exclusion::NotAllowed),
         Some(PolicyVerdict::Drained(_)) => return Some(Exclusion::Drained),
--- a/src/decision/split.rs
+++ b/src/decision/split.rs
@@ -1,7 +1,7 @@
 //! Shares of a route that is split over several services: by object, so that
 //! an object stays with its service, corrected by what was counted.
 
-use crate::decision::choice::unit;
+use crate::hash::unit;
 use crate::model::config::{Route, WeightedService};
 use std::collections::HashMap;
 use std::rc::Rc;
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -4,7 +4,7 @@
 use crate::decision::slow_start;
 use crate::net::pool::Pool;
 use crate::platform::{TargetRegistration, TargetState};
-use crate::policy::{Policies, PolicyMask};
+use crate::policy::{Policies, PolicyMask, TargetFacts};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -121,7 +121,7 @@
     latency: Cell<Latency>,
     replaced: Cell<bool>,
     expires_at: Cell<Option<Instant>>,
-    reach: Cell<Option<(u64, PolicyMask)>>,
+    selecting: Cell<Option<(u64, PolicyMask)>>,
 }
 
 impl Target {
@@ -147,7 +147,7 @@
             latency: Cell::new(Latency::default()),
             replaced: Cell::new(false),
             expires_at: Cell::new(None),
-            reach: Cell::new(None),
+            selecting: Cell::new(None),
         };
         target.begin_slow_start(registration.cold, now);
         target
@@ -202,15 +202,26 @@
         self.slow_start_until.get().is_some_and(|until| now < until)
     }
 
+    /// What its labels come from.
+    pub fn facts(&self) -> TargetFacts<'_> {
+        TargetFacts {
+            id: &self.id,
+            service: &self.service,
+            region: &self.region,
+            hall: &self.hall,
+            version: &self.version,
+        }
+    }
+
     /// The policies whose places select it, worked out once for each revision.
-    pub fn reach(&self, policies: &Policies) -> PolicyMask {
-        if let Some((revision, mask)) = self.reach.get()
+    pub fn selecting(&self, policies: &Policies) -> PolicyMask {
+        if let Some((revision, mask)) = self.selecting.get()
             && revision == policies.revision
         {
             return mask;
         }
-        let mask = policies.reach(self);
-        self.reach.set(Some((policies.revision, mask)));
+        let mask = policies.selecting(&self.facts());
+        self.selecting.set(Some((policies.revision, mask)));
         mask
     }
 
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,6 +12,7 @@
 //! | [`net`], [`telemetry`] | connections; log and metrics |
 pub mod command;
 pub mod decision;
+pub mod hash;
 pub mod instance;
 pub mod model;
 pub mod net;
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -2,8 +2,9 @@
 //! policies in force; and the policies that they apply.
 
 use super::apply::apply;
-use crate::decision::choice::{Query, SlowStartShare, Verdict, explain, hash_affinity};
+use crate::decision::choice::{Query, SlowStartShare, Verdict, explain};
 use crate::decision::target::Target;
+use crate::hash::hash_affinity;
 use crate::instance::state::Instance;
 use crate::model::config::{Config, Route};
 use crate::operator::api::{ApplyRequest, Refused};
@@ -153,7 +154,8 @@
 /// Names of the policies whose places select no target that is known now.
 fn idle<P: Platform>(instance: &Instance<P>, policies: &Policies) -> Vec<String> {
     let world = instance.world.borrow();
-    let reached = world.targets().map(|target| policies.reach(target)).fold(PolicyMask::default(), PolicyMask::or);
+    let reached =
+        world.targets().map(|target| policies.selecting(&target.facts())).fold(PolicyMask::default(), PolicyMask::or);
     let names = policies.iter().enumerate().filter(|(position, _)| !reached.contains(*position));
     names.map(|(_, policy)| policy.name.clone()).collect()
 }
--- a/src/policy/active.rs
+++ b/src/policy/active.rs
@@ -1,8 +1,7 @@
 //! The policies that select one request, and what they say of each target.
 
 use super::{Policies, PolicyMask, RequestFacts};
-use crate::decision::choice::unit;
-use crate::decision::target::Target;
+use crate::hash::unit;
 use crate::policy::action::{Action, UNRANKED};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -85,25 +84,30 @@
         Some(active)
     }
 
-    /// What the policies say of a target.
-    pub fn verdict(&self, target: &Target) -> PolicyVerdict {
-        let reach = target.reach(&self.policies).and(self.mask);
+    /// The document that they belong to.
+    pub fn document(&self) -> &Policies {
+        &self.policies
+    }
+
+    /// What the policies say of a target, which those in `selecting` select.
+    pub fn verdict(&self, selecting: PolicyMask) -> PolicyVerdict {
+        let selecting = selecting.and(self.mask);
         let policies = &self.policies;
-        let denials = reach.and(policies.denials);
+        let denials = selecting.and(policies.denials);
         if !denials.is_empty() {
             self.note(denials);
             return PolicyVerdict::Denied;
         }
         let allowances = self.mask.and(policies.allowances);
-        if !allowances.is_empty() && reach.and(allowances).is_empty() {
+        if !allowances.is_empty() && selecting.and(allowances).is_empty() {
             self.note(allowances);
             return PolicyVerdict::NotAllowed;
         }
         let order = Order {
-            unwanted: self.weight.is_some_and(|position| !reach.contains(position)),
-            rank: self.rank(reach.and(policies.preferences)),
+            unwanted: self.weight.is_some_and(|position| !selecting.contains(position)),
+            rank: self.rank(selecting.and(policies.preferences)),
         };
-        let drains = reach.and(policies.drains);
+        let drains = selecting.and(policies.drains);
         if !drains.is_empty() {
             self.note(drains);
             return PolicyVerdict::Drained(order);
@@ -135,16 +139,17 @@
         true
     }
 
-    /// Notes the weight and the preferences that led to a target.
-    pub fn note_choice(&self, target: &Target) {
-        let reach = target.reach(&self.policies).and(self.mask);
-        let rank = self.rank(reach.and(self.policies.preferences));
-        for position in reach.and(self.policies.preferences).positions() {
+    /// Notes the weight and the preferences that led to a target, which the policies
+    /// in `selecting` select.
+    pub fn note_choice(&self, selecting: PolicyMask) {
+        let selecting = selecting.and(self.mask);
+        let rank = self.rank(selecting.and(self.policies.preferences));
+        for position in selecting.and(self.policies.preferences).positions() {
             if self.policies.list[position].action == Action::Prefer(rank) {
                 self.note(only(position));
             }
         }
-        if let Some(position) = self.weight.filter(|position| reach.contains(*position)) {
+        if let Some(position) = self.weight.filter(|position| selecting.contains(*position)) {
             self.note(only(position));
         }
     }
--- a/src/policy/labels.rs
+++ b/src/policy/labels.rs
@@ -1,7 +1,6 @@
 //! Labels of targets and requests: what the platform says of them, and what
 //! the operators add.
 
-use crate::decision::target::Target;
 use crate::policy::label::{Interner, LabelSet, RawLabels};
 use hyper::{HeaderMap, Method, Uri};
 use std::collections::HashMap;
@@ -9,6 +8,21 @@
 /// Labels that the platform gives; operators may not set them.
 pub(super) const GIVEN: [&str; 7] = ["region", "hall", "service", "target", "version", "route", "method"];
 
+/// What a target's labels come from.
+#[derive(Clone, Copy, Debug)]
+pub struct TargetFacts<'a> {
+    /// Its registration's identity.
+    pub id: &'a str,
+    /// Its service.
+    pub service: &'a str,
+    /// Its region.
+    pub region: &'a str,
+    /// Its hall.
+    pub hall: &'a str,
+    /// Version of its software.
+    pub version: &'a str,
+}
+
 /// What a request's labels come from.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFacts<'a> {
@@ -49,17 +63,17 @@
 
 impl Labels {
     /// Labels of region and hall, overlaid with the target's own.
-    pub(super) fn of_target(&self, interner: &Interner, target: &Target) -> LabelSet {
+    pub(super) fn of_target(&self, interner: &Interner, target: &TargetFacts<'_>) -> LabelSet {
         let mut set = LabelSet::empty(interner.width());
-        let layers = [self.regions.get(&*target.region), self.halls.get(&*target.hall), self.targets.get(&*target.id)];
+        let layers = [self.regions.get(target.region), self.halls.get(target.hall), self.targets.get(target.id)];
         for labels in layers.into_iter().flatten() {
             overlay(interner, &mut set, labels);
         }
-        mark(interner, &mut set, "region", &target.region);
-        mark(interner, &mut set, "hall", &target.hall);
-        mark(interner, &mut set, "service", &target.service);
-        mark(interner, &mut set, "target", &target.id);
-        mark(interner, &mut set, "version", &target.version);
+        mark(interner, &mut set, "region", target.region);
+        mark(interner, &mut set, "hall", target.hall);
+        mark(interner, &mut set, "service", target.service);
+        mark(interner, &mut set, "target", target.id);
+        mark(interner, &mut set, "version", target.version);
         set
     }
 
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -20,10 +20,9 @@
 pub use active::{Active, CapCharge, Order, PolicyVerdict};
 pub use document::PolicyDocument;
 pub use error::{DeclarationError, Place};
-pub use labels::RequestFacts;
+pub use labels::{RequestFacts, TargetFacts};
 pub use source::{Source, Sources};
 
-use crate::decision::target::Target;
 use action::{Action, Policy};
 use credit::Credit;
 use label::Interner;
@@ -117,7 +116,7 @@
     }
 
     /// The policies whose places select a target.
-    pub fn reach(&self, target: &Target) -> PolicyMask {
+    pub fn selecting(&self, target: &TargetFacts<'_>) -> PolicyMask {
         let labels = self.labels.of_target(&self.interner, target);
         self.selected(|policy| policy.places.selects(&labels))
     }
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -1,9 +1,10 @@
 //! One request of a caller at the targets: chosen, sent, and sent again only
 //! where that is safe.
 
-use crate::decision::choice::{NoTarget, Query, SlowStartShare, choose, hash_affinity};
+use crate::decision::choice::{NoTarget, Query, SlowStartShare, choose};
 use crate::decision::target::Target;
 use crate::decision::world::World;
+use crate::hash::hash_affinity;
 use crate::instance::settings::Settings;
 use crate::instance::state::Instance;
 use crate::model::config::{Config, Repeat, Route, WeightedService};
