--- a/src/decision/directory.rs
+++ b/src/decision/directory.rs
@@ -1,8 +1,8 @@
 //! Tells callers which instances to use.
 
 use crate::decision::world::World;
-use crate::instance::settings::Settings;
 use crate::platform::CallerPlace;
+use crate::settings::Settings;
 use std::net::SocketAddr;
 
 /// Most instances that one answer names.
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -2,8 +2,8 @@
 //! and what is under way there.
 
 use crate::decision::slow_start;
+use crate::model::registration::{TargetRegistration, TargetState};
 use crate::net::pool::Pool;
-use crate::platform::{TargetRegistration, TargetState};
 use crate::policy::{Policies, PolicyMask, TargetFacts};
 use std::cell::Cell;
 use std::net::SocketAddr;
--- a/src/decision/world.rs
+++ b/src/decision/world.rs
@@ -5,8 +5,11 @@
 use crate::decision::target::Target;
 use crate::model::config::Config;
 use crate::model::member::Member;
-use crate::platform::{Event, Item, Platform, Record, RecordError, RemovedRecord, TargetRegistration};
+use crate::model::record::{Record, RecordError, RemovedRecord};
+use crate::model::registration::TargetRegistration;
+use crate::platform::Platform;
 use crate::policy::{Policies, PolicyDocument};
+use crate::store::{Event, Item};
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -220,7 +223,8 @@
     }
 
     fn learn_target(&mut self, registration: &TargetRegistration, now: Instant) -> Option<StateChange> {
-        let state = if registration.state == crate::platform::TargetState::Ready { "ready" } else { "draining" };
+        let state =
+            if registration.state == crate::model::registration::TargetState::Ready { "ready" } else { "draining" };
         let state_change = StateChange::Target { id: registration.id.clone(), state };
         if let Some(known) = self.targets.get(&registration.id) {
             return known.update(registration, now).then_some(state_change);
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -2,14 +2,12 @@
 //! the store, answers callers, and sends their requests straight to targets.
 
 pub mod fronts;
-pub mod settings;
-pub mod state;
 pub mod stop;
 
 use crate::instance::fronts::{CallerFront, DirectoryFront, PeerFront};
-use crate::instance::settings::{Settings, SettingsError};
-use crate::instance::state::Instance;
 use crate::platform::Platform;
+use crate::settings::{Settings, SettingsError};
+use crate::state::Instance;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
 use std::rc::Rc;
--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop: callers are sent elsewhere, and what is under way ends.
 
-use crate::instance::state::Instance;
 use crate::platform::Platform;
+use crate::state::Instance;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -20,5 +20,8 @@
 pub mod platform;
 pub mod policy;
 pub mod proxy;
+pub mod settings;
+pub mod state;
+pub mod store;
 pub mod sync;
 pub mod telemetry;
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -3,3 +3,5 @@
 
 pub mod config;
 pub mod member;
+pub mod record;
+pub mod registration;
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -2,11 +2,12 @@
 //! the revision that follows the one in force. The write is conditional, so
 //! that of two operators one wins, and a lost answer is resolved by reading.
 
-use crate::instance::state::Instance;
 use crate::operator::api::ApplyRequest;
-use crate::platform::{Platform, Store, StoreError};
+use crate::platform::Platform;
 use crate::policy::DeclarationError;
 use crate::policy::{Policies, PolicyDocument};
+use crate::state::Instance;
+use crate::store::{Store, StoreError};
 use crate::sync::call::call;
 use hyper::StatusCode;
 use rand::Rng;
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -1,10 +1,10 @@
 //! A caller's request body as it comes: buffered where that costs little, so that
 //! a request that did not run can go to another target; streamed otherwise.
 
-use crate::instance::state::Instance;
 use crate::net::request_body::{RequestBody, StreamedBody};
 use crate::platform::Platform;
 use crate::proxy::refusal::Refusal;
+use crate::state::Instance;
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
 use hyper::Request;
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -1,7 +1,6 @@
 //! A caller's request: understood, attempted, answered and told in the log.
 
 use crate::decision::target::Target;
-use crate::instance::state::Instance;
 use crate::instance::stop::takes_requests;
 use crate::model::config::Config;
 use crate::net::headers::remove_hop_by_hop;
@@ -11,6 +10,7 @@
 use crate::proxy::attempt::Attempt;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
+use crate::state::Instance;
 use hyper::body::Incoming;
 use hyper::header::{HOST, HeaderValue};
 use hyper::http::request::Parts;
--- a/src/instance/state.rs
+++ b/src/state/mod.rs
@@ -3,10 +3,11 @@
 use crate::decision::retry::RetryBudget;
 use crate::decision::split::Splits;
 use crate::decision::world::{StateChange, World};
-use crate::instance::settings::Settings;
-use crate::platform::{Event, HeaderNames, Listing, Platform};
-use crate::sync::health::StoreHealth;
-use crate::sync::view::StoreView;
+use crate::platform::{HeaderNames, Platform};
+use crate::settings::Settings;
+use crate::store::health::StoreHealth;
+use crate::store::view::StoreView;
+use crate::store::{Event, Listing};
 use crate::telemetry::log::Log;
 use crate::telemetry::metrics::Metrics;
 use std::cell::{Cell, RefCell};
--- a/src/sync/health.rs
+++ b/src/store/health.rs
@@ -1,8 +1,7 @@
 //! Whether the store answers, and how old what is known of it is.
 
-use crate::platform::StoreError;
-use crate::sync::membership::RENEW_EVERY;
-use crate::sync::relay::STALE;
+use crate::store::StoreError;
+use crate::store::lease::RENEW_EVERY;
 use std::cell::Cell;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -21,6 +20,11 @@
 /// peers kept it younger, the store was there for the targets too.
 const GRACE_AFTER: Duration = Duration::from_millis(3_000);
 
+/// Age from which the view is stale: somewhat more than the time between two
+/// renewals of a lease, which prove that a quiet watch still stands. A relay whose
+/// view is older is not followed, and targets in slow start get nothing.
+pub const MAX_VIEW_AGE: Duration = Duration::from_millis(1_300);
+
 /// What one instance has seen of the store.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
@@ -103,6 +107,6 @@
 
     /// Whether what is known was surely current a moment ago.
     pub fn is_current(&self) -> bool {
-        self.knowledge_age().is_some_and(|age| age < STALE)
+        self.knowledge_age().is_some_and(|age| age < MAX_VIEW_AGE)
     }
 }
--- /dev/null
+++ b/src/store/mod.rs
@@ -0,0 +1,123 @@
+//! The platform's store as lockloft sees it: the calls, what they return, the copy
+//! that an instance keeps, and how current that copy is.
+//!
+//! Owns [`view::StoreView`] and [`health::StoreHealth`]. `platform/` implements
+//! [`Store`]; the tasks that call it are in [`crate::sync`].
+
+pub mod health;
+pub mod lease;
+pub mod view;
+
+use bytes::Bytes;
+use std::future::Future;
+use std::time::Duration;
+use thiserror::Error;
+
+/// A value of the store.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Item {
+    /// Key.
+    pub key: String,
+    /// Value.
+    pub value: Bytes,
+    /// Revision of the last change.
+    pub revision: u64,
+}
+
+/// A change of the store.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub enum Event {
+    /// A key was written.
+    Put(Item),
+    /// A key was removed at a revision.
+    Gone {
+        /// The key.
+        key: String,
+        /// When it went.
+        revision: u64,
+    },
+}
+
+impl Event {
+    /// The key that changed.
+    pub fn key(&self) -> &str {
+        match self {
+            Event::Put(item) => &item.key,
+            Event::Gone { key, .. } => key,
+        }
+    }
+
+    /// The revision of the change.
+    pub fn revision(&self) -> u64 {
+        match self {
+            Event::Put(item) => item.revision,
+            Event::Gone { revision, .. } => *revision,
+        }
+    }
+}
+
+/// All items under a prefix.
+#[derive(Clone, Debug, Default)]
+pub struct Listing {
+    /// The items.
+    pub items: Vec<Item>,
+    /// The revision from which a watch continues.
+    pub at: u64,
+}
+
+/// The answer to a watch.
+#[derive(Clone, Debug)]
+pub enum Watched {
+    /// Changes up to the revision `at`; none where the wait ran out.
+    Events {
+        /// The changes, oldest first.
+        events: Vec<Event>,
+        /// The revision from which the next watch continues.
+        at: u64,
+    },
+    /// The history from the asked revision on is gone; list again.
+    HistoryGone,
+}
+
+/// A lease on keys of the store.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct LeaseId(pub u64);
+
+/// Why a call to the store gave nothing that can be used.
+#[derive(Clone, Debug, Error, PartialEq, Eq)]
+pub enum StoreError {
+    /// No answer; a write may have been done, or may still be done.
+    #[error("the store did not answer; lockloft tries again by itself")]
+    Silent,
+    /// The store turned the call away; nothing was done.
+    #[error("the store turned the call away with {0}; lockloft tries again by itself")]
+    Refused(u16),
+    /// Another write came first: the key is not at the expected revision.
+    #[error("another write came first; lockloft reads the key again")]
+    Conflict,
+    /// The lease is over.
+    #[error("the lease is over; lockloft takes a new one")]
+    LeaseOver,
+    /// An answer outside the store's protocol.
+    #[error("the store's answer cannot be read ({0}); check that [store] address names the store")]
+    Unreadable(String),
+}
+
+/// The platform's store.
+pub trait Store: 'static {
+    /// Lists all keys under `prefix`, as of now.
+    fn list(&self, prefix: &str) -> impl Future<Output = Result<Listing, StoreError>>;
+    /// Waits up to `wait` for changes under `prefix` after a revision.
+    fn watch(&self, prefix: &str, after: u64, wait: Duration) -> impl Future<Output = Result<Watched, StoreError>>;
+    /// Takes a lease.
+    fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, StoreError>>;
+    /// Renews a lease.
+    fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
+    /// Ends a lease and removes its keys.
+    fn end(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
+    /// Writes a key that goes with a lease.
+    fn put(&self, key: &str, value: Bytes, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
+    /// Writes a key that stays, if it is still at the revision `expected`; 0
+    /// where it must not be there.
+    fn put_if(&self, key: &str, value: Bytes, expected: u64) -> impl Future<Output = Result<(), StoreError>>;
+}
--- a/src/sync/view.rs
+++ b/src/store/view.rs
@@ -1,6 +1,6 @@
 //! The last known state of the store, from lists, watches and peers.
 
-use crate::platform::{Event, Item, Listing};
+use crate::store::{Event, Item, Listing};
 use std::collections::{BTreeMap, HashSet, VecDeque};
 
 /// Changes that are kept to be told to peers.
--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -1,8 +1,9 @@
 //! One call to the store: bounded in time, counted, and noted for what it says
 //! of the store.
 
-use crate::instance::state::Instance;
-use crate::platform::{Platform, StoreError};
+use crate::platform::Platform;
+use crate::state::Instance;
+use crate::store::StoreError;
 use std::time::Duration;
 use tokio::time::timeout;
 
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -1,18 +1,16 @@
 //! Keeps this instance's own key in the store, under a lease.
 
-use crate::instance::state::Instance;
 use crate::model::member::Member;
-use crate::platform::{LeaseId, Platform, Store, StoreError};
+use crate::platform::Platform;
+use crate::state::Instance;
+use crate::store::lease::{LEASE, RENEW_EVERY};
+use crate::store::{LeaseId, Store, StoreError};
 use crate::sync::backoff::Backoff;
 use crate::sync::call::call;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time between renewals of the lease.
-pub const RENEW_EVERY: Duration = Duration::from_millis(800);
-/// How long the lease lasts without a renewal.
-const LEASE: Duration = Duration::from_millis(2_600);
 /// Time within which a key that was written is seen by the watch.
 const SEEN_WITHIN: Duration = Duration::from_millis(1_500);
 /// Time between looks while there is nothing to announce yet.
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -3,9 +3,7 @@
 
 pub mod backoff;
 pub mod call;
-pub mod health;
 pub mod membership;
 pub mod peers;
 pub mod relay;
-pub mod view;
 pub mod watch;
--- a/src/sync/peers/mod.rs
+++ b/src/sync/peers/mod.rs
@@ -7,8 +7,8 @@
 pub use link::PeerLink;
 pub use told::{ToldChanges, show};
 
-use crate::instance::state::Instance;
 use crate::platform::Platform;
+use crate::state::Instance;
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use std::rc::Rc;
--- a/src/sync/peers/told.rs
+++ b/src/sync/peers/told.rs
@@ -1,9 +1,10 @@
 //! Changes of the store as peers tell them.
 
-use crate::instance::state::Instance;
-use crate::platform::{Event, Item, Listing, Platform};
+use crate::platform::Platform;
 use crate::proxy::answer_body::AnswerBody;
-use crate::sync::relay::STALE;
+use crate::state::Instance;
+use crate::store::health::MAX_VIEW_AGE;
+use crate::store::{Event, Item, Listing};
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
@@ -104,7 +105,7 @@
     // News that turn stale are told at once: the peer then looks elsewhere.
     let turns_stale = async {
         loop {
-            let fresh_for = STALE.saturating_sub(instance.health.knowledge_age().unwrap_or(STALE));
+            let fresh_for = MAX_VIEW_AGE.saturating_sub(instance.health.knowledge_age().unwrap_or(MAX_VIEW_AGE));
             if fresh_for.is_zero() {
                 return;
             }
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -4,8 +4,9 @@
 //! its relay, or stale news, follows another for a while, and watches the store
 //! itself where there is none.
 
-use crate::instance::state::Instance;
 use crate::platform::Platform;
+use crate::state::Instance;
+use crate::store::health::MAX_VIEW_AGE;
 use crate::sync::peers::PeerLink;
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -17,10 +18,6 @@
 /// How long one question to the relay waits for changes. A frozen relay is
 /// noticed within this and the link's own patience.
 const WAIT: Duration = Duration::from_millis(700);
-/// Age of the relay's knowledge from which it is no longer followed: somewhat
-/// more than the time between two renewals of its lease, which prove that its
-/// watch still stands.
-pub const STALE: Duration = Duration::from_millis(1_300);
 /// How long a relay that failed is not followed.
 const DISTRUST: Duration = Duration::from_secs(5);
 
@@ -77,7 +74,7 @@
         let Some(link) = self.link.as_mut() else { return false };
         let after = instance.view.borrow().at();
         let Ok(told) = link.changes(after, WAIT).await else { return false };
-        let Some(age) = told.age().filter(|age| *age < STALE) else { return false };
+        let Some(age) = told.age().filter(|age| *age < MAX_VIEW_AGE) else { return false };
         instance.metrics.relayed.inc();
         told.take(instance, "relay");
         instance.knew_store(age);
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -1,8 +1,9 @@
 //! Keeps the view of the store up to date: by the hall's relay, or by a watch
 //! of its own over all keys, and a list where the history is gone.
 
-use crate::instance::state::Instance;
-use crate::platform::{Platform, Store, StoreError, Watched};
+use crate::platform::Platform;
+use crate::state::Instance;
+use crate::store::{Store, StoreError, Watched};
 use crate::sync::backoff::Backoff;
 use crate::sync::relay::Follower;
 use std::rc::Rc;
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -1,7 +1,7 @@
 //! Structured lines on standard output: bounded, and never waited for.
 
 use crate::decision::world::StateChange;
-use crate::platform::StoreError;
+use crate::store::StoreError;
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::mpsc::{SyncSender, TrySendError, sync_channel};
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -6,9 +6,9 @@
 use lockloft::decision::retry::RetryBudget;
 use lockloft::decision::split::Splits;
 use lockloft::model::config::{Route, WeightedService};
-use lockloft::platform::{Event, Item, Listing};
+use lockloft::store::view::StoreView;
+use lockloft::store::{Event, Item, Listing};
 use lockloft::sync::relay::{FOLLOWERS, ancestors};
-use lockloft::sync::view::StoreView;
 use proptest::prelude::*;
 use scene::{config, route};
 use std::collections::BTreeMap;
@@ -191,7 +191,7 @@
 
 #[test]
 fn settings_with_a_missing_or_wrong_field_name_file_field_and_remedy() {
-    use lockloft::instance::settings::Settings;
+    use lockloft::settings::Settings;
     let path = std::path::Path::new("node.toml");
     assert!(Settings::parse(path, SETTINGS).is_ok());
     assert!(Settings::parse(path, &format!("novelty = 1\n{SETTINGS}")).is_ok());
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -9,7 +9,10 @@
 use lockloft::decision::world::World;
 use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
 use lockloft::model::member::Member;
-use lockloft::platform::{Event, Item, Listing, Platform, Record, TargetRegistration, TargetState};
+use lockloft::model::record::Record;
+use lockloft::model::registration::{TargetRegistration, TargetState};
+use lockloft::platform::Platform;
+use lockloft::store::{Event, Item, Listing};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -108,7 +111,7 @@
 pub struct NoStore;
 
 impl lockloft::platform::Store for NoStore {
-    async fn list(&self, _: &str) -> Result<Listing, lockloft::platform::StoreError> {
+    async fn list(&self, _: &str) -> Result<Listing, lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
     async fn watch(
@@ -116,27 +119,22 @@
         _: &str,
         _: u64,
         _: Duration,
-    ) -> Result<lockloft::platform::Watched, lockloft::platform::StoreError> {
+    ) -> Result<lockloft::store::Watched, lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn grant(&self, _: Duration) -> Result<lockloft::platform::LeaseId, lockloft::platform::StoreError> {
+    async fn grant(&self, _: Duration) -> Result<lockloft::store::LeaseId, lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn renew(&self, _: lockloft::platform::LeaseId) -> Result<(), lockloft::platform::StoreError> {
+    async fn renew(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn end(&self, _: lockloft::platform::LeaseId) -> Result<(), lockloft::platform::StoreError> {
+    async fn end(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), lockloft::platform::StoreError> {
+    async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn put(
-        &self,
-        _: &str,
-        _: Bytes,
-        _: lockloft::platform::LeaseId,
-    ) -> Result<(), lockloft::platform::StoreError> {
+    async fn put(&self, _: &str, _: Bytes, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
 }
