--- /dev/null
+++ b/src/directory/mod.rs
@@ -0,0 +1,47 @@
+//! The addresses of the readiness check and of the directory, which names to callers
+//! the instances to use. Whom it names is a rule, [`crate::decision::directory`].
+
+use crate::decision::directory;
+use crate::net::server::{ConnectionLimits, Handler};
+use crate::platform::Platform;
+use crate::proxy::answer_body::AnswerBody;
+use crate::state::Instance;
+use hyper::body::Incoming;
+use hyper::header::{CONTENT_TYPE, HeaderValue};
+use hyper::{Request, Response, StatusCode};
+use std::rc::Rc;
+use std::time::Duration;
+
+/// How long callers may keep the directory's answer, at the most. Some keep it
+/// three times as long, and a stopping instance serves them meanwhile.
+const DIRECTORY_TTL: Duration = Duration::from_secs(1);
+/// Answers the readiness check and the directory's questions.
+pub struct DirectoryListener<P: Platform>(pub Rc<Instance<P>>);
+
+impl<P: Platform> Handler for DirectoryListener<P> {
+    type Body = AnswerBody;
+
+    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+        let (path, query) = (request.uri().path(), request.uri().query().unwrap_or(""));
+        if path == P::ready_path() {
+            let status = if self.0.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
+            return AnswerBody::empty(status);
+        }
+        let Some(place) = P::directory_question(path, query) else { return AnswerBody::empty(StatusCode::NOT_FOUND) };
+        let settings = self.0.settings();
+        let instances = directory::instances_for(&self.0.world.borrow(), &settings, &place, self.0.is_ready());
+        if instances.is_empty() {
+            return AnswerBody::empty(StatusCode::SERVICE_UNAVAILABLE);
+        }
+        let answer = P::directory_answer(&instances, DIRECTORY_TTL.min(settings.directory_ttl));
+        let mut response = Response::new(AnswerBody::buffered(answer));
+        response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
+        response
+    }
+
+    fn limits(&self) -> ConnectionLimits {
+        ConnectionLimits::INNER
+    }
+
+    fn connections(&self, _: i64) {}
+}
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -1,11 +1,13 @@
 //! An instance on a platform that brings the store: it keeps a view of
 //! the store, answers callers, and sends their requests straight to targets.
 
-pub mod fronts;
+pub mod peer_listener;
 pub mod stop;
 
-use crate::instance::fronts::{CallerFront, DirectoryFront, PeerFront};
+use crate::directory::DirectoryListener;
+use crate::instance::peer_listener::PeerListener;
 use crate::platform::Platform;
+use crate::proxy::listener::CallerListener;
 use crate::settings::{Settings, SettingsError};
 use crate::state::Instance;
 use std::net::SocketAddr;
@@ -63,10 +65,10 @@
     tracing::info!(event = "started", name = settings.name, hall = &*settings.hall, region = &*settings.region);
     let instance: Rc<Instance<P>> = Rc::new(Instance::new(settings, store, log.clone()));
     spawn_local(log.clone().run());
-    spawn_local(crate::net::server::listen(callers, Rc::new(CallerFront(instance.clone()))));
-    spawn_local(crate::net::server::listen(readiness, Rc::new(DirectoryFront(instance.clone()))));
-    spawn_local(crate::net::server::listen(directory, Rc::new(DirectoryFront(instance.clone()))));
-    spawn_local(crate::net::server::listen(peers, Rc::new(PeerFront(instance.clone()))));
+    spawn_local(crate::net::server::listen(callers, Rc::new(CallerListener(instance.clone()))));
+    spawn_local(crate::net::server::listen(readiness, Rc::new(DirectoryListener(instance.clone()))));
+    spawn_local(crate::net::server::listen(directory, Rc::new(DirectoryListener(instance.clone()))));
+    spawn_local(crate::net::server::listen(peers, Rc::new(PeerListener(instance.clone()))));
     spawn_local(crate::sync::watch::run(instance.clone()));
     spawn_local(crate::sync::membership::run(instance.clone()));
     spawn_local(crate::sync::peers::run(instance.clone()));
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,6 +12,7 @@
 //! | [`net`], [`telemetry`] | connections; log and metrics |
 pub mod command;
 pub mod decision;
+pub mod directory;
 pub mod hash;
 pub mod instance;
 pub mod model;
--- a/src/net/server.rs
+++ b/src/net/server.rs
@@ -34,6 +34,17 @@
     pub connections: u32,
 }
 
+impl ConnectionLimits {
+    /// Bounds on connections of peers, operators and the platform, which are few and
+    /// send small heads.
+    pub const INNER: Self = Self {
+        head_bytes: 16 * 1024,
+        head_time: Duration::from_secs(3),
+        idle_time: Duration::from_secs(15),
+        connections: 256,
+    };
+}
+
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Phase {
     /// Between requests.
--- a/src/proxy/answer_body.rs
+++ b/src/proxy/answer_body.rs
@@ -9,6 +9,7 @@
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
+use hyper::{Response, StatusCode};
 use std::cell::Cell;
 use std::collections::VecDeque;
 use std::future::Future;
@@ -27,6 +28,13 @@
 }
 
 impl AnswerBody {
+    /// An answer without a body.
+    pub fn empty(status: StatusCode) -> Response<Self> {
+        let mut response = Response::new(AnswerBody::buffered(""));
+        *response.status_mut() = status;
+        response
+    }
+
     /// A body that is held whole.
     pub fn buffered(bytes: impl Into<Bytes>) -> Self {
         AnswerBody::Buffered(Full::new(bytes.into()))
--- /dev/null
+++ b/src/proxy/listener.rs
@@ -0,0 +1,64 @@
+//! The callers' address: bounds on connections, and the count of requests in flight.
+
+use crate::net::server::{ConnectionLimits, Handler};
+use crate::platform::Platform;
+use crate::proxy::answer_body::AnswerBody;
+use crate::proxy::serve::serve;
+use crate::state::Instance;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue};
+use hyper::{Request, Response};
+use std::rc::Rc;
+
+/// Part of the descriptors that callers' connections may take, as a divisor.
+const CALLER_DIVISOR: u32 = 2;
+
+/// Answers requests of callers.
+pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
+
+/// Counts a request for as long as it lives.
+struct Active<'a, P: Platform>(&'a Instance<P>);
+
+impl<'a, P: Platform> Active<'a, P> {
+    fn new(instance: &'a Instance<P>) -> Self {
+        instance.active.set(instance.active.get() + 1);
+        instance.metrics.active.inc();
+        Self(instance)
+    }
+}
+
+impl<P: Platform> Drop for Active<'_, P> {
+    fn drop(&mut self) {
+        self.0.active.set(self.0.active.get() - 1);
+        self.0.metrics.active.dec();
+    }
+}
+
+impl<P: Platform> Handler for CallerListener<P> {
+    type Body = AnswerBody;
+
+    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+        let active = Active::new(&self.0);
+        let mut response = serve(&self.0, request).await;
+        if self.0.stopping.get().is_some() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        drop(active);
+        response
+    }
+
+    fn limits(&self) -> ConnectionLimits {
+        let world = self.0.world.borrow();
+        let limits = world.config.as_ref().map(|config| config.limits).unwrap_or_default();
+        ConnectionLimits {
+            head_bytes: limits.head_bytes,
+            head_time: limits.head_time,
+            idle_time: limits.idle_time,
+            connections: (self.0.settings.borrow().descriptors / CALLER_DIVISOR).max(1),
+        }
+    }
+
+    fn connections(&self, change: i64) {
+        self.0.metrics.connections.add(change);
+    }
+}
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -4,5 +4,6 @@
 pub mod attempt;
 pub mod exchange;
 pub mod incoming_body;
+pub mod listener;
 pub mod refusal;
 pub mod serve;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,5 +1,7 @@
 //! What all tasks of an instance share.
 
+mod change_log;
+
 use crate::decision::retry::RetryBudget;
 use crate::decision::split::Splits;
 use crate::decision::world::{StateChange, World};
@@ -129,7 +131,7 @@
     fn handle_changes(&self, state_changes: &[StateChange], source: &'static str) {
         let revision = self.view.borrow().at();
         for state_change in state_changes {
-            crate::telemetry::log::state_change(state_change, revision, source);
+            change_log::log_change(state_change, revision, source);
             match state_change {
                 StateChange::Config(version) => self.config_changed(*version),
                 StateChange::Member { .. } => self.members_changed(),
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -42,7 +42,7 @@
         self.heard_at.set(Some(now));
         let has_returned = self.lost.replace(false);
         if has_returned {
-            crate::telemetry::log::store_regained();
+            log_store_regained();
             self.note_return(Some(now));
         }
         has_returned
@@ -51,7 +51,7 @@
     /// Notes that the store turned a call away or kept silent.
     pub fn missed(&self, error: &StoreError) {
         if self.is_lost() && !self.lost.replace(true) {
-            crate::telemetry::log::store_lost(error, self.silence());
+            log_store_lost(error, self.silence());
         }
     }
 
@@ -110,3 +110,11 @@
         self.knowledge_age().is_some_and(|age| age < MAX_VIEW_AGE)
     }
 }
+
+fn log_store_lost(error: &StoreError, age: Option<Duration>) {
+    tracing::warn!(event = "store_lost", %error, last_answer_ms = age.map(|age| age.as_millis() as u64));
+}
+
+fn log_store_regained() {
+    tracing::info!(event = "store_regained");
+}
--- a/src/telemetry/log.rs
+++ b/src/telemetry/log.rs
@@ -1,7 +1,5 @@
 //! Structured lines on standard output: bounded, and never waited for.
 
-use crate::decision::world::StateChange;
-use crate::store::StoreError;
 use std::io::Write;
 use std::sync::atomic::{AtomicU64, Ordering::Relaxed};
 use std::sync::mpsc::{SyncSender, TrySendError, sync_channel};
@@ -209,27 +207,3 @@
     });
     sender
 }
-
-/// Notes a change of what this instance believes.
-pub fn state_change(state_change: &StateChange, revision: u64, source: &'static str) {
-    match state_change {
-        StateChange::Config(version) => tracing::info!(event = "config_in_force", version, revision, source),
-        StateChange::Policies { revision: policies, by } => {
-            tracing::info!(event = "policies_in_force", policies, by, revision, source)
-        }
-        StateChange::Evacuation { hall, on } => tracing::info!(event = "evacuation", hall, on, revision, source),
-        StateChange::Target { id, state } => tracing::info!(event = "target", id = &**id, state, revision, source),
-        StateChange::Member { name, present } => tracing::info!(event = "member", name, present, revision, source),
-        StateChange::Refused(error) => tracing::error!(event = "value_refused", %error, revision, source),
-    }
-}
-
-/// Notes that the store was lost.
-pub fn store_lost(error: &StoreError, age: Option<Duration>) {
-    tracing::warn!(event = "store_lost", %error, last_answer_ms = age.map(|age| age.as_millis() as u64));
-}
-
-/// Notes that the store answers again.
-pub fn store_regained() {
-    tracing::info!(event = "store_regained");
-}
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -68,7 +68,7 @@
     fn policies_key() -> &'static str {
         "policies"
     }
-    fn read(item: &Item) -> Result<Record, lockloft::platform::RecordError> {
+    fn read(item: &Item) -> Result<Record, lockloft::model::record::RecordError> {
         if item.key == Self::policies_key() {
             return Ok(Record::Policies);
         }
@@ -96,8 +96,8 @@
             _ => Record::Unknown,
         })
     }
-    fn read_gone(key: &str) -> lockloft::platform::RemovedRecord {
-        lockloft::platform::RemovedRecord::Target(key.to_owned())
+    fn read_gone(key: &str) -> lockloft::model::record::RemovedRecord {
+        lockloft::model::record::RemovedRecord::Target(key.to_owned())
     }
     fn directory_question(_: &str, _: &str) -> Option<lockloft::platform::CallerPlace> {
         None
@@ -110,7 +110,7 @@
 /// A store that nobody asks.
 pub struct NoStore;
 
-impl lockloft::platform::Store for NoStore {
+impl lockloft::store::Store for NoStore {
     async fn list(&self, _: &str) -> Result<Listing, lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
