--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -2,9 +2,9 @@
 //! targets as long as these have room, within what the operators' policies
 //! leave.
 
+use crate::decision::routing::Routing;
 use crate::decision::slow_start::SlowStartBounds;
 use crate::decision::target::Target;
-use crate::decision::world::World;
 use crate::hash::unit;
 use crate::model::config::{Config, Route};
 use crate::policy::{Active, Order, PolicyVerdict};
@@ -109,7 +109,7 @@
     }
 }
 
-/// What the choice looks at besides the world.
+/// What the choice looks at besides the routing.
 #[derive(Debug)]
 pub struct Query<'a> {
     /// The request's route.
@@ -152,8 +152,8 @@
 /// # Errors
 /// [`NoTarget`] where none may be used, none has room, or a cap forbids those
 /// that have.
-pub fn choose(world: &World, config: &Config, query: &Query<'_>) -> Result<Rc<Target>, NoTarget> {
-    let ranking = rank(world, query);
+pub fn choose(routing: &Routing, config: &Config, query: &Query<'_>) -> Result<Rc<Target>, NoTarget> {
+    let ranking = rank(routing, query);
     let preferred = ranking.candidates.first().ok_or(NoTarget::NoneUsable)?.target;
     let most = max_load(config, query);
     let mut is_capped = false;
@@ -170,7 +170,7 @@
     if !is_capped {
         return Err(NoTarget::Full(preferred.clone()));
     }
-    match best_in_default_hall(world, query, &ranking, most) {
+    match best_in_default_hall(routing, query, &ranking, most) {
         Some(target) => Ok(chosen(target, query)),
         None => Err(NoTarget::Capped(preferred.clone())),
     }
@@ -186,27 +186,27 @@
 /// The best target in the hall that place alone gives, for a request that no
 /// cap lets out of it.
 fn best_in_default_hall<'a>(
-    world: &'a World,
+    routing: &'a Routing,
     query: &Query<'_>,
     ranking: &Ranking<'a>,
     most: f64,
 ) -> Option<&'a Rc<Target>> {
     let hall = &ranking.default_target.as_ref()?.target.hall;
-    let median = world.median_latency(query.service);
+    let median = routing.median_latency(query.service);
     let is_open = |target: &&Rc<Target>| {
-        target.hall == *hall && has_room(target, most, query) && exclusion(world, query, target, median).is_none()
+        target.hall == *hall && has_room(target, most, query) && exclusion(routing, query, target, median).is_none()
     };
     let key = |target: &Rc<Target>| (order(query, target), draw(query, target));
     let order = |one: &&Rc<Target>, other: &&Rc<Target>| key(one).partial_cmp(&key(other)).unwrap_or(Ordering::Equal);
-    world.targets_of(query.service).iter().filter(is_open).min_by(order)
+    routing.targets_of(query.service).iter().filter(is_open).min_by(order)
 }
 
 /// What the choice makes of every target of the service, the object's own
 /// first. Nothing is sent, earned or spent where the query's charge is dry.
-pub fn explain(world: &World, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
-    let ranking = rank(world, query);
+pub fn explain(routing: &Routing, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
+    let ranking = rank(routing, query);
     let most = max_load(config, query);
-    let chosen = choose(world, config, query).ok().map(|target| target.id.clone());
+    let chosen = choose(routing, config, query).ok().map(|target| target.id.clone());
     let mut verdicts = Vec::new();
     for Candidate { target, .. } in &ranking.candidates {
         let verdict = match has_room(target, most, query) {
@@ -216,10 +216,10 @@
         };
         verdicts.push(((*target).clone(), verdict));
     }
-    let median = world.median_latency(query.service);
+    let median = routing.median_latency(query.service);
     let is_ranked = |target: &Target| ranking.candidates.iter().any(|candidate| candidate.target.id == target.id);
-    for target in world.targets_of(query.service).iter().filter(|target| !is_ranked(target)) {
-        let exclusion = exclusion(world, query, target, median);
+    for target in routing.targets_of(query.service).iter().filter(|target| !is_ranked(target)) {
+        let exclusion = exclusion(routing, query, target, median);
         verdicts.push((target.clone(), exclusion.map_or(Verdict::NotPreferred, Verdict::Excluded)));
     }
     verdicts
@@ -277,12 +277,12 @@
     }
 }
 
-fn rank<'a>(world: &'a World, query: &Query<'_>) -> Ranking<'a> {
-    let median = world.median_latency(query.service);
+fn rank<'a>(routing: &'a Routing, query: &Query<'_>) -> Ranking<'a> {
+    let median = routing.median_latency(query.service);
     let has_caps = query.active.is_some_and(Active::has_caps);
     let mut ranking = Ranking { candidates: Vec::with_capacity(TARGETS_PER_KEY + 1), default_target: None };
-    for target in world.targets_of(query.service) {
-        let exclusion = exclusion(world, query, target, median);
+    for target in routing.targets_of(query.service) {
+        let exclusion = exclusion(routing, query, target, median);
         if exclusion.is_some() && !has_caps {
             continue;
         }
@@ -320,11 +320,11 @@
 
 /// What keeps a target from being used; `None` where nothing does. `median`
 /// is the middle of the times that the service's targets take, seconds.
-pub fn exclusion(world: &World, query: &Query<'_>, target: &Target, median: f64) -> Option<Exclusion> {
+pub fn exclusion(routing: &Routing, query: &Query<'_>, target: &Target, median: f64) -> Option<Exclusion> {
     let first = [
         (!target.is_ready() || target.has_expired(query.now), Exclusion::Draining),
         (!query.route.allows(&target.region), Exclusion::RegionNotAllowed),
-        (world.is_evacuated(&target.hall), Exclusion::Evacuated),
+        (routing.is_evacuated(&target.hall), Exclusion::Evacuated),
         (!target.is_trusted(query.now), Exclusion::Ejected),
         (query.tried.contains(&target.id), Exclusion::Tried),
     ];
@@ -340,7 +340,7 @@
     if is_skipped_as_slow(query, target, median) {
         return Some(Exclusion::Slow);
     }
-    (target.is_in_slow_start(query.now) && !may_send_in_slow_start(world, query, target)).then_some(Exclusion::Cold)
+    (target.is_in_slow_start(query.now) && !may_send_in_slow_start(routing, query, target)).then_some(Exclusion::Cold)
 }
 
 /// Whether the target is too slow to be sent more than a try now and then.
@@ -348,8 +348,8 @@
     target.is_slow(median, query.route.objective, query.now) && !target.may_try_slow(query.now)
 }
 
-fn may_send_in_slow_start(world: &World, query: &Query<'_>, target: &Target) -> bool {
+fn may_send_in_slow_start(routing: &Routing, query: &Query<'_>, target: &Target) -> bool {
     query
         .slow_start
-        .is_some_and(|slow_start| world.may_send_in_slow_start(target, slow_start.own, slow_start.bounds, query.now))
+        .is_some_and(|slow_start| routing.may_send_in_slow_start(target, slow_start.own, slow_start.bounds, query.now))
 }
--- a/src/decision/directory.rs
+++ b/src/decision/directory.rs
@@ -1,6 +1,6 @@
 //! Tells callers which instances to use.
 
-use crate::decision::world::World;
+use crate::decision::routing::Routing;
 use crate::platform::CallerPlace;
 use crate::settings::Settings;
 use std::net::SocketAddr;
@@ -10,8 +10,8 @@
 
 /// The instances for a caller: those of its region, else of this instance's own
 /// region, else all; this one always counts as there while `own` says so.
-pub fn instances_for(world: &World, settings: &Settings, place: &CallerPlace, own: bool) -> Vec<SocketAddr> {
-    let mut all: Vec<(&str, SocketAddr)> = world
+pub fn instances_for(routing: &Routing, settings: &Settings, place: &CallerPlace, own: bool) -> Vec<SocketAddr> {
+    let mut all: Vec<(&str, SocketAddr)> = routing
         .members
         .iter()
         .filter(|(name, _)| **name != settings.name)
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -4,7 +4,7 @@
 pub mod choice;
 pub mod directory;
 pub mod retry;
+pub mod routing;
 pub mod slow_start;
 pub mod split;
 pub mod target;
-pub mod world;
--- a/src/decision/world.rs
+++ b/src/decision/routing.rs
@@ -47,9 +47,9 @@
     at: Instant,
 }
 
-/// The world as the store describes it.
+/// The routing as the store describes it.
 #[derive(Debug)]
-pub struct World {
+pub struct Routing {
     /// The configuration in force; `None` before the first.
     pub config: Option<Rc<Config>>,
     /// The operators' policies in force; `None` where there are none.
@@ -65,8 +65,8 @@
     members_at: Instant,
 }
 
-impl World {
-    /// An empty world whose halls lie in these regions.
+impl Routing {
+    /// An empty routing whose halls lie in these regions.
     pub fn new(regions: HashMap<Rc<str>, Rc<str>>) -> Self {
         Self {
             config: None,
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -29,7 +29,7 @@
         }
         let Some(place) = P::directory_question(path, query) else { return AnswerBody::empty(StatusCode::NOT_FOUND) };
         let settings = self.0.settings();
-        let instances = directory::instances_for(&self.0.world.borrow(), &settings, &place, self.0.is_ready());
+        let instances = directory::instances_for(&self.0.routing.borrow(), &settings, &place, self.0.is_ready());
         if instances.is_empty() {
             return AnswerBody::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -91,10 +91,10 @@
         sleep(SWEEP_EVERY).await;
         let now = Instant::now();
         instance.remove_expired();
-        instance.world.borrow_mut().update_median_latencies();
-        let world = instance.world.borrow();
-        world.share_connections();
-        for target in world.targets() {
+        instance.routing.borrow_mut().update_median_latencies();
+        let routing = instance.routing.borrow();
+        routing.share_connections();
+        for target in routing.targets() {
             target.pool.sweep(now);
         }
     }
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -66,28 +66,28 @@
 
 fn status<P: Platform>(instance: &Instance<P>) -> InstanceStatus {
     let settings = instance.settings();
-    let world = instance.world.borrow();
+    let routing = instance.routing.borrow();
     InstanceStatus {
         instance: settings.name.clone(),
         hall: settings.hall.to_string(),
         region: settings.region.to_string(),
-        config: world.config.as_ref().map(|config| config.version),
-        policies: world.policies.as_ref().map(|policies| policies.revision),
+        config: routing.config.as_ref().map(|config| config.version),
+        policies: routing.policies.as_ref().map(|policies| policies.revision),
         view_revision: instance.view.borrow().at(),
         view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
         store_lost: instance.health.is_lost(),
         stopping: instance.stopping.get().is_some(),
-        members: world.members.len(),
-        targets: world.targets().count(),
+        members: routing.members.len(),
+        targets: routing.targets().count(),
         active: instance.active.get(),
-        evacuated: world.evacuated().map(str::to_owned).collect(),
+        evacuated: routing.evacuated().map(str::to_owned).collect(),
     }
 }
 
 fn targets<P: Platform>(instance: &Instance<P>) -> Vec<TargetLine> {
-    let world = instance.world.borrow();
+    let routing = instance.routing.borrow();
     let now = Instant::now();
-    let mut lines: Vec<TargetLine> = world.targets().map(|target| target_line(target, now)).collect();
+    let mut lines: Vec<TargetLine> = routing.targets().map(|target| target_line(target, now)).collect();
     lines.sort_by(|one, other| {
         (&one.service, &one.hall, &one.target).cmp(&(&other.service, &other.hall, &other.target))
     });
@@ -121,7 +121,7 @@
         callers: member.callers,
         peers: member.peer,
     };
-    instance.world.borrow().members.iter().map(line).collect()
+    instance.routing.borrow().members.iter().map(line).collect()
 }
 
 /// The policies that lie in the store, as far as this instance knows it.
@@ -153,9 +153,9 @@
 
 /// Names of the policies whose places select no target that is known now.
 fn idle<P: Platform>(instance: &Instance<P>, policies: &Policies) -> Vec<String> {
-    let world = instance.world.borrow();
+    let routing = instance.routing.borrow();
     let reached =
-        world.targets().map(|target| policies.selecting(&target.facts())).fold(PolicyMask::default(), PolicyMask::or);
+        routing.targets().map(|target| policies.selecting(&target.facts())).fold(PolicyMask::default(), PolicyMask::or);
     let names = policies.iter().enumerate().filter(|(position, _)| !reached.contains(*position));
     names.map(|(_, policy)| policy.name.clone()).collect()
 }
@@ -164,9 +164,9 @@
 fn why<P: Platform>(instance: &Instance<P>, uri: &Uri) -> Result<Why, Refusal> {
     let question = Question::read(uri)?;
     let settings = instance.settings();
-    let world = instance.world.borrow();
+    let routing = instance.routing.borrow();
     let unknown = || refused(StatusCode::SERVICE_UNAVAILABLE, "this entry has no configuration yet; ask another");
-    let config = world.config.clone().ok_or_else(unknown)?;
+    let config = routing.config.clone().ok_or_else(unknown)?;
     let route = question.route(&config)?;
     let object = question.object.as_ref().map_or(0, |object| hash_affinity(object.as_bytes()));
     let weighted = instance.splits.borrow().peek(route, object);
@@ -180,7 +180,7 @@
         uri: &question.uri,
         headers: &question.headers,
     };
-    let active = world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
+    let active = routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
     let slow_start =
         instance.health.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
     let query = Query {
@@ -193,13 +193,13 @@
         tried: &[],
         now,
     };
-    let verdicts = explain(&world, &config, &query);
+    let verdicts = explain(&routing, &config, &query);
     let chosen = verdicts.iter().find(|(_, verdict)| *verdict == Verdict::Chosen);
     Ok(Why {
         route: route.name.to_string(),
         service: weighted.service.to_string(),
         config: config.version,
-        policies: world.policies.as_ref().map(|policies| policies.revision),
+        policies: routing.policies.as_ref().map(|policies| policies.revision),
         view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
         acted: active.as_ref().map_or_else(Vec::new, Active::applied),
         chosen: chosen.map(|(target, _)| target.id.to_string()),
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -2,8 +2,8 @@
 //! where that is safe.
 
 use crate::decision::choice::{NoTarget, Query, SlowStartShare, choose};
+use crate::decision::routing::Routing;
 use crate::decision::target::Target;
-use crate::decision::world::World;
 use crate::hash::hash_affinity;
 use crate::model::config::{Config, Repeat, Route, WeightedService};
 use crate::net::request_body::RequestBody;
@@ -136,14 +136,14 @@
         story: &mut Story,
     ) -> Result<Rc<Target>, Refusal> {
         let settings = self.instance.settings.borrow().clone();
-        let world = self.instance.world.borrow();
+        let routing = self.instance.routing.borrow();
         let slow_start =
             self.instance.health.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
         let others =
             self.route.services.iter().filter(|weighted| weighted.service != picked.service && weighted.weight > 0.0);
         let mut refusal = Refusal::NoTarget;
         for weighted in std::iter::once(picked).chain(others) {
-            let active = self.active(&world, &settings, &weighted.service, object);
+            let active = self.active(&routing, &settings, &weighted.service, object);
             let query = Query {
                 route: self.route,
                 service: &weighted.service,
@@ -154,7 +154,7 @@
                 tried,
                 now: Instant::now(),
             };
-            let chosen = choose(&world, self.config, &query);
+            let chosen = choose(&routing, self.config, &query);
             story.policies = active.as_ref().map_or_else(Vec::new, Active::applied);
             let is_capped = matches!(chosen, Err(NoTarget::Capped(_)));
             match chosen {
@@ -175,7 +175,7 @@
     }
 
     /// The operators' policies that select the request.
-    fn active(&self, world: &World, settings: &Settings, service: &str, object: u64) -> Option<Active<'_>> {
+    fn active(&self, routing: &Routing, settings: &Settings, service: &str, object: u64) -> Option<Active<'_>> {
         let facts = RequestFacts {
             service,
             route: &self.route.name,
@@ -185,7 +185,7 @@
             uri: &self.parts.uri,
             headers: &self.parts.headers,
         };
-        Active::find(world.policies.as_ref()?, &facts, object, &self.charge)
+        Active::find(routing.policies.as_ref()?, &facts, object, &self.charge)
     }
 
     fn note_fault(&self, fault: &Fault, target: &Target) {
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -48,8 +48,8 @@
     }
 
     fn limits(&self) -> ConnectionLimits {
-        let world = self.0.world.borrow();
-        let limits = world.config.as_ref().map(|config| config.limits).unwrap_or_default();
+        let routing = self.0.routing.borrow();
+        let limits = routing.config.as_ref().map(|config| config.limits).unwrap_or_default();
         ConnectionLimits {
             head_bytes: limits.head_bytes,
             head_time: limits.head_time,
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -129,7 +129,7 @@
     let until = Instant::now() + FIRST_CONFIG;
     loop {
         let changed = instance.view_changed.notified();
-        if let Some(config) = &instance.world.borrow().config {
+        if let Some(config) = &instance.routing.borrow().config {
             return Some(config.clone());
         }
         timeout_at(until, changed).await.ok()?;
--- a/src/state/change_log.rs
+++ b/src/state/change_log.rs
@@ -1,6 +1,6 @@
 //! Log lines of changes of the shared state.
 
-use crate::decision::world::StateChange;
+use crate::decision::routing::StateChange;
 
 /// Logs a change: `revision` is that of the view, `source` where the change came from.
 pub fn log_change(state_change: &StateChange, revision: u64, source: &'static str) {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -3,8 +3,8 @@
 mod change_log;
 
 use crate::decision::retry::RetryBudget;
+use crate::decision::routing::{Routing, StateChange};
 use crate::decision::split::Splits;
-use crate::decision::world::{StateChange, World};
 use crate::platform::{HeaderNames, Platform};
 use crate::settings::Settings;
 use crate::store::health::StoreHealth;
@@ -35,7 +35,7 @@
     /// The last known state of the store.
     pub view: RefCell<StoreView>,
     /// What it means.
-    pub world: RefCell<World>,
+    pub routing: RefCell<Routing>,
     /// Shares of split routes.
     pub splits: RefCell<Splits>,
     /// Paid second tries.
@@ -71,14 +71,14 @@
 impl<P: Platform> Instance<P> {
     /// An instance that knows nothing yet.
     pub fn new(settings: Settings, store: P::Store, log: Log) -> Self {
-        let world = World::new(settings.halls.clone());
+        let routing = Routing::new(settings.halls.clone());
         Self {
             retries: RefCell::new(budget(&settings, 1)),
             settings: RefCell::new(Rc::new(settings)),
             store,
             names: P::headers(),
             view: RefCell::new(StoreView::default()),
-            world: RefCell::new(world),
+            routing: RefCell::new(routing),
             splits: RefCell::new(Splits::default()),
             metrics: Metrics::default(),
             log,
@@ -103,7 +103,7 @@
 
     /// Whether callers should come here.
     pub fn is_ready(&self) -> bool {
-        self.stopping.get().is_none() && self.world.borrow().config.is_some()
+        self.stopping.get().is_none() && self.routing.borrow().config.is_some()
     }
 
     /// Takes in a list of the store's items.
@@ -123,7 +123,7 @@
             return;
         }
         let now = Instant::now();
-        let state_changes = self.world.borrow_mut().apply::<P>(changes, now, self.health.grace_until(now));
+        let state_changes = self.routing.borrow_mut().apply::<P>(changes, now, self.health.grace_until(now));
         self.view_changed.notify_waiters();
         self.handle_changes(&state_changes, source);
     }
@@ -142,14 +142,14 @@
 
     fn config_changed(&self, version: u64) {
         self.metrics.config_version.set(version as i64);
-        let world = self.world.borrow();
-        let Some(config) = &world.config else { return };
+        let routing = self.routing.borrow();
+        let Some(config) = &routing.config else { return };
         let split = config.split_routes();
         self.splits.borrow_mut().retain(|name| split.contains(name));
     }
 
     fn members_changed(&self) {
-        let members = self.world.borrow().members.len();
+        let members = self.routing.borrow().members.len();
         self.metrics.members.set(members as i64);
         let settings = self.settings();
         self.retries.borrow_mut().set_max_saved(max_saved(&settings, members));
@@ -174,7 +174,7 @@
 
     /// Removes targets whose registrations did not come back after the store did.
     pub fn remove_expired(&self) {
-        let state_changes = self.world.borrow_mut().remove_expired(Instant::now());
+        let state_changes = self.routing.borrow_mut().remove_expired(Instant::now());
         self.handle_changes(&state_changes, "lapse");
     }
 }
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -65,7 +65,7 @@
 /// Whether the key was taken away while its lease goes on.
 fn is_key_missing<P: Platform>(instance: &Instance<P>, held: &Held) -> bool {
     let name = &instance.settings.borrow().name;
-    held.written.elapsed() > SEEN_WITHIN && !instance.world.borrow().members.contains_key(name)
+    held.written.elapsed() > SEEN_WITHIN && !instance.routing.borrow().members.contains_key(name)
 }
 
 async fn announce<P: Platform>(instance: &Instance<P>) -> Result<Held, StoreError> {
--- a/src/sync/peers/mod.rs
+++ b/src/sync/peers/mod.rs
@@ -41,7 +41,7 @@
 
 fn pick<P: Platform>(instance: &Instance<P>) -> Option<SocketAddr> {
     let settings = instance.settings();
-    let mut peers = instance.world.borrow().peers(&settings.name);
+    let mut peers = instance.routing.borrow().peers(&settings.name);
     peers.extend(settings.seeds.iter().filter(|seed| **seed != settings.listen.peers));
     peers.choose(&mut rand::rng()).copied()
 }
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -44,8 +44,8 @@
     /// itself.
     pub fn relay<P: Platform>(&self, instance: &Instance<P>) -> Option<SocketAddr> {
         let settings = instance.settings.borrow().clone();
-        let world = instance.world.borrow();
-        let before = world.members.iter().take_while(|(name, _)| **name < settings.name);
+        let routing = instance.routing.borrow();
+        let before = routing.members.iter().take_while(|(name, _)| **name < settings.name);
         let relays: Vec<SocketAddr> =
             before.filter(|(_, member)| *member.hall == *settings.hall).map(|(_, member)| member.peer).collect();
         let now = Instant::now();
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -287,7 +287,7 @@
         headers: &headers,
     };
     let charge = CapCharge::default();
-    let active = scene.world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
+    let active = scene.routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
     let query = Query {
         route: &route,
         service: "shop",
@@ -298,7 +298,7 @@
         tried: &[],
         now: scene.now,
     };
-    match choose(&scene.world, &scene.config, &query) {
+    match choose(&scene.routing, &scene.config, &query) {
         Ok(target) => Outcome::To(target.id[1..].parse().unwrap()),
         Err(NoTarget::Capped(_)) => Outcome::Capped,
         Err(NoTarget::NoneUsable) => Outcome::NoneUsable,
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -150,7 +150,7 @@
             tried: &[],
             now: scene.now,
         };
-        if let Ok(target) = choose(&scene.world, &scene.config, &query) {
+        if let Ok(target) = choose(&scene.routing, &scene.config, &query) {
             target.enter(scene.now);
             sent += 1;
         }
@@ -224,10 +224,10 @@
     scene.remove(&first.id, grace_until);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
     scene.now += Duration::from_millis(1_900);
-    assert!(scene.world.remove_expired(scene.now).is_empty());
+    assert!(scene.routing.remove_expired(scene.now).is_empty());
     scene.now += Duration::from_millis(200);
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id, "it did not come back");
-    assert_eq!(scene.world.remove_expired(scene.now).len(), 1);
+    assert_eq!(scene.routing.remove_expired(scene.now).len(), 1);
 }
 
 #[test]
@@ -237,7 +237,7 @@
     scene.remove(&first.id, Some(scene.now + Duration::from_secs(2)));
     scene.put(first.id.as_ref(), &format!("{} 4 ready 2 0", first.hall));
     scene.now += Duration::from_secs(5);
-    assert!(scene.world.remove_expired(scene.now).is_empty());
+    assert!(scene.routing.remove_expired(scene.now).is_empty());
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
 }
 
@@ -247,8 +247,8 @@
     let first = scene.choose(7, &[]).unwrap();
     scene.put(first.id.as_ref(), &format!("{} 4 draining 2 0", first.hall));
     scene.remove(&first.id, Some(scene.now + Duration::from_secs(2)));
-    assert!(scene.world.targets().all(|target| target.id != first.id));
+    assert!(scene.routing.targets().all(|target| target.id != first.id));
     let second = scene.choose(7, &[]).unwrap();
     scene.remove(&second.id, None);
-    assert!(scene.world.targets().all(|target| target.id != second.id));
+    assert!(scene.routing.targets().all(|target| target.id != second.id));
 }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -52,7 +52,7 @@
     asked: &Asked,
     object: u64,
     trial: &CapCharge,
-    with: impl Fn(&lockloft::decision::world::World, &lockloft::model::config::Config, &Query<'_>) -> T,
+    with: impl Fn(&lockloft::decision::routing::Routing, &lockloft::model::config::Config, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
     let facts = RequestFacts {
@@ -64,7 +64,7 @@
         uri: &asked.uri,
         headers: &asked.headers,
     };
-    let active = scene.world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, trial));
+    let active = scene.routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, trial));
     let query = Query {
         route: &route,
         service: "shop",
@@ -75,7 +75,7 @@
         tried: &[],
         now: scene.now,
     };
-    let decided = with(&scene.world, &scene.config, &query);
+    let decided = with(&scene.routing, &scene.config, &query);
     (decided, active.as_ref().map_or_else(Vec::new, Active::applied))
 }
 
@@ -171,7 +171,7 @@
     let counts = halls(&scene, &Asked::plain(), 0..200);
     assert!(counts.contains_key("a-1") && !counts.contains_key("b-1"), "{counts:?}");
     scene.put("policies", "no document");
-    assert_eq!(scene.world.policies.as_ref().unwrap().revision, 5);
+    assert_eq!(scene.routing.policies.as_ref().unwrap().revision, 5);
 }
 
 #[test]
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -1,12 +1,12 @@
-//! A small world without processes: eight targets in four halls.
+//! A small routing without processes: eight targets in four halls.
 
 // Each test program uses its own part of it.
 #![allow(dead_code)]
 
 use bytes::Bytes;
 use lockloft::decision::choice::{NoTarget, Query, choose};
+use lockloft::decision::routing::Routing;
 use lockloft::decision::target::Target;
-use lockloft::decision::world::World;
 use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
 use lockloft::model::member::Member;
 use lockloft::model::record::Record;
@@ -139,9 +139,9 @@
     }
 }
 
-/// A world, its config and a time.
+/// A routing, its config and a time.
 pub struct Scene {
-    pub world: World,
+    pub routing: Routing,
     pub config: Config,
     pub revision: u64,
     pub now: Instant,
@@ -152,8 +152,8 @@
     /// in region `a`, `b-1`, `b-2` in region `b`.
     pub fn new() -> Self {
         let regions = [("a-1", "a"), ("a-2", "a"), ("b-1", "b"), ("b-2", "b")];
-        let world = World::new(regions.iter().map(|(hall, region)| ((*hall).into(), (*region).into())).collect());
-        let mut scene = Self { world, config: config(Vec::new()), revision: 0, now: Instant::now() };
+        let routing = Routing::new(regions.iter().map(|(hall, region)| ((*hall).into(), (*region).into())).collect());
+        let mut scene = Self { routing, config: config(Vec::new()), revision: 0, now: Instant::now() };
         for number in 0..8 {
             let hall = regions[number / 2].0;
             scene.put(&format!("t{number}"), &format!("{hall} 4 ready 1 0"));
@@ -165,7 +165,7 @@
     pub fn put(&mut self, key: &str, value: &str) {
         self.revision += 1;
         let item = Item { key: key.to_owned(), value: Bytes::from(value.to_owned()), revision: self.revision };
-        self.world.apply::<Plain>(&[Event::Put(item)], self.now, None);
+        self.routing.apply::<Plain>(&[Event::Put(item)], self.now, None);
     }
 
     /// Removes a key of the store; the target is kept until a time where one
@@ -173,7 +173,7 @@
     pub fn remove(&mut self, key: &str, grace_until: Option<Instant>) {
         self.revision += 1;
         let event = Event::Gone { key: key.to_owned(), revision: self.revision };
-        self.world.apply::<Plain>(&[event], self.now, grace_until);
+        self.routing.apply::<Plain>(&[event], self.now, grace_until);
     }
 
     /// Chooses a target for an object.
@@ -185,6 +185,6 @@
     pub fn choose_on(&self, route: &Route, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
         let query =
             Query { route, service: "shop", object, region: "a", slow_start: None, active: None, tried, now: self.now };
-        choose(&self.world, &self.config, &query)
+        choose(&self.routing, &self.config, &query)
     }
 }
