--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -65,6 +65,8 @@
     /// Sends a request and reads the whole answer.
     pub async fn send(&mut self, request: Request<Full<Bytes>>, wait: Duration) -> Result<Reply, NoReply> {
         let exchange = async {
+            // The connection's task may not have seen the end of the last answer yet.
+            self.sender.ready().await?;
             let response = self.sender.send_request(request).await?;
             let (parts, body) = response.into_parts();
             let body = body.collect().await?.to_bytes();
