--- a/standins/src/ports.rs
+++ b/standins/src/ports.rs
@@ -1,7 +1,7 @@
 //! Addresses to listen on that nothing else takes by itself.
 
 use std::collections::BTreeSet;
-use std::net::{IpAddr, Ipv4Addr, SocketAddr, TcpListener};
+use std::net::{Ipv4Addr, SocketAddr, TcpListener};
 use std::process::{Child, Command};
 use std::sync::Mutex;
 
@@ -31,29 +31,40 @@
     drop(SPAWNING.lock().expect("no holder panics"));
 }
 
-/// A free address on loopback, never given twice in this process.
-pub fn free_address() -> SocketAddr {
-    free_at(Ipv4Addr::LOCALHOST.into()).expect("loopback can be listened on")
+/// The part of loopback in which a process draws its addresses. Several test
+/// processes run on one machine at the same time: on one IP they would draw the
+/// same ports, and an instance that starts again would find its port taken.
+/// Process ids stay below 2^22 on Linux, so that no two processes share an IP,
+/// and 64 keeps them away from 127.0.0.1.
+pub fn ip_of(process: u32) -> Ipv4Addr {
+    let [_, high, middle, low] = process.to_be_bytes();
+    Ipv4Addr::new(127, 64 | high, middle, low)
 }
 
-/// A free address at `ip`, never given twice in this process.
-///
-/// # Errors
-/// Any error of the system but that an address is taken.
-pub fn free_at(ip: IpAddr) -> std::io::Result<SocketAddr> {
+/// The loopback IP of this process.
+pub fn own_ip() -> Ipv4Addr {
+    ip_of(std::process::id())
+}
+
+/// A free address on loopback, never given twice in this process.
+pub fn free_address() -> SocketAddr {
     loop {
-        let address = SocketAddr::new(ip, rand::random_range(LISTENING_PORTS));
-        if !GIVEN.lock().expect("no holder panics").insert(address) {
-            continue;
+        let address = SocketAddr::new(own_ip().into(), rand::random_range(LISTENING_PORTS));
+        let is_new = GIVEN.lock().expect("no holder panics").insert(address);
+        if is_new && is_free(address) {
+            return address;
         }
-        match TcpListener::bind(address) {
-            Ok(probe) => {
-                drop(probe);
-                after_spawns();
-                return Ok(address);
-            }
-            Err(error) if error.kind() == std::io::ErrorKind::AddrInUse => {}
-            Err(error) => return Err(error),
+    }
+}
+
+fn is_free(address: SocketAddr) -> bool {
+    match TcpListener::bind(address) {
+        Ok(probe) => {
+            drop(probe);
+            after_spawns();
+            true
         }
+        Err(error) if error.kind() == std::io::ErrorKind::AddrInUse => false,
+        Err(error) => panic!("{address} cannot be listened on: {error}"),
     }
 }
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -1,6 +1,7 @@
 //! A loopback proxy before one address, whose connections can be delayed,
 //! silenced in one or both directions, refused or reset.
 
+use crate::ports::own_ip;
 use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -42,7 +43,7 @@
 impl Proxy {
     /// Starts a proxy before `to`.
     pub async fn start(to: SocketAddr) -> std::io::Result<Self> {
-        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let listener = TcpListener::bind((own_ip(), 0)).await?;
         let address = listener.local_addr()?;
         let (mode, modes) = watch::channel(Mode::Pass);
         let task = tokio::spawn(accept(listener, to, modes));
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -2,6 +2,7 @@
 //! history, and its troubles, which each door can have of its own.
 
 use crate::http::{Closed, serve, text};
+use crate::ports::own_ip;
 use base64::Engine;
 use base64::engine::general_purpose::STANDARD;
 use bytes::Bytes;
@@ -126,7 +127,7 @@
 
     /// Opens a door.
     pub async fn door(&self) -> std::io::Result<Door> {
-        let listener = TcpListener::bind("127.0.0.1:0").await?;
+        let listener = TcpListener::bind((own_ip(), 0)).await?;
         let door = Door { address: listener.local_addr()?, trouble: Arc::default() };
         let (shared, at) = (self.shared.clone(), door.clone());
         let answer = move |request| answer_at(shared.clone(), at.clone(), request);
--- a/standins/tests/garbage.rs
+++ b/standins/tests/garbage.rs
@@ -6,6 +6,7 @@
 use common::{program, raw};
 use serde_json::{Value, json};
 use standins::http;
+use standins::ports::own_ip;
 use standins::site::{Ask, InstanceProcess, PATIENCE, RouteSpec, Site};
 use standins::store::Trouble;
 use standins::upstream::Upstream;
@@ -32,7 +33,7 @@
 
 /// Answers each connection with these bytes, whatever it asks.
 async fn garbage_server(text: &'static [u8]) -> SocketAddr {
-    let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
+    let listener = TcpListener::bind((own_ip(), 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
         while let Ok((mut stream, _)) = listener.accept().await {
