--- a/standins/src/options.rs
+++ b/standins/src/options.rs
@@ -12,7 +12,7 @@
                          5 or up to 32 instances under load and faults, seed after
                          seed; one JSON line each, exit 1 where a promise was
                          broken
-    instance SETTINGS       an instance on a store, as the tests start it
+    entry SETTINGS       an instance on a store, as the tests start it
 
 Examples:
     cargo run --release -p standins -- demo --once
--- a/standins/src/site.rs
+++ b/standins/src/site.rs
@@ -138,7 +138,12 @@
 
 impl InstanceProcess {
     /// Starts the process.
+    ///
+    /// # Panics
+    /// Where it runs already: a second process would find the addresses taken,
+    /// and the first one would run on without anybody who could end it.
     pub fn start(&mut self) {
+        assert!(self.has_ended(), "{} runs already", self.name);
         let log = File::options().create(true).append(true).open(&self.log).expect("the folder is ours");
         let mut command = Command::new(&self.program);
         command.arg("entry").arg(&self.settings);
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -7,7 +7,7 @@
 pub mod record;
 mod scene;
 
-use faults::{Size, plan};
+use faults::{Planned, Size, plan};
 use record::Broken;
 use scene::Scene;
 use serde::Serialize;
@@ -55,11 +55,16 @@
     pub broken: Broken,
 }
 
-/// Runs a soak whose instances are `program instance SETTINGS`.
+/// Runs a soak whose instances are `program entry SETTINGS`.
 pub async fn run(program: &Path, soak: Soak) -> Outcome {
-    let mut scene = Scene::start(program, soak).await;
     let size = Size { instances: soak.instances, upstreams: soak.upstreams, halls: scene::HALLS.len() };
-    let record = scene.play(&plan(soak.seed, size, soak.time)).await;
+    run_faults(program, soak, &plan(soak.seed, size, soak.time)).await
+}
+
+/// Runs a soak with these faults in place of those that its seed draws.
+pub async fn run_faults(program: &Path, soak: Soak, planned: &[Planned]) -> Outcome {
+    let mut scene = Scene::start(program, soak).await;
+    let record = scene.play(planned).await;
     Outcome {
         seed: soak.seed,
         requests: record.asked.len(),
--- a/standins/src/soak/scene.rs
+++ b/standins/src/soak/scene.rs
@@ -212,7 +212,7 @@
         }
         match undo.fault {
             Fault::Kill(instance) => {
-                self.instances[instance].start();
+                self.start_killed(instance);
                 self.record.struck.push((instance, span));
             }
             Fault::Freeze(instance) => {
@@ -233,6 +233,14 @@
         }
     }
 
+    /// Starts a killed instance again, unless an overlapping fault has done so
+    /// or is to do so: a kill that ended earlier, or a planned stop.
+    fn start_killed(&mut self, instance: usize) {
+        if !self.stopping.contains_key(&instance) && self.instances[instance].has_ended() {
+            self.instances[instance].start();
+        }
+    }
+
     async fn replace(&mut self, position: usize) {
         let hall = self.servers[position].hall;
         self.site.store.remove(&format!("servers/{}", self.servers[position].upstream.id));
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::program;
+use standins::soak::faults::{Fault, Planned};
 use standins::soak::{self, Soak};
 use std::time::Duration;
 
@@ -14,6 +15,26 @@
     assert!(outcome.faults > 5 && outcome.served > 100, "{outcome:?}");
 }
 
+#[tokio::test(flavor = "multi_thread")]
+async fn kills_and_a_stop_of_one_instance_that_overlap_start_it_once() {
+    let soak = Soak { seed: 1, instances: 2, upstreams: 2, callers: 2, time: Duration::from_secs(5) };
+    let planned = |at_ms, lasts_ms, fault| Planned {
+        at: Duration::from_millis(at_ms),
+        lasts: Duration::from_millis(lasts_ms),
+        fault,
+    };
+    let faults = [
+        planned(100, 500, Fault::Kill(0)),
+        planned(200, 1_500, Fault::Kill(1)),
+        planned(300, 2_000, Fault::Kill(0)),
+        planned(400, 200, Fault::Stop(1)),
+        planned(1_500, 200, Fault::Stop(0)),
+    ];
+    let outcome = soak::run_faults(program(), soak, &faults).await;
+    assert!(outcome.broken.is_none(), "{outcome:?}");
+    assert_eq!(outcome.faults, faults.len());
+}
+
 mod judgement {
     use standins::soak::record::{Asked, Broken, Life, Record, Span};
     use standins::upstream::Run;
