--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -1,13 +1,13 @@
 //! A fault soak: real instance processes under load and faults from outside,
 //! chosen by a seed, while promises are checked from what callers and
-//! upstreams see.
+//! targets see.
 
 mod callers;
 pub mod faults;
 pub mod record;
 mod scene;
 
-use faults::{Size, plan};
+use faults::{Planned, Size, plan};
 use record::Broken;
 use scene::Scene;
 use serde::Serialize;
@@ -21,8 +21,8 @@
     pub seed: u64,
     /// Instance processes.
     pub instances: usize,
-    /// Upstreams of the one service.
-    pub upstreams: usize,
+    /// Targets of the one service.
+    pub targets: usize,
     /// Callers that keep their connections open.
     pub callers: usize,
     /// Length of the traffic.
@@ -33,10 +33,10 @@
 pub const INSTANCES: usize = 5;
 
 impl Soak {
-    /// A soak of so many instances, with upstreams and callers in proportion.
+    /// A soak of so many instances, with targets and callers in proportion.
     pub fn new(seed: u64, instances: usize) -> Self {
-        let (upstreams, callers) = (instances * 8 / 5, instances * 16 / 5);
-        Self { seed, instances, upstreams, callers, time: Duration::from_secs(20) }
+        let (targets, callers) = (instances * 8 / 5, instances * 16 / 5);
+        Self { seed, instances, targets, callers, time: Duration::from_secs(20) }
     }
 }
 
@@ -55,11 +55,16 @@
     pub broken: Broken,
 }
 
-/// Runs a soak whose instances are `program instance SETTINGS`.
+/// Runs a soak whose instances are `program entry SETTINGS`.
 pub async fn run(program: &Path, soak: Soak) -> Outcome {
+    let size = Size { instances: soak.instances, targets: soak.targets, halls: scene::HALLS.len() };
+    run_faults(program, soak, &plan(soak.seed, size, soak.time)).await
+}
+
+/// Runs a soak with these faults in place of those that its seed draws.
+pub async fn run_faults(program: &Path, soak: Soak, planned: &[Planned]) -> Outcome {
     let mut scene = Scene::start(program, soak).await;
-    let size = Size { instances: soak.instances, upstreams: soak.upstreams, halls: scene::HALLS.len() };
-    let record = scene.play(&plan(soak.seed, size, soak.time)).await;
+    let record = scene.play(planned).await;
     Outcome {
         seed: soak.seed,
         requests: record.asked.len(),
