--- /dev/null
+++ b/src/decision/exclusion.rs
@@ -0,0 +1,137 @@
+//! Exclusion: a target gets no request while any of ten reasons holds; the first that holds,
+//! in the order of [`Exclusions::of`], is the one that `why` names.
+//!
+//! **Inputs**
+//!
+//! | reason | input | how old it may be |
+//! |---|---|---|
+//! | draining, evacuated | the target's registration, its hall's evacuation | as the view; not bounded while the store is unreachable |
+//! | expired | the end of its grace ([`crate::decision::grace`]) | no age: a time |
+//! | region not allowed | the route's allowed regions, from the configuration in force | as the view |
+//! | ejected | failures that this instance saw ([`crate::decision::ejection`]) | since the last success |
+//! | tried | targets that this request was sent to | exact |
+//! | denied, not allowed, drained | the operators' policies in force | as the view |
+//! | slow | latency and silence ([`crate::decision::latency`]); the median of the service, seconds | median 0.5 s |
+//! | cold | slow start ([`crate::decision::slow_start`]) | view below 1.3 s, members unchanged for 2 s |
+//!
+//! **Why.** What the platform and the operators forbid comes first, whatever the target's
+//! state; then what would lose the request or make it late. A cold target is asked for its
+//! share last, when nothing else keeps the request from it.
+//!
+//! **Guards** the promises that draining, evacuated and forbidden targets get no new request,
+//! that a request goes to one target at most once, and those of the rules named above.
+//!
+//! **Constants**: none of its own; those of each rule are in its module.
+//!
+//! **Test**: `cold_evacuated_forbidden_and_tried_targets_are_left_alone` in `tests/choice.rs`;
+//! `the_choice_agrees_with_a_naive_one` in `tests/caps.rs` for policies.
+
+use crate::decision::query::Query;
+use crate::decision::routing::Routing;
+use crate::decision::target::Target;
+use crate::policy::PolicyVerdict;
+
+/// Why a target may not be used for a request now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Exclusion {
+    /// Its registration says that it drains, or has expired.
+    Draining,
+    /// Its hall is evacuated.
+    Evacuated,
+    /// The route does not allow its region.
+    RegionNotAllowed,
+    /// A deny policy selects it.
+    Denied,
+    /// Allow policies select the request, and none of them the target.
+    NotAllowed,
+    /// A drain policy selects it.
+    Drained,
+    /// It failed, and is ejected for a time.
+    Ejected,
+    /// It is far slower than its peers.
+    Slow,
+    /// It is cold, and its rate is used up or other instances' to use.
+    Cold,
+    /// This request was sent there already.
+    Tried,
+}
+
+impl Exclusion {
+    /// Its name in answers to operators. The names are part of that protocol and stay when
+    /// the code's change.
+    pub fn as_str(self) -> &'static str {
+        match self {
+            Exclusion::Draining => "draining",
+            Exclusion::Evacuated => "evacuated",
+            Exclusion::RegionNotAllowed => "region-not-allowed",
+            Exclusion::Denied => "denied",
+            Exclusion::NotAllowed => "not-allowed",
+            Exclusion::Drained => "drained",
+            Exclusion::Ejected => "left-alone",
+            Exclusion::Slow => "slow",
+            Exclusion::Cold => "cold",
+            Exclusion::Tried => "tried",
+        }
+    }
+}
+
+/// Finds what excludes the targets of a request's service.
+#[derive(Clone, Copy)]
+pub struct Exclusions<'a> {
+    routing: &'a Routing,
+    query: &'a Query<'a>,
+    /// Median latency of the service, seconds.
+    median: f64,
+}
+
+impl<'a> Exclusions<'a> {
+    /// The exclusions for a request now.
+    pub fn new(routing: &'a Routing, query: &'a Query<'a>) -> Self {
+        Self { routing, query, median: routing.median_latency(query.service) }
+    }
+
+    /// The first reason that excludes the target; `None` where it may be used.
+    pub fn of(&self, target: &Target) -> Option<Exclusion> {
+        let excluded = self.by_state(target).or_else(|| self.by_policy(target));
+        excluded.or_else(|| self.by_latency(target)).or_else(|| self.by_slow_start(target))
+    }
+
+    fn by_state(&self, target: &Target) -> Option<Exclusion> {
+        let (query, now) = (self.query, self.query.now);
+        if !target.is_ready() || target.has_expired(now) {
+            return Some(Exclusion::Draining);
+        }
+        if !query.route.allows(&target.region) {
+            return Some(Exclusion::RegionNotAllowed);
+        }
+        if self.routing.is_evacuated(&target.hall) {
+            return Some(Exclusion::Evacuated);
+        }
+        if !target.is_trusted(now) {
+            return Some(Exclusion::Ejected);
+        }
+        query.tried.contains(&target.id).then_some(Exclusion::Tried)
+    }
+
+    fn by_policy(&self, target: &Target) -> Option<Exclusion> {
+        match self.query.policy_verdict(target)? {
+            PolicyVerdict::Denied => Some(Exclusion::Denied),
+            PolicyVerdict::NotAllowed => Some(Exclusion::NotAllowed),
+            PolicyVerdict::Drained(_) => Some(Exclusion::Drained),
+            PolicyVerdict::Open(_) => None,
+        }
+    }
+
+    fn by_latency(&self, target: &Target) -> Option<Exclusion> {
+        let (objective, now) = (self.query.route.objective, self.query.now);
+        let is_excluded = target.is_slow(self.median, objective, now) && !target.may_try_slow(now);
+        is_excluded.then_some(Exclusion::Slow)
+    }
+
+    fn by_slow_start(&self, target: &Target) -> Option<Exclusion> {
+        let now = self.query.now;
+        let may_send = |share| self.routing.may_send_in_slow_start(target, share, now);
+        let is_excluded = target.is_in_slow_start(now) && !self.query.slow_start.is_some_and(may_send);
+        is_excluded.then_some(Exclusion::Cold)
+    }
+}
--- /dev/null
+++ b/src/decision/query.rs
@@ -0,0 +1,48 @@
+//! What the choice of a target looks at besides the routing state: the request, the
+//! instance, and the time.
+//!
+//! Owns nothing: a [`Query`] is made for each try of a request.
+
+use crate::decision::slow_start::SlowStartShare;
+use crate::decision::target::Target;
+use crate::model::config::Route;
+use crate::policy::{Active, Order, PolicyVerdict};
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// A question for a target.
+#[derive(Debug)]
+pub struct Query<'a> {
+    /// The request's route.
+    pub route: &'a Route,
+    /// The service chosen for it.
+    pub service: &'a str,
+    /// Hash of its affinity key, or of the request where it has none.
+    pub object: u64,
+    /// The instance's own region.
+    pub region: &'a str,
+    /// What this instance may send to cold targets; `None`, for nothing, while the view may
+    /// be stale.
+    pub slow_start: Option<SlowStartShare<'a>>,
+    /// The operators' policies that select the request.
+    pub active: Option<&'a Active<'a>>,
+    /// Identities of the targets that it was sent to already.
+    pub tried: &'a [Rc<str>],
+    /// The time.
+    pub now: Instant,
+}
+
+impl Query<'_> {
+    /// What the operators' policies say of a target; `None` where none selects the request.
+    pub fn policy_verdict(&self, target: &Target) -> Option<PolicyVerdict> {
+        self.active.map(|active| active.verdict(target.selecting(active.document())))
+    }
+
+    /// The order that policies give a target; smaller goes first.
+    pub fn policy_order(&self, target: &Target) -> Order {
+        match self.policy_verdict(target) {
+            Some(PolicyVerdict::Open(order) | PolicyVerdict::Drained(order)) => order,
+            _ => Order::default(),
+        }
+    }
+}
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -211,7 +211,7 @@
     WhyTarget {
         target: target.id.to_string(),
         hall: target.hall.to_string(),
-        verdict: verdict.word().to_owned(),
+        verdict: verdict.as_str().to_owned(),
         load: target.load(now),
         slots: target.slots,
     }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -2,6 +2,7 @@
 
 mod scene;
 
+use lockloft::decision::affinity::draw;
 use lockloft::decision::choice::{NoTarget, Query, SlowStartShare, choose};
 use lockloft::decision::load::LoadReport;
 use lockloft::decision::slow_start::{SlowStartBounds, own_rate};
@@ -45,6 +46,35 @@
     }
 }
 
+proptest! {
+    /// A key's first and second target are the two of the smallest draws; there is no third.
+    #[test]
+    fn a_key_s_targets_are_those_that_a_naive_search_finds(
+        slots in prop::collection::vec(1u32..9, 8),
+        key in any::<u64>(),
+    ) {
+        let mut scene = Scene::new();
+        scene.remove_all();
+        let mut draws = Vec::new();
+        for (number, slots) in slots.iter().enumerate() {
+            let hall = ["a-1", "a-2", "b-1", "b-2"][number / 2];
+            scene.put(&format!("n{number}"), &format!("{hall} {slots} ready 1 0"));
+        }
+        for target in scene.routing.targets() {
+            draws.push((draw(target.hash, target.slots, &*target.region == "a", key), target.id.clone()));
+        }
+        draws.sort_by(|one, other| one.0.total_cmp(&other.0));
+        let mut held = Vec::new();
+        for (_, expected) in draws.iter().take(2) {
+            let target = scene.choose(key, &[]).unwrap();
+            prop_assert_eq!(&target.id, expected);
+            held.extend((0..2 * target.slots).map(|_| target.enter(scene.now)));
+        }
+        let full = matches!(scene.choose(key, &[]), Err(NoTarget::Full(preferred)) if preferred.id == draws[0].1);
+        prop_assert!(full, "a third target was chosen");
+    }
+}
+
 #[test]
 fn objects_move_only_from_the_target_that_left() {
     let mut scene = Scene::new();
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -3,7 +3,8 @@
 mod scene;
 
 use hyper::{HeaderMap, Method, Uri};
-use lockloft::decision::choice::{Exclusion, NoTarget, Query, Verdict, choose, explain};
+use lockloft::decision::choice::{NoTarget, Query, Verdict, choose, explain};
+use lockloft::decision::exclusion::Exclusion;
 use lockloft::decision::target::Target;
 use lockloft::policy::Sources;
 use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, PolicyMask, RequestFacts};
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,5 +1,6 @@
 //! The rules about one target, each by itself: tables of what happens and what follows.
 
+use lockloft::decision::admission::{has_room, max_load};
 use lockloft::decision::ejection::Ejection;
 use lockloft::decision::latency::{Latency, median};
 use lockloft::decision::load::{Load, LoadReport};
@@ -38,6 +39,30 @@
     }
 }
 
+#[test]
+fn admission_goes_by_rank_and_slots() {
+    for (rank, expected) in [(0, 2.0), (1, 1.65), (2, 1.3), (3, 1.3), (50, 1.3)] {
+        assert!((max_load(rank) - expected).abs() < 1e-9, "rank {rank}: {}", max_load(rank));
+    }
+    // Load, slots, rank, whether one more request is taken.
+    let table = [
+        (0.0, 1, 0, true),
+        (1.0, 1, 0, true),
+        (1.1, 1, 0, false),
+        (7.0, 4, 0, true),
+        (7.5, 4, 0, false),
+        (5.5, 4, 1, true),
+        (5.7, 4, 1, false),
+        (4.1, 4, 2, true),
+        (4.3, 4, 9, false),
+        (0.3, 1, 2, true),
+        (0.4, 1, 2, false),
+    ];
+    for (load, slots, rank, expected) in table {
+        assert_eq!(has_room(load, slots, max_load(rank)), expected, "load {load}, {slots} slots, rank {rank}");
+    }
+}
+
 #[derive(Clone, Copy, Debug)]
 enum Event {
     /// A failure, and the ejection that it causes, ms.
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -176,6 +176,13 @@
         self.routing.apply::<Plain>(&[event], self.now, grace_until);
     }
 
+    /// Removes all targets.
+    pub fn remove_all(&mut self) {
+        for number in 0..8 {
+            self.remove(&format!("t{number}"), None);
+        }
+    }
+
     /// Chooses a target for an object.
     pub fn choose(&self, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
         self.choose_on(&route("r", "a", "/"), object, tried)
