--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -1,7 +1,7 @@
 //! The addresses of the readiness check and of the directory, which names to callers
 //! the instances to use. Whom it names is a rule, [`crate::decision::directory`].
 
-use crate::decision::directory;
+use crate::decision::directory::{self, OwnInstance};
 use crate::net::server::{ConnectionLimits, Handler};
 use crate::platform::Platform;
 use crate::proxy::answer_body::AnswerBody;
@@ -29,7 +29,13 @@
         }
         let Some(place) = P::directory_question(path, query) else { return AnswerBody::empty(StatusCode::NOT_FOUND) };
         let settings = self.0.settings();
-        let instances = directory::instances_for(&self.0.routing.borrow(), &settings, &place, self.0.is_ready());
+        let own = OwnInstance {
+            name: &settings.name,
+            region: &settings.region,
+            address: settings.listen.callers,
+            is_ready: self.0.is_ready(),
+        };
+        let instances = directory::instances_for(&place.region, own, &self.0.routing.borrow().members);
         if instances.is_empty() {
             return AnswerBody::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,11 +1,15 @@
-//! The rules about one target, each by itself: tables of what happens and what follows.
+//! Rules of `src/decision/`, each by itself: tables of inputs and results, and naive versions.
 
 use lockloft::decision::admission::{has_room, max_load};
+use lockloft::decision::directory::{OwnInstance, instances_for};
 use lockloft::decision::ejection::Ejection;
 use lockloft::decision::latency::{Latency, median};
 use lockloft::decision::load::{Load, LoadReport};
+use lockloft::decision::members::Members;
 use lockloft::decision::slow_start::{SlowStart, spacing};
+use lockloft::model::member::Member;
 use proptest::prelude::*;
+use std::net::SocketAddr;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -211,6 +215,40 @@
     }
 }
 
+proptest! {
+    /// The directory names the instances that a naive filter finds, whatever the members.
+    #[test]
+    fn the_directory_names_the_nearest_instances_that_there_are(
+        regions in prop::collection::vec(prop::sample::select(vec!["a", "b", "c"]), 0..80),
+        caller in prop::sample::select(vec!["", "a", "b", "c"]),
+        own_region in prop::sample::select(vec!["a", "b", "c"]),
+        is_ready: bool,
+        is_listed: bool,
+    ) {
+        let address = |number: usize| SocketAddr::from(([127, 0, 0, 1], 1_000 + number as u16));
+        let mut members = Members::default();
+        let mut known: Vec<(&str, SocketAddr)> = Vec::new();
+        for (number, region) in regions.iter().enumerate() {
+            let (here, region) = (address(number), *region);
+            let member = Member { callers: here, peer: address(99), hall: "h".into(), region: region.into() };
+            members.insert(format!("e-{number:02}"), member, Instant::now());
+            known.push((region, here));
+        }
+        let own = OwnInstance { name: "own", region: own_region, address: address(900), is_ready };
+        if is_listed {
+            let member = Member { callers: address(901), peer: address(99), hall: "h".into(), region: "a".into() };
+            members.insert("own".to_owned(), member, Instant::now());
+        }
+        if is_ready {
+            known.push((own_region, own.address));
+        }
+        let nearest = [caller, own_region].into_iter().find(|wanted| known.iter().any(|(region, _)| region == wanted));
+        let wanted = known.iter().filter(|(region, _)| nearest.is_none_or(|nearest| nearest == *region));
+        let expected: Vec<SocketAddr> = wanted.map(|(_, address)| *address).take(64).collect();
+        prop_assert_eq!(instances_for(caller, own, &members), expected);
+    }
+}
+
 #[test]
 fn slow_start_waits_for_steady_members_and_is_never_shortened() {
     let start = Instant::now();
