--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -107,7 +107,7 @@
         if self.routing.is_evacuated(&target.hall) {
             return Some(Exclusion::Evacuated);
         }
-        if !target.is_trusted(now) {
+        if target.is_ejected(now) {
             return Some(Exclusion::Ejected);
         }
         query.tried.contains(&target.id).then_some(Exclusion::Tried)
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -123,7 +123,7 @@
     }
 
     /// Counts a request in flight until the guard is dropped.
-    pub fn enter(self: &Rc<Self>, now: Instant) -> InFlight {
+    pub fn begin(self: &Rc<Self>, now: Instant) -> InFlight {
         self.latency.borrow_mut().begin(self.in_flight(), now);
         self.slow_start.borrow_mut().spend(now);
         self.ejection.borrow_mut().begin();
@@ -149,9 +149,9 @@
         self.pool.clear();
     }
 
-    /// Whether it may be chosen as far as failures go.
-    pub fn is_trusted(&self, now: Instant) -> bool {
-        !self.ejection.borrow().is_ejected(self.in_flight(), now)
+    /// Whether it gets no request now because of failures.
+    pub fn is_ejected(&self, now: Instant) -> bool {
+        self.ejection.borrow().is_ejected(self.in_flight(), now)
     }
 
     /// Notes that an answer took `took`, or that none had come after it.
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -97,7 +97,7 @@
 fn target_line(target: &Target, now: Instant) -> TargetLine {
     let state = match target {
         _ if !target.is_ready() => "draining",
-        _ if !target.is_trusted(now) => "left-alone",
+        _ if target.is_ejected(now) => "left-alone",
         _ if target.is_in_slow_start(now) => "cold",
         _ => "ready",
     };
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -230,7 +230,7 @@
         let started = Instant::now();
         let exchange = Exchange {
             names: &self.instance.names,
-            in_flight: target.enter(started),
+            in_flight: target.begin(started),
             request_id: self.parts.headers.get(&self.instance.names.request_id),
             until: self.until,
             deadline: self.until,
