--- a/src/decision/affinity.rs
+++ b/src/decision/affinity.rs
@@ -68,7 +68,7 @@
 
 impl<'a> Ranking<'a> {
     /// Puts a target in its place, after those that are equal. Of the targets that policies
-    /// put in the same order, the first [`TARGETS_PER_KEY`] stay.
+    /// put in the same order, the first `TARGETS_PER_KEY` stay.
     pub fn add(&mut self, candidate: Candidate<'a>) {
         let key = |one: &Candidate<'_>| (one.order, one.draw);
         let place = self.candidates.partition_point(|other| key(other) <= key(&candidate));
--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -10,7 +10,7 @@
 //! before caps, since a move must not be charged for a target that then has no room.
 //!
 //! **Guards** the promise that what `why` answers is what a request gets: both run
-//! [`Choice`], and only the charge and the requests in flight differ.
+//! `Choice`, and only the charge and the requests in flight differ.
 //!
 //! **Constants**: none; those of each rule are in its module.
 //!
@@ -188,6 +188,6 @@
 /// A target in the order that policies and affinity give it.
 fn candidate<'a>(query: &Query<'_>, target: &'a Rc<Target>) -> Candidate<'a> {
     let is_own_region = *target.region == *query.region;
-    let draw = draw(target.hash, target.slots, is_own_region, query.object);
+    let draw = draw(target.hash, target.slots, is_own_region, query.affinity);
     Candidate { order: query.policy_order(target), draw, target }
 }
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -50,7 +50,7 @@
 /// Evidence: trial at half 0.740, 0.714, 0.781, at double 0.728, 0.708, 0.782: not sensitive
 /// (journal adc44d46, 0a552776 on bsp).
 const SLOW_FACTOR: f64 = 3.0;
-/// Silence of a slow target, in medians of its service. Above [`SLOW_FACTOR`], since silence
+/// Silence of a slow target, in medians of its service. Above `SLOW_FACTOR`, since silence
 /// includes work on objects that are not cached.
 ///
 /// Evidence: trial at half 0.740, 0.715, 0.786, at double 0.731, 0.710, 0.782: not sensitive
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -5,7 +5,7 @@
 //! - In flight: requests that this instance has sent and not finished; exact, no age.
 //! - [`LoadReport`]: requests running and waiting and slots, in a header of an answer of the
 //!   target; counts in full when it arrives, linearly less with its age, and not at all from
-//!   [`REPORT_LIFE`] (1.5 s) on.
+//!   `REPORT_LIFE` (1.5 s) on.
 //!
 //! **Why.** An instance sees its own requests at once and those of the others only through
 //! the target. An old report says little: the requests in it have been answered since.
@@ -26,7 +26,7 @@
 /// Evidence: no run set it. A trial at half and double: bsp burst 0.811 (0.75 s), 0.826 (as
 /// is), 0.825 (3 s); bsp scale-1 0.802, 0.806, 0.807; hmfu scale-2 0.758, 0.764, 0.759:
 /// weakly sensitive (journal 848f935a, 4034a44b, 05f0a03c for bsp burst).
-pub const REPORT_LIFE: Duration = Duration::from_millis(1_500);
+const REPORT_LIFE: Duration = Duration::from_millis(1_500);
 
 /// A target's report of its load.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,5 +1,43 @@
-//! The rules: which target a request may go to, and what bounds that. One module a
-//! rule; `docs/DECISIONS.md` lists them with their constants.
+//! The rules: which target a request may go to, and what bounds that. One module a rule;
+//! each begins with the rule in a sentence, its inputs with units and ages, the reason, the
+//! promise it guards, its constants with their evidence, and its test.
+//!
+//! # The choice of a target
+//!
+//! | rule | module | promise |
+//! |---|---|---|
+//! | the choice: first usable target with room | [`choice`] | `why` answers what a request gets |
+//! | what excludes a target | [`exclusion`] | draining, evacuated and forbidden targets get nothing |
+//! | two targets a key, by weighted rendezvous | [`affinity`] | requests about one object stay together, and in their region |
+//! | most load, by priority | [`admission`] | targets are not overloaded; the less urgent is refused first |
+//! | moves charged to caps | [`cap_moves`] | no more than a cap's share leaves its default hall |
+//! | service of a split route | [`split`] | a split keeps its shares |
+//!
+//! # What is known of one target
+//!
+//! | rule | module | promise |
+//! |---|---|---|
+//! | load, own and reported | [`load`] | full targets get no more, whoever fills them |
+//! | outlier ejection | [`ejection`] | no requests are lost at dead targets |
+//! | slow targets | [`latency`] | answers come within their objective where a target can give them |
+//! | slow start, shared by the instances | [`slow_start`] | cold targets get no more than they bear |
+//! | grace for expired registrations | [`grace`] | requests are served on while the store is away |
+//! | tombstones of removed targets | [`targets`] | a target that is gone gets nothing |
+//!
+//! # Beside the choice
+//!
+//! | rule | module | promise |
+//! |---|---|---|
+//! | retry budget | [`retry`] | failing targets do not get a multiple of their load |
+//! | whom the directory names | [`directory`] | callers find an instance that takes requests |
+//! | what a stopping instance takes | [`crate::instance::stop`] | no request is lost to a planned stop |
+//!
+//! State that the rules look at: [`routing`] (what the store says), made of [`targets`],
+//! [`members`] and [`change`]; [`target`], with one small state for each rule; [`query`],
+//! what is asked. Relies on [`crate::model`], [`crate::policy`], [`crate::hash`],
+//! [`crate::store`] for events, and the connection pool of a target in [`crate::net`]. Nothing
+//! here waits, sends or reads the clock but for the start of an instance: the time is an
+//! argument. `docs/DECISIONS.md` lists all constants.
 
 pub mod admission;
 pub mod affinity;
--- a/src/decision/query.rs
+++ b/src/decision/query.rs
@@ -18,7 +18,7 @@
     /// The service chosen for it.
     pub service: &'a str,
     /// Hash of its affinity key, or of the request where it has none.
-    pub object: u64,
+    pub affinity: u64,
     /// The instance's own region.
     pub region: &'a str,
     /// What this instance may send to cold targets; `None`, for nothing, while the view may
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -11,7 +11,7 @@
 //! - [`SlowStartBounds`]: the settings `bounds.cold_overage` (factor) and `bounds.cold_slack`
 //!   (requests a second), the operators' bound on what all instances send.
 //! - Names of the members in the view, and when they last changed (at least
-//!   [`MEMBERS_STEADY`], 2 s, ago). The view itself must be younger than `MAX_VIEW_AGE`
+//!   `MEMBERS_STEADY`, 2 s, ago). The view itself must be younger than `MAX_VIEW_AGE`
 //!   (1.3 s), or [`SlowStartShare`] is not given and the target gets nothing.
 //!
 //! **Why.** Requests beyond the rate wait at the cold target and miss their objective. The
@@ -55,7 +55,7 @@
 ///
 /// Evidence: trial at half and double within 0.001 of 0.819, 0.799, 0.683: not sensitive
 /// (journal 6c861ef4, f794a2ee on hmfu trouble-3).
-pub const MEMBERS_STEADY: Duration = Duration::from_millis(2_000);
+const MEMBERS_STEADY: Duration = Duration::from_millis(2_000);
 
 /// The operators' bound on what a cold target receives, beyond the rate that it bears.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/src/decision/split.rs
+++ b/src/decision/split.rs
@@ -7,7 +7,7 @@
 //!   the view.
 //! - Hash of the affinity key; of the request's id where there is no key.
 //! - Requests of each service in this instance, counted at once and decaying: a count falls to
-//!   a third after [`MEMORY`] (150) further requests of the route, whatever time that takes.
+//!   a third after `MEMORY` (150) further requests of the route, whatever time that takes.
 //!
 //! **Why.** Keys are few and unequal, so that the hash alone misses the shares. Corrected
 //! shares move the bounds between services on the scale of the hash, so that only keys near
--- a/src/decision/targets.rs
+++ b/src/decision/targets.rs
@@ -3,7 +3,7 @@
 //! registration with a higher sequence number than its last one.
 //!
 //! **Inputs**: registrations and their removal, as old as the view; sequence numbers, which a
-//! target raises with each write of its registration; tombstones, at most [`TOMBSTONE_TTL`]
+//! target raises with each write of its registration; tombstones, at most `TOMBSTONE_TTL`
 //! (120 s) old.
 //!
 //! **Why.** A write of a registration may reach the store late, after its removal.
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -186,7 +186,7 @@
     let query = Query {
         route,
         service: &weighted.service,
-        object,
+        affinity: object,
         region: &settings.region,
         slow_start,
         active: active.as_ref(),
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -147,7 +147,7 @@
             let query = Query {
                 route: self.route,
                 service: &weighted.service,
-                object,
+                affinity: object,
                 region: &settings.region,
                 slow_start,
                 active: active.as_ref(),
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -291,7 +291,7 @@
     let query = Query {
         route: &route,
         service: "shop",
-        object,
+        affinity: object,
         region: "a",
         slow_start: None,
         active: active.as_ref(),
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -173,7 +173,7 @@
         let query = Query {
             route: &route,
             service: "shop",
-            object: 7,
+            affinity: 7,
             region: "a",
             slow_start,
             active: None,
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -69,7 +69,7 @@
     let query = Query {
         route: &route,
         service: "shop",
-        object,
+        affinity: object,
         region: "a",
         slow_start: None,
         active: active.as_ref(),
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -183,15 +183,23 @@
         }
     }
 
-    /// Chooses a target for an object.
-    pub fn choose(&self, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
-        self.choose_on(&route("r", "a", "/"), object, tried)
+    /// Chooses a target for an affinity key.
+    pub fn choose(&self, affinity: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
+        self.choose_on(&route("r", "a", "/"), affinity, tried)
     }
 
     /// The same on a route of its own.
-    pub fn choose_on(&self, route: &Route, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
-        let query =
-            Query { route, service: "shop", object, region: "a", slow_start: None, active: None, tried, now: self.now };
+    pub fn choose_on(&self, route: &Route, affinity: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
+        let query = Query {
+            route,
+            service: "shop",
+            affinity,
+            region: "a",
+            slow_start: None,
+            active: None,
+            tried,
+            now: self.now,
+        };
         choose(&self.routing, &self.config, &query)
     }
 }
