--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn cold_evacuated_forbidden_and_tried_targets_are_left_alone() {
+fn cold_evacuated_forbidden_and_tried_targets_are_excluded() {
     let mut scene = Scene::new();
     for number in 0..6 {
         let hall = ["a-1", "a-2", "b-1"][number / 2];
@@ -192,7 +192,7 @@
 /// A scene in which only the cold `t0` takes requests, and four members.
 fn cold_scene() -> Scene {
     let mut scene = Scene::new();
-    scene.put("op", "catalog 9");
+    scene.put("op", "config 9");
     for number in 0..8 {
         let hall = ["a-1", "a-2", "b-1", "b-2"][number / 2];
         let (state, cold) = if number == 0 { ("ready", 60_000) } else { ("draining", 0) };
@@ -208,7 +208,7 @@
 }
 
 #[test]
-fn a_cold_target_gets_its_rate_once_the_members_have_stayed_the_same() {
+fn a_cold_target_gets_its_rate_once_the_members_are_steady() {
     let mut scene = cold_scene();
     assert_eq!(sent_while_cold(&mut scene, "e-1", 2), 0, "the members have just changed");
     // 9 a second for four: two each, somewhat more than a second apart in all.
@@ -217,12 +217,12 @@
 }
 
 #[test]
-fn an_entry_that_is_not_listed_sends_a_cold_target_nothing() {
+fn an_instance_that_is_not_listed_sends_a_cold_target_nothing() {
     assert_eq!(sent_while_cold(&mut cold_scene(), "e-9", 6), 0);
 }
 
 #[test]
-fn a_failing_target_is_left_alone_and_tried_with_one_request() {
+fn a_failing_target_is_ejected_and_tried_with_one_request() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     for _ in 0..3 {
@@ -247,7 +247,7 @@
 }
 
 #[test]
-fn a_target_whose_entry_lapsed_while_the_store_was_away_is_kept_for_a_while() {
+fn a_target_whose_registration_expired_while_the_store_was_unreachable_is_kept_for_the_grace() {
     let mut scene = Scene::new();
     let grace_until = Some(scene.now + Duration::from_secs(2));
     let first = scene.choose(7, &[]).unwrap();
@@ -256,12 +256,12 @@
     scene.now += Duration::from_millis(1_900);
     assert!(scene.routing.remove_expired(scene.now).is_empty());
     scene.now += Duration::from_millis(200);
-    assert_ne!(scene.choose(7, &[]).unwrap().id, first.id, "it did not come back");
+    assert_ne!(scene.choose(7, &[]).unwrap().id, first.id, "it did not register again");
     assert_eq!(scene.routing.remove_expired(scene.now).len(), 1);
 }
 
 #[test]
-fn a_lapsed_target_whose_entry_is_back_stays() {
+fn a_target_in_grace_that_registers_again_stays() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     scene.remove(&first.id, Some(scene.now + Duration::from_secs(2)));
@@ -271,6 +271,21 @@
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
 }
 
+#[test]
+fn an_earlier_registration_or_configuration_that_arrives_late_changes_nothing() {
+    let mut scene = Scene::new();
+    scene.put("op", "config 9");
+    scene.put("op", "config 5");
+    let rate = scene.routing.config.as_ref().map(|config| config.services["shop"].slow_start_rate);
+    assert_eq!(rate, Some(9.0), "the version is the same");
+    scene.put("t0", "a-1 4 draining 3 0");
+    scene.put("t0", "a-1 4 ready 2 0");
+    let is_ready = |scene: &Scene| scene.routing.targets().any(|target| &*target.id == "t0" && target.is_ready());
+    assert!(!is_ready(&scene));
+    scene.put("t0", "a-1 4 ready 4 0");
+    assert!(is_ready(&scene));
+}
+
 #[test]
 fn a_registration_written_late_does_not_add_a_removed_target() {
     let mut scene = Scene::new();
@@ -291,7 +306,7 @@
 }
 
 #[test]
-fn a_target_that_was_draining_is_not_kept_and_no_target_while_the_store_is_there() {
+fn a_target_that_was_draining_is_not_kept_and_none_while_the_store_answers() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     scene.put(first.id.as_ref(), &format!("{} 4 draining 2 0", first.hall));
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -233,7 +233,7 @@
 }
 
 #[test]
-fn waits_for_a_store_that_is_away_grow_and_begin_anew_once_it_answers() {
+fn waits_for_an_unreachable_store_grow_and_start_again_once_it_answers() {
     use lockloft::sync::backoff::Backoff;
     use std::time::Duration;
     let mut backoff = Backoff::default();
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -41,7 +41,7 @@
 }
 
 /// A config whose service bears `rate` requests a second while cold.
-pub fn catalog_with_rate(rate: f64) -> Config {
+pub fn config_with_rate(rate: f64) -> Config {
     let service = Service {
         max_connections: 100,
         warmup: Duration::from_secs(3),
@@ -76,8 +76,8 @@
         if Member::read(&item.value).is_some() {
             return Ok(Record::Own(item.key.clone()));
         }
-        if let Some(rate) = text.strip_prefix("catalog ") {
-            return Ok(Record::Config(catalog_with_rate(rate.parse().unwrap())));
+        if let Some(rate) = text.strip_prefix("config ") {
+            return Ok(Record::Config(config_with_rate(rate.parse().unwrap())));
         }
         let words: Vec<&str> = text.split(' ').collect();
         Ok(match words.as_slice() {
