--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -188,6 +188,6 @@
 /// A target in the order that policies and affinity give it.
 fn candidate<'a>(query: &Query<'_>, target: &'a Rc<Target>) -> Candidate<'a> {
     let is_own_region = *target.region == *query.region;
-    let draw = draw(target.hash, target.slots, is_own_region, query.affinity);
+    let draw = draw(target.key.hash(), target.slots, is_own_region, query.affinity);
     Candidate { order: query.policy_order(target), draw, target }
 }
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -110,7 +110,7 @@
         if target.is_ejected(now) {
             return Some(Exclusion::Ejected);
         }
-        query.tried.contains(&target.id).then_some(Exclusion::Tried)
+        query.tried.contains(&target.key).then_some(Exclusion::Tried)
     }
 
     fn by_policy(&self, target: &Target) -> Option<Exclusion> {
--- a/src/decision/query.rs
+++ b/src/decision/query.rs
@@ -4,10 +4,9 @@
 //! Owns nothing: a [`Query`] is made for each try of a request.
 
 use crate::decision::slow_start::SlowStartShare;
-use crate::decision::target::Target;
+use crate::decision::target::{Target, TargetKey};
 use crate::model::config::Route;
 use crate::policy::{Active, Order, PolicyVerdict};
-use std::rc::Rc;
 use tokio::time::Instant;
 
 /// A question for a target.
@@ -26,8 +25,8 @@
     pub slow_start: Option<SlowStartShare<'a>>,
     /// The operators' policies that select the request.
     pub active: Option<&'a Active<'a>>,
-    /// Identities of the targets that it was sent to already.
-    pub tried: &'a [Rc<str>],
+    /// The targets that it was sent to already.
+    pub tried: &'a [TargetKey],
     /// The time.
     pub now: Instant,
 }
--- a/src/decision/routing/mod.rs
+++ b/src/decision/routing/mod.rs
@@ -99,7 +99,7 @@
         let rate = || {
             let service = self.service(&target.service);
             let shared = service.map_or(0, |service| share.bounds.shared_rate(service.slow_start_rate));
-            own_rate(shared, target.hash, share.own, self.members.names())
+            own_rate(shared, target.key.hash(), share.own, self.members.names())
         };
         target.may_send_in_slow_start(self.members.changed_at(), rate, now)
     }
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -19,6 +19,23 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
+/// Key of one life of a target: the hash of its identity. All instances compute the same
+/// one, for rendezvous; a request remembers by it where it was sent.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub struct TargetKey(u64);
+
+impl TargetKey {
+    /// The key of an identity.
+    pub fn new(id: &str) -> Self {
+        Self(xxh3_64(id.as_bytes()))
+    }
+
+    /// The hash.
+    pub fn hash(self) -> u64 {
+        self.0
+    }
+}
+
 /// One life of a target, from its start to its end.
 #[derive(Debug)]
 pub struct Target {
@@ -36,8 +53,8 @@
     pub version: Rc<str>,
     /// Requests it works on at once; at least 1.
     pub slots: u32,
-    /// Hash of its identity, for rendezvous.
-    pub hash: u64,
+    /// Key of this life.
+    pub key: TargetKey,
     /// Connections to it.
     pub pool: Pool,
     state: Cell<TargetState>,
@@ -62,7 +79,7 @@
             region,
             version: registration.version.clone(),
             slots: registration.slots.max(1),
-            hash: xxh3_64(registration.id.as_bytes()),
+            key: TargetKey::new(&registration.id),
             pool: Pool::new(registration.address),
             state: Cell::new(registration.state),
             sequence: Cell::new(registration.sequence),
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -3,7 +3,7 @@
 
 use crate::decision::choice::{NoTarget, Query, SlowStartShare, choose};
 use crate::decision::routing::Routing;
-use crate::decision::target::Target;
+use crate::decision::target::{Target, TargetKey};
 use crate::hash::hash_affinity;
 use crate::model::config::{Config, Repeat, Route, WeightedService};
 use crate::net::request_body::RequestBody;
@@ -76,7 +76,7 @@
                 break;
             }
             let Some(request) = self.request(&mut body, &target) else { break };
-            tried.push(target.id.clone());
+            tried.push(target.key);
             story.load = target.load(Instant::now());
             story.target = Some(target.clone());
             let sent = self.send(request, &target).await;
@@ -132,7 +132,7 @@
         &self,
         object: u64,
         picked: &WeightedService,
-        tried: &[Rc<str>],
+        tried: &[TargetKey],
         story: &mut Story,
     ) -> Result<Rc<Target>, Refusal> {
         let settings = self.instance.settings.borrow().clone();
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -309,11 +309,12 @@
 /// The targets as place alone orders them for an object: asked one by one of
 /// a scene without policies.
 fn place(scene: &Scene, object: u64) -> Vec<usize> {
-    let mut tried = Vec::new();
+    let (mut tried, mut place) = (Vec::new(), Vec::new());
     while let Ok(target) = scene.choose(object, &tried) {
-        tried.push(target.id.clone());
+        tried.push(target.key);
+        place.push(target.id[1..].parse().unwrap());
     }
-    tried.iter().map(|id| id[1..].parse().unwrap()).collect()
+    place
 }
 
 proptest! {
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -61,7 +61,7 @@
             scene.put(&format!("n{number}"), &format!("{hall} {slots} ready 1 0"));
         }
         for target in scene.routing.targets() {
-            draws.push((draw(target.hash, target.slots, &*target.region == "a", key), target.id.clone()));
+            draws.push((draw(target.key.hash(), target.slots, &*target.region == "a", key), target.id.clone()));
         }
         draws.sort_by(|one, other| one.0.total_cmp(&other.0));
         let mut held = Vec::new();
@@ -151,7 +151,7 @@
         assert_eq!(&*scene.choose(object, &[]).unwrap().hall, "b-2");
     }
     let one = scene.choose(7, &[]).unwrap();
-    let other = scene.choose(7, std::slice::from_ref(&one.id)).unwrap();
+    let other = scene.choose(7, &[one.key]).unwrap();
     assert_ne!(one.id, other.id);
     let mut only_a = route("r", "a", "/");
     only_a.allowed_regions = vec!["a".into()];
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use lockloft::decision::choice::{NoTarget, Query, choose};
 use lockloft::decision::routing::Routing;
-use lockloft::decision::target::Target;
+use lockloft::decision::target::{Target, TargetKey};
 use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
 use lockloft::model::member::Member;
 use lockloft::model::record::Record;
@@ -184,12 +184,12 @@
     }
 
     /// Chooses a target for an affinity key.
-    pub fn choose(&self, affinity: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
+    pub fn choose(&self, affinity: u64, tried: &[TargetKey]) -> Result<Rc<Target>, NoTarget> {
         self.choose_on(&route("r", "a", "/"), affinity, tried)
     }
 
     /// The same on a route of its own.
-    pub fn choose_on(&self, route: &Route, affinity: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
+    pub fn choose_on(&self, route: &Route, affinity: u64, tried: &[TargetKey]) -> Result<Rc<Target>, NoTarget> {
         let query = Query {
             route,
             service: "shop",
