--- a/src/decision/split.rs
+++ b/src/decision/split.rs
@@ -16,7 +16,8 @@
 //! **Guards** the promise that a split keeps its shares, within 0.1 over calm times of 300
 //! requests or more of all instances together.
 //!
-//! **Test**: `a_split_keeps_its_shares_whatever_objects_come` and
+//! **Test**: `a_split_keeps_its_shares_whatever_objects_come`,
+//! `keys_of_a_split_stay_with_their_service_while_its_weight_grows` and
 //! `a_part_with_no_weight_gets_nothing` in `tests/logic.rs`.
 
 use crate::hash::unit;
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -185,6 +185,25 @@
     assert_eq!((0..20).filter(|_| budget.spend()).count(), 8);
 }
 
+#[test]
+fn keys_of_a_split_stay_with_their_service_while_its_weight_grows() {
+    let service_of = |weight: f64, key: u64| {
+        let mut split = route("split", "a", "/");
+        split.services = vec![
+            WeightedService { service: "one".into(), weight },
+            WeightedService { service: "two".into(), weight: 1.0 - weight },
+        ];
+        Splits::default().peek(&split, key).service.to_string()
+    };
+    let at_one = |weight: f64| (0..4_000).filter(|key| service_of(weight, *key) == "one").collect::<Vec<u64>>();
+    let (few, more) = (at_one(0.3), at_one(0.5));
+    for (keys, weight) in [(&few, 0.3), (&more, 0.5)] {
+        let share = keys.len() as f64 / 4_000.0;
+        assert!((share - weight).abs() < 0.03, "{share} of the keys at a weight of {weight}");
+    }
+    assert!(few.iter().all(|key| more.contains(key)), "a key left the service whose weight grew");
+}
+
 #[test]
 fn a_part_with_no_weight_gets_nothing() {
     let mut split = route("split", "a", "/");
