--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -3,7 +3,8 @@
 //!
 //! **Inputs**
 //! - `ratio` and `slack`, the settings `bounds.retry_ratio` (retries for each request, no
-//!   unit) and `bounds.retry_slack` (requests); as read at start or at the last reload.
+//!   unit) and `bounds.retry_slack` (retries). The ratio is that of the start; the slack is
+//!   read again when the members change, so that a reload counts from then on.
 //! - `members`, the number of instances in the view; as old as the view, which is not
 //!   bounded while the store is unreachable. An instance counts at least itself.
 //! - Requests and retries of this instance, counted at once.
