--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -97,7 +97,7 @@
 fn target_line(target: &Target, now: Instant) -> TargetLine {
     let state = match target {
         _ if !target.is_ready() => "draining",
-        _ if !target.is_trusted(now) => "left-alone",
+        _ if target.is_ejected(now) => "left-alone",
         _ if target.is_in_slow_start(now) => "cold",
         _ => "ready",
     };
@@ -186,7 +186,7 @@
     let query = Query {
         route,
         service: &weighted.service,
-        object,
+        affinity: object,
         region: &settings.region,
         slow_start,
         active: active.as_ref(),
@@ -211,7 +211,7 @@
     WhyTarget {
         target: target.id.to_string(),
         hall: target.hall.to_string(),
-        verdict: verdict.word().to_owned(),
+        verdict: verdict.as_str().to_owned(),
         load: target.load(now),
         slots: target.slots,
     }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -2,9 +2,10 @@
 
 mod scene;
 
+use lockloft::decision::affinity::draw;
 use lockloft::decision::choice::{NoTarget, Query, SlowStartShare, choose};
+use lockloft::decision::load::LoadReport;
 use lockloft::decision::slow_start::{SlowStartBounds, own_rate};
-use lockloft::decision::target::LoadReport;
 use lockloft::model::member::Member;
 use proptest::prelude::*;
 use scene::{Scene, config, route};
@@ -45,6 +46,35 @@
     }
 }
 
+proptest! {
+    /// A key's first and second target are the two of the smallest draws; there is no third.
+    #[test]
+    fn a_key_s_targets_are_those_that_a_naive_search_finds(
+        slots in prop::collection::vec(1u32..9, 8),
+        key in any::<u64>(),
+    ) {
+        let mut scene = Scene::new();
+        scene.remove_all();
+        let mut draws = Vec::new();
+        for (number, slots) in slots.iter().enumerate() {
+            let hall = ["a-1", "a-2", "b-1", "b-2"][number / 2];
+            scene.put(&format!("n{number}"), &format!("{hall} {slots} ready 1 0"));
+        }
+        for target in scene.routing.targets() {
+            draws.push((draw(target.key.hash(), target.slots, &*target.region == "a", key), target.id.clone()));
+        }
+        draws.sort_by(|one, other| one.0.total_cmp(&other.0));
+        let mut held = Vec::new();
+        for (_, expected) in draws.iter().take(2) {
+            let target = scene.choose(key, &[]).unwrap();
+            prop_assert_eq!(&target.id, expected);
+            held.extend((0..2 * target.slots).map(|_| target.begin(scene.now)));
+        }
+        let full = matches!(scene.choose(key, &[]), Err(NoTarget::Full(preferred)) if preferred.id == draws[0].1);
+        prop_assert!(full, "a third target was chosen");
+    }
+}
+
 #[test]
 fn objects_move_only_from_the_target_that_left() {
     let mut scene = Scene::new();
@@ -75,12 +105,12 @@
     let first = scene.choose(7, &[]).unwrap();
     let mut held = Vec::new();
     while scene.choose(7, &[]).unwrap().id == first.id {
-        held.push(first.enter(scene.now));
+        held.push(first.begin(scene.now));
         assert!(held.len() <= 8, "more than twice the slots were sent");
     }
     assert_eq!(held.len(), 8);
     let second = scene.choose(7, &[]).unwrap();
-    held.extend((0..8).map(|_| second.enter(scene.now)));
+    held.extend((0..8).map(|_| second.begin(scene.now)));
     assert!(matches!(scene.choose(7, &[]).unwrap_err(), NoTarget::Full(preferred) if preferred.id == first.id));
     drop(held);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
@@ -105,13 +135,13 @@
     scene.config = config(vec![urgent.clone(), patient.clone()]);
     let mut held = Vec::new();
     while let Ok(target) = scene.choose_on(&patient, 7, &[]) {
-        held.push(target.enter(scene.now));
+        held.push(target.begin(scene.now));
     }
     assert!(scene.choose_on(&urgent, 7, &[]).is_ok());
 }
 
 #[test]
-fn cold_evacuated_forbidden_and_tried_targets_are_left_alone() {
+fn cold_evacuated_forbidden_and_tried_targets_are_excluded() {
     let mut scene = Scene::new();
     for number in 0..6 {
         let hall = ["a-1", "a-2", "b-1"][number / 2];
@@ -121,7 +151,7 @@
         assert_eq!(&*scene.choose(object, &[]).unwrap().hall, "b-2");
     }
     let one = scene.choose(7, &[]).unwrap();
-    let other = scene.choose(7, std::slice::from_ref(&one.id)).unwrap();
+    let other = scene.choose(7, &[one.key]).unwrap();
     assert_ne!(one.id, other.id);
     let mut only_a = route("r", "a", "/");
     only_a.allowed_regions = vec!["a".into()];
@@ -143,7 +173,7 @@
         let query = Query {
             route: &route,
             service: "shop",
-            object: 7,
+            affinity: 7,
             region: "a",
             slow_start,
             active: None,
@@ -151,7 +181,7 @@
             now: scene.now,
         };
         if let Ok(target) = choose(&scene.routing, &scene.config, &query) {
-            target.enter(scene.now);
+            target.begin(scene.now);
             sent += 1;
         }
         scene.now += Duration::from_millis(10);
@@ -162,7 +192,7 @@
 /// A scene in which only the cold `t0` takes requests, and four members.
 fn cold_scene() -> Scene {
     let mut scene = Scene::new();
-    scene.put("op", "catalog 9");
+    scene.put("op", "config 9");
     for number in 0..8 {
         let hall = ["a-1", "a-2", "b-1", "b-2"][number / 2];
         let (state, cold) = if number == 0 { ("ready", 60_000) } else { ("draining", 0) };
@@ -178,7 +208,7 @@
 }
 
 #[test]
-fn a_cold_target_gets_its_rate_once_the_members_have_stayed_the_same() {
+fn a_cold_target_gets_its_rate_once_the_members_are_steady() {
     let mut scene = cold_scene();
     assert_eq!(sent_while_cold(&mut scene, "e-1", 2), 0, "the members have just changed");
     // 9 a second for four: two each, somewhat more than a second apart in all.
@@ -187,12 +217,12 @@
 }
 
 #[test]
-fn an_entry_that_is_not_listed_sends_a_cold_target_nothing() {
+fn an_instance_that_is_not_listed_sends_a_cold_target_nothing() {
     assert_eq!(sent_while_cold(&mut cold_scene(), "e-9", 6), 0);
 }
 
 #[test]
-fn a_failing_target_is_left_alone_and_tried_with_one_request() {
+fn a_failing_target_is_ejected_and_tried_with_one_request() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     for _ in 0..3 {
@@ -201,7 +231,7 @@
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     scene.now += Duration::from_millis(600);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
-    let trial = first.enter(scene.now);
+    let trial = first.begin(scene.now);
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     first.record_success(Duration::from_millis(50), scene.now);
     drop(trial);
@@ -217,7 +247,7 @@
 }
 
 #[test]
-fn a_target_whose_entry_lapsed_while_the_store_was_away_is_kept_for_a_while() {
+fn a_target_whose_registration_expired_while_the_store_was_unreachable_is_kept_for_the_grace() {
     let mut scene = Scene::new();
     let grace_until = Some(scene.now + Duration::from_secs(2));
     let first = scene.choose(7, &[]).unwrap();
@@ -226,12 +256,12 @@
     scene.now += Duration::from_millis(1_900);
     assert!(scene.routing.remove_expired(scene.now).is_empty());
     scene.now += Duration::from_millis(200);
-    assert_ne!(scene.choose(7, &[]).unwrap().id, first.id, "it did not come back");
+    assert_ne!(scene.choose(7, &[]).unwrap().id, first.id, "it did not register again");
     assert_eq!(scene.routing.remove_expired(scene.now).len(), 1);
 }
 
 #[test]
-fn a_lapsed_target_whose_entry_is_back_stays() {
+fn a_target_in_grace_that_registers_again_stays() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     scene.remove(&first.id, Some(scene.now + Duration::from_secs(2)));
@@ -242,7 +272,41 @@
 }
 
 #[test]
-fn a_target_that_was_draining_is_not_kept_and_no_target_while_the_store_is_there() {
+fn an_earlier_registration_or_configuration_that_arrives_late_changes_nothing() {
+    let mut scene = Scene::new();
+    scene.put("op", "config 9");
+    scene.put("op", "config 5");
+    let rate = scene.routing.config.as_ref().map(|config| config.services["shop"].slow_start_rate);
+    assert_eq!(rate, Some(9.0), "the version is the same");
+    scene.put("t0", "a-1 4 draining 3 0");
+    scene.put("t0", "a-1 4 ready 2 0");
+    let is_ready = |scene: &Scene| scene.routing.targets().any(|target| &*target.id == "t0" && target.is_ready());
+    assert!(!is_ready(&scene));
+    scene.put("t0", "a-1 4 ready 4 0");
+    assert!(is_ready(&scene));
+}
+
+#[test]
+fn a_registration_written_late_does_not_add_a_removed_target() {
+    let mut scene = Scene::new();
+    let is_there = |scene: &Scene| scene.routing.targets().any(|target| &*target.id == "t0");
+    scene.put("t0", "a-1 4 ready 5 0");
+    scene.remove("t0", None);
+    scene.put("t0", "a-1 4 ready 5 0");
+    assert!(!is_there(&scene), "the last registration was written again");
+    scene.now += Duration::from_secs(119);
+    scene.put("t0", "a-1 4 ready 4 0");
+    assert!(!is_there(&scene), "an older registration was written late");
+    scene.put("t0", "a-1 4 ready 6 0");
+    assert!(is_there(&scene), "it registered again");
+    scene.remove("t0", None);
+    scene.now += Duration::from_secs(120);
+    scene.put("t0", "a-1 4 ready 1 0");
+    assert!(is_there(&scene), "the tombstone is old");
+}
+
+#[test]
+fn a_target_that_was_draining_is_not_kept_and_none_while_the_store_answers() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     scene.put(first.id.as_ref(), &format!("{} 4 draining 2 0", first.hall));
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -3,7 +3,7 @@
 mod scene;
 
 use bytes::Bytes;
-use lockloft::decision::retry::RetryBudget;
+use lockloft::decision::retry::{RetryBudget, budget, max_saved};
 use lockloft::decision::split::Splits;
 use lockloft::model::config::{Route, WeightedService};
 use lockloft::store::view::StoreView;
@@ -168,6 +168,42 @@
     }
 }
 
+#[test]
+fn members_share_the_slack_and_use_half_of_both_bounds() {
+    for (slack, members, saved) in [(64.0, 1, 32.0), (64.0, 4, 8.0), (64.0, 0, 32.0), (0.0, 3, 0.0)] {
+        assert_eq!(max_saved(slack, members), saved, "slack {slack}, {members} members");
+    }
+    let mut budget = budget(0.2, 64.0, 4);
+    let retries = (0..1_000)
+        .filter(|_| {
+            budget.earn();
+            budget.spend()
+        })
+        .count();
+    assert!((98..=100).contains(&retries), "{retries} retries for 1000 requests at half of 0.2");
+    (0..1_000).for_each(|_| budget.earn());
+    assert_eq!((0..20).filter(|_| budget.spend()).count(), 8);
+}
+
+#[test]
+fn keys_of_a_split_stay_with_their_service_while_its_weight_grows() {
+    let service_of = |weight: f64, key: u64| {
+        let mut split = route("split", "a", "/");
+        split.services = vec![
+            WeightedService { service: "one".into(), weight },
+            WeightedService { service: "two".into(), weight: 1.0 - weight },
+        ];
+        Splits::default().peek(&split, key).service.to_string()
+    };
+    let at_one = |weight: f64| (0..4_000).filter(|key| service_of(weight, *key) == "one").collect::<Vec<u64>>();
+    let (few, more) = (at_one(0.3), at_one(0.5));
+    for (keys, weight) in [(&few, 0.3), (&more, 0.5)] {
+        let share = keys.len() as f64 / 4_000.0;
+        assert!((share - weight).abs() < 0.03, "{share} of the keys at a weight of {weight}");
+    }
+    assert!(few.iter().all(|key| more.contains(key)), "a key left the service whose weight grew");
+}
+
 #[test]
 fn a_part_with_no_weight_gets_nothing() {
     let mut split = route("split", "a", "/");
@@ -216,7 +252,7 @@
 }
 
 #[test]
-fn waits_for_a_store_that_is_away_grow_and_begin_anew_once_it_answers() {
+fn waits_for_an_unreachable_store_grow_and_start_again_once_it_answers() {
     use lockloft::sync::backoff::Backoff;
     use std::time::Duration;
     let mut backoff = Backoff::default();
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -3,7 +3,8 @@
 mod scene;
 
 use hyper::{HeaderMap, Method, Uri};
-use lockloft::decision::choice::{Exclusion, NoTarget, Query, Verdict, choose, explain};
+use lockloft::decision::choice::{NoTarget, Query, Verdict, choose, explain};
+use lockloft::decision::exclusion::Exclusion;
 use lockloft::decision::target::Target;
 use lockloft::policy::Sources;
 use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, PolicyMask, RequestFacts};
@@ -68,7 +69,7 @@
     let query = Query {
         route: &route,
         service: "shop",
-        object,
+        affinity: object,
         region: "a",
         slow_start: None,
         active: active.as_ref(),
@@ -134,7 +135,7 @@
             break;
         }
         assert_eq!(acted, ["p"]);
-        held.push(target.enter(scene.now));
+        held.push(target.begin(scene.now));
         assert!(held.len() <= 16, "two targets of four slots took more than twice their slots");
     }
 }
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use lockloft::decision::choice::{NoTarget, Query, choose};
 use lockloft::decision::routing::Routing;
-use lockloft::decision::target::Target;
+use lockloft::decision::target::{Target, TargetKey};
 use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
 use lockloft::model::member::Member;
 use lockloft::model::record::Record;
@@ -41,7 +41,7 @@
 }
 
 /// A config whose service bears `rate` requests a second while cold.
-pub fn catalog_with_rate(rate: f64) -> Config {
+pub fn config_with_rate(rate: f64) -> Config {
     let service = Service {
         max_connections: 100,
         warmup: Duration::from_secs(3),
@@ -76,8 +76,8 @@
         if Member::read(&item.value).is_some() {
             return Ok(Record::Own(item.key.clone()));
         }
-        if let Some(rate) = text.strip_prefix("catalog ") {
-            return Ok(Record::Config(catalog_with_rate(rate.parse().unwrap())));
+        if let Some(rate) = text.strip_prefix("config ") {
+            return Ok(Record::Config(config_with_rate(rate.parse().unwrap())));
         }
         let words: Vec<&str> = text.split(' ').collect();
         Ok(match words.as_slice() {
@@ -176,15 +176,30 @@
         self.routing.apply::<Plain>(&[event], self.now, grace_until);
     }
 
-    /// Chooses a target for an object.
-    pub fn choose(&self, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
-        self.choose_on(&route("r", "a", "/"), object, tried)
+    /// Removes all targets.
+    pub fn remove_all(&mut self) {
+        for number in 0..8 {
+            self.remove(&format!("t{number}"), None);
+        }
+    }
+
+    /// Chooses a target for an affinity key.
+    pub fn choose(&self, affinity: u64, tried: &[TargetKey]) -> Result<Rc<Target>, NoTarget> {
+        self.choose_on(&route("r", "a", "/"), affinity, tried)
     }
 
     /// The same on a route of its own.
-    pub fn choose_on(&self, route: &Route, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
-        let query =
-            Query { route, service: "shop", object, region: "a", slow_start: None, active: None, tried, now: self.now };
+    pub fn choose_on(&self, route: &Route, affinity: u64, tried: &[TargetKey]) -> Result<Rc<Target>, NoTarget> {
+        let query = Query {
+            route,
+            service: "shop",
+            affinity,
+            region: "a",
+            slow_start: None,
+            active: None,
+            tried,
+            now: self.now,
+        };
         choose(&self.routing, &self.config, &query)
     }
 }
