--- /dev/null
+++ b/src/proxy/access_record.rs
@@ -0,0 +1,68 @@
+//! The access log: one line for each request that has ended.
+//!
+//! [`AccessRecord`] collects what the line says while the request is processed. The
+//! event and field names are read back by `lockloft explain`
+//! ([`crate::telemetry::line::RequestLine`]). Relies on the target's identity alone.
+
+use crate::decision::target::Target;
+use hyper::StatusCode;
+use hyper::header::HeaderValue;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// What is known of one request, filled in as it goes on.
+#[derive(Debug, Default)]
+pub struct AccessRecord {
+    /// The caller's identity for the request, where it sent one.
+    pub id: Option<HeaderValue>,
+    /// Name of its route.
+    pub route: Option<Rc<str>>,
+    /// The service chosen.
+    pub service: Option<Rc<str>>,
+    /// The target it was last sent to; the preferred one where none had room.
+    pub target: Option<Rc<Target>>,
+    /// Version of the configuration that decided; 0 before one is known.
+    pub config: u64,
+    /// Tries that reached a target.
+    pub sends: u32,
+    /// Requests that were probably running or waiting at that target before it.
+    pub load: f64,
+    /// Names of the policies that had a part in the choice.
+    pub policies: Vec<String>,
+}
+
+/// How a request ended.
+#[derive(Clone, Copy, Debug)]
+pub struct RequestEnd {
+    /// `answered`, or the refusal's word.
+    pub outcome: &'static str,
+    /// Status of the answer.
+    pub status: StatusCode,
+    /// Time from the request's head to the head of the answer.
+    pub took: Duration,
+    /// Age of this instance's view of the store; `None` before the first list.
+    pub view_age: Option<Duration>,
+}
+
+impl AccessRecord {
+    /// Writes the line of a request that has ended. An identity that is not text
+    /// is left out: it could not be searched for.
+    pub fn log(&self, end: &RequestEnd) {
+        tracing::info!(
+            event = "request",
+            id = self.id.as_ref().and_then(|id| id.to_str().ok()),
+            route = self.route.as_deref(),
+            service = self.service.as_deref(),
+            target = self.target.as_ref().map(|target| &*target.id),
+            hall = self.target.as_ref().map(|target| &*target.hall),
+            load = self.load,
+            sends = self.sends,
+            config = self.config,
+            policies = (!self.policies.is_empty()).then(|| self.policies.join(",")),
+            view_age_ms = end.view_age.map(|age| age.as_millis() as u64),
+            outcome = end.outcome,
+            status = end.status.as_u16(),
+            took_ms = end.took.as_millis() as u64,
+        );
+    }
+}
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -9,11 +9,11 @@
 use crate::net::request_body::RequestBody;
 use crate::platform::Platform;
 use crate::policy::{Active, CapCharge, RequestFacts};
+use crate::proxy::access_record::AccessRecord;
 use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::exchange::{Exchange, Fault};
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
-use crate::proxy::serve::Story;
 use crate::settings::Settings;
 use crate::state::Instance;
 use hyper::header::HeaderValue;
@@ -52,7 +52,11 @@
     ///
     /// # Errors
     /// [`Refusal`] where no target's answer can be passed on.
-    pub async fn run(&self, mut body: IncomingBody, story: &mut Story) -> Result<Response<AnswerBody>, Refusal> {
+    pub async fn run(
+        &self,
+        mut body: IncomingBody,
+        record: &mut AccessRecord,
+    ) -> Result<Response<AnswerBody>, Refusal> {
         self.instance.retries.borrow_mut().earn();
         let object = self.object();
         let picked = self.instance.splits.borrow_mut().pick(self.route, object);
@@ -60,8 +64,8 @@
         let mut unreachable = 0;
         let mut last = None;
         let mut may_have_run = false;
-        while story.sends < self.route.max_attempts && unreachable <= UNREACHABLE_TRIES {
-            let target = match self.choose(object, picked, &tried, story) {
+        while record.sends < self.route.max_attempts && unreachable <= UNREACHABLE_TRIES {
+            let target = match self.choose(object, picked, &tried, record) {
                 Ok(target) => target,
                 Err(refusal) => {
                     last = last.or(Some(refusal));
@@ -72,20 +76,20 @@
                 last = Some(Refusal::TooLate);
                 break;
             }
-            if story.sends > 0 && !self.may_try_again() {
+            if record.sends > 0 && !self.may_try_again() {
                 break;
             }
             let Some(request) = self.request(&mut body, &target) else { break };
             tried.push(target.id.clone());
-            story.load = target.load(Instant::now());
-            story.target = Some(target.clone());
+            record.load = target.load(Instant::now());
+            record.target = Some(target.clone());
             let sent = self.send(request, &target).await;
             if let Err(fault) = &sent {
                 self.note_fault(fault, &target);
             }
             match sent {
                 Ok(response) => {
-                    story.sends += 1;
+                    record.sends += 1;
                     return Ok(response);
                 }
                 Err(Fault::Unreachable(request)) => {
@@ -94,18 +98,18 @@
                     last = Some(Refusal::Unreachable);
                 }
                 Err(Fault::NotExecuted) => {
-                    story.sends += 1;
+                    record.sends += 1;
                     last = Some(Refusal::TurnedAway);
                 }
                 Err(Fault::Lost) => {
-                    story.sends += 1;
+                    record.sends += 1;
                     may_have_run = true;
                     if self.route.repeat == Repeat::Once {
                         return Err(Refusal::Lost);
                     }
                 }
                 Err(Fault::Silent) => {
-                    story.sends += 1;
+                    record.sends += 1;
                     return Err(Refusal::TimedOut);
                 }
             }
@@ -133,7 +137,7 @@
         object: u64,
         picked: &WeightedService,
         tried: &[Rc<str>],
-        story: &mut Story,
+        record: &mut AccessRecord,
     ) -> Result<Rc<Target>, Refusal> {
         let settings = self.instance.settings.borrow().clone();
         let routing = self.instance.routing.borrow();
@@ -155,18 +159,18 @@
                 now: Instant::now(),
             };
             let chosen = choose(&routing, self.config, &query);
-            story.policies = active.as_ref().map_or_else(Vec::new, Active::applied);
+            record.policies = active.as_ref().map_or_else(Vec::new, Active::applied);
             let is_capped = matches!(chosen, Err(NoTarget::Capped(_)));
             match chosen {
                 Ok(target) => {
-                    story.service = Some(weighted.service.clone());
+                    record.service = Some(weighted.service.clone());
                     return Ok(target);
                 }
                 Err(NoTarget::Full(preferred) | NoTarget::Capped(preferred)) => {
                     refusal = if is_capped { Refusal::Capped } else { Refusal::Full };
-                    story.load = preferred.load(Instant::now());
-                    story.service = Some(weighted.service.clone());
-                    story.target = Some(preferred);
+                    record.load = preferred.load(Instant::now());
+                    record.service = Some(weighted.service.clone());
+                    record.target = Some(preferred);
                 }
                 Err(NoTarget::NoneUsable) => {}
             }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,5 +1,6 @@
 //! The way of a request: from the caller's connection to a target and back.
 
+pub mod access_record;
 pub mod answer_body;
 pub mod attempt;
 pub mod exchange;
