--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -3,6 +3,7 @@
 
 pub mod choice;
 pub mod directory;
+pub mod next_try;
 pub mod retry;
 pub mod routing;
 pub mod slow_start;
--- /dev/null
+++ b/src/proxy/attempts.rs
@@ -0,0 +1,173 @@
+//! The tries of one request at targets, until one answers or none is left to make.
+//!
+//! Whether there is another try is the rule of [`crate::decision::next_try`]; which
+//! target gets it, [`crate::proxy::target_choice`]; one try is an
+//! [`crate::proxy::exchange`]. Owns the count of tries and the body between them;
+//! earns and spends the instance's retry budget.
+
+use crate::decision::next_try::{Next, Obstacle, Reason, Tries, TryOutcome, has_time, next_try, reason_despite};
+use crate::decision::target::Target;
+use crate::net::request_body::RequestBody;
+use crate::platform::Platform;
+use crate::proxy::access_record::AccessRecord;
+use crate::proxy::answer_body::AnswerBody;
+use crate::proxy::caller_request::CallerRequest;
+use crate::proxy::exchange::{Exchange, Fault};
+use crate::proxy::incoming_body::IncomingBody;
+use crate::proxy::outgoing_request::{OutgoingError, outgoing_request};
+use crate::proxy::refusal::Refusal;
+use crate::proxy::target_choice::TargetChoice;
+use hyper::{Request, Response};
+use std::cell::Cell;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// The tries of one request.
+pub struct Attempts<'a, P: Platform> {
+    request: &'a CallerRequest<'a, P>,
+    choice: TargetChoice<'a, P>,
+    body: IncomingBody,
+    /// Failed tries.
+    tries: Tries,
+    /// Ids of the targets that were tried.
+    tried: Vec<Rc<str>>,
+}
+
+impl<'a, P: Platform> Attempts<'a, P> {
+    /// A request that was not tried yet; it earns its part of the retry budget.
+    pub fn new(request: &'a CallerRequest<'a, P>, body: IncomingBody) -> Self {
+        request.instance.retries.borrow_mut().earn();
+        let choice = TargetChoice::new(request);
+        Self { request, choice, body, tries: Tries::default(), tried: Vec::new() }
+    }
+
+    /// Tries the request at targets, and gives the answer of the first that has one.
+    ///
+    /// # Errors
+    /// [`Refusal`] where no target's answer can be passed on.
+    pub async fn run(mut self, record: &mut AccessRecord) -> Result<Response<AnswerBody>, Refusal> {
+        loop {
+            let paid = match next_try(&self.tries, self.request.route.into()) {
+                Next::Try { paid } => paid,
+                Next::Refuse(reason) => return Err(reason.into()),
+            };
+            let (target, request) = self.prepare(paid, record)?;
+            self.tried.push(target.id.clone());
+            record.load = target.load(Instant::now());
+            record.target = Some(target.clone());
+            match self.send(request, &target).await {
+                Ok(response) => {
+                    record.sends = self.tries.sends + 1;
+                    return Ok(response);
+                }
+                Err(fault) => {
+                    self.take_failure(fault, &target);
+                    record.sends = self.tries.sends;
+                }
+            }
+        }
+    }
+
+    /// A target and the request for it. The order of the checks decides what the
+    /// caller is answered, and whether the budget is charged.
+    fn prepare(
+        &mut self,
+        paid: bool,
+        record: &mut AccessRecord,
+    ) -> Result<(Rc<Target>, Request<RequestBody>), Refusal> {
+        let chosen = self.choice.choose(&self.tried, record);
+        let target = chosen.map_err(|refusal| self.refusal(Obstacle::NoTarget, refusal))?;
+        if !has_time(self.request.deadline.saturating_duration_since(Instant::now())) {
+            return Err(self.refusal(Obstacle::TooLate, Refusal::TooLate));
+        }
+        if paid && !self.spend_retry() {
+            return Err(self.refusal(Obstacle::OverBudget, Refusal::NoTarget));
+        }
+        let request = outgoing_request(self.request, &mut self.body, &target).map_err(|error| {
+            self.log_unsendable(&error, &target);
+            self.refusal(Obstacle::NoRequest, Refusal::NoTarget)
+        })?;
+        Ok((target, request))
+    }
+
+    /// The refusal where the next try cannot be made: that of an earlier failure, or
+    /// the obstacle's `own`.
+    fn refusal(&self, obstacle: Obstacle, own: Refusal) -> Refusal {
+        reason_despite(&self.tries, obstacle).map_or(own, Refusal::from)
+    }
+
+    /// Pays for one more send; false where the budget does not reach.
+    fn spend_retry(&self) -> bool {
+        let instance = self.request.instance;
+        let paid = instance.retries.borrow_mut().spend();
+        let counter = if paid { &instance.metrics.retries } else { &instance.metrics.retries_denied };
+        counter.inc();
+        paid
+    }
+
+    async fn send(&self, request: Request<RequestBody>, target: &Rc<Target>) -> Result<Response<AnswerBody>, Fault> {
+        let sent = match request.body() {
+            RequestBody::Streamed(streamed) => streamed.finished(),
+            RequestBody::Buffered(_) => Rc::new(Cell::new(true)),
+        };
+        let started = Instant::now();
+        let exchange = Exchange {
+            names: &self.request.instance.names,
+            in_flight: target.enter(started),
+            request_id: self.request.id(),
+            until: self.request.deadline,
+            deadline: self.request.deadline,
+            sent,
+            started,
+        };
+        exchange.run(request).await
+    }
+
+    /// Logs and counts a failed try. A body of which nothing was sent is kept.
+    fn take_failure(&mut self, fault: Fault, target: &Target) {
+        let outcome = fault.outcome();
+        self.log_failure(outcome, target);
+        self.tries.record(outcome);
+        if let Fault::Unreachable(request) = fault {
+            self.body.restore(*request);
+        }
+    }
+
+    fn log_failure(&self, outcome: TryOutcome, target: &Target) {
+        tracing::info!(
+            event = "try_failed",
+            id = self.request.id_text(),
+            target = &*target.id,
+            hall = &*target.hall,
+            fault = outcome.as_str(),
+            after_ms = self.request.started.elapsed().as_millis() as u64,
+        );
+    }
+
+    /// Logs a target that no request can name; one line for a request, and the log's
+    /// rate bounds them all. That a streamed body cannot be sent twice is no error:
+    /// the request's own line gives the failure that stands.
+    fn log_unsendable(&self, error: &OutgoingError, target: &Target) {
+        if let OutgoingError::TargetId(_) = error {
+            tracing::warn!(
+                event = "target_id_invalid",
+                id = self.request.id_text(),
+                target = &*target.id,
+                hall = &*target.hall,
+                error = %error,
+            );
+        }
+    }
+}
+
+impl From<Reason> for Refusal {
+    fn from(reason: Reason) -> Self {
+        match reason {
+            Reason::NotTried => Refusal::NoTarget,
+            Reason::Unreachable => Refusal::Unreachable,
+            Reason::NotExecuted => Refusal::TurnedAway,
+            Reason::Lost => Refusal::Lost,
+            Reason::TimedOut => Refusal::TimedOut,
+        }
+    }
+}
--- /dev/null
+++ b/src/proxy/caller_request.rs
@@ -0,0 +1,51 @@
+//! A caller's request once it is understood: what all of its tries need.
+//!
+//! Owns the head of the request; borrows the instance and the configuration with
+//! which it began. The body is apart ([`crate::proxy::incoming_body`]).
+
+use crate::hash::hash_affinity;
+use crate::model::config::{Config, Route};
+use crate::platform::Platform;
+use crate::state::Instance;
+use hyper::header::HeaderValue;
+use hyper::http::request::Parts;
+use tokio::time::Instant;
+
+/// A caller's request with its route and its deadline.
+pub struct CallerRequest<'a, P: Platform> {
+    /// The instance that has it.
+    pub instance: &'a Instance<P>,
+    /// The configuration that decides.
+    pub config: &'a Config,
+    /// Its route.
+    pub route: &'a Route,
+    /// Its head, without headers of the caller's connection.
+    pub parts: Parts,
+    /// When its head had arrived.
+    pub started: Instant,
+    /// When an answer is no longer of use.
+    pub deadline: Instant,
+}
+
+impl<P: Platform> CallerRequest<'_, P> {
+    /// The caller's identity for it, where it sent one.
+    pub fn id(&self) -> Option<&HeaderValue> {
+        self.parts.headers.get(&self.instance.names.request_id)
+    }
+
+    /// The identity as text for the log; one that is not text is left out, since it
+    /// could not be searched for.
+    pub fn id_text(&self) -> Option<&str> {
+        self.id().and_then(|id| id.to_str().ok())
+    }
+
+    /// The affinity key's hash; a hash of the request's identity where it has no key
+    /// or the route no affinity, and a random number where it has neither.
+    pub fn affinity(&self) -> u64 {
+        let key = self.parts.headers.get(&self.instance.names.object).filter(|_| self.route.affinity);
+        match key.or_else(|| self.id()) {
+            Some(value) => hash_affinity(value.as_bytes()),
+            None => rand::random(),
+        }
+    }
+}
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -1,5 +1,6 @@
 //! One request at one target: sent, answered, and judged.
 
+use crate::decision::next_try::TryOutcome;
 use crate::decision::target::{InFlight, LoadReport, Target};
 use crate::net::pool::{Connection, SendError};
 use crate::net::request_body::RequestBody;
@@ -36,13 +37,13 @@
 }
 
 impl Fault {
-    /// The word for it in the log.
-    pub fn word(&self) -> &'static str {
+    /// What it means for the request.
+    pub fn outcome(&self) -> TryOutcome {
         match self {
-            Fault::Unreachable(_) => "unreachable",
-            Fault::NotExecuted => "not-executed",
-            Fault::Lost => "lost",
-            Fault::Silent => "silent",
+            Fault::Unreachable(_) => TryOutcome::Unreachable,
+            Fault::NotExecuted => TryOutcome::NotExecuted,
+            Fault::Lost => TryOutcome::Lost,
+            Fault::Silent => TryOutcome::TimedOut,
         }
     }
 }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -2,9 +2,12 @@
 
 pub mod access_record;
 pub mod answer_body;
-pub mod attempt;
+pub mod attempts;
+pub mod caller_request;
 pub mod exchange;
 pub mod incoming_body;
 pub mod listener;
+pub mod outgoing_request;
 pub mod refusal;
 pub mod request;
+pub mod target_choice;
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -1,17 +1,17 @@
 //! A caller's request: understood, tried at targets, answered and logged.
 //!
 //! Finds the route, the deadline and the body, leaves what may travel on, and hands
-//! the request to [`crate::proxy::attempt`]. Counts each request by its outcome and
+//! the request to [`crate::proxy::attempts`]. Counts each request by its outcome and
 //! writes its line in the access log. Relies on the configuration in force.
 
 use crate::instance::stop::takes_requests;
 use crate::model::config::{Config, Route};
 use crate::net::headers::remove_hop_by_hop;
 use crate::platform::Platform;
-use crate::policy::CapCharge;
 use crate::proxy::access_record::{AccessRecord, RequestEnd};
 use crate::proxy::answer_body::AnswerBody;
-use crate::proxy::attempt::Attempt;
+use crate::proxy::attempts::Attempts;
+use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
 use crate::state::Instance;
@@ -82,13 +82,12 @@
     record.config = config.version;
     let route = find_route(&config, &request)?;
     record.route = Some(route.name.clone());
-    let until = deadline(request.headers(), &instance.names.deadline_ms, route, started)?;
+    let deadline = deadline(request.headers(), &instance.names.deadline_ms, route, started)?;
     let (mut parts, incoming) = request.into_parts();
-    let body = IncomingBody::read(instance, config.limits.body_bytes, incoming, until).await?;
+    let body = IncomingBody::read(instance, config.limits.body_bytes, incoming, deadline).await?;
     clean(&mut parts)?;
-    Attempt { instance, config: &config, route, parts, started, until, charge: CapCharge::default() }
-        .run(body, record)
-        .await
+    let request = CallerRequest { instance, config: &config, route, parts, started, deadline };
+    Attempts::new(&request, body).run(record).await
 }
 
 /// The configuration in force. A process that has just started receives it within
--- /dev/null
+++ b/src/proxy/target_choice.rs
@@ -0,0 +1,129 @@
+//! The target of a request's next try: the rules of [`crate::decision::choice`] asked
+//! for each service of the route.
+//!
+//! Owns what the operators' caps were charged for the request. Relies on the routing
+//! of the snapshot, read anew for each try.
+
+use crate::decision::choice::{NoTarget, Query, SlowStartShare, choose};
+use crate::decision::routing::Routing;
+use crate::decision::target::Target;
+use crate::model::config::WeightedService;
+use crate::platform::Platform;
+use crate::policy::{Active, CapCharge, RequestFacts};
+use crate::proxy::access_record::AccessRecord;
+use crate::proxy::caller_request::CallerRequest;
+use crate::proxy::refusal::Refusal;
+use crate::settings::Settings;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// What the choices for one request have in common.
+pub struct TargetChoice<'a, P: Platform> {
+    request: &'a CallerRequest<'a, P>,
+    affinity: u64,
+    picked: &'a WeightedService,
+    charge: CapCharge,
+}
+
+/// What one choice sees, the same for all services.
+struct Snapshot<'a> {
+    routing: &'a Routing,
+    settings: &'a Settings,
+    /// `None` while the view of the store is stale: cold targets get nothing then.
+    slow_start: Option<SlowStartShare<'a>>,
+}
+
+impl<'a, P: Platform> TargetChoice<'a, P> {
+    /// Hashes the request's affinity and picks the service that is due.
+    pub fn new(request: &'a CallerRequest<'a, P>) -> Self {
+        let affinity = request.affinity();
+        let picked = request.instance.splits.borrow_mut().pick(request.route, affinity);
+        Self { request, affinity, picked, charge: CapCharge::default() }
+    }
+
+    /// A target of the picked service, else of another one with any weight, none of
+    /// those `tried` (ids).
+    ///
+    /// # Errors
+    /// The refusal of the last service that has targets for it, else
+    /// [`Refusal::NoTarget`].
+    pub fn choose(&self, tried: &[Rc<str>], record: &mut AccessRecord) -> Result<Rc<Target>, Refusal> {
+        let instance = self.request.instance;
+        let settings = instance.settings.borrow().clone();
+        let slow_start =
+            instance.health.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
+        let snapshot = Snapshot { routing: &instance.routing.borrow(), settings: &settings, slow_start };
+        let mut refusal = Refusal::NoTarget;
+        for weighted in self.services() {
+            let (chosen, policies) = self.of_service(&snapshot, weighted, tried);
+            record.policies = policies;
+            match chosen {
+                Ok(target) => {
+                    record.service = Some(weighted.service.clone());
+                    return Ok(target);
+                }
+                Err(NoTarget::NoneUsable) => {}
+                Err(NoTarget::Full(preferred)) => {
+                    refusal = Refusal::Full;
+                    record_preferred(record, weighted, preferred);
+                }
+                Err(NoTarget::Capped(preferred)) => {
+                    refusal = Refusal::Capped;
+                    record_preferred(record, weighted, preferred);
+                }
+            }
+        }
+        Err(refusal)
+    }
+
+    fn services(&self) -> impl Iterator<Item = &'a WeightedService> {
+        let picked = self.picked;
+        let all = self.request.route.services.iter();
+        std::iter::once(picked)
+            .chain(all.filter(|weighted| weighted.service != picked.service && weighted.weight > 0.0))
+    }
+
+    /// A target of one service, and the names of the policies that had a part.
+    fn of_service(
+        &self,
+        snapshot: &Snapshot<'_>,
+        weighted: &WeightedService,
+        tried: &[Rc<str>],
+    ) -> (Result<Rc<Target>, NoTarget>, Vec<String>) {
+        let active = self.active(snapshot, &weighted.service);
+        let query = Query {
+            route: self.request.route,
+            service: &weighted.service,
+            object: self.affinity,
+            region: &snapshot.settings.region,
+            slow_start: snapshot.slow_start,
+            active: active.as_ref(),
+            tried,
+            now: Instant::now(),
+        };
+        let chosen = choose(snapshot.routing, self.request.config, &query);
+        (chosen, active.as_ref().map_or_else(Vec::new, Active::applied))
+    }
+
+    /// The operators' policies that select the request.
+    fn active(&self, snapshot: &Snapshot<'_>, service: &str) -> Option<Active<'_>> {
+        let parts = &self.request.parts;
+        let facts = RequestFacts {
+            service,
+            route: &self.request.route.name,
+            region: &snapshot.settings.region,
+            hall: &snapshot.settings.hall,
+            method: &parts.method,
+            uri: &parts.uri,
+            headers: &parts.headers,
+        };
+        Active::find(snapshot.routing.policies.as_ref()?, &facts, self.affinity, &self.charge)
+    }
+}
+
+/// The access log names the preferred target of a request that found no room.
+fn record_preferred(record: &mut AccessRecord, weighted: &WeightedService, preferred: Rc<Target>) {
+    record.load = preferred.load(Instant::now());
+    record.service = Some(weighted.service.clone());
+    record.target = Some(preferred);
+}
