--- a/src/proxy/access_record.rs
+++ b/src/proxy/access_record.rs
@@ -34,7 +34,7 @@
 /// How a request ended.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestEnd {
-    /// `answered`, or the refusal's word.
+    /// `answered`, or the refusal's name.
     pub outcome: &'static str,
     /// Status of the answer.
     pub status: StatusCode,
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -12,11 +12,12 @@
 use crate::proxy::access_record::AccessRecord;
 use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::caller_request::CallerRequest;
-use crate::proxy::exchange::{Exchange, Fault};
+use crate::proxy::exchange::Exchange;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::outgoing_request::{OutgoingError, outgoing_request};
 use crate::proxy::refusal::Refusal;
 use crate::proxy::target_choice::TargetChoice;
+use crate::proxy::try_error::TryError;
 use hyper::{Request, Response};
 use std::cell::Cell;
 use std::rc::Rc;
@@ -60,8 +61,8 @@
                     record.sends = self.tries.sends + 1;
                     return Ok(response);
                 }
-                Err(fault) => {
-                    self.take_failure(fault, &target);
+                Err(error) => {
+                    self.take_failure(error, &target);
                     record.sends = self.tries.sends;
                 }
             }
@@ -105,7 +106,7 @@
         paid
     }
 
-    async fn send(&self, request: Request<RequestBody>, target: &Rc<Target>) -> Result<Response<AnswerBody>, Fault> {
+    async fn send(&self, request: Request<RequestBody>, target: &Rc<Target>) -> Result<Response<AnswerBody>, TryError> {
         let sent = match request.body() {
             RequestBody::Streamed(streamed) => streamed.finished(),
             RequestBody::Buffered(_) => Rc::new(Cell::new(true)),
@@ -123,11 +124,11 @@
     }
 
     /// Logs and counts a failed try. A body of which nothing was sent is kept.
-    fn take_failure(&mut self, fault: Fault, target: &Target) {
-        let outcome = fault.outcome();
+    fn take_failure(&mut self, error: TryError, target: &Target) {
+        let outcome = error.outcome();
         self.log_failure(outcome, target);
         self.tries.record(outcome);
-        if let Fault::Unreachable(request) = fault {
+        if let TryError::Unreachable(request) = error {
             self.body.restore(*request);
         }
     }
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -4,7 +4,6 @@
 //! passed on. Tells the target's record of each success, failure and load report;
 //! relies on the target's pool.
 
-use crate::decision::next_try::TryOutcome;
 use crate::decision::target::{InFlight, Target};
 use crate::net::headers::remove_hop_by_hop;
 use crate::net::keep_alive::KeepAlive;
@@ -14,6 +13,7 @@
 use crate::proxy::answer_body::{AnswerBody, Reuse, StreamedAnswer};
 use crate::proxy::answer_check::{self, AnswerError};
 use crate::proxy::buffered_answer::{ReadBody, read_body};
+use crate::proxy::try_error::TryError;
 use hyper::body::Incoming;
 use hyper::header::HeaderValue;
 use hyper::{Request, Response};
@@ -21,31 +21,6 @@
 use std::rc::Rc;
 use tokio::time::{Instant, sleep_until, timeout_at};
 
-/// Why a target gave no answer that can be passed on.
-#[derive(Debug)]
-pub enum Fault {
-    /// No connection could be made; the request is given back.
-    Unreachable(Box<Request<RequestBody>>),
-    /// The target said that it did not run the request.
-    NotExecuted,
-    /// The exchange broke; the request may have run.
-    Lost,
-    /// The time given ran out; the request may have run.
-    Silent,
-}
-
-impl Fault {
-    /// What it means for the request.
-    pub fn outcome(&self) -> TryOutcome {
-        match self {
-            Fault::Unreachable(_) => TryOutcome::Unreachable,
-            Fault::NotExecuted => TryOutcome::NotExecuted,
-            Fault::Lost => TryOutcome::Lost,
-            Fault::Silent => TryOutcome::TimedOut,
-        }
-    }
-}
-
 /// A request ready to be sent.
 pub struct Exchange<'a> {
     /// Header names.
@@ -66,20 +41,20 @@
     /// Sends the request and gives its answer.
     ///
     /// # Errors
-    /// [`Fault`]; what it means for the target was noted there.
-    pub async fn run(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, Fault> {
+    /// [`TryError`]; what it means for the target was noted there.
+    pub async fn run(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, TryError> {
         let (deadline, started) = (self.deadline, self.started);
         let target = self.in_flight.target().clone();
         match timeout_at(deadline, self.dispatch(request)).await {
             Ok(result) => result,
             Err(_) => {
                 target.record_latency(started.elapsed(), Instant::now());
-                Err(Fault::Silent)
+                Err(TryError::TimedOut)
             }
         }
     }
 
-    async fn dispatch(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, Fault> {
+    async fn dispatch(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, TryError> {
         let (response, connection) = self.send(request).await?;
         let checked = answer_check::check(self.names, self.request_id, &response);
         if checked != Err(AnswerError::Foreign) {
@@ -96,23 +71,23 @@
     }
 
     /// What an answer that may not be passed on means for the target and the request.
-    fn reject(&self, error: AnswerError) -> Fault {
+    fn reject(&self, error: AnswerError) -> TryError {
         let target = self.in_flight.target();
         match error {
             AnswerError::Misdirected => {
                 target.mark_replaced();
-                Fault::NotExecuted
+                TryError::NotExecuted
             }
-            AnswerError::NotExecuted => Fault::NotExecuted,
+            AnswerError::NotExecuted => TryError::NotExecuted,
             AnswerError::Foreign | AnswerError::Unsigned => {
                 record_failure(target);
-                Fault::Lost
+                TryError::Lost
             }
         }
     }
 
     /// Sends the request over an idle connection, else over a new one.
-    async fn send(&self, request: Request<RequestBody>) -> Result<(Response<Incoming>, Connection), Fault> {
+    async fn send(&self, request: Request<RequestBody>) -> Result<(Response<Incoming>, Connection), TryError> {
         let target = self.in_flight.target();
         let mut request = request;
         while let Some(mut connection) = target.pool.take_idle().await {
@@ -121,7 +96,7 @@
                 Err(SendError::Unsent(unsent)) => request = *unsent,
                 Err(SendError::Lost) => {
                     record_failure(target);
-                    return Err(Fault::Lost);
+                    return Err(TryError::Lost);
                 }
             }
         }
@@ -130,30 +105,34 @@
 
     /// Sends the request over a new connection. Why none could be opened changes
     /// nothing for the request; its line `try_failed` names the target.
-    async fn send_anew(&self, request: Request<RequestBody>) -> Result<(Response<Incoming>, Connection), Fault> {
+    async fn send_anew(&self, request: Request<RequestBody>) -> Result<(Response<Incoming>, Connection), TryError> {
         let target = self.in_flight.target();
         let Ok(mut connection) = target.pool.connect().await else {
             record_failure(target);
-            return Err(Fault::Unreachable(Box::new(request)));
+            return Err(TryError::Unreachable(Box::new(request)));
         };
         match connection.send(request).await {
             Ok(response) => Ok((response, connection)),
-            Err(SendError::Unsent(unsent)) => Err(Fault::Unreachable(unsent)),
+            Err(SendError::Unsent(unsent)) => Err(TryError::Unreachable(unsent)),
             Err(SendError::Lost) => {
                 record_failure(target);
-                Err(Fault::Lost)
+                Err(TryError::Lost)
             }
         }
     }
 
     /// Reads the answer's body if it is small, and makes the answer for the caller.
-    async fn finish(self, response: Response<Incoming>, connection: Connection) -> Result<Response<AnswerBody>, Fault> {
+    async fn finish(
+        self,
+        response: Response<Incoming>,
+        connection: Connection,
+    ) -> Result<Response<AnswerBody>, TryError> {
         let keep_alive = KeepAlive::from(response.headers());
         let (mut parts, incoming) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
         let Ok(read) = read_body(incoming).await else {
             record_failure(self.in_flight.target());
-            return Err(Fault::Lost);
+            return Err(TryError::Lost);
         };
         if parts.status.is_server_error() {
             record_failure(self.in_flight.target());
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -13,3 +13,4 @@
 pub mod refusal;
 pub mod request;
 pub mod target_choice;
+pub mod try_error;
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -1,4 +1,7 @@
-//! Answers that an instance makes itself.
+//! Answers that an instance makes itself, where no target's answer can be passed on.
+//!
+//! Owns the statuses, names and Retry-After times. A 503 means that no target ran the
+//! request, 502 and 504 that one may have.
 
 use crate::proxy::answer_body::AnswerBody;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -6,10 +9,16 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// When a caller may come back after a refusal under load.
-const COME_BACK: Duration = Duration::from_millis(200);
-/// When a caller may come back while this instance knows too little.
-const COME_BACK_LATER: Duration = Duration::from_millis(500);
+/// Retry-After of a refusal under load. About a service time: a slot is probably free by
+/// then, and the second attempt still meets objectives of 0.3 to 0.5 s. Worth at half and
+/// double differs by 0.003 at most: not sensitive (trials ee4dc86e, 84054a79 on bsp burst,
+/// ecb62704, 53edf5a6 on bsp scale-1, f21c355f, c35b01f6 on hmfu scale-2).
+const RETRY_AFTER_LOAD: Duration = Duration::from_millis(200);
+/// Retry-After where this instance has no configuration or no usable target, or stops:
+/// states that last longer than a full target. Worth at half and double differs by
+/// 0.002 at most: not sensitive (trials 088f9a0c, 03ca88c0 on bsp three-failures, cd99ebfc,
+/// 5f386b0f on bsp srv-crash, bca9924d, 4e36ef0c on hmfu zone-loss).
+const RETRY_AFTER_OUTAGE: Duration = Duration::from_millis(500);
 
 /// Why a request got no answer from a target.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
@@ -61,8 +70,8 @@
 }
 
 impl Refusal {
-    /// The word for logs and metrics.
-    pub fn word(self) -> &'static str {
+    /// Its name in log and metrics.
+    pub fn as_str(self) -> &'static str {
         match self {
             Refusal::NoConfig => "no-configuration",
             Refusal::NoRoute => "no-route",
@@ -94,13 +103,13 @@
         }
     }
 
-    /// When to come back, where waiting helps.
+    /// How long the caller should wait before it tries again, where waiting helps.
     pub fn retry_after(self) -> Option<Duration> {
         match self {
             Refusal::Full | Refusal::Capped | Refusal::TurnedAway | Refusal::Unreachable | Refusal::TooLate => {
-                Some(COME_BACK)
+                Some(RETRY_AFTER_LOAD)
             }
-            Refusal::NoConfig | Refusal::NoTarget | Refusal::Stopping => Some(COME_BACK_LATER),
+            Refusal::NoConfig | Refusal::NoTarget | Refusal::Stopping => Some(RETRY_AFTER_OUTAGE),
             _ => None,
         }
     }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -56,7 +56,7 @@
     let mut record = AccessRecord { id, ..AccessRecord::default() };
     let (outcome, response) = match process(instance, request, started, &mut record).await {
         Ok(response) => (ANSWERED, response),
-        Err(refusal) => (refusal.word(), refusal.answer()),
+        Err(refusal) => (refusal.as_str(), refusal.answer()),
     };
     let took = started.elapsed();
     instance.metrics.requests.with_label_values(&[outcome]).inc();
