--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -1,4 +1,37 @@
-//! The way of a request: from the caller's connection to a target and back.
+//! The way of a request: from a caller's connection to a target and back.
+//!
+//! A request goes down these steps once; no step calls one above it.
+//!
+//! 1. [`listener`] takes it from a caller's connection ([`crate::net::server`]) and
+//!    counts it as in flight.
+//! 2. [`request`] understands it: finds the route and the deadline, removes headers of
+//!    the caller's connection, and writes its [`access_record`] at the end. What all
+//!    further steps need of it is a [`caller_request`].
+//! 3. [`incoming_body`] buffers its body where that costs little, so that it can be sent
+//!    more than once; a large one is streamed.
+//! 4. [`attempts`] tries it at targets, for as long as the rule in
+//!    [`crate::decision::next_try`] says so: [`target_choice`] asks the rules for a
+//!    target, [`outgoing_request`] builds the request for it.
+//! 5. [`exchange`] sends it to that target over a connection of its pool
+//!    ([`crate::net::pool`]). [`answer_check`] says whether the answer may be passed on,
+//!    [`try_error`] why there is none; [`buffered_answer`] reads a small answer whole, so
+//!    that one that breaks off can be replaced.
+//! 6. [`answer_body`] carries the answer to the caller. A [`refusal`] is the answer where
+//!    no target's can be passed on.
+//!
+//! | module | owns | relies on |
+//! |---|---|---|
+//! | [`listener`] | count of requests in flight, connection limits | configuration |
+//! | [`request`] | deadline, outcome metrics, access log | configuration, `attempts` |
+//! | [`incoming_body`] | count of buffered bytes | `limits.memory_mb` |
+//! | [`attempts`] | tries of one request, its part of the retry budget | `decision::next_try` |
+//! | [`target_choice`] | cap charge of one request | routing, policies, `decision::choice` |
+//! | [`exchange`] | place at the target, connection | pool, the target's record |
+//! | [`answer_body`] | both, until a streamed answer has ended | pool |
+//!
+//! Everything here runs on the instance's one thread. A caller that closes its
+//! connection drops the whole way of its request: the connection to the target closes,
+//! and the places it held are free.
 
 pub mod access_record;
 pub mod answer_body;
