--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -5,7 +5,7 @@
 //! [`crate::proxy::exchange`]. Owns the count of tries and the body between them;
 //! earns and spends the instance's retry budget.
 
-use crate::decision::next_try::{Next, Obstacle, Reason, Tries, TryOutcome, has_time, next_try, reason_despite};
+use crate::decision::next_try::{Next, Obstacle, Tries, TryOutcome, has_time, next_try, reason_despite};
 use crate::decision::target::Target;
 use crate::net::request_body::RequestBody;
 use crate::platform::Platform;
@@ -159,15 +159,3 @@
         }
     }
 }
-
-impl From<Reason> for Refusal {
-    fn from(reason: Reason) -> Self {
-        match reason {
-            Reason::NotTried => Refusal::NoTarget,
-            Reason::Unreachable => Refusal::Unreachable,
-            Reason::NotExecuted => Refusal::TurnedAway,
-            Reason::Lost => Refusal::Lost,
-            Reason::TimedOut => Refusal::TimedOut,
-        }
-    }
-}
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -1,8 +1,8 @@
 //! One request at one target: sent, checked, and its answer made ready to pass on.
 //!
-//! Owns the request's place at the target and the connection until the answer is
-//! passed on. Tells the target's record of each success, failure and load report;
-//! relies on the target's pool.
+//! Owns the request's place among those in flight at the target, and the connection,
+//! until the answer is passed on. Records successes, failures and load reports at the
+//! target; relies on its pool.
 
 use crate::decision::target::{InFlight, Target};
 use crate::net::headers::remove_hop_by_hop;
@@ -25,7 +25,7 @@
 pub struct Exchange<'a> {
     /// Header names.
     pub names: &'a HeaderNames,
-    /// Its place at the target.
+    /// Counts it as in flight at the target.
     pub in_flight: InFlight,
     /// The caller's identity for it.
     pub request_id: Option<&'a HeaderValue>,
@@ -41,7 +41,7 @@
     /// Sends the request and gives its answer.
     ///
     /// # Errors
-    /// [`TryError`]; what it means for the target was noted there.
+    /// [`TryError`]; what it means for the target is recorded there already.
     pub async fn run(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, TryError> {
         let (deadline, started) = (self.deadline, self.started);
         let target = self.in_flight.target().clone();
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -3,6 +3,7 @@
 //! Owns the statuses, names and Retry-After times. A 503 means that no target ran the
 //! request, 502 and 504 that one may have.
 
+use crate::decision::next_try::Reason;
 use crate::proxy::answer_body::AnswerBody;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
@@ -123,3 +124,15 @@
         builder.body(AnswerBody::buffered(self.to_string())).expect("the headers are constant and valid")
     }
 }
+
+impl From<Reason> for Refusal {
+    fn from(reason: Reason) -> Self {
+        match reason {
+            Reason::NotTried => Refusal::NoTarget,
+            Reason::Unreachable => Refusal::Unreachable,
+            Reason::NotExecuted => Refusal::TurnedAway,
+            Reason::Lost => Refusal::Lost,
+            Reason::TimedOut => Refusal::TimedOut,
+        }
+    }
+}
