--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -28,6 +28,7 @@
 //!
 //! | rule | module | promise |
 //! |---|---|---|
+//! | what is done after a try | [`next_try`] | told not run means not run; a request that may have run is not run again |
 //! | retry budget | [`retry`] | failing targets do not get a multiple of their load |
 //! | whom the directory names | [`directory`] | callers find an instance that takes requests |
 //! | what a stopping instance takes | [`crate::instance::stop`] | no request is lost to a planned stop |
@@ -51,6 +52,7 @@
 pub mod latency;
 pub mod load;
 pub mod members;
+pub mod next_try;
 pub mod query;
 pub mod retry;
 pub mod routing;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,6 +1,10 @@
-//! Connections to one target.
+//! Connections to one target, used again while that is safe.
+//!
+//! Owns the idle connections to one address and their bounds in number and time.
+//! Relies on the target's word on how long it keeps one ([`KeepAlive`]).
 
 use crate::net::dial;
+use crate::net::keep_alive::KeepAlive;
 use crate::net::request_body::RequestBody;
 use hyper::body::Incoming;
 use hyper::client::conn::http1::{SendRequest, handshake};
@@ -12,21 +16,28 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, timeout};
 
-/// Longest time to open a connection.
+/// Longest time to open a connection. Far more than a round trip between regions (some
+/// 25 ms), and short enough that another target can be tried within a route's timeout
+/// (0.8 to 3 s). No run set it.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Rest after which a connection is not used again where the target does not
-/// say how long it keeps one.
-const DEFAULT_REST: Duration = Duration::from_secs(4);
-/// Idle connections that are kept to one target at the most.
+/// Idle time after which a connection is not used again, whatever the target says; less
+/// than targets are known to keep one (10 s on the sites). No run set it.
+const MAX_IDLE_TIME: Duration = Duration::from_secs(4);
+/// How long before a target closes an idle connection it is not used any more: a close
+/// that crosses a request loses it. No run set it.
+const CLOSE_MARGIN: Duration = Duration::from_secs(1);
+/// Most idle connections to one target; above an instance's share of its slots (3 to 6
+/// slots, two requests a slot). No run set it.
 const MAX_IDLE: usize = 16;
-/// Part of the connections that a target takes which all instances together may
-/// keep idle, as a divisor.
+/// All instances together keep at most one in this many of a target's connections idle;
+/// the others are for requests and other callers. Introduced in ce4a1af: scores unchanged
+/// (5149caf0, 042e2950), not reached on the sites; value not varied.
 const IDLE_DIVISOR: usize = 2;
 
 /// Why a request got no answer.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of it left; here it is.
+    /// No byte of it was sent; here it is.
     Unsent(Box<Request<RequestBody>>),
     /// It may have arrived.
     Lost,
@@ -63,7 +74,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// Any error of the system, and its silence.
+    /// Any error of the operating system; a timeout after 0.4 s.
     pub async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let stream = timeout(CONNECT_TIMEOUT, dial::connect(address)).await.map_err(std::io::Error::other)??;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(std::io::Error::other)?;
@@ -74,7 +85,7 @@
     /// Sends a request and waits for the head of the answer.
     ///
     /// # Errors
-    /// [`SendError::Unsent`] only where no byte of the request left.
+    /// [`SendError::Unsent`] only where no byte of the request was sent.
     pub async fn send(&mut self, request: Request<RequestBody>) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
@@ -85,6 +96,7 @@
         }
     }
 
+    /// Whether the other side still has it open. Why it closed makes no difference.
     async fn is_usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
@@ -96,12 +108,12 @@
         Self { address, idle: RefCell::new(Vec::new()), max_idle: Cell::new(MAX_IDLE) }
     }
 
-    /// Bounds what is kept idle by this instance's part of the connections that
-    /// the target takes from all `members` instances; 0 where it does not say.
-    pub fn share_connections(&self, taken: u32, members: usize) {
-        let part = taken as usize / IDLE_DIVISOR / members.max(1);
-        let most = if taken == 0 { MAX_IDLE } else { part.clamp(1, MAX_IDLE) };
-        self.max_idle.set(most);
+    /// Bounds what is kept idle by this instance's share of the `max_connections` that
+    /// the target takes from all `members` instances; 0 where it names none.
+    pub fn share_connections(&self, max_connections: u32, members: usize) {
+        let share = max_connections as usize / IDLE_DIVISOR / members.max(1);
+        let max_idle = if max_connections == 0 { MAX_IDLE } else { share.clamp(1, MAX_IDLE) };
+        self.max_idle.set(max_idle);
     }
 
     /// An idle connection that should still be open.
@@ -117,23 +129,22 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// Any error of the system, and its silence.
+    /// Any error of the operating system; a timeout after 0.4 s.
     pub async fn connect(&self) -> std::io::Result<Connection> {
         Connection::open(self.address).await
     }
 
-    /// Keeps a connection whose last answer was read to its end; `rest` is
-    /// how long the target keeps it, where it said so.
-    pub fn keep(&self, connection: Connection, rest: Option<Duration>) {
-        // A second of margin: a close that crosses a request loses it.
-        let rest = rest.map_or(DEFAULT_REST, |rest| rest.saturating_sub(Duration::from_secs(1)).min(DEFAULT_REST));
+    /// Keeps a connection whose last answer was read to its end, for as long as the
+    /// target does.
+    pub fn keep(&self, connection: Connection, keep_alive: KeepAlive) {
+        let idle_time = idle_time(keep_alive);
         let mut idle = self.idle.borrow_mut();
-        if !connection.sender.is_closed() && idle.len() < self.max_idle.get() && !rest.is_zero() {
-            idle.push(Idle { connection, until: Instant::now() + rest });
+        if !connection.sender.is_closed() && idle.len() < self.max_idle.get() && !idle_time.is_zero() {
+            idle.push(Idle { connection, until: Instant::now() + idle_time });
         }
     }
 
-    /// Closes connections that have rested too long.
+    /// Closes connections that were idle for too long.
     pub fn sweep(&self, now: Instant) {
         self.idle.borrow_mut().retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
     }
@@ -143,3 +154,12 @@
         self.idle.borrow_mut().clear();
     }
 }
+
+/// How long an idle connection is used again; zero where it is closed.
+fn idle_time(keep_alive: KeepAlive) -> Duration {
+    match keep_alive {
+        KeepAlive::Close => Duration::ZERO,
+        KeepAlive::For(time) => time.saturating_sub(CLOSE_MARGIN).min(MAX_IDLE_TIME),
+        KeepAlive::Unspecified => MAX_IDLE_TIME,
+    }
+}
--- a/src/proxy/answer_body.rs
+++ b/src/proxy/answer_body.rs
@@ -1,11 +1,15 @@
-//! Bodies of answers on their way to a caller: held in memory, or streamed.
+//! Bodies of answers on their way to a caller: buffered, or streamed.
 //!
-//! Owns the connection of a streamed answer until its end, and its place among
-//! the target's requests in flight. Relies on the target's pool.
+//! Owns the connection of a streamed answer until its end, and its place among the
+//! target's requests in flight. A connection is used again only after the whole answer
+//! was read and the whole request sent; dropped before, it is closed, which cancels the
+//! request at the target. Relies on the target's pool.
 
 use crate::decision::target::InFlight;
+use crate::net::chunks::size_with_rest;
+use crate::net::keep_alive::KeepAlive;
 use crate::net::pool::Connection;
-use crate::net::request_body::{BodyError, with_head};
+use crate::net::request_body::BodyError;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, Incoming, SizeHint};
@@ -16,14 +20,13 @@
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
-use std::time::Duration;
 use tokio::time::Sleep;
 
 /// The body of an answer to a caller.
 pub enum AnswerBody {
-    /// Held whole.
+    /// Whole in memory.
     Buffered(Full<Bytes>),
-    /// Passed through from a target.
+    /// Streamed from a target.
     Streamed(Box<StreamedAnswer>),
 }
 
@@ -35,7 +38,7 @@
         response
     }
 
-    /// A body that is held whole.
+    /// A body that is whole in memory.
     pub fn buffered(bytes: impl Into<Bytes>) -> Self {
         AnswerBody::Buffered(Full::new(bytes.into()))
     }
@@ -45,17 +48,17 @@
 pub struct Reuse {
     /// The connection.
     pub connection: Connection,
-    /// How long the target keeps it; `None` where it is to be closed.
-    pub rest: Option<Option<Duration>>,
+    /// How long the target keeps it.
+    pub keep_alive: KeepAlive,
     /// Whether the request's body was sent whole.
     pub sent: Rc<Cell<bool>>,
 }
 
 impl Reuse {
-    /// Puts the connection back where that is safe, closes it otherwise.
+    /// Returns the connection to the pool where that is safe, closes it otherwise.
     pub fn settle(self, in_flight: &InFlight) {
-        if let Some(rest) = self.rest.filter(|_| self.sent.get()) {
-            in_flight.target().pool.keep(self.connection, rest);
+        if self.sent.get() {
+            in_flight.target().pool.keep(self.connection, self.keep_alive);
         }
     }
 }
@@ -93,7 +96,7 @@
     fn size_hint(&self) -> SizeHint {
         match self {
             AnswerBody::Buffered(full) => full.size_hint(),
-            AnswerBody::Streamed(streamed) => with_head(&streamed.head, streamed.rest.size_hint()),
+            AnswerBody::Streamed(streamed) => size_with_rest(&streamed.head, streamed.rest.size_hint()),
         }
     }
 }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -1,22 +1,26 @@
-//! The callers' address: bounds on connections, and the count of requests in flight.
+//! The callers' listener: bounds on their connections, and the count of their requests
+//! in flight, on which a planned stop waits.
+//!
+//! Hands each request to [`crate::proxy::request`]. Relies on the configuration's limits.
 
 use crate::net::server::{ConnectionLimits, Handler};
 use crate::platform::Platform;
 use crate::proxy::answer_body::AnswerBody;
-use crate::proxy::serve::serve;
+use crate::proxy::request;
 use crate::state::Instance;
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
 use hyper::{Request, Response};
 use std::rc::Rc;
 
-/// Part of the descriptors that callers' connections may take, as a divisor.
+/// Callers' connections take at most one in this many of the descriptors: a request may
+/// need a connection to a target as well. 69aed7b; value not varied.
 const CALLER_DIVISOR: u32 = 2;
 
 /// Answers requests of callers.
 pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
 
-/// Counts a request for as long as it lives.
+/// Counts a request for as long as it is processed.
 struct Active<'a, P: Platform>(&'a Instance<P>);
 
 impl<'a, P: Platform> Active<'a, P> {
@@ -39,7 +43,7 @@
 
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let active = Active::new(&self.0);
-        let mut response = serve(&self.0, request).await;
+        let mut response = request::answer(&self.0, request).await;
         if self.0.stopping.get().is_some() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
