--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -30,7 +30,7 @@
                 Response::new(AnswerBody::buffered(metrics.text()))
             }
             _ => {
-                let answered = operator::answer::answer(&self.0, request).await;
+                let answered = operator::answer(&self.0, request).await;
                 answered.unwrap_or_else(|| AnswerBody::empty(StatusCode::NOT_FOUND))
             }
         }
--- /dev/null
+++ b/src/operator/policies.rs
@@ -0,0 +1,62 @@
+//! `GET /policies` and `POST /policies`: the policies in the store, and an
+//! operator's change of them.
+
+use super::api::{ApplyRequest, PoliciesApplied};
+use super::apply;
+use super::refusal::Refusal;
+use crate::platform::Platform;
+use crate::policy::{Policies, PolicyDocument, PolicyMask};
+use crate::state::Instance;
+use http_body_util::{BodyExt, Limited};
+use hyper::StatusCode;
+use hyper::body::Incoming;
+
+/// Largest body of an apply, bytes.
+const MAX_BODY: usize = 1 << 20;
+
+/// The policy document of the instance's view.
+///
+/// # Errors
+/// 404 where the view has none, 500 where it cannot be decoded.
+pub fn show<P: Platform>(instance: &Instance<P>) -> Result<PolicyDocument, Refusal> {
+    let view = instance.view.borrow();
+    let none = || Refusal::new(StatusCode::NOT_FOUND, "no policies are in force; remedy: `lockloft apply` some");
+    let item = view.item(P::policies_key()).ok_or_else(none)?;
+    PolicyDocument::read(&item.value).map_err(|error| Refusal::new(StatusCode::INTERNAL_SERVER_ERROR, error))
+}
+
+/// Applies the policies of a request's body.
+///
+/// # Errors
+/// 400 for a body or policies that fail the check, 413 for a body that is too
+/// large, and those of [`apply::ApplyError`].
+pub async fn apply<P: Platform>(instance: &Instance<P>, body: Incoming) -> Result<PoliciesApplied, Refusal> {
+    let request = read(body).await?;
+    let applied = apply::apply(instance, &request).await;
+    tracing::info!(
+        event = "policies_applied",
+        by = request.by,
+        id = request.id,
+        revision = applied.as_ref().ok(),
+        error = applied.as_ref().err().map(ToString::to_string),
+    );
+    let revision = applied.map_err(|error| Refusal::new(error.status(), error))?;
+    let policies =
+        Policies::check(revision, &request.sources).map_err(|error| Refusal::new(StatusCode::BAD_REQUEST, error))?;
+    Ok(PoliciesApplied { revision, idle: idle(instance, &policies) })
+}
+
+async fn read(body: Incoming) -> Result<ApplyRequest, Refusal> {
+    let body = Limited::new(body, MAX_BODY).collect().await;
+    let bytes = body.map_err(|error| Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, error))?.to_bytes();
+    serde_json::from_slice(&bytes).map_err(|error| Refusal::new(StatusCode::BAD_REQUEST, error))
+}
+
+/// Names of the policies whose places select no target of the view.
+fn idle<P: Platform>(instance: &Instance<P>, policies: &Policies) -> Vec<String> {
+    let routing = instance.routing.borrow();
+    let selecting = routing.targets().map(|target| policies.selecting(&target.facts()));
+    let reached = selecting.fold(PolicyMask::default(), PolicyMask::or);
+    let idle = policies.iter().enumerate().filter(|(position, _)| !reached.contains(*position));
+    idle.map(|(_, policy)| policy.name.clone()).collect()
+}
--- /dev/null
+++ b/src/operator/question.rs
@@ -0,0 +1,76 @@
+//! The request that `GET /why` asks about, read from the query string.
+
+use super::refusal::Refusal;
+use crate::model::config::{Config, Route};
+use hyper::header::{HeaderMap, HeaderName, HeaderValue};
+use hyper::{Method, StatusCode, Uri};
+use std::collections::BTreeMap;
+
+/// Begins the query keys that stand for headers.
+const HEADER_KEY: &str = "header.";
+
+/// A request that a decision is asked for.
+pub struct Question {
+    /// Host that the caller would name.
+    pub host: String,
+    /// Method; GET where none is given.
+    pub method: Method,
+    /// Path and query.
+    pub uri: Uri,
+    /// Affinity key, where one is given.
+    pub object: Option<String>,
+    /// Headers that labels may be read from.
+    pub headers: HeaderMap,
+}
+
+impl TryFrom<&Uri> for Question {
+    type Error = Refusal;
+
+    /// Reads a query string of `host`, `path`, and optionally `method`, `object`
+    /// and `header.NAME`.
+    fn try_from(uri: &Uri) -> Result<Self, Refusal> {
+        let given = url::form_urlencoded::parse(uri.query().unwrap_or("").as_bytes());
+        let pairs: BTreeMap<String, String> = given.into_owned().collect();
+        let headers = headers(&pairs)?;
+        let needed = |key: &str| pairs.get(key).ok_or_else(|| missing(key));
+        let (host, path) = (needed("host")?, needed("path")?);
+        let method = pairs.get("method").map_or("GET", String::as_str);
+        Ok(Self {
+            host: host.clone(),
+            method: method.parse().map_err(malformed)?,
+            uri: path.parse().map_err(malformed)?,
+            object: pairs.get("object").cloned(),
+            headers,
+        })
+    }
+}
+
+impl Question {
+    /// The route that takes the request.
+    ///
+    /// # Errors
+    /// 404 where none does.
+    pub fn route<'a>(&self, config: &'a Config) -> Result<&'a Route, Refusal> {
+        let none =
+            || Refusal::new(StatusCode::NOT_FOUND, "no route takes this host and path; correct them or add a route");
+        config.find(&self.host, self.uri.path()).map(|key| config.route(key)).ok_or_else(none)
+    }
+}
+
+fn headers(pairs: &BTreeMap<String, String>) -> Result<HeaderMap, Refusal> {
+    let mut headers = HeaderMap::new();
+    for (key, value) in pairs {
+        let Some(name) = key.strip_prefix(HEADER_KEY) else { continue };
+        let name: HeaderName = name.parse().map_err(malformed)?;
+        headers.insert(name, HeaderValue::from_str(value).map_err(malformed)?);
+    }
+    Ok(headers)
+}
+
+fn missing(key: &str) -> Refusal {
+    Refusal::new(StatusCode::BAD_REQUEST, format!("{key} is missing; give {key}=VALUE"))
+}
+
+fn malformed(error: impl ToString) -> Refusal {
+    Refusal::new(StatusCode::BAD_REQUEST, error)
+}
--- /dev/null
+++ b/src/operator/status.rs
@@ -0,0 +1,26 @@
+//! `GET /status`: what an instance holds, and how current that is.
+
+use super::api::InstanceStatus;
+use crate::platform::Platform;
+use crate::state::Instance;
+
+/// The instance's present state.
+pub fn status<P: Platform>(instance: &Instance<P>) -> InstanceStatus {
+    let settings = instance.settings();
+    let routing = instance.routing.borrow();
+    InstanceStatus {
+        instance: settings.name.clone(),
+        hall: settings.hall.to_string(),
+        region: settings.region.to_string(),
+        config: routing.config.as_ref().map(|config| config.version),
+        policies: routing.policies.as_ref().map(|policies| policies.revision),
+        view_revision: instance.view.borrow().at(),
+        view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
+        store_lost: instance.health.is_lost(),
+        stopping: instance.stopping.get().is_some(),
+        members: routing.members.len(),
+        targets: routing.targets().count(),
+        active: instance.active.get(),
+        evacuated: routing.evacuated().map(str::to_owned).collect(),
+    }
+}
--- /dev/null
+++ b/src/operator/why.rs
@@ -0,0 +1,97 @@
+//! `GET /why`: the decision for a request, made by the code that decides for
+//! callers' requests, and nothing sent.
+
+use super::api::{Why, WhyTarget};
+use super::question::Question;
+use super::refusal::Refusal;
+use crate::decision::choice::{Query, SlowStartShare, Verdict, explain};
+use crate::decision::target::Target;
+use crate::hash::hash_affinity;
+use crate::model::config::Route;
+use crate::platform::Platform;
+use crate::policy::{Active, CapCharge, RequestFacts};
+use crate::settings::Settings;
+use crate::state::Instance;
+use crate::store::health::StoreHealth;
+use hyper::{StatusCode, Uri};
+use tokio::time::Instant;
+
+/// Decides on the request in a question's query string. No cap earns or is
+/// charged, no split is counted.
+///
+/// # Errors
+/// 400 for a question that cannot be read, 503 before the first configuration,
+/// 404 where no route takes the request.
+pub fn why<P: Platform>(instance: &Instance<P>, uri: &Uri) -> Result<Why, Refusal> {
+    let question = Question::try_from(uri)?;
+    let settings = instance.settings();
+    let routing = instance.routing.borrow();
+    let unknown = || Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "this entry has no configuration yet; ask another");
+    let config = routing.config.clone().ok_or_else(unknown)?;
+    let route = question.route(&config)?;
+    let object = question.object.as_ref().map_or(0, |object| hash_affinity(object.as_bytes()));
+    let weighted = instance.splits.borrow().peek(route, object);
+    let service = &*weighted.service;
+    let charge = CapCharge::dry();
+    let facts = facts(&question, &settings, route, service);
+    let active = routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
+    let query = query(&settings, &instance.health, route, service, object, active.as_ref());
+    let verdicts = explain(&routing, &config, &query);
+    let chosen = verdicts.iter().find(|(_, verdict)| *verdict == Verdict::Chosen);
+    Ok(Why {
+        route: route.name.to_string(),
+        service: service.to_owned(),
+        config: config.version,
+        policies: routing.policies.as_ref().map(|policies| policies.revision),
+        view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
+        acted: active.as_ref().map_or_else(Vec::new, Active::applied),
+        chosen: chosen.map(|(target, _)| target.id.to_string()),
+        targets: verdicts.iter().map(|(target, verdict)| line(target, *verdict, query.now)).collect(),
+    })
+}
+
+/// What the request's labels come from.
+fn facts<'a>(question: &'a Question, settings: &'a Settings, route: &'a Route, service: &'a str) -> RequestFacts<'a> {
+    RequestFacts {
+        service,
+        route: &route.name,
+        region: &settings.region,
+        hall: &settings.hall,
+        method: &question.method,
+        uri: &question.uri,
+        headers: &question.headers,
+    }
+}
+
+/// What the decision looks at. It has to be the same as for a caller's request,
+/// or the answer would explain another decision.
+fn query<'a>(
+    settings: &'a Settings,
+    health: &StoreHealth,
+    route: &'a Route,
+    service: &'a str,
+    object: u64,
+    active: Option<&'a Active<'a>>,
+) -> Query<'a> {
+    let share = SlowStartShare { own: &settings.name, bounds: settings.cold };
+    Query {
+        route,
+        service,
+        object,
+        region: &settings.region,
+        slow_start: health.is_current().then_some(share),
+        active,
+        tried: &[],
+        now: Instant::now(),
+    }
+}
+
+fn line(target: &Target, verdict: Verdict, now: Instant) -> WhyTarget {
+    WhyTarget {
+        target: target.id.to_string(),
+        hall: target.hall.to_string(),
+        verdict: verdict.word().to_owned(),
+        load: target.load(now),
+        slots: target.slots,
+    }
+}
