--- a/src/command/apply.rs
+++ b/src/command/apply.rs
@@ -1,21 +1,22 @@
 //! `lockloft apply`: policies are checked here, then by an instance, which
 //! writes them to the store.
 
+use super::check;
 use super::client::Client;
 use super::error::CommandError;
 use super::options::Apply;
-use super::{Output, check};
-use crate::operator::api::ApplyRequest;
-use crate::operator::api::{InstanceLine, InstanceStatus, PoliciesApplied};
-use crate::policy::Policies;
-use std::fmt::Write;
+use super::output::Output;
+use crate::operator::api::{ApplyRequest, InstanceLine, InstanceStatus, PoliciesApplied};
+use crate::policy::{Policies, Sources};
 use std::time::{Duration, Instant};
 use tokio::time::sleep;
 
 /// Longest time that `--wait` waits until policies are in force everywhere. An
-/// instance hears of a change within a second; the rest is for a slow store.
+/// instance receives a change within a second; the rest is for a slow store.
+/// Inferred, no run on record.
 const WAIT: Duration = Duration::from_secs(30);
-/// Time between two questions while `--wait` waits.
+/// Time between two questions while `--wait` waits: a fifth of the second in
+/// which a change is expected. Inferred, no run on record.
 const POLL_EVERY: Duration = Duration::from_millis(200);
 
 /// Applies a file or folder, and with `--wait` waits until every instance has it
@@ -26,34 +27,31 @@
 pub async fn run(client: &Client, asked: &Apply) -> Result<Output, CommandError> {
     let sources = check::read(&asked.path)?;
     Policies::check(0, &sources)?;
-    let id = format!("{:032x}", rand::random::<u128>());
-    let request = ApplyRequest { id, by: asked.by.clone(), expect: asked.expect, sources };
-    let body = serde_json::to_vec(&request).map_err(|error| CommandError::Strange(error.to_string()))?;
-    let applied: PoliciesApplied = client.post("/policies", body).await?;
+    let applied: PoliciesApplied = client.post("/policies", body(asked, sources)?).await?;
     let mut text = format!("revision {} applied\n", applied.revision);
     for name in &applied.idle {
-        let _ = writeln!(text, "policy {name:?} selects no target that is there now");
+        text.push_str(&format!("policy {name:?} selects no target that is there now\n"));
     }
     if asked.wait {
         let took = wait(client, applied.revision).await?;
-        let _ = writeln!(text, "in force at every instance after {:.1} s", took.as_secs_f64());
+        text.push_str(&format!("in force at every instance after {:.1} s\n", took.as_secs_f64()));
     }
     Output::new(&applied, text)
 }
 
-/// Waits until every instance that the instance knows has a revision in force.
+/// The request, with a random id by which the instance finds in the store
+/// whether a write whose answer was lost took place.
+fn body(asked: &Apply, sources: Sources) -> Result<Vec<u8>, CommandError> {
+    let id = format!("{:032x}", rand::random::<u128>());
+    let request = ApplyRequest { id, by: asked.by.clone(), expect: asked.expect, sources };
+    serde_json::to_vec(&request).map_err(|error| CommandError::Strange(error.to_string()))
+}
+
+/// Waits until every instance that is registered has a revision in force.
 async fn wait(client: &Client, revision: u64) -> Result<Duration, CommandError> {
     let started = Instant::now();
     loop {
-        let instances: Vec<InstanceLine> = client.get("/instances").await?;
-        let mut behind = Vec::new();
-        for instance in instances {
-            let other = Client::new(Some(&instance.peers.to_string()))?;
-            let known = other.get::<InstanceStatus>("/status").await.ok().and_then(|status| status.policies);
-            if known.is_none_or(|known| known < revision) {
-                behind.push(instance.name);
-            }
-        }
+        let behind = behind(client, revision).await?;
         if behind.is_empty() {
             return Ok(started.elapsed());
         }
@@ -64,3 +62,20 @@
         sleep(POLL_EVERY).await;
     }
 }
+
+/// Names of the instances that do not have a revision in force.
+async fn behind(client: &Client, revision: u64) -> Result<Vec<String>, CommandError> {
+    let instances: Vec<InstanceLine> = client.get("/instances").await?;
+    let mut behind = Vec::new();
+    for instance in instances {
+        let other = Client::new(Some(&instance.peers.to_string()))?;
+        // An instance that does not answer is polled again, and named when the wait
+        // ends: why it did not answer makes no difference to that.
+        let status = other.get::<InstanceStatus>("/status").await.ok();
+        let in_force = status.and_then(|status| status.policies);
+        if in_force.is_none_or(|in_force| in_force < revision) {
+            behind.push(instance.name);
+        }
+    }
+    Ok(behind)
+}
--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -1,7 +1,7 @@
 //! `lockloft check`: the whole check of policies, without an instance.
 
-use super::Output;
 use super::error::CommandError;
+use super::output::Output;
 use crate::policy::Policies;
 use crate::policy::Sources;
 use std::path::Path;
--- a/src/command/client.rs
+++ b/src/command/client.rs
@@ -1,4 +1,5 @@
-//! Questions to an instance at its peers' address.
+//! Questions to an instance at its peers' address: JSON over HTTP/1.1, one
+//! connection for each question.
 
 use super::error::CommandError;
 use crate::operator::api::Refused;
@@ -13,7 +14,9 @@
 use tokio::net::TcpStream;
 use tokio::time::timeout;
 
-/// Longest wait for an answer: an apply may have to resolve a lost reply.
+/// Longest wait for an answer. An apply is tried for 8 s by the instance, with
+/// calls of up to 0.7 s; the rest is for its way there and back. Inferred, no run
+/// on record.
 const TIMEOUT: Duration = Duration::from_secs(30);
 
 /// An instance that answers operators.
@@ -78,6 +81,6 @@
 }
 
 /// A query string of keys and values.
-pub fn query(pairs: &[(&str, &str)]) -> String {
+pub fn query<'a>(pairs: impl Iterator<Item = (String, &'a str)>) -> String {
     url::form_urlencoded::Serializer::new(String::new()).extend_pairs(pairs).finish()
 }
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -1,8 +1,8 @@
 //! `lockloft explain`: what became of one request, from collected log lines.
 
-use super::Output;
 use super::error::CommandError;
 use super::options::Explain;
+use super::output::Output;
 use super::request;
 use crate::telemetry::line::Line;
 use std::io::{BufRead, BufReader};
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -1,13 +1,31 @@
-//! The operators' tool: one file for each command.
+//! The operators' tool: it checks policies, asks an instance at its peers'
+//! address, and turns answers and log lines into sentences.
+//!
+//! | module | its job |
+//! |---|---|
+//! | [`options`] | the command line, checked once |
+//! | `apply`, `check`, `show` | policies: write, check offline, read |
+//! | `status`, `instances`, `targets`, `why` | what an instance holds and decides |
+//! | `explain`, `request` | what became of a request, from collected log lines |
+//! | `client` | questions to an instance over HTTP |
+//! | `output`, `error` | what is printed, and the exit codes |
+//!
+//! Owns no state. Relies on [`crate::operator::api`] for the form of questions
+//! and answers, on [`crate::policy`] for the check of policies, and on
+//! [`crate::telemetry::line`] for the form of log lines.
 
 mod apply;
 mod check;
 mod client;
 mod error;
 mod explain;
-mod listing;
+mod instances;
 pub mod options;
+mod output;
 mod request;
+mod show;
+mod status;
+mod targets;
 #[cfg(test)]
 mod tests;
 mod why;
@@ -15,80 +33,49 @@
 use client::Client;
 use error::CommandError;
 use options::{Asked, Command, Options};
-use serde::Serialize;
+use output::Output;
 use std::process::ExitCode;
-
-/// What a command has to say.
-pub struct Output {
-    /// For a person.
-    pub text: String,
-    /// For a program.
-    pub json: serde_json::Value,
-}
-
-impl Output {
-    /// Both forms of a value.
-    ///
-    /// # Errors
-    /// Never for plain data.
-    fn new<T: Serialize>(value: &T, text: String) -> Result<Self, CommandError> {
-        let json = serde_json::to_value(value).map_err(|e| CommandError::Strange(e.to_string()))?;
-        Ok(Self { text, json })
-    }
-}
+use tokio::runtime::{Builder, Runtime};
 
 /// Does what the arguments, without the program's name, ask for.
+///
+/// Prints the result, or the error on the error output. The exit code is one of
+/// those in [`options::HELP`].
 pub fn run(args: impl Iterator<Item = String>) -> ExitCode {
-    let asked = match Asked::try_from(args.collect::<Vec<_>>()) {
-        Ok(asked) => asked,
-        Err(error) => return fail(&error),
-    };
-    match asked {
-        Asked::Help => {
-            print!("{}", options::HELP);
-            ExitCode::SUCCESS
-        }
-        Asked::Version => {
-            println!("lockloft {}", env!("CARGO_PKG_VERSION"));
-            ExitCode::SUCCESS
+    match execute(args.collect()) {
+        Ok(()) => ExitCode::SUCCESS,
+        Err(error) => {
+            eprintln!("lockloft: {error}");
+            ExitCode::from(error.code())
         }
-        Asked::Run(options) => execute(&options),
     }
 }
 
-fn execute(options: &Options) -> ExitCode {
-    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(runtime) => runtime,
-        Err(error) => return fail(&CommandError::Strange(error.to_string())),
-    };
-    match runtime.block_on(output(options)) {
-        Ok(output) => {
-            if options.json {
-                println!("{}", output.json);
-            } else {
-                print!("{}", output.text);
-            }
-            ExitCode::SUCCESS
-        }
-        Err(error) => fail(&error),
+fn execute(args: Vec<String>) -> Result<(), CommandError> {
+    match Asked::try_from(args)? {
+        Asked::Help => print!("{}", options::HELP),
+        Asked::Version => println!("lockloft {}", env!("CARGO_PKG_VERSION")),
+        Asked::Run(options) => runtime()?.block_on(output(&options))?.print(options.json),
     }
+    Ok(())
+}
+
+fn runtime() -> Result<Runtime, CommandError> {
+    Builder::new_current_thread().enable_all().build().map_err(|error| CommandError::Strange(error.to_string()))
 }
 
 async fn output(options: &Options) -> Result<Output, CommandError> {
+    // Checking and explaining need no instance, so that a missing one is an error
+    // of the other commands only.
     let client = Client::new(options.instance.as_deref());
     match &options.command {
         Command::Check(path) => check::run(path),
         Command::Explain(explain) => explain::run(explain),
         Command::Apply(apply) => apply::run(&client?, apply).await,
-        Command::Show => listing::show(&client?).await,
-        Command::Status => listing::status(&client?).await,
-        Command::Instances => listing::instances(&client?).await,
-        Command::Targets => listing::targets(&client?).await,
+        Command::Show => show::run(&client?).await,
+        Command::Status => status::run(&client?).await,
+        Command::Instances => instances::run(&client?).await,
+        Command::Targets => targets::run(&client?).await,
         Command::Why(pairs) => why::run(&client?, pairs).await,
     }
 }
-
-fn fail(error: &CommandError) -> ExitCode {
-    eprintln!("lockloft: {error}");
-    ExitCode::from(error.code())
-}
--- a/src/command/request.rs
+++ b/src/command/request.rs
@@ -1,8 +1,9 @@
-//! The story of one request, told from the lines of instances' logs.
+//! The account of one request in plain sentences, from the access log lines of
+//! all instances that had it. `docs/OPERATIONS.md` describes the lines.
 
 use crate::telemetry::line::{Line, RequestLine, TryLine};
 
-/// The story of a request in plain sentences, from all its lines.
+/// The sentences for a request's lines, in the order of their times.
 pub fn sentences(lines: &[Line]) -> String {
     let mut lines: Vec<&Line> = lines.iter().collect();
     lines.sort_by_key(|line| line.timestamp().to_owned());
--- a/src/command/why.rs
+++ b/src/command/why.rs
@@ -1,10 +1,9 @@
 //! `lockloft why`: a decision that sends nothing, in plain sentences.
 
-use super::Output;
 use super::client::{Client, query};
 use super::error::CommandError;
-use crate::operator::api::Why;
-use std::fmt::Write;
+use super::output::Output;
+use crate::operator::api::{Why, WhyTarget};
 
 /// Keys of the question that are no headers.
 const QUESTION_KEYS: [&str; 4] = ["host", "path", "method", "object"];
@@ -14,50 +13,48 @@
 /// # Errors
 /// [`CommandError`].
 pub async fn run(client: &Client, pairs: &[(String, String)]) -> Result<Output, CommandError> {
-    let keys: Vec<(String, &str)> = pairs
-        .iter()
-        .map(|(key, value)| match QUESTION_KEYS.contains(&key.as_str()) {
-            true => (key.clone(), value.as_str()),
-            false => (format!("header.{key}"), value.as_str()),
-        })
-        .collect();
-    let pairs: Vec<(&str, &str)> = keys.iter().map(|(key, value)| (key.as_str(), *value)).collect();
-    let why: Why = client.get(&format!("/why?{}", query(&pairs))).await?;
-    let text = sentences(&why);
+    let why: Why = client.get(&format!("/why?{}", query(pairs.iter().map(question)))).await?;
+    let text = text(&why);
     Output::new(&why, text)
 }
 
-/// A dry decision in plain sentences.
-fn sentences(why: &Why) -> String {
+/// A key and a value as the instance reads them.
+fn question((key, value): &(String, String)) -> (String, &str) {
+    match QUESTION_KEYS.contains(&key.as_str()) {
+        true => (key.clone(), value),
+        false => (format!("header.{key}"), value),
+    }
+}
+
+fn text(why: &Why) -> String {
+    let Why { route, service, config, .. } = why;
     let age = why.view_age_ms.map_or("unknown".to_owned(), |age| format!("{age} ms"));
     let mut text = format!(
-        "Route {} of configuration {} takes it, for service {}; what is known is {age} old.\n",
-        why.route, why.config, why.service
+        "Route {route} of configuration {config} takes it, for service {service}; what is known is {age} old.\n"
     );
     if !why.acted.is_empty() {
-        let revision = why.policies.unwrap_or_default();
-        let _ = writeln!(text, "Policies with a part in it, of revision {revision}: {}.", why.acted.join(", "));
+        // Policies that have a part are of a revision in force. An answer without one
+        // contradicts itself, and is printed as 0: revisions begin with 1.
+        let revision = why.policies.unwrap_or(0);
+        text.push_str(&format!("Policies with a part in it, of revision {revision}: {}.\n", why.acted.join(", ")));
     }
     match &why.chosen {
         Some(target) => text.push_str(&format!("It would go to {target}. Nothing was sent.\n")),
         None => text.push_str("It would be refused. Nothing was sent.\n"),
     }
-    for line in &why.targets {
-        let _ = writeln!(
-            text,
-            "  {:<20} {:<20} {:.1} of {} slots in use: {}",
-            line.target,
-            line.hall,
-            line.load,
-            line.slots,
-            verdict_text(&line.verdict)
-        );
-    }
+    text.extend(why.targets.iter().map(line));
     text
 }
 
-fn verdict_text(verdict: &str) -> &str {
-    match verdict {
+fn line(line: &WhyTarget) -> String {
+    let WhyTarget { target, hall, load, slots, .. } = line;
+    format!("  {target:<20} {hall:<20} {load:.1} of {slots} slots in use: {}\n", verdict(&line.verdict))
+}
+
+/// The sentence for a verdict; the word itself where a later instance has a new
+/// one.
+fn verdict(word: &str) -> &str {
+    match word {
         "chosen" => "chosen",
         "next" => "next, if the chosen one had no room",
         "full" => "has no room",
