--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -1,9 +1,9 @@
 //! `lockloft explain`: what became of one request, from collected log lines.
 
+use super::account;
 use super::error::CommandError;
 use super::options::Explain;
 use super::output::Output;
-use super::request;
 use crate::telemetry::line::Line;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
@@ -23,7 +23,7 @@
             format!("no line for {} in {files} file(s); remedy: search the logs of all instances", explain.request);
         return Err(CommandError::Refused(text));
     }
-    Output::new(&lines, request::sentences(&lines))
+    Output::new(&lines, account::sentences(&lines))
 }
 
 /// The lines of a log that concern the request.
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -6,7 +6,7 @@
 //! | [`options`] | the command line, checked once |
 //! | `apply`, `check`, `show` | policies: write, check offline, read |
 //! | `status`, `instances`, `targets`, `why` | what an instance holds and decides |
-//! | `explain`, `request` | what became of a request, from collected log lines |
+//! | `explain`, `account` | what became of a request, from collected log lines |
 //! | `client` | questions to an instance over HTTP |
 //! | `output`, `error` | what is printed, and the exit codes |
 //!
@@ -14,6 +14,7 @@
 //! and answers, on [`crate::policy`] for the check of policies, and on
 //! [`crate::telemetry::line`] for the form of log lines.
 
+mod account;
 mod apply;
 mod check;
 mod client;
@@ -22,7 +23,6 @@
 mod instances;
 pub mod options;
 mod output;
-mod request;
 mod show;
 mod status;
 mod targets;
