--- a/tests/wire_cli.rs
+++ b/tests/wire_cli.rs
@@ -261,3 +261,43 @@
     assert_eq!(asked, ["POST /policies", "GET /instances"]);
     other.was_asked("GET /status");
 }
+
+/// Log lines of requests, each with what is explained from it.
+const LINES: [(&str, &str); 5] = [
+    (
+        r#"{"timestamp":"T1","level":"INFO","event":"try_failed","id":"r-1","target":"i-1","hall":"a-1","fault":"lost","after_ms":4}"#,
+        "T1: after 4 ms, target i-1 in a-1 gave no answer that can be passed on; it may have run the request.\n",
+    ),
+    (
+        r#"{"timestamp":"T2","level":"INFO","event":"request","id":"r-1","route":"buy","service":"shop","target":"i-2","hall":"a-2","load":2.0,"sends":2,"config":7,"policies":"one,two","view_age_ms":300,"outcome":"answered","status":200,"took_ms":160}"#,
+        "T2: request r-1 took route buy of configuration 7; what was known of the store was 300 ms old.\n\
+         Policies with a part in it: one,two.\n\
+         It was sent 2 time(s), last to i-2 of shop in a-2, where 2.0 requests were before it.\n\
+         It ended with 200 after 160 ms: the target's own answer was passed on.\n",
+    ),
+    (
+        r#"{"timestamp":"T3","level":"INFO","event":"request","id":"r-1","route":"buy","service":"shop","target":"i-2","hall":"a-2","load":8.0,"sends":0,"config":7,"view_age_ms":300,"outcome":"full","status":503,"took_ms":1}"#,
+        "T3: request r-1 took route buy of configuration 7; what was known of the store was 300 ms old.\n\
+         It was sent to no target: i-2 of shop in a-2, the first of its object, had 8.0 requests.\n\
+         It ended with 503 after 1 ms: both targets of its object had no room.\n",
+    ),
+    (
+        r#"{"timestamp":"T4","level":"INFO","event":"request","id":"r-1","load":0.0,"sends":0,"config":0,"outcome":"no-route","status":404,"took_ms":0}"#,
+        "T4: request r-1 took no route (configuration 0); nothing was known of the store.\n\
+         It was sent to no target.\n\
+         It ended with 404 after 0 ms: no route of that configuration takes its host and path.\n",
+    ),
+    (
+        r#"{"timestamp":"T5","level":"INFO","event":"try_failed","id":"r-1","target":"i-1","hall":"a-1","fault":"later-word","after_ms":4}"#,
+        "T5: after 4 ms, target i-1 in a-1 later-word.\n",
+    ),
+];
+
+#[test]
+fn log_lines_are_explained_in_the_order_of_their_times() {
+    let log: String = LINES.iter().rev().map(|(line, _)| format!("{line}\n")).collect();
+    let text: String = LINES.iter().map(|(_, sentences)| *sentences).collect();
+    let instance = Instance::start(&[]);
+    assert_eq!(instance.prints(&["explain", "r-1", "--log", &file("wire-cli.log", &log)]), text);
+    assert!(instance.questions().is_empty());
+}
