--- a/src/policy/check.rs
+++ b/src/policy/check.rs
@@ -5,9 +5,9 @@
 use super::file::{Checked, File};
 use super::label::{Interner, RawLabels};
 use super::labels::{GIVEN, Labels, RequestLabels};
-use super::names::{Names, share};
+use super::names::Names;
 use super::raw::RawPolicy;
-use super::read_action::read_action;
+use super::read_action::{check_share, read_action};
 use super::selector::Selector;
 use super::{DeclarationError, MAX_POLICIES, Policies, PolicyDocument, Sources};
 use serde::Deserialize;
@@ -131,9 +131,8 @@
 fn policy(file: &File<RawOverlay>, raw: &RawPolicy, interner: &mut Interner) -> Checked<Policy> {
     let place = |field| file.place("policy", &raw.name, field);
     let action = read_action(file, raw)?;
-    refuse_unsupported(file, raw, action)?;
     if let Some(cap) = raw.cap {
-        share(place("cap"), cap)?;
+        check_share(place("cap"), cap)?;
     }
     if raw.places.is_none() && action != Action::Cap {
         return Err(DeclarationError::Mismatch {
@@ -150,20 +149,3 @@
         cap: raw.cap,
     })
 }
-
-/// Refuses what instances do not do, rather than pass over it.
-fn refuse_unsupported(file: &File<RawOverlay>, raw: &RawPolicy, action: Action) -> Checked<()> {
-    let refused = |field, text, remedy| {
-        Err(DeclarationError::Mismatch { place: file.place("policy", &raw.name, field), text, remedy })
-    };
-    match action {
-        Action::Limit(_) => refused("limit", "entries bound no rates or counts", "use weight, cap or deny"),
-        Action::Priority(_) => {
-            refused("priority", "priorities come with the platform's routes", "set the route's priority there")
-        }
-        Action::Weight(weight) if weight.pace.is_some() => {
-            refused("pace", "entries take a weight at once", "raise the weight in several applies")
-        }
-        _ => Ok(()),
-    }
-}
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -143,11 +143,11 @@
 fn pick_weight(policies: &Policies, mask: PolicyMask, point: f64) -> Option<usize> {
     let mut start = 0.0;
     for position in mask.and(policies.kinds.weights).positions() {
-        let Action::Weight(weight) = policies.list[position].action else { continue };
-        if point < start + weight.share {
+        let Action::Weight(share) = policies.list[position].action else { continue };
+        if point < start + share {
             return Some(position);
         }
-        start += weight.share;
+        start += share;
     }
     None
 }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -15,6 +15,7 @@
 //! | `source`, `document` | the operators' files; a revision of them in the store |
 //! | `raw`, `file` | what serde reads from a file; the lines that items stand on |
 //! | `check`, `read_action`, `names` | from raw to checked, each fault with its remedy |
+//! | `unsupported` | what a policy may say but no instance does, to refuse it |
 //! | `error` | the faults |
 //! | [`action`] | a checked policy and what it says |
 //! | [`label`], `labels`, [`selector`] | interned labels; which things have which; tests on them |
@@ -42,6 +43,7 @@
 mod read_action;
 pub mod selector;
 mod source;
+mod unsupported;
 mod verdict;
 
 pub use credit::CapCharge;
--- a/src/policy/names.rs
+++ b/src/policy/names.rs
@@ -1,23 +1,27 @@
-//! Checks that items of all kinds share.
+//! The names of one kind of item, each taken once.
 
-use super::error::{DeclarationError, Place};
+use super::error::DeclarationError;
 use super::file::{Checked, File};
 use std::collections::HashSet;
-use std::time::Duration;
 use toml::Spanned;
 
-/// The most items of one kind, so that a document stays far below the store's
-/// bound on a value.
+/// Largest number of items of one kind. No document of a size that the store
+/// takes has as many, so that it guards what is checked without a store. Inferred,
+/// no run on record.
 const MAX_ITEMS: usize = u16::MAX as usize - 1;
 
 /// Names of one kind, to find duplicates.
 #[derive(Default)]
-pub(crate) struct Names {
+pub(super) struct Names {
     known: HashSet<String>,
 }
 
 impl Names {
-    pub(crate) fn add<R>(&mut self, file: &File<R>, kind: &'static str, name: &Spanned<String>) -> Checked<()> {
+    /// Takes a name.
+    ///
+    /// # Errors
+    /// An empty name, one that is taken, or too many.
+    pub(super) fn add<R>(&mut self, file: &File<R>, kind: &'static str, name: &Spanned<String>) -> Checked<()> {
         let place = file.place(kind, name, "");
         if name.get_ref().is_empty() {
             return Err(DeclarationError::Range {
@@ -35,17 +39,3 @@
         Ok(())
     }
 }
-
-pub(crate) fn share(place: Place, value: f64) -> Checked<()> {
-    if (0.0..=1.0).contains(&value) {
-        return Ok(());
-    }
-    Err(DeclarationError::Range { place, value: value.to_string(), range: "a share from 0 to 1" })
-}
-
-pub(super) fn positive(place: Place, value: Duration) -> Checked<()> {
-    if !value.is_zero() {
-        return Ok(());
-    }
-    Err(DeclarationError::Range { place, value: "0s".into(), range: "a time above zero, such as \"2s\"" })
-}
--- a/src/policy/raw.rs
+++ b/src/policy/raw.rs
@@ -1,8 +1,8 @@
 //! Policies as written: what serde reads from the operators' TOML.
 
-use crate::policy::selector::RawSelector;
+use super::selector::RawSelector;
+use super::unsupported::{RawLimit, RawPace};
 use serde::Deserialize;
-use std::time::Duration;
 use toml::Spanned;
 
 #[derive(Debug, Deserialize)]
@@ -25,22 +25,3 @@
     pub cap: Option<f64>,
     pub pace: Option<RawPace>,
 }
-
-#[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct RawLimit {
-    /// Requests in flight.
-    pub flight: Option<u32>,
-    /// Requests a second.
-    pub rate: Option<u32>,
-}
-
-#[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub struct RawPace {
-    /// Share of the selected traffic that each step adds.
-    pub share: f64,
-    /// Time between steps.
-    #[serde(with = "humantime_serde")]
-    pub every: Duration,
-}
--- a/src/policy/read_action.rs
+++ b/src/policy/read_action.rs
@@ -1,58 +1,62 @@
 //! The action of a policy, read from its fields.
 
-use super::action::{Action, Limit, Pace, Weight};
-use super::error::DeclarationError;
+use super::action::Action;
+use super::error::{DeclarationError, Place};
 use super::file::{Checked, File};
-use super::names::{positive, share};
 use super::raw::RawPolicy;
+use super::unsupported::{Unsupported, check_limit, check_pace};
 
 /// The one thing that a policy says.
-pub(crate) fn read_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Action> {
-    let place = |field| file.place("policy", &raw.name, field);
-    let mut said = Vec::new();
-    for (set, action) in [(raw.allow, Action::Allow), (raw.deny, Action::Deny), (raw.drain, Action::Drain)] {
-        if set {
-            said.push(action);
-        }
+///
+/// # Errors
+/// A value out of range; nothing said, or two things; or something that no
+/// instance does.
+pub(super) fn read_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Action> {
+    check_limit(file, raw)?;
+    if let Some(share) = raw.weight {
+        check_share(file.place("policy", &raw.name, "weight"), share)?;
     }
-    said.extend(raw.prefer.map(Action::Prefer));
-    said.extend(raw.priority.map(Action::Priority));
-    if let Some(limit) = raw.limit {
-        if limit.flight.is_none() && limit.rate.is_none() {
-            return Err(DeclarationError::Mismatch {
-                place: place("limit"),
-                text: "the limit bounds nothing",
-                remedy: "give flight, rate or both",
-            });
-        }
-        said.push(Action::Limit(Limit { flight: limit.flight, rate: limit.rate }));
+    check_pace(file, raw)?;
+    let action = only_action(file, raw)?.map_err(|unsupported| unsupported.refusal(file, raw))?;
+    match raw.pace {
+        Some(_) => Err(Unsupported::Pace.refusal(file, raw)),
+        None => Ok(action),
     }
-    if let Some(weight) = raw.weight {
-        share(place("weight"), weight)?;
-        said.push(Action::Weight(Weight { share: weight, pace: pace(file, raw)? }));
-    } else if raw.pace.is_some() {
-        return Err(DeclarationError::Mismatch {
-            place: place("pace"),
-            text: "a pace belongs to a weight",
-            remedy: "add weight, or remove pace",
-        });
-    }
-    match said.as_slice() {
-        [] if raw.cap.is_some() => Ok(Action::Cap),
-        [] => Err(DeclarationError::Action { place: place(""), remedy: "add the one it is meant to say" }),
-        [one] if raw.cap.is_none() || matches!(one, Action::Weight(_)) => Ok(*one),
-        [_] => Err(DeclarationError::Action { place: place("cap"), remedy: "move the cap into a policy of its own" }),
-        _ => Err(DeclarationError::Action { place: place(""), remedy: "split it into one policy for each" }),
+}
+
+/// Refuses what is no share.
+pub(super) fn check_share(place: Place, value: f64) -> Checked<()> {
+    if (0.0..=1.0).contains(&value) {
+        return Ok(());
     }
+    Err(DeclarationError::Range { place, value: value.to_string(), range: "a share from 0 to 1" })
 }
 
-fn pace<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Option<Pace>> {
-    let Some(pace) = raw.pace else { return Ok(None) };
-    let place = || file.place("policy", &raw.name, "pace");
-    share(place(), pace.share)?;
-    positive(place(), pace.every)?;
-    if pace.share == 0.0 {
-        return Err(DeclarationError::Range { place: place(), value: "0".into(), range: "a share above 0" });
+/// One thing that a policy says, done by instances or not.
+type Said = Result<Action, Unsupported>;
+
+fn only_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Said> {
+    let refused =
+        |field, remedy| Err(DeclarationError::Action { place: file.place("policy", &raw.name, field), remedy });
+    match said(raw).as_slice() {
+        [] if raw.cap.is_some() => Ok(Ok(Action::Cap)),
+        [] => refused("", "add the one it is meant to say"),
+        [one] if raw.cap.is_none() || matches!(one, Ok(Action::Weight(_))) => Ok(*one),
+        [_] => refused("cap", "move the cap into a policy of its own"),
+        _ => refused("", "split it into one policy for each"),
     }
-    Ok(Some(Pace { share: pace.share, every: pace.every }))
+}
+
+/// All that a policy says but its cap.
+fn said(raw: &RawPolicy) -> Vec<Said> {
+    let fields = [
+        raw.allow.then_some(Ok(Action::Allow)),
+        raw.deny.then_some(Ok(Action::Deny)),
+        raw.drain.then_some(Ok(Action::Drain)),
+        raw.prefer.map(|rank| Ok(Action::Prefer(rank))),
+        raw.weight.map(|share| Ok(Action::Weight(share))),
+        raw.priority.map(|_| Err(Unsupported::Priority)),
+        raw.limit.map(|_| Err(Unsupported::Limit)),
+    ];
+    fields.into_iter().flatten().collect()
 }
