--- a/src/command/error.rs
+++ b/src/command/error.rs
@@ -1,6 +1,6 @@
 //! What can go wrong in a command, with its exit code.
 
-use crate::policy::DeclarationError;
+use crate::policy::PolicyError;
 use std::path::PathBuf;
 use thiserror::Error;
 
@@ -15,7 +15,7 @@
     Unreadable { path: PathBuf, source: std::io::Error },
     /// The policies do not pass the check.
     #[error("{0}")]
-    Declaration(#[from] DeclarationError),
+    Declaration(#[from] PolicyError),
     /// The instance refused.
     #[error("{0}")]
     Refused(String),
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -4,7 +4,7 @@
 
 use crate::operator::api::ApplyRequest;
 use crate::platform::Platform;
-use crate::policy::DeclarationError;
+use crate::policy::PolicyError;
 use crate::policy::{Policies, PolicyDocument};
 use crate::state::Instance;
 use crate::store::{Store, StoreError};
@@ -27,7 +27,7 @@
 pub enum ApplyError {
     /// They do not pass the check.
     #[error(transparent)]
-    Declaration(#[from] DeclarationError),
+    Declaration(#[from] PolicyError),
     /// They are too large for the store.
     #[error("the files have {0} bytes, more than {MAX_BYTES}; remedy: put fewer labels on single targets")]
     TooLarge(usize),
--- a/src/policy/error.rs
+++ b/src/policy/error.rs
@@ -1,4 +1,4 @@
-//! What can be wrong with a declaration, each kind with its remedy.
+//! What can be wrong with the operators' files, each kind with its remedy.
 
 use thiserror::Error;
 
@@ -19,9 +19,9 @@
     }
 }
 
-/// A refused declaration. Nothing of it is applied.
+/// A refused policy document. Nothing of it is applied.
 #[derive(Debug, Error, PartialEq, Eq)]
-pub enum DeclarationError {
+pub enum PolicyError {
     /// The text is not TOML of the documented shape.
     #[error("{file}:{line}: {text}; remedy: write only the fields that docs/POLICIES.md lists")]
     Syntax { file: String, line: usize, text: String },
--- a/src/policy/file.rs
+++ b/src/policy/file.rs
@@ -1,12 +1,12 @@
 //! One source file, read, with the lines that its items stand on.
 
 use super::Source;
-use super::error::{DeclarationError, Place};
+use super::error::{Place, PolicyError};
 use serde::de::DeserializeOwned;
 use toml::Spanned;
 
 /// A checked part, or the first fault found.
-pub(crate) type Checked<T> = Result<T, DeclarationError>;
+pub(crate) type Checked<T> = Result<T, PolicyError>;
 
 /// One source file with the start of each line, to turn spans into lines.
 pub(crate) struct File<'a, R> {
@@ -21,7 +21,7 @@
 impl<'a, R: DeserializeOwned> File<'a, R> {
     /// Reads the TOML of a file.
     pub(crate) fn read(source: &'a Source) -> Checked<Self> {
-        let raw = toml::from_str(&source.text).map_err(|e| DeclarationError::Syntax {
+        let raw = toml::from_str(&source.text).map_err(|e| PolicyError::Syntax {
             file: source.file.clone(),
             line: e.span().map_or(1, |s| line_at(&source.text, s.start)),
             text: e.message().replace('\n', " "),
--- a/src/policy/labels.rs
+++ b/src/policy/labels.rs
@@ -5,8 +5,8 @@
 use hyper::{HeaderMap, Method, Uri};
 use std::collections::HashMap;
 
-/// Labels that the platform gives; operators may not set them.
-pub(super) const GIVEN: [&str; 7] = ["region", "hall", "service", "target", "version", "route", "method"];
+/// Labels that the platform assigns; operators may not set them.
+pub(super) const PLATFORM_LABELS: [&str; 7] = ["region", "hall", "service", "target", "version", "route", "method"];
 
 /// What a target's labels come from.
 #[derive(Clone, Copy, Debug)]
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -14,7 +14,7 @@
 //! |---|---|
 //! | `source`, `document` | the operators' files; a revision of them in the store |
 //! | `raw`, `file` | what serde reads from a file; the lines that items stand on |
-//! | `check`, `read_action`, `names` | from raw to checked, each fault with its remedy |
+//! | `check`, `read_labels`, `read_policy`, `names` | from raw to checked, each fault with its remedy |
 //! | `unsupported` | what a policy may say but no instance does, to refuse it |
 //! | `error` | the faults |
 //! | [`action`] | a checked policy and what it says |
@@ -40,7 +40,8 @@
 mod names;
 mod policies;
 mod raw;
-mod read_action;
+mod read_labels;
+mod read_policy;
 pub mod selector;
 mod source;
 mod unsupported;
@@ -48,7 +49,7 @@
 
 pub use credit::CapCharge;
 pub use document::PolicyDocument;
-pub use error::{DeclarationError, Place};
+pub use error::{Place, PolicyError};
 pub use labels::{RequestFacts, TargetFacts};
 pub use mask::{MAX_POLICIES, PolicyMask};
 pub use matched::Active;
--- a/src/policy/names.rs
+++ b/src/policy/names.rs
@@ -1,6 +1,6 @@
 //! The names of one kind of item, each taken once.
 
-use super::error::DeclarationError;
+use super::error::PolicyError;
 use super::file::{Checked, File};
 use std::collections::HashSet;
 use toml::Spanned;
@@ -24,17 +24,17 @@
     pub(super) fn add<R>(&mut self, file: &File<R>, kind: &'static str, name: &Spanned<String>) -> Checked<()> {
         let place = file.place(kind, name, "");
         if name.get_ref().is_empty() {
-            return Err(DeclarationError::Range {
+            return Err(PolicyError::Range {
                 place,
                 value: "an empty name".into(),
                 range: "a name of at least one character",
             });
         }
         if self.known.len() >= MAX_ITEMS {
-            return Err(DeclarationError::TooMany { place, kind, most: MAX_ITEMS });
+            return Err(PolicyError::TooMany { place, kind, most: MAX_ITEMS });
         }
         if !self.known.insert(name.get_ref().clone()) {
-            return Err(DeclarationError::Duplicate { place, kind, name: name.get_ref().clone() });
+            return Err(PolicyError::Duplicate { place, kind, name: name.get_ref().clone() });
         }
         Ok(())
     }
--- a/src/policy/read_action.rs
+++ b/src/policy/read_policy.rs
@@ -1,17 +1,41 @@
-//! The action of a policy, read from its fields.
+//! A policy, read from its fields.
 
-use super::action::Action;
-use super::error::{DeclarationError, Place};
+use super::action::{Action, Policy};
+use super::error::{Place, PolicyError};
 use super::file::{Checked, File};
+use super::label::Interner;
 use super::raw::RawPolicy;
+use super::selector::Selector;
 use super::unsupported::{Unsupported, check_limit, check_pace};
 
-/// The one thing that a policy says.
+/// Checks a policy; the labels of its selectors are interned.
 ///
 /// # Errors
-/// A value out of range; nothing said, or two things; or something that no
-/// instance does.
-pub(super) fn read_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Action> {
+/// The first fault of its action, its cap or its places.
+pub(super) fn read_policy<R>(file: &File<R>, raw: &RawPolicy, interner: &mut Interner) -> Checked<Policy> {
+    let place = |field| file.place("policy", &raw.name, field);
+    let action = read_action(file, raw)?;
+    if let Some(cap) = raw.cap {
+        check_share(place("cap"), cap)?;
+    }
+    if raw.places.is_none() && action != Action::Cap {
+        return Err(PolicyError::Mismatch {
+            place: place("places"),
+            text: "this action needs places to act on",
+            remedy: "add places = { .. }; places = {} selects all",
+        });
+    }
+    Ok(Policy {
+        name: raw.name.get_ref().clone(),
+        requests: Selector::compile(&raw.requests, interner),
+        places: Selector::compile(&raw.places.clone().unwrap_or_default(), interner),
+        action,
+        cap: raw.cap,
+    })
+}
+
+/// The one thing that a policy says.
+fn read_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Action> {
     check_limit(file, raw)?;
     if let Some(share) = raw.weight {
         check_share(file.place("policy", &raw.name, "weight"), share)?;
@@ -29,15 +53,14 @@
     if (0.0..=1.0).contains(&value) {
         return Ok(());
     }
-    Err(DeclarationError::Range { place, value: value.to_string(), range: "a share from 0 to 1" })
+    Err(PolicyError::Range { place, value: value.to_string(), range: "a share from 0 to 1" })
 }
 
 /// One thing that a policy says, done by instances or not.
 type Said = Result<Action, Unsupported>;
 
 fn only_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Said> {
-    let refused =
-        |field, remedy| Err(DeclarationError::Action { place: file.place("policy", &raw.name, field), remedy });
+    let refused = |field, remedy| Err(PolicyError::Action { place: file.place("policy", &raw.name, field), remedy });
     match said(raw).as_slice() {
         [] if raw.cap.is_some() => Ok(Ok(Action::Cap)),
         [] => refused("", "add the one it is meant to say"),
--- a/src/policy/unsupported.rs
+++ b/src/policy/unsupported.rs
@@ -2,17 +2,17 @@
 //! `limit`, `priority` and the `pace` of a weight. They are read for nothing but
 //! to be refused with a remedy, rather than passed over.
 
-use super::error::DeclarationError;
+use super::error::PolicyError;
 use super::file::{Checked, File};
 use super::raw::RawPolicy;
-use super::read_action::check_share;
+use super::read_policy::check_share;
 use serde::Deserialize;
 use std::time::Duration;
 
 /// The table `limit`, in requests.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RawLimit {
+pub(super) struct RawLimit {
     /// Requests in flight.
     flight: Option<u32>,
     /// Requests a second.
@@ -22,7 +22,7 @@
 /// The table `pace`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct RawPace {
+pub(super) struct RawPace {
     /// Share of the selected requests that each step adds, 0 to 1.
     share: f64,
     /// Time between steps.
@@ -40,7 +40,7 @@
 
 impl Unsupported {
     /// The refusal of a policy that uses it.
-    pub(super) fn refusal<R>(self, file: &File<R>, raw: &RawPolicy) -> DeclarationError {
+    pub(super) fn refusal<R>(self, file: &File<R>, raw: &RawPolicy) -> PolicyError {
         let (field, text, remedy) = match self {
             Self::Limit => ("limit", "entries bound no rates or counts", "use weight, cap or deny"),
             Self::Priority => {
@@ -48,14 +48,14 @@
             }
             Self::Pace => ("pace", "entries take a weight at once", "raise the weight in several applies"),
         };
-        DeclarationError::Mismatch { place: file.place("policy", &raw.name, field), text, remedy }
+        PolicyError::Mismatch { place: file.place("policy", &raw.name, field), text, remedy }
     }
 }
 
 /// Refuses a limit that bounds nothing: its own fault is named first.
 pub(super) fn check_limit<R>(file: &File<R>, raw: &RawPolicy) -> Checked<()> {
     match raw.limit {
-        Some(RawLimit { flight: None, rate: None }) => Err(DeclarationError::Mismatch {
+        Some(RawLimit { flight: None, rate: None }) => Err(PolicyError::Mismatch {
             place: file.place("policy", &raw.name, "limit"),
             text: "the limit bounds nothing",
             remedy: "give flight, rate or both",
@@ -69,10 +69,9 @@
 pub(super) fn check_pace<R>(file: &File<R>, raw: &RawPolicy) -> Checked<()> {
     let Some(pace) = raw.pace else { return Ok(()) };
     let place = || file.place("policy", &raw.name, "pace");
-    let out_of_range =
-        |value: &str, range| Err(DeclarationError::Range { place: place(), value: value.to_owned(), range });
+    let out_of_range = |value: &str, range| Err(PolicyError::Range { place: place(), value: value.to_owned(), range });
     if raw.weight.is_none() {
-        return Err(DeclarationError::Mismatch {
+        return Err(PolicyError::Mismatch {
             place: place(),
             text: "a pace belongs to a weight",
             remedy: "add weight, or remove pace",
