--- a/src/decision/routing.rs
+++ b/src/decision/routing.rs
@@ -210,7 +210,7 @@
         let refused = |problem: String| StateChange::Refused(RecordError { key: item.key.clone(), problem });
         let document = match PolicyDocument::read(&item.value) {
             Ok(document) => document,
-            Err(problem) => return Some(refused(problem)),
+            Err(error) => return Some(refused(error.to_string())),
         };
         if self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
             return None;
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -131,6 +131,7 @@
     let Some(item) = listing.items.into_iter().find(|item| item.key == P::policies_key()) else {
         return Ok(Stored { document: None, at: 0 });
     };
-    let document = PolicyDocument::read(&item.value).map_err(StoreError::Unreadable)?;
+    let document = PolicyDocument::read(&item.value);
+    let document = document.map_err(|error| StoreError::Unreadable(error.to_string()))?;
     Ok(Stored { document: Some(document), at: item.revision })
 }
--- a/src/policy/document.rs
+++ b/src/policy/document.rs
@@ -1,15 +1,16 @@
-//! The document that holds the operators' policies in the store.
+//! The document that holds the operators' policies in the store, as JSON.
 
-use crate::policy::Sources;
+use super::source::Sources;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
+use thiserror::Error;
 
-/// One revision of the operators' policies, as it lies in the store.
+/// One revision of the operators' policies, as it is stored.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct PolicyDocument {
-    /// Rises by one with each change.
+    /// Rises by one with each change; the first is 1. Not the store's own revision.
     pub revision: u64,
-    /// Tells the apply that wrote it from any other.
+    /// Random id of the apply that wrote it.
     pub id: String,
     /// Who applied it.
     pub by: String,
@@ -17,13 +18,18 @@
     pub sources: Sources,
 }
 
+/// A value of the store that is no policy document.
+#[derive(Debug, Error)]
+#[error(transparent)]
+pub struct DocumentError(#[from] serde_json::Error);
+
 impl PolicyDocument {
-    /// Reads a value of the store.
+    /// Reads a value of the store. The policies in it are not checked.
     ///
     /// # Errors
-    /// What is wrong with its form.
-    pub fn read(value: &[u8]) -> Result<Self, String> {
-        serde_json::from_slice(value).map_err(|error| error.to_string())
+    /// [`DocumentError`] where it has not this form.
+    pub fn read(value: &[u8]) -> Result<Self, DocumentError> {
+        Ok(serde_json::from_slice(value)?)
     }
 
     /// The value for the store.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -48,7 +48,7 @@
 mod verdict;
 
 pub use credit::CapCharge;
-pub use document::PolicyDocument;
+pub use document::{DocumentError, PolicyDocument};
 pub use error::{Place, PolicyError};
 pub use labels::{RequestFacts, TargetFacts};
 pub use mask::{MAX_POLICIES, PolicyMask};
