--- a/src/policy/label.rs
+++ b/src/policy/label.rs
@@ -1,4 +1,5 @@
-//! Labels, interned so that a request's labels compare as integers.
+//! Labels, interned: the names and values that the selectors of a document
+//! mention become small numbers, so that a request's labels compare as integers.
 
 use std::collections::{BTreeMap, HashMap};
 
@@ -10,18 +11,20 @@
 pub struct LabelKey(pub u16);
 
 /// A label value. [`Symbol::NONE`] stands for "no such label" and
-/// [`Symbol::OTHER`] for a value that no declaration mentions.
+/// [`Symbol::OTHER`] for a value that no selector mentions.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct Symbol(pub u32);
 
 impl Symbol {
     /// The label is absent.
     pub const NONE: Symbol = Symbol(0);
-    /// The label is present with a value that nothing in the declaration names.
+    /// The label is present with a value that no selector mentions.
     pub const OTHER: Symbol = Symbol(1);
+    /// The number of the first value that is interned, after the two above.
+    const FIRST: u32 = 2;
 }
 
-/// The names and values that one declaration mentions.
+/// The label names and values that the selectors of one document mention.
 #[derive(Clone, Debug, Default)]
 pub struct Interner {
     keys: HashMap<String, LabelKey>,
@@ -30,11 +33,14 @@
 
 impl Interner {
     /// The key of label `name`, made if new.
+    ///
+    /// # Panics
+    /// At the 65,537th name. The check of a document does not bound them.
     pub fn intern_key(&mut self, name: &str) -> LabelKey {
         if let Some(key) = self.keys.get(name) {
             return *key;
         }
-        let key = LabelKey(u16::try_from(self.keys.len()).expect("fewer than 65,536 label names"));
+        let key = LabelKey(u16::try_from(self.keys.len()).expect("at most 65,536 label names"));
         self.keys.insert(name.to_owned(), key);
         key
     }
@@ -44,12 +50,12 @@
         if let Some(symbol) = self.values.get(value) {
             return *symbol;
         }
-        let symbol = Symbol(self.values.len() as u32 + 2);
+        let symbol = Symbol(self.values.len() as u32 + Symbol::FIRST);
         self.values.insert(value.to_owned(), symbol);
         symbol
     }
 
-    /// The key of label `name`, if any selector or item mentions it.
+    /// The key of label `name`, if any selector mentions it.
     pub fn key(&self, name: &str) -> Option<LabelKey> {
         self.keys.get(name).copied()
     }
@@ -84,10 +90,10 @@
 
     /// Sets a label.
     pub fn set(&mut self, key: LabelKey, value: Symbol) {
-        let i = usize::from(key.0);
-        if self.values.len() <= i {
-            self.values.resize(i + 1, Symbol::NONE);
+        let index = usize::from(key.0);
+        if self.values.len() <= index {
+            self.values.resize(index + 1, Symbol::NONE);
         }
-        self.values[i] = value;
+        self.values[index] = value;
     }
 }
--- a/src/policy/labels.rs
+++ b/src/policy/labels.rs
@@ -1,58 +1,23 @@
-//! Labels of targets and requests: what the platform says of them, and what
-//! the operators add.
+//! The labels of targets and requests: those that operators assign, overlaid
+//! with those that the platform assigns.
 
-use crate::policy::label::{Interner, LabelSet, RawLabels};
-use hyper::{HeaderMap, Method, Uri};
+use super::facts::{RequestFacts, TargetFacts};
+use super::label::{Interner, LabelSet, RawLabels};
+use hyper::{HeaderMap, Uri};
 use std::collections::HashMap;
 
-/// Labels that the platform assigns; operators may not set them.
-pub(super) const PLATFORM_LABELS: [&str; 7] = ["region", "hall", "service", "target", "version", "route", "method"];
-
-/// What a target's labels come from.
-#[derive(Clone, Copy, Debug)]
-pub struct TargetFacts<'a> {
-    /// Its registration's identity.
-    pub id: &'a str,
-    /// Its service.
-    pub service: &'a str,
-    /// Its region.
-    pub region: &'a str,
-    /// Its hall.
-    pub hall: &'a str,
-    /// Version of its software.
-    pub version: &'a str,
-}
-
-/// What a request's labels come from.
-#[derive(Clone, Copy, Debug)]
-pub struct RequestFacts<'a> {
-    /// The service that it is for.
-    pub service: &'a str,
-    /// The route that it took.
-    pub route: &'a str,
-    /// The region of the instance that has it.
-    pub region: &'a str,
-    /// The hall of the instance that has it.
-    pub hall: &'a str,
-    /// Its method.
-    pub method: &'a Method,
-    /// Its path and query.
-    pub uri: &'a Uri,
-    /// Its headers.
-    pub headers: &'a HeaderMap,
-}
-
-/// What operators say of a service's requests.
+/// The labels that operators assign to a service's requests.
 #[derive(Debug, Default)]
 pub(super) struct RequestLabels {
+    /// The same for each request.
     pub(super) labels: RawLabels,
-    /// Label name to the header that it is read from.
+    /// Label name to the header that it is read from, in lower case.
     pub(super) headers: RawLabels,
     /// Label name to the query key that it is read from.
     pub(super) query: RawLabels,
 }
 
-/// The operators' labels, by the names of what they label.
+/// The labels that operators assign, by the names of what they label.
 #[derive(Debug, Default)]
 pub(super) struct Labels {
     pub(super) regions: HashMap<String, RawLabels>,
@@ -64,64 +29,72 @@
 impl Labels {
     /// Labels of region and hall, overlaid with the target's own.
     pub(super) fn of_target(&self, interner: &Interner, target: &TargetFacts<'_>) -> LabelSet {
-        let mut set = LabelSet::empty(interner.width());
+        let mut builder = Builder::new(interner);
         let layers = [self.regions.get(target.region), self.halls.get(target.hall), self.targets.get(target.id)];
         for labels in layers.into_iter().flatten() {
-            overlay(interner, &mut set, labels);
+            builder.overlay(labels);
         }
-        mark(interner, &mut set, "region", target.region);
-        mark(interner, &mut set, "hall", target.hall);
-        mark(interner, &mut set, "service", target.service);
-        mark(interner, &mut set, "target", target.id);
-        mark(interner, &mut set, "version", target.version);
-        set
+        builder.finish(target.labels())
     }
 
     /// Labels of the service, overlaid with those read from the request.
     pub(super) fn of_request(&self, interner: &Interner, request: &RequestFacts<'_>) -> LabelSet {
-        let mut set = LabelSet::empty(interner.width());
+        let mut builder = Builder::new(interner);
         if let Some(service) = self.services.get(request.service) {
-            overlay(interner, &mut set, &service.labels);
-            read_headers(interner, &mut set, &service.headers, request.headers);
-            read_query(interner, &mut set, &service.query, request.uri);
+            builder.overlay(&service.labels);
+            builder.read_headers(&service.headers, request.headers);
+            builder.read_query(&service.query, request.uri);
         }
-        mark(interner, &mut set, "service", request.service);
-        mark(interner, &mut set, "route", request.route);
-        mark(interner, &mut set, "region", request.region);
-        mark(interner, &mut set, "hall", request.hall);
-        mark(interner, &mut set, "method", request.method.as_str());
-        set
+        builder.finish(request.labels())
     }
 }
 
-fn overlay(interner: &Interner, set: &mut LabelSet, labels: &RawLabels) {
-    for (name, value) in labels {
-        mark(interner, set, name, value);
-    }
+/// A set that is filled layer by layer, later layers over earlier ones.
+struct Builder<'a> {
+    interner: &'a Interner,
+    set: LabelSet,
 }
 
-/// Sets a label that some selector names; others can decide nothing.
-fn mark(interner: &Interner, set: &mut LabelSet, name: &str, value: &str) {
-    if let Some(key) = interner.key(name) {
-        set.set(key, interner.value(value));
+impl<'a> Builder<'a> {
+    fn new(interner: &'a Interner) -> Self {
+        Self { interner, set: LabelSet::empty(interner.width()) }
     }
-}
 
-fn read_headers(interner: &Interner, set: &mut LabelSet, sources: &RawLabels, headers: &HeaderMap) {
-    for (label, header) in sources {
-        if let Some(value) = headers.get(header.as_str()).and_then(|value| value.to_str().ok()) {
-            mark(interner, set, label, value);
+    /// Sets a label that some selector tests; others can decide nothing.
+    fn set(&mut self, name: &str, value: &str) {
+        if let Some(key) = self.interner.key(name) {
+            self.set.set(key, self.interner.value(value));
         }
     }
-}
 
-fn read_query(interner: &Interner, set: &mut LabelSet, sources: &RawLabels, uri: &Uri) {
-    if sources.is_empty() {
-        return;
+    fn overlay(&mut self, labels: &RawLabels) {
+        labels.iter().for_each(|(name, value)| self.set(name, value));
     }
-    for (key, value) in url::form_urlencoded::parse(uri.query().unwrap_or("").as_bytes()) {
-        for (label, _) in sources.iter().filter(|(_, name)| **name == key) {
-            mark(interner, set, label, &value);
+
+    fn read_headers(&mut self, sources: &RawLabels, headers: &HeaderMap) {
+        for (label, header) in sources {
+            // A value that is no visible ASCII leaves the label absent.
+            if let Some(value) = headers.get(header.as_str()).and_then(|value| value.to_str().ok()) {
+                self.set(label, value);
+            }
+        }
+    }
+
+    /// Where a key is repeated, its last value counts.
+    fn read_query(&mut self, sources: &RawLabels, uri: &Uri) {
+        if sources.is_empty() {
+            return;
         }
+        for (key, value) in url::form_urlencoded::parse(uri.query().unwrap_or("").as_bytes()) {
+            for (label, _) in sources.iter().filter(|(_, name)| **name == key) {
+                self.set(label, &value);
+            }
+        }
+    }
+
+    /// The set, with the platform's labels over all others.
+    fn finish<const N: usize>(mut self, platform: [(&str, &str); N]) -> LabelSet {
+        platform.iter().for_each(|(name, value)| self.set(name, value));
+        self.set
     }
 }
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -4,7 +4,7 @@
 
 use super::action::{Action, UNRANKED};
 use super::credit::CapCharge;
-use super::labels::RequestFacts;
+use super::facts::RequestFacts;
 use super::mask::PolicyMask;
 use super::policies::Policies;
 use super::verdict::{Order, PolicyVerdict};
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -18,7 +18,8 @@
 //! | `unsupported` | what a policy may say but no instance does, to refuse it |
 //! | `error` | the faults |
 //! | [`action`] | a checked policy and what it says |
-//! | [`label`], `labels`, [`selector`] | interned labels; which things have which; tests on them |
+//! | [`label`], [`selector`] | interned labels; tests on them |
+//! | `facts`, `labels` | what labels are read from; the labels of a target or a request |
 //! | `policies`, `mask` | the policies of one document; sets of them |
 //! | `matched`, `verdict` | the policies that select one request; what they say of a target |
 //! | [`credit`] | the cap rule |
@@ -32,6 +33,7 @@
 pub mod credit;
 mod document;
 mod error;
+mod facts;
 mod file;
 pub mod label;
 mod labels;
@@ -50,7 +52,7 @@
 pub use credit::CapCharge;
 pub use document::{DocumentError, PolicyDocument};
 pub use error::{Place, PolicyError};
-pub use labels::{RequestFacts, TargetFacts};
+pub use facts::{RequestFacts, TargetFacts};
 pub use mask::{MAX_POLICIES, PolicyMask};
 pub use matched::Active;
 pub use policies::Policies;
--- a/src/policy/policies.rs
+++ b/src/policy/policies.rs
@@ -3,8 +3,9 @@
 
 use super::action::{Action, Policy};
 use super::credit::Credit;
+use super::facts::{RequestFacts, TargetFacts};
 use super::label::{Interner, LabelSet};
-use super::labels::{Labels, RequestFacts, TargetFacts};
+use super::labels::Labels;
 use super::mask::PolicyMask;
 use super::selector::Selector;
 
--- a/src/policy/read_labels.rs
+++ b/src/policy/read_labels.rs
@@ -1,9 +1,10 @@
 //! The labels of a document, read from its files.
 
 use super::error::PolicyError;
+use super::facts::PLATFORM_LABELS;
 use super::file::{Checked, File};
 use super::label::RawLabels;
-use super::labels::{Labels, PLATFORM_LABELS, RequestLabels};
+use super::labels::{Labels, RequestLabels};
 use super::names::Names;
 use super::raw::{RawFile, RawService};
 use toml::Spanned;
--- a/src/policy/read_policy.rs
+++ b/src/policy/read_policy.rs
@@ -25,10 +25,12 @@
             remedy: "add places = { .. }; places = {} selects all",
         });
     }
+    // Without places it is a cap, which acts on no places: the empty selector serves.
+    let places = raw.places.clone().unwrap_or_default();
     Ok(Policy {
         name: raw.name.get_ref().clone(),
         requests: Selector::compile(&raw.requests, interner),
-        places: Selector::compile(&raw.places.clone().unwrap_or_default(), interner),
+        places: Selector::compile(&places, interner),
         action,
         cap: raw.cap,
     })
--- a/src/policy/selector.rs
+++ b/src/policy/selector.rs
@@ -1,9 +1,10 @@
-//! Selectors: structured tests on labels, read by serde.
+//! Selectors: structured tests on labels, as operators write them and as they
+//! are checked against interned labels.
 //!
 //! `{ service = "quote", tier = ["a", "b"], stage = { not = ["cold"] }, canary = { exists = false } }`
 //! selects what passes every one of its tests; the empty selector selects all.
 
-use crate::policy::label::{Interner, LabelKey, LabelSet, Symbol};
+use super::label::{Interner, LabelKey, LabelSet, Symbol};
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
@@ -40,13 +41,16 @@
 /// A selector as an operator writes it: label name to test.
 pub type RawSelector = BTreeMap<String, RawTest>;
 
+/// What a test wants of the label's value.
 #[derive(Clone, Debug)]
 enum Want {
     OneOf(Vec<Symbol>),
+    /// An absent label passes.
     Not(Vec<Symbol>),
     Exists(bool),
 }
 
+/// A test over interned labels.
 #[derive(Clone, Debug)]
 struct Test {
     key: LabelKey,
@@ -54,6 +58,19 @@
 }
 
 impl Test {
+    fn compile(name: &str, raw: &RawTest, interner: &mut Interner) -> Self {
+        let key = interner.intern_key(name);
+        let mut symbols =
+            |values: &[String]| values.iter().map(|value| interner.intern_value(value)).collect::<Vec<_>>();
+        let want = match raw {
+            RawTest::Is(value) => Want::OneOf(symbols(std::slice::from_ref(value))),
+            RawTest::OneOf(values) => Want::OneOf(symbols(values)),
+            RawTest::Not(raw) => Want::Not(symbols(&raw.not)),
+            RawTest::Exists(raw) => Want::Exists(raw.exists),
+        };
+        Self { key, want }
+    }
+
     fn passes(&self, labels: &LabelSet) -> bool {
         let value = labels.get(self.key);
         match &self.want {
@@ -73,24 +90,11 @@
 impl Selector {
     /// Interns a selector as written.
     pub fn compile(raw: &RawSelector, interner: &mut Interner) -> Self {
-        let mut tests = Vec::with_capacity(raw.len());
-        for (name, test) in raw {
-            let key = interner.intern_key(name);
-            let mut symbols =
-                |list: &[String]| -> Vec<Symbol> { list.iter().map(|v| interner.intern_value(v)).collect() };
-            let want = match test {
-                RawTest::Is(value) => Want::OneOf(symbols(std::slice::from_ref(value))),
-                RawTest::OneOf(list) => Want::OneOf(symbols(list)),
-                RawTest::Not(raw) => Want::Not(symbols(&raw.not)),
-                RawTest::Exists(raw) => Want::Exists(raw.exists),
-            };
-            tests.push(Test { key, want });
-        }
-        Self { tests }
+        Self { tests: raw.iter().map(|(name, test)| Test::compile(name, test, interner)).collect() }
     }
 
     /// Whether every test passes.
     pub fn selects(&self, labels: &LabelSet) -> bool {
-        self.tests.iter().all(|t| t.passes(labels))
+        self.tests.iter().all(|test| test.passes(labels))
     }
 }
--- a/src/policy/source.rs
+++ b/src/policy/source.rs
@@ -1,4 +1,5 @@
-//! The operators' files, as text.
+//! The operators' files, as text: as the tool reads them, as they are sent to an
+//! instance, and as they are stored.
 
 use serde::{Deserialize, Serialize};
 use std::path::Path;
@@ -30,13 +31,17 @@
     /// # Errors
     /// Any error of the file system.
     pub fn read(path: &Path) -> std::io::Result<Self> {
-        if !path.is_dir() {
-            let text = std::fs::read_to_string(path)?;
-            return Ok(Self::single(&path.display().to_string(), &text));
+        if path.is_dir() {
+            return Self::read_folder(path);
         }
+        let text = std::fs::read_to_string(path)?;
+        Ok(Self::single(&path.display().to_string(), &text))
+    }
+
+    fn read_folder(path: &Path) -> std::io::Result<Self> {
         let mut paths = Vec::new();
-        for instance in std::fs::read_dir(path)? {
-            let path = instance?.path();
+        for entry in std::fs::read_dir(path)? {
+            let path = entry?.path();
             if path.extension().is_some_and(|e| e == "toml") {
                 paths.push(path);
             }
@@ -45,6 +50,7 @@
         let mut files = Vec::new();
         for path in paths {
             let text = std::fs::read_to_string(&path)?;
+            // Each path is that of an entry of the folder, so that it has a name.
             let file = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
             files.push(Source { file, text });
         }
