--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -1,8 +1,12 @@
-//! An operator's apply: the policies are checked, and written to the store at
-//! the revision that follows the one in force. The write is conditional, so
-//! that of two operators one wins, and a lost answer is resolved by reading.
+//! An operator's apply: the policies are checked, and written to the store as
+//! the revision that follows the stored one.
+//!
+//! The write is conditional on the key's revision in the store, so that of two
+//! operators one wins. A call that fails is retried, and each retry begins with
+//! reading the key: a document with the id of this apply is a write whose answer
+//! was lost.
 
-use crate::operator::api::ApplyRequest;
+use super::api::ApplyRequest;
 use crate::platform::Platform;
 use crate::policy::PolicyError;
 use crate::policy::{Policies, PolicyDocument};
@@ -11,32 +15,38 @@
 use crate::sync::call::call;
 use hyper::StatusCode;
 use rand::Rng;
+use std::ops::Range;
 use std::time::Duration;
 use thiserror::Error;
 use tokio::time::{Instant, sleep};
 
-/// Longest time for which an apply is tried.
-const PATIENCE: Duration = Duration::from_secs(8);
-/// Wait after a call that gave nothing, milliseconds.
-const BACKOFF_MS: std::ops::Range<u64> = 100..300;
-/// Largest document, bytes.
-const MAX_BYTES: usize = 512 * 1024;
+/// Time after which a failed call is not retried: longer than the outages of the
+/// store on the sites' days (4.5 s), and an operator waits for it. Inferred, no run
+/// on record: no policies are applied on those days.
+const RETRY_FOR: Duration = Duration::from_secs(8);
+/// Random wait before a retry, milliseconds: a few calls a second at most.
+/// Inferred, no run on record.
+const RETRY_WAIT_MS: Range<u64> = 100..300;
+/// Largest document, bytes: a value of the store holds 1 MB, and base64 on the way
+/// there makes four bytes of three. Follows from that, no run on record.
+pub const MAX_DOCUMENT: usize = 512 * 1024;
 
 /// Why policies were not applied.
 #[derive(Debug, Error)]
 pub enum ApplyError {
     /// They do not pass the check.
     #[error(transparent)]
-    Declaration(#[from] PolicyError),
+    Policies(#[from] PolicyError),
     /// They are too large for the store.
-    #[error("the files have {0} bytes, more than {MAX_BYTES}; remedy: put fewer labels on single targets")]
+    #[error("the files have {0} bytes, more than {MAX_DOCUMENT}; remedy: put fewer labels on single targets")]
     TooLarge(usize),
     /// Another change came first.
     #[error(
         "revision {known} by {by} is in force, not {expected}; remedy: read it with `lockloft show`, then apply again"
     )]
     Conflict { expected: u64, known: u64, by: String },
-    /// The store gave no answer for too long.
+    /// No call to the store succeeded in time. A write whose answer was lost may have
+    /// taken place.
     #[error(
         "the store gave no answer ({0}); the change may still come into force; remedy: look with `lockloft show` before the next apply"
     )]
@@ -44,10 +54,10 @@
 }
 
 impl ApplyError {
-    /// The status of the answer that tells of it.
+    /// Status of the answer to the operator.
     pub fn status(&self) -> StatusCode {
         match self {
-            ApplyError::Declaration(_) => StatusCode::BAD_REQUEST,
+            ApplyError::Policies(_) => StatusCode::BAD_REQUEST,
             ApplyError::TooLarge(_) => StatusCode::PAYLOAD_TOO_LARGE,
             ApplyError::Conflict { .. } => StatusCode::CONFLICT,
             ApplyError::Unknown(_) => StatusCode::SERVICE_UNAVAILABLE,
@@ -55,14 +65,16 @@
     }
 }
 
-/// What is in the store.
+/// The policies' key as it was read from the store.
 struct Stored {
     document: Option<PolicyDocument>,
-    /// Revision of the key in the store; 0 where it is not there.
+    /// Revision of the key in the store, on which the write is conditional; 0 where
+    /// it is absent.
     at: u64,
 }
 
 impl Stored {
+    /// Revision of the policies; 0 before the first.
     fn revision(&self) -> u64 {
         self.document.as_ref().map_or(0, |document| document.revision)
     }
@@ -72,16 +84,17 @@
     }
 }
 
-/// Applies policies; gives their revision.
+/// Applies policies; returns their revision.
 ///
 /// # Errors
-/// [`ApplyError`]; nothing was applied but where it says so.
+/// [`ApplyError`]. Nothing was applied, except that after [`ApplyError::Unknown`]
+/// it may have been.
 pub async fn apply<P: Platform>(instance: &Instance<P>, request: &ApplyRequest) -> Result<u64, ApplyError> {
     Policies::check(0, &request.sources)?;
-    let until = Instant::now() + PATIENCE;
+    let until = Instant::now() + RETRY_FOR;
     let mut expected = request.expect;
     loop {
-        let error = match attempt(instance, request, &mut expected).await {
+        let error = match try_once(instance, request, &mut expected).await {
             Ok(revision) => return Ok(revision),
             Err(ApplyError::Unknown(error)) => error,
             Err(error) => return Err(error),
@@ -89,14 +102,14 @@
         if Instant::now() > until {
             return Err(ApplyError::Unknown(error));
         }
-        let wait = rand::rng().random_range(BACKOFF_MS);
+        let wait = rand::rng().random_range(RETRY_WAIT_MS);
         sleep(Duration::from_millis(wait)).await;
     }
 }
 
-/// One read and one write. Without a revision given, the first that was read
-/// is the one expected from then on.
-async fn attempt<P: Platform>(
+/// One read and one write. Where the operator expects no revision, the first one
+/// read is expected by all later tries.
+async fn try_once<P: Platform>(
     instance: &Instance<P>,
     request: &ApplyRequest,
     expected: &mut Option<u64>,
@@ -111,19 +124,18 @@
         let by = stored.document.map_or_else(String::new, |document| document.by);
         return Err(ApplyError::Conflict { expected, known, by });
     }
-    let document = PolicyDocument {
-        revision: expected + 1,
-        id: request.id.clone(),
-        by: request.by.clone(),
-        sources: request.sources.clone(),
-    };
-    let value = document.value();
-    if value.len() > MAX_BYTES {
+    let revision = expected + 1;
+    let value = document(request, revision).value();
+    if value.len() > MAX_DOCUMENT {
         return Err(ApplyError::TooLarge(value.len()));
     }
     let put = instance.store.put_if(P::policies_key(), value, stored.at);
     call(instance, "put_if", put).await.map_err(ApplyError::Unknown)?;
-    Ok(document.revision)
+    Ok(revision)
+}
+
+fn document(request: &ApplyRequest, revision: u64) -> PolicyDocument {
+    PolicyDocument { revision, id: request.id.clone(), by: request.by.clone(), sources: request.sources.clone() }
 }
 
 async fn read<P: Platform>(instance: &Instance<P>) -> Result<Stored, StoreError> {
