--- a/src/operator/api.rs
+++ b/src/operator/api.rs
@@ -1,4 +1,5 @@
-//! What an instance and the operators' tool say to each other: JSON over HTTP.
+//! Questions and answers between the operators' tool and an instance: JSON over
+//! HTTP at the instance's peers' address. Field names are part of the wire.
 
 use crate::policy::Sources;
 use serde::{Deserialize, Serialize};
@@ -17,21 +18,22 @@
     pub config: Option<u64>,
     /// Revision of the operators' policies in force.
     pub policies: Option<u64>,
-    /// Revision of the store up to which it knows.
+    /// Revision of the store that its view has reached.
     pub view_revision: u64,
-    /// Milliseconds since that was surely current.
+    /// Milliseconds since that view was confirmed to be current; none before the first
+    /// time.
     pub view_age_ms: Option<u64>,
-    /// Whether the store has given no answer for some time.
+    /// Whether the store counts as lost.
     pub store_lost: bool,
     /// Whether a planned stop has begun.
     pub stopping: bool,
-    /// Instances that it knows, itself among them.
+    /// Instances registered in the store, itself among them.
     pub members: usize,
-    /// Targets that it knows.
+    /// Targets in its view.
     pub targets: usize,
-    /// Requests that it works on.
+    /// Callers' requests under way.
     pub active: u32,
-    /// Halls whose targets get nothing.
+    /// Halls that are evacuated: their targets get no request.
     pub evacuated: Vec<String>,
 }
 
@@ -53,7 +55,7 @@
 /// One target in the answer to `GET /targets`.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct TargetLine {
-    /// Identity of its present life.
+    /// Id of its registration.
     pub target: String,
     /// Its service.
     pub service: String,
@@ -61,11 +63,12 @@
     pub hall: String,
     /// Version of its software.
     pub version: String,
-    /// Requests it works on at once.
+    /// Requests that it runs at once.
     pub slots: u32,
-    /// Requests of the answering instance there.
+    /// Requests that the answering instance has under way there.
     pub in_flight: u32,
-    /// Requests of all instances there, as far as known.
+    /// Requests of all instances there, running and waiting: estimated from the
+    /// target's own reports.
     pub load: f64,
     /// `ready`, `draining`, `left-alone` or `cold`.
     pub state: String,
@@ -76,7 +79,7 @@
 pub struct PoliciesApplied {
     /// The revision that is now in the store.
     pub revision: u64,
-    /// Policies whose places select no target known now.
+    /// Policies whose places select no target in the instance's view.
     pub idle: Vec<String>,
 }
 
@@ -91,7 +94,7 @@
     pub config: u64,
     /// Revision of the operators' policies that decide.
     pub policies: Option<u64>,
-    /// Milliseconds since what is known of the store was surely current.
+    /// Milliseconds since the instance's view was confirmed to be current.
     pub view_age_ms: Option<u64>,
     /// Policies that have a part in it.
     pub acted: Vec<String>,
@@ -104,26 +107,28 @@
 /// One target in a dry decision.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq)]
 pub struct WhyTarget {
-    /// Identity of its present life.
+    /// Id of its registration.
     pub target: String,
     /// Its hall.
     pub hall: String,
     /// `chosen`, `next`, `full`, `farther`, or what keeps it from being used.
     pub verdict: String,
-    /// Requests of all instances there, as far as known.
+    /// Requests of all instances there, running and waiting: estimated from the
+    /// target's own reports.
     pub load: f64,
-    /// Requests it works on at once.
+    /// Requests that it runs at once.
     pub slots: u32,
 }
 
 /// Body of `POST /policies`.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ApplyRequest {
-    /// Tells this apply from any other.
+    /// Random id, by which a write whose answer was lost is found in the store.
     pub id: String,
     /// Who applies it.
     pub by: String,
-    /// The revision it is meant to follow; the one in force where absent.
+    /// Revision of the policies that it is meant to follow; the stored one where
+    /// absent.
     pub expect: Option<u64>,
     /// The operators' files.
     pub sources: Sources,
