--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -46,11 +46,11 @@
         (&Method::GET, "/why") => why::why(instance, request.uri()).and_then(|why| json(&why)),
         _ => return None,
     };
-    Some(answered.unwrap_or_else(|refusal| respond(refusal.status, refusal.body())))
+    Some(answered.unwrap_or_else(|refusal| respond(refusal.status(), refusal.body())))
 }
 
 fn json<T: Serialize>(value: &T) -> Result<Response<AnswerBody>, Refusal> {
-    let body = serde_json::to_vec(value).map_err(|error| Refusal::new(StatusCode::INTERNAL_SERVER_ERROR, error))?;
+    let body = serde_json::to_vec(value).map_err(Refusal::Answer)?;
     Ok(respond(StatusCode::OK, body))
 }
 
--- a/src/operator/policies.rs
+++ b/src/operator/policies.rs
@@ -8,11 +8,11 @@
 use crate::policy::{Policies, PolicyDocument, PolicyMask};
 use crate::state::Instance;
 use http_body_util::{BodyExt, Limited};
-use hyper::StatusCode;
 use hyper::body::Incoming;
 
-/// Largest body of an apply, bytes.
-const MAX_BODY: usize = 1 << 20;
+/// Largest body of an apply, bytes: twice the largest document, since a larger one
+/// is refused anyway. Follows from that limit, no run on record.
+const MAX_BODY: usize = 2 * apply::MAX_DOCUMENT;
 
 /// The policy document of the instance's view.
 ///
@@ -20,9 +20,8 @@
 /// 404 where the view has none, 500 where it cannot be decoded.
 pub fn show<P: Platform>(instance: &Instance<P>) -> Result<PolicyDocument, Refusal> {
     let view = instance.view.borrow();
-    let none = || Refusal::new(StatusCode::NOT_FOUND, "no policies are in force; remedy: `lockloft apply` some");
-    let item = view.item(P::policies_key()).ok_or_else(none)?;
-    PolicyDocument::read(&item.value).map_err(|error| Refusal::new(StatusCode::INTERNAL_SERVER_ERROR, error))
+    let item = view.item(P::policies_key()).ok_or(Refusal::NoPolicies)?;
+    Ok(PolicyDocument::read(&item.value)?)
 }
 
 /// Applies the policies of a request's body.
@@ -40,16 +39,15 @@
         revision = applied.as_ref().ok(),
         error = applied.as_ref().err().map(ToString::to_string),
     );
-    let revision = applied.map_err(|error| Refusal::new(error.status(), error))?;
-    let policies =
-        Policies::check(revision, &request.sources).map_err(|error| Refusal::new(StatusCode::BAD_REQUEST, error))?;
+    let revision = applied?;
+    let policies = Policies::check(revision, &request.sources).map_err(apply::ApplyError::from)?;
     Ok(PoliciesApplied { revision, idle: idle(instance, &policies) })
 }
 
 async fn read(body: Incoming) -> Result<ApplyRequest, Refusal> {
     let body = Limited::new(body, MAX_BODY).collect().await;
-    let bytes = body.map_err(|error| Refusal::new(StatusCode::PAYLOAD_TOO_LARGE, error))?.to_bytes();
-    serde_json::from_slice(&bytes).map_err(|error| Refusal::new(StatusCode::BAD_REQUEST, error))
+    let bytes = body.map_err(Refusal::Body)?.to_bytes();
+    serde_json::from_slice(&bytes).map_err(Refusal::Request)
 }
 
 /// Names of the policies whose places select no target of the view.
--- a/src/operator/question.rs
+++ b/src/operator/question.rs
@@ -3,7 +3,7 @@
 use super::refusal::Refusal;
 use crate::model::config::{Config, Route};
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
-use hyper::{Method, StatusCode, Uri};
+use hyper::{Method, Uri};
 use std::collections::BTreeMap;
 
 /// Begins the query keys that stand for headers.
@@ -32,13 +32,13 @@
         let given = url::form_urlencoded::parse(uri.query().unwrap_or("").as_bytes());
         let pairs: BTreeMap<String, String> = given.into_owned().collect();
         let headers = headers(&pairs)?;
-        let needed = |key: &str| pairs.get(key).ok_or_else(|| missing(key));
+        let needed = |key: &'static str| pairs.get(key).ok_or(Refusal::MissingKey(key));
         let (host, path) = (needed("host")?, needed("path")?);
         let method = pairs.get("method").map_or("GET", String::as_str);
         Ok(Self {
             host: host.clone(),
-            method: method.parse().map_err(malformed)?,
-            uri: path.parse().map_err(malformed)?,
+            method: method.parse()?,
+            uri: path.parse()?,
             object: pairs.get("object").cloned(),
             headers,
         })
@@ -51,9 +51,7 @@
     /// # Errors
     /// 404 where none does.
     pub fn route<'a>(&self, config: &'a Config) -> Result<&'a Route, Refusal> {
-        let none =
-            || Refusal::new(StatusCode::NOT_FOUND, "no route takes this host and path; correct them or add a route");
-        config.find(&self.host, self.uri.path()).map(|key| config.route(key)).ok_or_else(none)
+        config.find(&self.host, self.uri.path()).map(|key| config.route(key)).ok_or(Refusal::NoRoute)
     }
 }
 
@@ -61,16 +59,8 @@
     let mut headers = HeaderMap::new();
     for (key, value) in pairs {
         let Some(name) = key.strip_prefix(HEADER_KEY) else { continue };
-        let name: HeaderName = name.parse().map_err(malformed)?;
-        headers.insert(name, HeaderValue::from_str(value).map_err(malformed)?);
+        let name: HeaderName = name.parse()?;
+        headers.insert(name, HeaderValue::from_str(value)?);
     }
     Ok(headers)
 }
-
-fn missing(key: &str) -> Refusal {
-    Refusal::new(StatusCode::BAD_REQUEST, format!("{key} is missing; give {key}=VALUE"))
-}
-
-fn malformed(error: impl ToString) -> Refusal {
-    Refusal::new(StatusCode::BAD_REQUEST, error)
-}
--- a/src/operator/refusal.rs
+++ b/src/operator/refusal.rs
@@ -1,25 +1,80 @@
-//! Why an operator's question is refused, with the status and the message of
-//! the answer.
+//! Why an operator's question is refused, each with the status and the message
+//! of the answer.
 
-use crate::operator::api::Refused;
+use super::api::Refused;
+use super::apply::ApplyError;
+use crate::policy::DocumentError;
 use hyper::StatusCode;
+use hyper::header::{InvalidHeaderName, InvalidHeaderValue};
+use hyper::http::method::InvalidMethod;
+use hyper::http::uri::InvalidUri;
+use thiserror::Error;
 
 /// A refused question.
-#[derive(Debug)]
-pub struct Refusal {
-    /// Status of the answer.
-    pub status: StatusCode,
-    message: String,
+#[derive(Debug, Error)]
+pub enum Refusal {
+    /// The view of the store has no policies.
+    #[error("no policies are in force; remedy: `lockloft apply` some")]
+    NoPolicies,
+    /// The view has a policy document that cannot be read.
+    #[error(transparent)]
+    Document(#[from] DocumentError),
+    /// The body of an apply is larger than its limit, or did not arrive whole.
+    #[error(transparent)]
+    Body(Box<dyn std::error::Error + Send + Sync>),
+    /// The body of an apply has not the form of one.
+    #[error(transparent)]
+    Request(serde_json::Error),
+    /// The policies were not applied.
+    #[error(transparent)]
+    Apply(#[from] ApplyError),
+    /// There is no configuration to decide by yet.
+    #[error("this entry has no configuration yet; ask another")]
+    NoConfig,
+    /// No route takes the request in question.
+    #[error("no route takes this host and path; correct them or add a route")]
+    NoRoute,
+    /// A key of a question is missing.
+    #[error("{0} is missing; give {0}=VALUE")]
+    MissingKey(&'static str),
+    /// A key of a question names no header.
+    #[error(transparent)]
+    HeaderName(#[from] InvalidHeaderName),
+    /// A question's header cannot have this value.
+    #[error(transparent)]
+    HeaderValue(#[from] InvalidHeaderValue),
+    /// A question's method is none.
+    #[error(transparent)]
+    Method(#[from] InvalidMethod),
+    /// A question's path is none.
+    #[error(transparent)]
+    Path(#[from] InvalidUri),
+    /// An answer has no form in JSON: a fault of this program.
+    #[error(transparent)]
+    Answer(serde_json::Error),
 }
 
 impl Refusal {
-    /// A refusal with this status, and an error as its message.
-    pub fn new(status: StatusCode, message: impl ToString) -> Self {
-        Self { status, message: message.to_string() }
+    /// Status of the answer.
+    pub fn status(&self) -> StatusCode {
+        match self {
+            Self::NoPolicies | Self::NoRoute => StatusCode::NOT_FOUND,
+            Self::Body(_) => StatusCode::PAYLOAD_TOO_LARGE,
+            Self::Apply(error) => error.status(),
+            Self::NoConfig => StatusCode::SERVICE_UNAVAILABLE,
+            Self::Document(_) | Self::Answer(_) => StatusCode::INTERNAL_SERVER_ERROR,
+            Self::Request(_)
+            | Self::MissingKey(_)
+            | Self::HeaderName(_)
+            | Self::HeaderValue(_)
+            | Self::Method(_)
+            | Self::Path(_) => StatusCode::BAD_REQUEST,
+        }
     }
 
     /// The answer's body.
-    pub fn body(self) -> Vec<u8> {
-        serde_json::to_vec(&Refused { message: self.message }).expect("a message is a plain string")
+    pub fn body(&self) -> Vec<u8> {
+        let refused = Refused { message: self.to_string() };
+        serde_json::to_vec(&refused).expect("a message is a plain string")
     }
 }
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -13,7 +13,7 @@
 use crate::settings::Settings;
 use crate::state::Instance;
 use crate::store::health::StoreHealth;
-use hyper::{StatusCode, Uri};
+use hyper::Uri;
 use tokio::time::Instant;
 
 /// Decides on the request in a question's query string. No cap earns or is
@@ -26,8 +26,7 @@
     let question = Question::try_from(uri)?;
     let settings = instance.settings();
     let routing = instance.routing.borrow();
-    let unknown = || Refusal::new(StatusCode::SERVICE_UNAVAILABLE, "this entry has no configuration yet; ask another");
-    let config = routing.config.clone().ok_or_else(unknown)?;
+    let config = routing.config.clone().ok_or(Refusal::NoConfig)?;
     let route = question.route(&config)?;
     let object = question.object.as_ref().map_or(0, |object| hash_affinity(object.as_bytes()));
     let weighted = instance.splits.borrow().peek(route, object);
