--- a/src/command/error.rs
+++ b/src/command/error.rs
@@ -15,7 +15,7 @@
     Unreadable { path: PathBuf, source: std::io::Error },
     /// The policies do not pass the check.
     #[error("{0}")]
-    Declaration(#[from] PolicyError),
+    Policies(#[from] PolicyError),
     /// The instance refused.
     #[error("{0}")]
     Refused(String),
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! | module | its job |
 //! |---|---|
-//! | [`options`] | the command line, checked once |
+//! | `options`, `help` | the command line, checked once; its description |
 //! | `apply`, `check`, `show` | policies: write, check offline, read |
 //! | `status`, `instances`, `targets`, `why` | what an instance holds and decides |
 //! | `explain`, `account` | what became of a request, from collected log lines |
@@ -20,8 +20,9 @@
 mod client;
 mod error;
 mod explain;
+mod help;
 mod instances;
-pub mod options;
+mod options;
 mod output;
 mod show;
 mod status;
@@ -40,7 +41,7 @@
 /// Does what the arguments, without the program's name, ask for.
 ///
 /// Prints the result, or the error on the error output. The exit code is one of
-/// those in [`options::HELP`].
+/// those that `lockloft --help` lists.
 pub fn run(args: impl Iterator<Item = String>) -> ExitCode {
     match execute(args.collect()) {
         Ok(()) => ExitCode::SUCCESS,
@@ -53,7 +54,7 @@
 
 fn execute(args: Vec<String>) -> Result<(), CommandError> {
     match Asked::try_from(args)? {
-        Asked::Help => print!("{}", options::HELP),
+        Asked::Help => print!("{}", help::HELP),
         Asked::Version => println!("lockloft {}", env!("CARGO_PKG_VERSION")),
         Asked::Run(options) => runtime()?.block_on(output(&options))?.print(options.json),
     }
--- a/src/command/options.rs
+++ b/src/command/options.rs
@@ -1,53 +1,12 @@
-//! The tool's command line, checked once.
+//! The tool's command line, checked once: what follows gets paths, numbers and
+//! pairs, and no arguments. `help.rs` describes it.
 
 use super::error::CommandError;
 use getopts::{Matches, Options as Parser};
 use std::path::PathBuf;
 
 /// Environment variable with the peers' address of an instance.
-const INSTANCE: &str = "LOCKLOFT_ENTRY";
-
-/// The help text.
-pub const HELP: &str = "\
-Usage: lockloft [--entry ADDR] [--json] COMMAND [ARGUMENTS]
-
-Applies policies and asks lockloft what it does and why.
-
-Commands:
-    apply PATH              apply the policies in a file or folder
-        --wait              wait until every instance has them in force
-        --expect REVISION   refuse unless this revision is in force
-        --by NAME           who applies them (default: $USER)
-    check PATH              check policies without an instance
-    show                    print the policies in force
-    status                  what the instance knows of itself and the store
-    instances               all instances
-    targets                 all targets and their load
-    why KEY=VALUE...        a dry decision: host=H path=P [method=M] [object=O]
-                            [HEADER=V...]
-    explain ID              what became of a request
-        --log FILE          from collected log lines; may be repeated
-
-Options:
-    -e, --entry ADDR        peers' address of any instance (or LOCKLOFT_ENTRY)
-        --json              print JSON
-    -h, --help              print this help
-    -V, --version           print the version
-
-Exit codes:
-    0  done
-    1  refused: bad policies, an unknown name, an instance that cannot
-    2  the command line cannot be read
-    3  another operator's change came first
-    4  no instance answers
-    5  --wait ran out of time; the policies are applied
-
-Examples:
-    lockloft check examples/policies.toml
-    lockloft --entry 10.1.0.4:8544 apply examples/policies.toml --wait
-    lockloft --entry 10.1.0.4:8544 why host=tickets.example path=/buy/ object=sailing-7
-    lockloft explain request-2 --log e-1.log --log e-2.log
-";
+const INSTANCE_VARIABLE: &str = "LOCKLOFT_ENTRY";
 
 /// What the arguments ask for.
 pub enum Asked {
@@ -125,7 +84,7 @@
             return Ok(Asked::Version);
         }
         let command = command(&matches)?;
-        let instance = matches.opt_str("entry").or_else(|| std::env::var(INSTANCE).ok());
+        let instance = matches.opt_str("entry").or_else(|| std::env::var(INSTANCE_VARIABLE).ok());
         Ok(Asked::Run(Options { instance, json: matches.opt_present("json"), command }))
     }
 }
@@ -180,7 +139,7 @@
     Ok(Command::Explain(Explain { request: id.to_owned(), logs }))
 }
 
-/// Options that only one command takes.
+/// Refuses options of other commands.
 fn refuse_foreign(matches: &Matches, name: &str) -> Result<(), CommandError> {
     let owners = [("wait", "apply"), ("expect", "apply"), ("by", "apply"), ("log", "explain"), ("policies", "check")];
     for (option, owner) in owners {
