--- a/src/command/account.rs
+++ b/src/command/account.rs
@@ -7,63 +7,69 @@
 pub fn sentences(lines: &[Line]) -> String {
     let mut lines: Vec<&Line> = lines.iter().collect();
     lines.sort_by_key(|line| line.timestamp().to_owned());
-    lines.iter().map(|line| sentence(line)).collect()
+    lines.into_iter().map(sentence).collect()
 }
 
 fn sentence(line: &Line) -> String {
     match line {
-        Line::TryFailed(line) => tried(line),
-        Line::Request(line) => format!("{}{}{}{}", decided(line), governed(line), sent(line), ended(line)),
+        Line::TryFailed(line) => failed_try(line),
+        Line::Request(line) => [route(line), policies(line), target(line), outcome(line)].concat(),
     }
 }
 
-fn tried(line: &TryLine) -> String {
-    let what = match line.fault.as_str() {
+fn failed_try(line: &TryLine) -> String {
+    let TryLine { timestamp, after_ms, target, hall, fault, .. } = line;
+    format!("{timestamp}: after {after_ms} ms, target {target} in {hall} {}.\n", fault_text(fault))
+}
+
+/// The text for a fault; the word itself where a later instance has a new one.
+fn fault_text(word: &str) -> &str {
+    match word {
         "unreachable" => "could not be connected to; nothing was sent",
         "not-executed" => "said that it did not run the request",
         "lost" => "gave no answer that can be passed on; it may have run the request",
         "silent" => "gave no answer in time; it may have run the request",
         other => other,
-    };
-    format!("{}: after {} ms, target {} in {} {what}.\n", line.timestamp, line.after_ms, line.target, line.hall)
+    }
 }
 
-fn decided(line: &RequestLine) -> String {
-    let known = match line.view_age_ms {
+fn route(line: &RequestLine) -> String {
+    let RequestLine { timestamp, id, config, .. } = line;
+    let age = match line.view_age_ms {
         Some(age) => format!("what was known of the store was {age} ms old"),
         None => "nothing was known of the store".to_owned(),
     };
     match &line.route {
-        Some(route) => format!(
-            "{}: request {} took route {route} of configuration {}; {known}.\n",
-            line.timestamp, line.id, line.config
-        ),
-        None => {
-            format!("{}: request {} took no route (configuration {}); {known}.\n", line.timestamp, line.id, line.config)
-        }
+        Some(route) => format!("{timestamp}: request {id} took route {route} of configuration {config}; {age}.\n"),
+        None => format!("{timestamp}: request {id} took no route (configuration {config}); {age}.\n"),
     }
 }
 
-fn governed(line: &RequestLine) -> String {
+fn policies(line: &RequestLine) -> String {
     line.policies.as_ref().map_or_else(String::new, |names| format!("Policies with a part in it: {names}.\n"))
 }
 
-fn sent(line: &RequestLine) -> String {
+fn target(line: &RequestLine) -> String {
+    let RequestLine { sends, load, .. } = line;
     match (&line.target, &line.hall, &line.service) {
-        (Some(target), Some(hall), Some(service)) if line.sends == 0 && line.outcome == "full" => format!(
-            "It was sent to no target: {target} of {service} in {hall}, the first of its object, had {:.1} requests.\n",
-            line.load
+        (Some(target), Some(hall), Some(service)) if *sends == 0 && line.outcome == "full" => format!(
+            "It was sent to no target: {target} of {service} in {hall}, the first of its object, had {load:.1} requests.\n"
         ),
         (Some(target), Some(hall), Some(service)) => format!(
-            "It was sent {} time(s), last to {target} of {service} in {hall}, where {:.1} requests were before it.\n",
-            line.sends, line.load
+            "It was sent {sends} time(s), last to {target} of {service} in {hall}, where {load:.1} requests were before it.\n"
         ),
         _ => "It was sent to no target.\n".to_owned(),
     }
 }
 
-fn ended(line: &RequestLine) -> String {
-    let why = match line.outcome.as_str() {
+fn outcome(line: &RequestLine) -> String {
+    let RequestLine { status, took_ms, outcome, .. } = line;
+    format!("It ended with {status} after {took_ms} ms: {}.\n", outcome_text(outcome))
+}
+
+/// The text for an outcome; the word itself where a later instance has a new one.
+fn outcome_text(word: &str) -> &str {
+    match word {
         "answered" => "the target's own answer was passed on",
         "no-configuration" => "this entry had no configuration yet: see its store_lost and config_in_force lines",
         "no-route" => "no route of that configuration takes its host and path",
@@ -80,6 +86,5 @@
         "lost" => "a target's answer was lost, so that it may have run",
         "timed-out" => "its time ran out while a target had it, so that it may have run",
         other => other,
-    };
-    format!("It ended with {} after {} ms: {why}.\n", line.status, line.took_ms)
+    }
 }
