--- a/src/command/apply.rs
+++ b/src/command/apply.rs
@@ -44,7 +44,7 @@
 fn body(asked: &Apply, sources: Sources) -> Result<Vec<u8>, CommandError> {
     let id = format!("{:032x}", rand::random::<u128>());
     let request = ApplyRequest { id, by: asked.by.clone(), expect: asked.expect, sources };
-    serde_json::to_vec(&request).map_err(|error| CommandError::Strange(error.to_string()))
+    serde_json::to_vec(&request).map_err(|error| CommandError::BadAnswer(error.to_string()))
 }
 
 /// Waits until every instance that is registered has a revision in force.
--- a/src/command/client.rs
+++ b/src/command/client.rs
@@ -55,9 +55,9 @@
         let exchanged = timeout(TIMEOUT, self.exchange(method, path, body)).await.map_err(|_| unreachable())?;
         let (status, bytes) = exchanged.map_err(|_| unreachable())?;
         if status.is_success() {
-            return serde_json::from_slice(&bytes).map_err(|e| CommandError::Strange(e.to_string()));
+            return serde_json::from_slice(&bytes).map_err(|e| CommandError::BadAnswer(e.to_string()));
         }
-        let refused: Refused = serde_json::from_slice(&bytes).map_err(|e| CommandError::Strange(e.to_string()))?;
+        let refused: Refused = serde_json::from_slice(&bytes).map_err(|e| CommandError::BadAnswer(e.to_string()))?;
         Err(match status {
             StatusCode::CONFLICT => CommandError::Conflict(refused.message),
             _ => CommandError::Refused(refused.message),
--- a/src/command/error.rs
+++ b/src/command/error.rs
@@ -7,7 +7,7 @@
 /// A failed command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The command line cannot be read.
+    /// The command line is no command with its arguments.
     #[error("{0}; remedy: see lockloft --help")]
     Usage(String),
     /// A file cannot be read.
@@ -25,12 +25,13 @@
     /// No instance answers.
     #[error("no instance answers at {instance}; remedy: give the peers' address of one with --entry or LOCKLOFT_ENTRY")]
     Unreachable { instance: String },
-    /// What was waited for did not come.
+    /// `--wait` ended before the policies were in force everywhere.
     #[error("{0}")]
     Timeout(String),
-    /// An answer that cannot be understood.
+    /// An answer that has not the expected form. Also what cannot fail in a sound
+    /// program: a value without a form in JSON, a runtime that does not start.
     #[error("the instance's answer cannot be understood ({0}); remedy: use the same version of both programs")]
-    Strange(String),
+    BadAnswer(String),
 }
 
 impl CommandError {
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -62,7 +62,7 @@
 }
 
 fn runtime() -> Result<Runtime, CommandError> {
-    Builder::new_current_thread().enable_all().build().map_err(|error| CommandError::Strange(error.to_string()))
+    Builder::new_current_thread().enable_all().build().map_err(|error| CommandError::BadAnswer(error.to_string()))
 }
 
 async fn output(options: &Options) -> Result<Output, CommandError> {
--- a/src/command/output.rs
+++ b/src/command/output.rs
@@ -15,10 +15,10 @@
     /// A value, and the text that says the same.
     ///
     /// # Errors
-    /// Never for plain data: [`CommandError::Strange`] for a value that has no form
+    /// Never for plain data: [`CommandError::BadAnswer`] for a value that has no form
     /// in JSON.
     pub fn new<T: Serialize>(value: &T, text: String) -> Result<Self, CommandError> {
-        let json = serde_json::to_value(value).map_err(|error| CommandError::Strange(error.to_string()))?;
+        let json = serde_json::to_value(value).map_err(|error| CommandError::BadAnswer(error.to_string()))?;
         Ok(Self { text, json })
     }
 
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -37,6 +37,7 @@
     let query = query(&settings, &instance.health, route, service, object, active.as_ref());
     let verdicts = explain(&routing, &config, &query);
     let chosen = verdicts.iter().find(|(_, verdict)| *verdict == Verdict::Chosen);
+    let targets = verdicts.iter().map(|(target, verdict)| line(target, *verdict, query.now)).collect();
     Ok(Why {
         route: route.name.to_string(),
         service: service.to_owned(),
@@ -45,7 +46,7 @@
         view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
         acted: active.as_ref().map_or_else(Vec::new, Active::applied),
         chosen: chosen.map(|(target, _)| target.id.to_string()),
-        targets: verdicts.iter().map(|(target, verdict)| line(target, *verdict, query.now)).collect(),
+        targets,
     })
 }
 
