--- a/src/command/error.rs
+++ b/src/command/error.rs
@@ -1,13 +1,13 @@
 //! What can go wrong in a command, with its exit code.
 
-use crate::policy::DeclarationError;
+use crate::policy::PolicyError;
 use std::path::PathBuf;
 use thiserror::Error;
 
 /// A failed command.
 #[derive(Debug, Error)]
 pub enum CommandError {
-    /// The command line cannot be read.
+    /// The command line is no command with its arguments.
     #[error("{0}; remedy: see lockloft --help")]
     Usage(String),
     /// A file cannot be read.
@@ -15,7 +15,7 @@
     Unreadable { path: PathBuf, source: std::io::Error },
     /// The policies do not pass the check.
     #[error("{0}")]
-    Declaration(#[from] DeclarationError),
+    Policies(#[from] PolicyError),
     /// The instance refused.
     #[error("{0}")]
     Refused(String),
@@ -25,12 +25,13 @@
     /// No instance answers.
     #[error("no instance answers at {instance}; remedy: give the peers' address of one with --entry or LOCKLOFT_ENTRY")]
     Unreachable { instance: String },
-    /// What was waited for did not come.
+    /// `--wait` ended before the policies were in force everywhere.
     #[error("{0}")]
     Timeout(String),
-    /// An answer that cannot be understood.
+    /// An answer that has not the expected form. Also what cannot fail in a sound
+    /// program: a value without a form in JSON, a runtime that does not start.
     #[error("the instance's answer cannot be understood ({0}); remedy: use the same version of both programs")]
-    Strange(String),
+    BadAnswer(String),
 }
 
 impl CommandError {
--- /dev/null
+++ b/src/policy/matched.rs
@@ -0,0 +1,153 @@
+//! The policies that select one request, and what they say of each target.
+//!
+//! [`super`] has the order in which they are applied.
+
+use super::action::{Action, UNRANKED};
+use super::credit::CapCharge;
+use super::facts::RequestFacts;
+use super::mask::PolicyMask;
+use super::policies::Policies;
+use super::verdict::{Order, PolicyVerdict};
+use crate::hash::unit;
+use std::cell::Cell;
+use std::rc::Rc;
+
+/// Seed of the hash that places an object on the scale of weights. Any fixed
+/// number will do: it has to be the same at every instance and another than those
+/// of other hashes of the object.
+const WEIGHT_SEED: u64 = 0x9e37_79b9;
+
+/// The policies that select a request.
+#[derive(Debug)]
+pub struct Active<'a> {
+    policies: Rc<Policies>,
+    mask: PolicyMask,
+    /// The weight policy whose places the request goes to, where one has it.
+    weight: Option<usize>,
+    /// The policies that had a part in the choice so far.
+    applied: Cell<PolicyMask>,
+    charge: &'a CapCharge,
+}
+
+impl<'a> Active<'a> {
+    /// Finds the policies that select a request about `object`; `None` where
+    /// none does. Their caps earn for the request, once over all its tries.
+    pub fn find(
+        policies: &Rc<Policies>,
+        request: &RequestFacts<'_>,
+        object: u64,
+        charge: &'a CapCharge,
+    ) -> Option<Self> {
+        let mask = policies.of_request(request);
+        if mask.is_empty() {
+            return None;
+        }
+        let weight = pick_weight(policies, mask, unit(object, WEIGHT_SEED));
+        let active = Self { policies: policies.clone(), mask, weight, applied: Cell::default(), charge };
+        charge.earn(policies, active.caps());
+        Some(active)
+    }
+
+    /// The document that they belong to.
+    pub fn document(&self) -> &Policies {
+        &self.policies
+    }
+
+    /// What the policies say of a target, which those in `selecting` select.
+    pub fn verdict(&self, selecting: PolicyMask) -> PolicyVerdict {
+        let selecting = selecting.and(self.mask);
+        let kinds = &self.policies.kinds;
+        let denials = selecting.and(kinds.denials);
+        if !denials.is_empty() {
+            self.note(denials);
+            return PolicyVerdict::Denied;
+        }
+        let allowances = self.mask.and(kinds.allowances);
+        if !allowances.is_empty() && selecting.and(allowances).is_empty() {
+            self.note(allowances);
+            return PolicyVerdict::NotAllowed;
+        }
+        let order = self.order(selecting);
+        let drains = selecting.and(kinds.drains);
+        if !drains.is_empty() {
+            self.note(drains);
+            return PolicyVerdict::Drained(order);
+        }
+        PolicyVerdict::Open(order)
+    }
+
+    fn order(&self, selecting: PolicyMask) -> Order {
+        Order {
+            unwanted: self.weight.is_some_and(|position| !selecting.contains(position)),
+            rank: self.rank(selecting.and(self.policies.kinds.preferences)),
+        }
+    }
+
+    /// Whether a cap bounds what may be moved.
+    pub fn has_caps(&self) -> bool {
+        !self.caps().is_empty()
+    }
+
+    /// Pays for a move out of the default target's hall; false where a cap leaves
+    /// no credit for it. [`super::credit`] has the rule.
+    pub fn charge_caps(&self) -> bool {
+        match self.charge.pay(&self.policies, self.caps()) {
+            Ok(()) => true,
+            Err(exhausted) => {
+                self.note(PolicyMask::only(exhausted));
+                false
+            }
+        }
+    }
+
+    /// Notes the weight and the preferences that led to a target, which the policies
+    /// in `selecting` select.
+    pub fn note_choice(&self, selecting: PolicyMask) {
+        let selecting = selecting.and(self.mask);
+        let preferences = selecting.and(self.policies.kinds.preferences);
+        let best = Action::Prefer(self.rank(preferences));
+        for position in preferences.positions() {
+            if self.policies.list[position].action == best {
+                self.note(PolicyMask::only(position));
+            }
+        }
+        if let Some(position) = self.weight.filter(|position| selecting.contains(*position)) {
+            self.note(PolicyMask::only(position));
+        }
+    }
+
+    /// Names of the policies that had a part in the choice, in name order.
+    pub fn applied(&self) -> Vec<String> {
+        self.policies.names(self.applied.get()).map(str::to_owned).collect()
+    }
+
+    fn note(&self, mask: PolicyMask) {
+        self.applied.set(self.applied.get().or(mask));
+    }
+
+    fn caps(&self) -> PolicyMask {
+        self.mask.and(self.policies.kinds.caps)
+    }
+
+    fn rank(&self, preferences: PolicyMask) -> u16 {
+        let rank = |position: usize| match self.policies.list[position].action {
+            Action::Prefer(rank) => rank,
+            _ => UNRANKED,
+        };
+        preferences.positions().map(rank).min().unwrap_or(UNRANKED)
+    }
+}
+
+/// The weight whose part of the scale from 0 to 1 the point falls in; weights
+/// share the scale in name order.
+fn pick_weight(policies: &Policies, mask: PolicyMask, point: f64) -> Option<usize> {
+    let mut start = 0.0;
+    for position in mask.and(policies.kinds.weights).positions() {
+        let Action::Weight(share) = policies.list[position].action else { continue };
+        if point < start + share {
+            return Some(position);
+        }
+        start += share;
+    }
+    None
+}
