--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -49,23 +49,22 @@
 
 /// Whether a request that arrives now is served rather than refused.
 pub fn takes_requests<P: Platform>(instance: &Instance<P>) -> bool {
-    if instance.ending.get() {
+    if instance.lifecycle.is_ending() {
         return false;
     }
     let stop = instance.settings.borrow().stop;
-    instance.stopping.get().is_none_or(|signalled| signalled.elapsed() < stop.mul_f64(SERVING_SHARE))
+    instance.lifecycle.stopping_for().is_none_or(|elapsed| elapsed < stop.mul_f64(SERVING_SHARE))
 }
 
 /// Runs a planned stop; returns when the process may end.
 pub async fn drain<P: Platform>(instance: Rc<Instance<P>>) {
     let signalled = Instant::now();
-    instance.stopping.set(Some(signalled));
-    instance.stop_asked.notify_waiters();
+    instance.lifecycle.begin_stop(signalled);
     tracing::info!(event = "stopping", active = instance.active.get());
     let last = signalled + instance.settings().stop.saturating_sub(KILL_MARGIN);
     wait_for_quiet(&instance, signalled, last).await;
     // From here on new requests are refused, so that the end cuts none off.
-    instance.ending.set(true);
+    instance.lifecycle.begin_end();
     wait_for_last_request(&instance, last).await;
     let after_ms = signalled.elapsed().as_millis() as u64;
     tracing::info!(event = "stopped", active = instance.active.get(), after_ms);
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -76,7 +76,7 @@
         view_revision: instance.store_copy.view().at(),
         view_age_ms: instance.store_copy.view_age().map(|age| age.as_millis() as u64),
         store_lost: instance.store_copy.is_lost(),
-        stopping: instance.stopping.get().is_some(),
+        stopping: instance.lifecycle.is_stopping(),
         members: routing.members.len(),
         targets: routing.targets().count(),
         active: instance.active.get(),
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -40,7 +40,7 @@
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let active = Active::new(&self.0);
         let mut response = serve(&self.0, request).await;
-        if self.0.stopping.get().is_some() {
+        if self.0.lifecycle.is_stopping() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         drop(active);
--- /dev/null
+++ b/src/state/lifecycle.rs
@@ -0,0 +1,50 @@
+//! Whether an instance runs, stops or ends.
+//!
+//! Owns these states; only [`crate::instance::stop`] advances them. Relies on nothing.
+
+use std::cell::Cell;
+use std::time::Duration;
+use tokio::sync::Notify;
+use tokio::sync::futures::Notified;
+use tokio::time::Instant;
+
+/// The state of the process. It only moves on: running, stopping, ending.
+#[derive(Debug, Default)]
+pub struct Lifecycle {
+    stopping_since: Cell<Option<Instant>>,
+    ending: Cell<bool>,
+    stop_requested: Notify,
+}
+
+impl Lifecycle {
+    /// Begins the planned stop.
+    pub fn begin_stop(&self, now: Instant) {
+        self.stopping_since.set(Some(now));
+        self.stop_requested.notify_waiters();
+    }
+
+    /// Begins the end: no request is served any more.
+    pub fn begin_end(&self) {
+        self.ending.set(true);
+    }
+
+    /// Whether the planned stop has begun.
+    pub fn is_stopping(&self) -> bool {
+        self.stopping_since.get().is_some()
+    }
+
+    /// Time since the planned stop began; `None` before.
+    pub fn stopping_for(&self) -> Option<Duration> {
+        self.stopping_since.get().map(|since| since.elapsed())
+    }
+
+    /// Whether requests are no longer served.
+    pub fn is_ending(&self) -> bool {
+        self.ending.get()
+    }
+
+    /// Completes once a stop is requested.
+    pub fn stop_requested(&self) -> Notified<'_> {
+        self.stop_requested.notified()
+    }
+}
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -3,7 +3,7 @@
 //! | part | what it owns |
 //! |---|---|
 //! | [`StoreCopy`] | the view of the store and how current it is |
-//! | `stopping`, `ending`, `stop_asked` | running, stopping, ending |
+//! | [`Lifecycle`] | running, stopping, ending |
 //! | `active`, `last_request`, `held_bytes` | requests in flight and what they hold |
 //! | [`Routing`], [`Splits`], [`RetryBudget`] | the state of the decisions |
 //! | [`Settings`], [`Metrics`], [`Log`] | what their names say |
@@ -13,8 +13,10 @@
 //! and `telemetry`; the tasks in `sync`, `proxy`, `directory` and `operator` rely on it.
 
 mod change_log;
+mod lifecycle;
 mod store_copy;
 
+pub use lifecycle::Lifecycle;
 pub use store_copy::StoreCopy;
 
 use crate::decision::retry::RetryBudget;
@@ -27,7 +29,6 @@
 use crate::telemetry::metrics::Metrics;
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
-use tokio::sync::Notify;
 use tokio::time::Instant;
 
 /// Share of the setting `bounds.retry_ratio` that is used: instances and targets count
@@ -54,12 +55,8 @@
     pub splits: RefCell<Splits>,
     /// The retry budget.
     pub retries: RefCell<RetryBudget>,
-    /// When the planned stop began.
-    pub stopping: Cell<Option<Instant>>,
-    /// Whether requests are no longer served.
-    pub ending: Cell<bool>,
-    /// Wakes tasks that wait for the stop.
-    pub stop_asked: Notify,
+    /// Whether the instance runs, stops or ends.
+    pub lifecycle: Lifecycle,
     /// Requests in flight.
     pub active: Cell<u32>,
     /// When the last request arrived.
@@ -83,9 +80,7 @@
             names: P::headers(),
             store_copy: StoreCopy::default(),
             splits: RefCell::new(Splits::default()),
-            stopping: Cell::new(None),
-            ending: Cell::new(false),
-            stop_asked: Notify::new(),
+            lifecycle: Lifecycle::default(),
             active: Cell::new(0),
             last_request: Cell::new(Instant::now()),
             held_bytes: Rc::default(),
@@ -101,7 +96,7 @@
 
     /// Whether callers should use this instance.
     pub fn is_ready(&self) -> bool {
-        self.stopping.get().is_none() && self.routing.borrow().config.is_some()
+        !self.lifecycle.is_stopping() && self.routing.borrow().config.is_some()
     }
 
     /// Applies a list of the store's items; `source` is for the log.
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -25,11 +25,11 @@
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let mut registered: Option<Registered> = None;
     let mut backoff = Backoff::default();
-    while instance.stopping.get().is_none() {
+    while !instance.lifecycle.is_stopping() {
         let wait = step(&instance, &mut registered, &mut backoff).await;
         tokio::select! {
             () = sleep(wait) => {}
-            () = instance.stop_asked.notified() => {}
+            () = instance.lifecycle.stop_requested() => {}
         }
     }
     if let Some(registered) = registered {
