--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -27,7 +27,7 @@
             peers::CHANGES_PATH => peers::serve_changes(&self.0, request.uri().query().unwrap_or("")).await,
             METRICS_PATH => {
                 let metrics = &self.0.metrics;
-                metrics.held_bytes.set(self.0.held_bytes.get() as i64);
+                metrics.held_bytes.set(self.0.requests.buffered_bytes() as i64);
                 metrics.lines_dropped.set(self.0.log.lines().dropped() as i64);
                 metrics.lines_left_out.set(self.0.log.lines().left_out() as i64);
                 Response::new(AnswerBody::buffered(metrics.text()))
--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -60,22 +60,22 @@
 pub async fn drain<P: Platform>(instance: Rc<Instance<P>>) {
     let signalled = Instant::now();
     instance.lifecycle.begin_stop(signalled);
-    tracing::info!(event = "stopping", active = instance.active.get());
+    tracing::info!(event = "stopping", active = instance.requests.in_flight());
     let last = signalled + instance.settings().stop.saturating_sub(KILL_MARGIN);
     wait_for_quiet(&instance, signalled, last).await;
     // From here on new requests are refused, so that the end cuts none off.
     instance.lifecycle.begin_end();
     wait_for_last_request(&instance, last).await;
     let after_ms = signalled.elapsed().as_millis() as u64;
-    tracing::info!(event = "stopped", active = instance.active.get(), after_ms);
+    tracing::info!(event = "stopped", active = instance.requests.in_flight(), after_ms);
 }
 
 /// Waits until callers have stopped sending requests, `last` at the latest.
 async fn wait_for_quiet<P: Platform>(instance: &Instance<P>, signalled: Instant, last: Instant) {
     while Instant::now() < last {
         sleep(POLL_EVERY).await;
-        let is_quiet = instance.last_request.get().elapsed() > QUIET_TIME;
-        if instance.active.get() == 0 && is_quiet && signalled.elapsed() > MIN_DURATION {
+        let is_quiet = instance.requests.idle_time() > QUIET_TIME;
+        if instance.requests.in_flight() == 0 && is_quiet && signalled.elapsed() > MIN_DURATION {
             return;
         }
     }
@@ -85,7 +85,7 @@
 /// requests accepted just before.
 async fn wait_for_last_request<P: Platform>(instance: &Instance<P>, last: Instant) {
     sleep(POLL_EVERY).await;
-    while instance.active.get() > 0 && Instant::now() < last {
+    while instance.requests.in_flight() > 0 && Instant::now() < last {
         sleep(POLL_EVERY).await;
     }
 }
--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -79,7 +79,7 @@
         stopping: instance.lifecycle.is_stopping(),
         members: routing.members.len(),
         targets: routing.targets().count(),
-        active: instance.active.get(),
+        active: instance.requests.in_flight(),
         evacuated: routing.evacuated().map(str::to_owned).collect(),
     }
 }
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -51,13 +51,16 @@
         if incoming.is_end_stream() {
             return Ok(IncomingBody::Buffered {
                 bytes: Bytes::new(),
-                _held: BufferedBytes::none(&instance.held_bytes),
+                _held: BufferedBytes::none(instance.requests.buffer_counter()),
             });
         }
-        let mut held = BufferedBytes::none(&instance.held_bytes);
+        let mut held = BufferedBytes::none(instance.requests.buffer_counter());
         let mut chunks = VecDeque::new();
         let room = instance.settings.borrow().memory / BUFFER_DIVISOR;
-        while hint.lower() <= MAX_BUFFERED_BODY && held.own <= MAX_BUFFERED_BODY && instance.held_bytes.get() <= room {
+        while hint.lower() <= MAX_BUFFERED_BODY
+            && held.own <= MAX_BUFFERED_BODY
+            && instance.requests.buffered_bytes() <= room
+        {
             let frame = match timeout_at(until, incoming.frame()).await {
                 Err(_) | Ok(Some(Err(_))) => return Err(Refusal::BrokenBody),
                 Ok(Some(Ok(frame))) => frame,
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -21,7 +21,7 @@
 
 impl<'a, P: Platform> Active<'a, P> {
     fn new(instance: &'a Instance<P>) -> Self {
-        instance.active.set(instance.active.get() + 1);
+        instance.requests.begin();
         instance.metrics.active.inc();
         Self(instance)
     }
@@ -29,7 +29,7 @@
 
 impl<P: Platform> Drop for Active<'_, P> {
     fn drop(&mut self) {
-        self.0.active.set(self.0.active.get() - 1);
+        self.0.requests.end();
         self.0.metrics.active.dec();
     }
 }
--- a/src/proxy/serve.rs
+++ b/src/proxy/serve.rs
@@ -50,7 +50,7 @@
 /// Answers a caller's request.
 pub async fn serve<P: Platform>(instance: &Instance<P>, request: Request<Incoming>) -> Response<AnswerBody> {
     let started = Instant::now();
-    instance.last_request.set(started);
+    instance.requests.mark_arrival(started);
     let id = request.headers().get(&instance.names.request_id).cloned();
     let mut story = Story::default();
     let served = route(instance, request, started, &mut story).await;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -4,7 +4,7 @@
 //! |---|---|
 //! | [`StoreCopy`] | the view of the store and how current it is |
 //! | [`Lifecycle`] | running, stopping, ending |
-//! | `active`, `last_request`, `held_bytes` | requests in flight and what they hold |
+//! | [`Requests`] | requests in flight and what they hold |
 //! | [`Routing`], [`Splits`], [`RetryBudget`] | the state of the decisions |
 //! | [`Settings`], [`Metrics`], [`Log`] | what their names say |
 //!
@@ -14,9 +14,11 @@
 
 mod change_log;
 mod lifecycle;
+mod requests;
 mod store_copy;
 
 pub use lifecycle::Lifecycle;
+pub use requests::Requests;
 pub use store_copy::StoreCopy;
 
 use crate::decision::retry::RetryBudget;
@@ -27,7 +29,7 @@
 use crate::store::{Event, Listing};
 use crate::telemetry::log::Log;
 use crate::telemetry::metrics::Metrics;
-use std::cell::{Cell, RefCell};
+use std::cell::RefCell;
 use std::rc::Rc;
 use tokio::time::Instant;
 
@@ -58,11 +60,7 @@
     /// Whether the instance runs, stops or ends.
     pub lifecycle: Lifecycle,
     /// Requests in flight.
-    pub active: Cell<u32>,
-    /// When the last request arrived.
-    pub last_request: Cell<Instant>,
-    /// Bytes of buffered request bodies.
-    pub held_bytes: Rc<Cell<u64>>,
+    pub requests: Requests,
     /// Counters.
     pub metrics: Metrics,
     /// The log.
@@ -81,9 +79,7 @@
             store_copy: StoreCopy::default(),
             splits: RefCell::new(Splits::default()),
             lifecycle: Lifecycle::default(),
-            active: Cell::new(0),
-            last_request: Cell::new(Instant::now()),
-            held_bytes: Rc::default(),
+            requests: Requests::new(Instant::now()),
             metrics: Metrics::default(),
             log,
         }
--- /dev/null
+++ b/src/state/requests.rs
@@ -0,0 +1,60 @@
+//! The requests of callers that an instance works on.
+//!
+//! Owns their number, the arrival of the last one and the bytes of buffered bodies. The
+//! proxy updates it; the planned stop and the metrics read it. Relies on nothing.
+
+use std::cell::Cell;
+use std::rc::Rc;
+use std::time::Duration;
+use tokio::time::Instant;
+
+/// Requests in flight, and what they hold.
+#[derive(Debug)]
+pub struct Requests {
+    in_flight: Cell<u32>,
+    last_arrival: Cell<Instant>,
+    buffered_bytes: Rc<Cell<u64>>,
+}
+
+impl Requests {
+    /// No requests yet; `now` counts as the last arrival.
+    pub fn new(now: Instant) -> Self {
+        Self { in_flight: Cell::new(0), last_arrival: Cell::new(now), buffered_bytes: Rc::default() }
+    }
+
+    /// Counts a request that begins.
+    pub fn begin(&self) {
+        self.in_flight.set(self.in_flight.get() + 1);
+    }
+
+    /// Counts a request that has ended.
+    pub fn end(&self) {
+        self.in_flight.set(self.in_flight.get() - 1);
+    }
+
+    /// Requests in flight.
+    pub fn in_flight(&self) -> u32 {
+        self.in_flight.get()
+    }
+
+    /// Records the arrival of a request.
+    pub fn mark_arrival(&self, now: Instant) {
+        self.last_arrival.set(now);
+    }
+
+    /// Time since the last request arrived.
+    pub fn idle_time(&self) -> Duration {
+        self.last_arrival.get().elapsed()
+    }
+
+    /// Bytes of buffered request bodies.
+    pub fn buffered_bytes(&self) -> u64 {
+        self.buffered_bytes.get()
+    }
+
+    /// The counter of buffered bytes, for guards that add what they hold and subtract it
+    /// when they are dropped.
+    pub fn buffer_counter(&self) -> &Rc<Cell<u64>> {
+        &self.buffered_bytes
+    }
+}
