--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -4,7 +4,7 @@
 use super::error::CommandError;
 use super::options::Explain;
 use super::request;
-use crate::telemetry::line::Line;
+use crate::telemetry::access_log::Line;
 use std::io::{BufRead, BufReader};
 use std::path::Path;
 
--- a/src/command/request.rs
+++ b/src/command/request.rs
@@ -1,6 +1,6 @@
 //! The story of one request, told from the lines of instances' logs.
 
-use crate::telemetry::line::{Line, RequestLine, TryLine};
+use crate::telemetry::access_log::{Line, RequestLine, TryLine};
 
 /// The story of a request in plain sentences, from all its lines.
 pub fn sentences(lines: &[Line]) -> String {
--- a/src/telemetry/line.rs
+++ b/src/telemetry/access_log.rs
@@ -1,5 +1,8 @@
-//! The lines of an instance's log that concern one request, as they are read
-//! back to explain it. `docs/OPERATIONS.md` describes each field.
+//! The lines of an instance's log that concern one request, as `lockloft explain` reads
+//! them back. `docs/OPERATIONS.md` describes each field.
+//!
+//! Owns the names of the fields that are read back; the proxy writes the lines. Relies on
+//! nothing.
 
 use serde::{Deserialize, Serialize};
 
@@ -8,30 +11,29 @@
 pub struct RequestLine {
     /// When the line was written.
     pub timestamp: String,
-    /// The request's identity.
+    /// The request's id.
     pub id: String,
     /// The route, where one was found.
     pub route: Option<String>,
     /// The service chosen.
     pub service: Option<String>,
-    /// The target it was last sent to; the first of its object where none had
-    /// room.
+    /// The target of the last try; the first choice of its object where none had capacity.
     pub target: Option<String>,
     /// That target's hall.
     pub hall: Option<String>,
-    /// Requests that were probably there already, in its slots and queue.
+    /// Estimated requests at that target before this one, in its slots and its queue.
     pub load: f64,
-    /// Targets that it reached.
+    /// Tries that reached a target.
     pub sends: u32,
     /// Version of the configuration that decided.
     pub config: u64,
-    /// Names of the operators' policies that had a part in the choice, joined
-    /// by commas; absent where none had.
+    /// Names of the operators' policies that affected the choice, joined by commas; absent
+    /// where none did.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub policies: Option<String>,
-    /// Age of what was known of the store, milliseconds.
+    /// Age of the view of the store, milliseconds; absent where it never was current.
     pub view_age_ms: Option<u64>,
-    /// `answered`, or why there was no target's answer.
+    /// `answered`, or the reason of the refusal.
     pub outcome: String,
     /// Status of the answer.
     pub status: u16,
@@ -39,30 +41,30 @@
     pub took_ms: u64,
 }
 
-/// A try that gave no answer to pass on.
+/// A failed try: it gave no answer to pass on.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 pub struct TryLine {
     /// When the line was written.
     pub timestamp: String,
-    /// The request's identity.
+    /// The request's id.
     pub id: String,
     /// The target.
     pub target: String,
     /// The target's hall.
     pub hall: String,
-    /// What came of it: `unreachable`, `not-executed`, `lost` or `silent`.
+    /// The failure: `unreachable`, `not-executed`, `lost` or `silent`.
     pub fault: String,
     /// Time since the request's head, milliseconds.
     pub after_ms: u64,
 }
 
-/// A line that concerns a request.
+/// A line about a request.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(tag = "event", rename_all = "snake_case")]
 pub enum Line {
     /// A failed try.
     TryFailed(TryLine),
-    /// The end.
+    /// The end of a request.
     Request(RequestLine),
 }
 
@@ -72,7 +74,7 @@
         serde_json::from_str(text).ok()
     }
 
-    /// The request's identity.
+    /// The request's id.
     pub fn id(&self) -> &str {
         match self {
             Line::TryFailed(line) => &line.id,
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -1,37 +1,42 @@
 //! Counters, gauges and histograms of an instance.
+//!
+//! Owns the registry and the names of the metrics, which dashboards use. The tasks count;
+//! gauges that are read from elsewhere are set when the metrics are requested.
 
 use prometheus::{
     Encoder, HistogramOpts, HistogramVec, IntCounter, IntCounterVec, IntGauge, Opts, Registry, TextEncoder,
 };
 
+/// Bounds of the latency histogram, seconds: close together round the objectives of 0.3 to
+/// 1.2 s; the last is the longest timeout of a route on the sites. They set the display only.
 const LATENCY_BUCKETS: [f64; 12] = [0.005, 0.02, 0.05, 0.1, 0.15, 0.2, 0.3, 0.4, 0.6, 0.8, 1.2, 3.0];
 
 /// All metrics of an instance.
 pub struct Metrics {
     registry: Registry,
-    /// Requests by outcome: `answered`, or the word of the refusal.
+    /// Requests by outcome: `answered`, or the reason of the refusal.
     pub requests: IntCounterVec,
     /// Time from the head of a request to its answer, by outcome.
     pub latency: HistogramVec,
-    /// Second tries.
+    /// Retries.
     pub retries: IntCounter,
-    /// Second tries that the budget forbade.
+    /// Retries that the budget denied.
     pub retries_denied: IntCounter,
     /// Calls to the store, by kind.
     pub store_calls: IntCounterVec,
-    /// Calls to the store that gave nothing.
+    /// Failed calls to the store.
     pub store_failures: IntCounter,
-    /// Answers of a relay.
+    /// Answers of a relay that were applied.
     pub relayed: IntCounter,
     /// Version of the configuration in force.
     pub config_version: IntGauge,
     /// Instances listed in the store.
     pub members: IntGauge,
-    /// Requests being worked on.
+    /// Requests in flight.
     pub active: IntGauge,
     /// Connections of callers.
     pub connections: IntGauge,
-    /// Bytes of request bodies that are held.
+    /// Bytes of buffered request bodies.
     pub held_bytes: IntGauge,
     /// Log lines dropped.
     pub lines_dropped: IntGauge,
--- a/standins/tests/requests.rs
+++ b/standins/tests/requests.rs
@@ -356,7 +356,10 @@
     assert!(scene.instance.metric("lockloft_entry_requests_total", "answered").await >= 1.0);
     let text = line.to_string();
     assert!(
-        matches!(lockloft::telemetry::line::Line::read(&text), Some(lockloft::telemetry::line::Line::Request(_))),
+        matches!(
+            lockloft::telemetry::access_log::Line::read(&text),
+            Some(lockloft::telemetry::access_log::Line::Request(_))
+        ),
         "{text}"
     );
     drop(scene.site);
