--- a/src/operator/answer.rs
+++ b/src/operator/answer.rs
@@ -182,7 +182,7 @@
     };
     let active = routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
     let slow_start =
-        instance.store_copy.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
+        instance.store_copy.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.slow_start });
     let query = Query {
         route,
         service: &weighted.service,
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -141,7 +141,7 @@
             .instance
             .store_copy
             .is_current()
-            .then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
+            .then_some(SlowStartShare { own: &settings.name, bounds: settings.slow_start });
         let others =
             self.route.services.iter().filter(|weighted| weighted.service != picked.service && weighted.weight > 0.0);
         let mut refusal = Refusal::NoTarget;
--- a/src/settings/mod.rs
+++ b/src/settings/mod.rs
@@ -64,7 +64,7 @@
     /// Retries allowed besides in a budget's window, over all instances.
     pub retry_slack: f64,
     /// What a target in slow start may receive, over all instances.
-    pub cold: SlowStartBounds,
+    pub slow_start: SlowStartBounds,
     /// Memory of the process, bytes.
     pub memory: u64,
     /// Descriptors of the process.
@@ -122,7 +122,7 @@
             directory_ttl: check::seconds("bounds.directory_ttl_s", bounds.directory_ttl_s)?,
             retry_ratio: check::share("bounds.retry_ratio", bounds.retry_ratio)?,
             retry_slack: check::at_least_zero("bounds.retry_slack", bounds.retry_slack)?,
-            cold: slow_start(&bounds)?,
+            slow_start: slow_start(&bounds)?,
             memory,
             descriptors: raw.limits.descriptors,
             halls: raw.halls.into_iter().map(|(hall, region)| (hall.into(), region.into())).collect(),
