--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -24,7 +24,11 @@
 
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         match request.uri().path() {
-            peers::CHANGES_PATH => peers::serve_changes(&self.0, request.uri().query().unwrap_or("")).await,
+            peers::CHANGES_PATH => {
+                let query = request.uri().query().unwrap_or("");
+                let changes = peers::serve_changes(&self.0, query).await;
+                Response::new(AnswerBody::buffered(changes.json()))
+            }
             METRICS_PATH => {
                 let metrics = &self.0.metrics;
                 metrics.held_bytes.set(self.0.requests.buffered_bytes() as i64);
--- a/src/sync/peers/change_set.rs
+++ b/src/sync/peers/change_set.rs
@@ -94,6 +94,11 @@
         }
     }
 
+    /// The JSON form.
+    pub fn json(&self) -> Vec<u8> {
+        serde_json::to_vec(self).expect("changes are plain strings")
+    }
+
     /// Time since the sender's view was last proven current.
     pub fn view_age(&self) -> Option<Duration> {
         self.view_age_ms.map(Duration::from_millis)
--- a/src/sync/peers/serve.rs
+++ b/src/sync/peers/serve.rs
@@ -5,10 +5,8 @@
 
 use super::ChangeSet;
 use crate::platform::Platform;
-use crate::proxy::answer_body::AnswerBody;
 use crate::state::Instance;
 use crate::store::health::MAX_VIEW_AGE;
-use hyper::Response;
 use std::time::Duration;
 use tokio::time::{sleep, timeout};
 
@@ -16,9 +14,9 @@
 /// asked; protects the instance that answers. Evidence: no run set it.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// Answers a peer as soon as the view changes, is confirmed to be current or turns
+/// The answer to a peer, as soon as the view changes, is confirmed to be current or turns
 /// stale, or once the wait that the peer asked for is over.
-pub async fn serve_changes<P: Platform>(instance: &Instance<P>, query: &str) -> Response<AnswerBody> {
+pub async fn serve_changes<P: Platform>(instance: &Instance<P>, query: &str) -> ChangeSet {
     let question = Question::parse(query);
     // A confirmation is passed on at once, so that it crosses each level of the relay
     // tree without another wait.
@@ -29,8 +27,7 @@
         // The peer then follows another relay.
         () = turns_stale(instance) => {}
     }
-    let changes = ChangeSet::after(instance, question.after);
-    Response::new(AnswerBody::buffered(serde_json::to_vec(&changes).expect("changes are plain strings")))
+    ChangeSet::after(instance, question.after)
 }
 
 /// Waits until the view is beyond a revision.
