--- a/src/command/account.rs
+++ b/src/command/account.rs
@@ -1,7 +1,7 @@
 //! The account of one request in plain sentences, from the access log lines of
 //! all instances that had it. `docs/OPERATIONS.md` describes the lines.
 
-use crate::telemetry::line::{Line, RequestLine, TryLine};
+use crate::telemetry::access_log::{Line, RequestLine, TryLine};
 
 /// The sentences for a request's lines, in the order of their times.
 pub fn sentences(lines: &[Line]) -> String {
--- a/src/command/mod.rs
+++ b/src/command/mod.rs
@@ -12,7 +12,7 @@
 //!
 //! Owns no state. Relies on [`crate::operator::api`] for the form of questions
 //! and answers, on [`crate::policy`] for the check of policies, and on
-//! [`crate::telemetry::line`] for the form of log lines.
+//! [`crate::telemetry::access_log`] for the form of log lines.
 
 mod account;
 mod apply;
--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -1,4 +1,7 @@
-//! The peers' address: changes for peers, answers to operators, metrics.
+//! The address for peers, operators and metrics.
+//!
+//! Owns the choice by path; [`peers`] and [`operator`] answer. Relies on the limits for
+//! connections inside the platform.
 
 use crate::net::server::{ConnectionLimits, Handler};
 use crate::operator;
@@ -21,10 +24,14 @@
 
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         match request.uri().path() {
-            peers::CHANGES_PATH => peers::show(&self.0, request.uri().query().unwrap_or("")).await,
+            peers::CHANGES_PATH => {
+                let query = request.uri().query().unwrap_or("");
+                let changes = peers::serve_changes(&self.0, query).await;
+                Response::new(AnswerBody::buffered(changes.json()))
+            }
             METRICS_PATH => {
                 let metrics = &self.0.metrics;
-                metrics.held_bytes.set(self.0.held_bytes.get() as i64);
+                metrics.held_bytes.set(self.0.requests.buffered_bytes() as i64);
                 metrics.lines_dropped.set(self.0.log.lines().dropped() as i64);
                 metrics.lines_left_out.set(self.0.log.lines().left_out() as i64);
                 Response::new(AnswerBody::buffered(metrics.text()))
--- a/src/operator/policies.rs
+++ b/src/operator/policies.rs
@@ -19,7 +19,7 @@
 /// # Errors
 /// 404 where the view has none, 500 where it cannot be decoded.
 pub fn show<P: Platform>(instance: &Instance<P>) -> Result<PolicyDocument, Refusal> {
-    let view = instance.view.borrow();
+    let view = instance.store_copy.view();
     let item = view.item(P::policies_key()).ok_or(Refusal::NoPolicies)?;
     Ok(PolicyDocument::read(&item.value)?)
 }
--- a/src/operator/status.rs
+++ b/src/operator/status.rs
@@ -14,13 +14,13 @@
         region: settings.region.to_string(),
         config: routing.config.as_ref().map(|config| config.version),
         policies: routing.policies.as_ref().map(|policies| policies.revision),
-        view_revision: instance.view.borrow().at(),
-        view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
-        store_lost: instance.health.is_lost(),
-        stopping: instance.stopping.get().is_some(),
+        view_revision: instance.store_copy.view().at(),
+        view_age_ms: instance.store_copy.view_age().map(|age| age.as_millis() as u64),
+        store_lost: instance.store_copy.is_lost(),
+        stopping: instance.lifecycle.is_stopping(),
         members: routing.members.len(),
         targets: routing.targets().count(),
-        active: instance.active.get(),
+        active: instance.requests.in_flight(),
         evacuated: routing.evacuated().map(str::to_owned).collect(),
     }
 }
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -11,8 +11,7 @@
 use crate::platform::Platform;
 use crate::policy::{Active, CapCharge, RequestFacts};
 use crate::settings::Settings;
-use crate::state::Instance;
-use crate::store::health::StoreHealth;
+use crate::state::{Instance, StoreCopy};
 use hyper::Uri;
 use tokio::time::Instant;
 
@@ -34,7 +33,7 @@
     let charge = CapCharge::dry();
     let facts = facts(&question, &settings, route, service);
     let active = routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
-    let query = query(&settings, &instance.health, route, service, object, active.as_ref());
+    let query = query(&settings, &instance.store_copy, route, service, object, active.as_ref());
     let verdicts = explain(&routing, &config, &query);
     let chosen = verdicts.iter().find(|(_, verdict)| *verdict == Verdict::Chosen);
     let targets = verdicts.iter().map(|(target, verdict)| line(target, *verdict, query.now)).collect();
@@ -43,7 +42,7 @@
         service: service.to_owned(),
         config: config.version,
         policies: routing.policies.as_ref().map(|policies| policies.revision),
-        view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
+        view_age_ms: instance.store_copy.view_age().map(|age| age.as_millis() as u64),
         acted: active.as_ref().map_or_else(Vec::new, Active::applied),
         chosen: chosen.map(|(target, _)| target.id.to_string()),
         targets,
@@ -67,19 +66,19 @@
 /// or the answer would explain another decision.
 fn query<'a>(
     settings: &'a Settings,
-    health: &StoreHealth,
+    store_copy: &StoreCopy,
     route: &'a Route,
     service: &'a str,
     object: u64,
     active: Option<&'a Active<'a>>,
 ) -> Query<'a> {
-    let share = SlowStartShare { own: &settings.name, bounds: settings.cold };
+    let share = SlowStartShare { own: &settings.name, bounds: settings.slow_start };
     Query {
         route,
         service,
         affinity: object,
         region: &settings.region,
-        slow_start: health.is_current().then_some(share),
+        slow_start: store_copy.is_current().then_some(share),
         active,
         tried: &[],
         now: Instant::now(),
--- a/src/proxy/access_record.rs
+++ b/src/proxy/access_record.rs
@@ -2,7 +2,7 @@
 //!
 //! [`AccessRecord`] collects what the line says while the request is processed. The
 //! event and field names are read back by `lockloft explain`
-//! ([`crate::telemetry::line::RequestLine`]). Relies on the target's identity alone.
+//! ([`crate::telemetry::access_log::RequestLine`]). Relies on the target's identity alone.
 
 use crate::decision::target::Target;
 use hyper::StatusCode;
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -56,7 +56,7 @@
         if least > max_bytes {
             return Err(Refusal::TooLarge);
         }
-        let mut held = BufferedBytes::none(&instance.held_bytes);
+        let mut held = BufferedBytes::none(instance.requests.buffer_counter());
         if incoming.is_end_stream() {
             return Ok(IncomingBody::Buffered { bytes: Bytes::new(), _held: held });
         }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -25,7 +25,7 @@
 
 impl<'a, P: Platform> Active<'a, P> {
     fn new(instance: &'a Instance<P>) -> Self {
-        instance.active.set(instance.active.get() + 1);
+        instance.requests.begin();
         instance.metrics.active.inc();
         Self(instance)
     }
@@ -33,7 +33,7 @@
 
 impl<P: Platform> Drop for Active<'_, P> {
     fn drop(&mut self) {
-        self.0.active.set(self.0.active.get() - 1);
+        self.0.requests.end();
         self.0.metrics.active.dec();
     }
 }
@@ -44,7 +44,7 @@
     async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
         let active = Active::new(&self.0);
         let mut response = request::answer(&self.0, request).await;
-        if self.0.stopping.get().is_some() {
+        if self.0.lifecycle.is_stopping() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
         drop(active);
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -51,7 +51,7 @@
 /// Answers a caller's request, whatever comes of it.
 pub async fn answer<P: Platform>(instance: &Instance<P>, request: Request<Incoming>) -> Response<AnswerBody> {
     let started = Instant::now();
-    instance.last_request.set(started);
+    instance.requests.mark_arrival(started);
     let id = request.headers().get(&instance.names.request_id).cloned();
     let mut record = AccessRecord { id, ..AccessRecord::default() };
     let (outcome, response) = match process(instance, request, started, &mut record).await {
@@ -62,7 +62,7 @@
     instance.metrics.requests.with_label_values(&[outcome]).inc();
     instance.metrics.latency.with_label_values(&[outcome]).observe(took.as_secs_f64());
     if outcome != ANSWERED || instance.log.lines().takes_success(std::time::Instant::now()) {
-        let view_age = instance.health.knowledge_age();
+        let view_age = instance.store_copy.view_age();
         record.log(&RequestEnd { outcome, status: response.status(), took, view_age });
     }
     response
@@ -95,7 +95,7 @@
 async fn first_config<P: Platform>(instance: &Instance<P>) -> Option<Rc<Config>> {
     let until = Instant::now() + FIRST_CONFIG;
     loop {
-        let changed = instance.view_changed.notified();
+        let changed = instance.store_copy.changed();
         if let Some(config) = &instance.routing.borrow().config {
             return Some(config.clone());
         }
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -50,8 +50,10 @@
     pub fn choose(&self, tried: &[TargetKey], record: &mut AccessRecord) -> Result<Rc<Target>, Refusal> {
         let instance = self.request.instance;
         let settings = instance.settings.borrow().clone();
-        let slow_start =
-            instance.health.is_current().then_some(SlowStartShare { own: &settings.name, bounds: settings.cold });
+        let slow_start = instance
+            .store_copy
+            .is_current()
+            .then_some(SlowStartShare { own: &settings.name, bounds: settings.slow_start });
         let snapshot = Snapshot { routing: &instance.routing.borrow(), settings: &settings, slow_start };
         let mut refusal = Refusal::NoTarget;
         for weighted in self.services() {
