--- /dev/null
+++ b/src/decision/routing/apply.rs
@@ -0,0 +1,161 @@
+//! Changes of the store applied to the routing state, one record at a time, in the order of
+//! the store. **Rule**: a later version of a record replaces an earlier one; an earlier one
+//! that arrives late, and a value that cannot be read, change nothing.
+//!
+//! **Inputs**: the store's changes, as old as the way that they came by (watch, relay or
+//! peer); versions of the configuration, revisions of the policies, sequence numbers of
+//! registrations; the end of the grace ([`crate::decision::grace`]) where the store has just
+//! returned.
+//!
+//! **Why.** Changes can arrive twice and out of order when an instance changes between the
+//! store, its relay and peers. Operators' mistakes must not stop the requests.
+//!
+//! **Guards** the promises that an instance never goes back to an older configuration, and
+//! that the last good value stays in force after a refused one.
+//!
+//! **Constants**: none.
+//!
+//! **Test**: `an_earlier_registration_or_configuration_that_arrives_late_changes_nothing` in
+//! `tests/choice.rs`; `tests/policies.rs` for policies.
+
+use super::Routing;
+use crate::decision::change::{StateChange, TargetChange};
+use crate::decision::target::Target;
+use crate::model::config::Config;
+use crate::model::member::Member;
+use crate::model::record::{Record, RecordError, RemovedRecord};
+use crate::model::registration::{TargetRegistration, TargetState};
+use crate::platform::Platform;
+use crate::policy::{Policies, PolicyDocument};
+use crate::store::{Event, Item};
+use std::rc::Rc;
+use tokio::time::Instant;
+
+impl Routing {
+    /// Applies changes of the store. A target whose registration is among the removed ones is
+    /// kept until `grace_until` where that is given.
+    pub fn apply<P: Platform>(
+        &mut self,
+        changes: &[Event],
+        now: Instant,
+        grace_until: Option<Instant>,
+    ) -> Vec<StateChange> {
+        self.targets.sweep_tombstones(now);
+        let apply_one = |change: &Event| match change {
+            Event::Put(item) => match P::read(item) {
+                Ok(record) => self.apply_record(record, item, now),
+                Err(error) => Some(StateChange::Refused(error)),
+            },
+            Event::Gone { key, .. } => self.remove_record(P::read_gone(key), now, grace_until),
+        };
+        changes.iter().filter_map(apply_one).collect()
+    }
+
+    /// Removes targets whose grace is over and that have not registered again.
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<StateChange> {
+        let expired = self.targets.expired(now);
+        expired.iter().map(|target| self.remove_target(target, now)).collect()
+    }
+
+    fn apply_record(&mut self, record: Record, item: &Item, now: Instant) -> Option<StateChange> {
+        match record {
+            Record::Config(config) => self.apply_config(config),
+            Record::Policies => self.apply_policies(item),
+            Record::Evacuation(hall) => {
+                let name = hall.to_string();
+                self.evacuated.insert(hall).then_some(StateChange::Evacuation { hall: name, on: true })
+            }
+            Record::Target(registration) => self.apply_registration(&registration, now),
+            Record::Own(name) => {
+                let member = Member::read(&item.value)?;
+                self.members.insert(name.clone(), member, now);
+                Some(StateChange::Member { name, present: true })
+            }
+            Record::Unknown => None,
+        }
+    }
+
+    fn apply_config(&mut self, config: Config) -> Option<StateChange> {
+        let version = config.version;
+        if self.config.as_ref().is_some_and(|known| known.version >= version) {
+            return None;
+        }
+        self.config = Some(Rc::new(config));
+        Some(StateChange::Config(version))
+    }
+
+    /// Takes later policies in force, whole or not at all.
+    fn apply_policies(&mut self, item: &Item) -> Option<StateChange> {
+        let refused = |problem: String| StateChange::Refused(RecordError { key: item.key.clone(), problem });
+        let document = match PolicyDocument::read(&item.value) {
+            Ok(document) => document,
+            Err(problem) => return Some(refused(problem.to_string())),
+        };
+        if self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
+            return None;
+        }
+        match Policies::try_from(&document) {
+            Ok(policies) => self.policies = Some(Rc::new(policies)),
+            Err(error) => return Some(refused(error.to_string())),
+        }
+        Some(StateChange::Policies { revision: document.revision, by: document.by })
+    }
+
+    fn apply_registration(&mut self, registration: &TargetRegistration, now: Instant) -> Option<StateChange> {
+        let state = match registration.state {
+            TargetState::Ready => TargetChange::Ready,
+            TargetState::Draining => TargetChange::Draining,
+        };
+        let region = self.region_of(&registration.hall);
+        let is_later = self.targets.register(registration, region, now);
+        is_later.then(|| StateChange::Target { id: registration.id.clone(), state })
+    }
+
+    fn remove_record(
+        &mut self,
+        record: RemovedRecord,
+        now: Instant,
+        grace_until: Option<Instant>,
+    ) -> Option<StateChange> {
+        match record {
+            RemovedRecord::Evacuation(hall) => self.end_evacuation(hall, now),
+            RemovedRecord::Target(id) => {
+                let target = self.targets.get(&id)?.clone();
+                Some(self.remove_registration(&target, now, grace_until))
+            }
+            RemovedRecord::Own(name) => {
+                self.members.remove(&name, now).then_some(StateChange::Member { name, present: false })
+            }
+            RemovedRecord::Unknown => None,
+        }
+    }
+
+    fn remove_registration(&mut self, target: &Rc<Target>, now: Instant, grace_until: Option<Instant>) -> StateChange {
+        match grace_until.filter(|_| target.is_ready()) {
+            Some(until) => {
+                target.begin_grace(until);
+                StateChange::Target { id: target.id.clone(), state: TargetChange::InGrace }
+            }
+            None => self.remove_target(target, now),
+        }
+    }
+
+    fn remove_target(&mut self, target: &Target, now: Instant) -> StateChange {
+        self.targets.remove(target, now);
+        StateChange::Target { id: target.id.clone(), state: TargetChange::Removed }
+    }
+
+    /// Ends an evacuation. The hall's targets may have become cold meanwhile, and no
+    /// registration says so in time: they start slowly.
+    fn end_evacuation(&mut self, hall: String, now: Instant) -> Option<StateChange> {
+        if !self.evacuated.remove(hall.as_str()) {
+            return None;
+        }
+        for target in self.targets.iter().filter(|target| *target.hall == *hall) {
+            if let Some(service) = self.service(&target.service) {
+                target.begin_slow_start(service.warmup, now);
+            }
+        }
+        Some(StateChange::Evacuation { hall, on: false })
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -12,6 +12,8 @@
 //! | [`net`], [`telemetry`] | connections; log and metrics |
 pub mod command;
 pub mod decision;
+pub mod directory;
+pub mod hash;
 pub mod instance;
 pub mod model;
 pub mod net;
@@ -19,5 +21,8 @@
 pub mod platform;
 pub mod policy;
 pub mod proxy;
+pub mod settings;
+pub mod state;
+pub mod store;
 pub mod sync;
 pub mod telemetry;
--- /dev/null
+++ b/src/proxy/incoming_body.rs
@@ -0,0 +1,132 @@
+//! A caller's request body as it arrives: buffered where that costs little, so that a
+//! request that did not run can go to another target; streamed otherwise.
+//!
+//! Owns the count of buffered bytes of one body; the total of all bodies is the
+//! instance's, bounded by a part of `limits.memory_mb`.
+
+use crate::net::chunks;
+use crate::net::request_body::{RequestBody, StreamedBody};
+use crate::platform::Platform;
+use crate::proxy::refusal::Refusal;
+use crate::state::Instance;
+use bytes::Bytes;
+use http_body_util::{BodyExt, Full};
+use hyper::Request;
+use hyper::body::{Body, Frame, Incoming};
+use std::cell::Cell;
+use std::collections::VecDeque;
+use std::rc::Rc;
+use tokio::time::{Instant, timeout_at};
+
+/// Largest request body that is buffered, bytes; above the largest of the sites (some
+/// 360 kB uploads). No run set it.
+const MAX_BUFFERED_BODY: u64 = 512 * 1024;
+/// Buffered bodies take at most one in this many bytes of the memory limit; peak memory
+/// beside them is 7 MB. fa10d36 made the bound hold; no run set the value.
+const BUFFER_DIVISOR: u64 = 8;
+
+/// A request's body.
+#[derive(Debug)]
+pub enum IncomingBody {
+    /// All of it, in memory.
+    Buffered {
+        /// Its bytes.
+        bytes: Bytes,
+        /// Counts them while they are in memory.
+        _held: BufferedBytes,
+    },
+    /// Streamed as it arrives; `None` once it was sent.
+    Streamed(Option<StreamedBody>),
+}
+
+impl IncomingBody {
+    /// Reads a body of at most `max_bytes`.
+    ///
+    /// # Errors
+    /// [`Refusal::TooLarge`] where it is larger, as far as that shows before it is
+    /// streamed; [`Refusal::BrokenBody`] where a body to be buffered breaks off or is
+    /// not whole by the deadline.
+    pub async fn read<P: Platform>(
+        instance: &Instance<P>,
+        max_bytes: u64,
+        mut incoming: Incoming,
+        deadline: Instant,
+    ) -> Result<IncomingBody, Refusal> {
+        let least = incoming.size_hint().lower();
+        if least > max_bytes {
+            return Err(Refusal::TooLarge);
+        }
+        let mut held = BufferedBytes::none(instance.requests.buffer_counter());
+        if incoming.is_end_stream() {
+            return Ok(IncomingBody::Buffered { bytes: Bytes::new(), _held: held });
+        }
+        let mut chunks = VecDeque::new();
+        let max_total = instance.settings.borrow().memory / BUFFER_DIVISOR;
+        while least <= MAX_BUFFERED_BODY && held.has_room(max_total) {
+            let Some(frame) = next_frame(&mut incoming, deadline).await? else {
+                return Ok(IncomingBody::Buffered { bytes: chunks::join(chunks), _held: held });
+            };
+            // Trailers are dropped: a buffered body has none.
+            if let Ok(chunk) = frame.into_data() {
+                held.add(chunk.len() as u64);
+                chunks.push_back(chunk);
+            }
+        }
+        let allowance = max_bytes.checked_sub(held.own).ok_or(Refusal::TooLarge)?;
+        Ok(IncomingBody::Streamed(Some(StreamedBody::new(chunks, incoming, allowance))))
+    }
+
+    /// The body for one target; `None` where it is gone.
+    pub fn send(&mut self) -> Option<RequestBody> {
+        match self {
+            IncomingBody::Buffered { bytes, .. } => Some(RequestBody::Buffered(Full::new(bytes.clone()))),
+            IncomingBody::Streamed(streamed) => streamed.take().map(RequestBody::Streamed),
+        }
+    }
+
+    /// Takes back a body of which nothing was sent.
+    pub fn restore(&mut self, request: Request<RequestBody>) {
+        if let (IncomingBody::Streamed(slot), RequestBody::Streamed(streamed)) = (self, request.into_body()) {
+            *slot = Some(streamed);
+        }
+    }
+}
+
+/// The next part of a body. Whether it broke off or is late makes no difference to the
+/// caller, who has to send it again.
+async fn next_frame(incoming: &mut Incoming, deadline: Instant) -> Result<Option<Frame<Bytes>>, Refusal> {
+    match timeout_at(deadline, incoming.frame()).await {
+        Ok(None) => Ok(None),
+        Ok(Some(Ok(frame))) => Ok(Some(frame)),
+        Ok(Some(Err(_))) | Err(_) => Err(Refusal::BrokenBody),
+    }
+}
+
+/// Bytes of one body in memory, counted in a total until they are dropped.
+#[derive(Debug)]
+pub struct BufferedBytes {
+    total: Rc<Cell<u64>>,
+    own: u64,
+}
+
+impl BufferedBytes {
+    fn none(total: &Rc<Cell<u64>>) -> Self {
+        Self { total: total.clone(), own: 0 }
+    }
+
+    /// Whether more of this body may be buffered, with at most `max_total` bytes of all.
+    fn has_room(&self, max_total: u64) -> bool {
+        self.own <= MAX_BUFFERED_BODY && self.total.get() <= max_total
+    }
+
+    fn add(&mut self, bytes: u64) {
+        self.own += bytes;
+        self.total.set(self.total.get() + bytes);
+    }
+}
+
+impl Drop for BufferedBytes {
+    fn drop(&mut self) {
+        self.total.set(self.total.get() - self.own);
+    }
+}
--- /dev/null
+++ b/src/proxy/listener.rs
@@ -0,0 +1,68 @@
+//! The callers' listener: bounds on their connections, and the count of their requests
+//! in flight, on which a planned stop waits.
+//!
+//! Hands each request to [`crate::proxy::request`]. Relies on the configuration's limits.
+
+use crate::net::server::{ConnectionLimits, Handler};
+use crate::platform::Platform;
+use crate::proxy::answer_body::AnswerBody;
+use crate::proxy::request;
+use crate::state::Instance;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue};
+use hyper::{Request, Response};
+use std::rc::Rc;
+
+/// Callers' connections take at most one in this many of the descriptors: a request may
+/// need a connection to a target as well. 69aed7b; value not varied.
+const CALLER_DIVISOR: u32 = 2;
+
+/// Answers requests of callers.
+pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
+
+/// Counts a request for as long as it is processed.
+struct Active<'a, P: Platform>(&'a Instance<P>);
+
+impl<'a, P: Platform> Active<'a, P> {
+    fn new(instance: &'a Instance<P>) -> Self {
+        instance.requests.begin();
+        instance.metrics.active.inc();
+        Self(instance)
+    }
+}
+
+impl<P: Platform> Drop for Active<'_, P> {
+    fn drop(&mut self) {
+        self.0.requests.end();
+        self.0.metrics.active.dec();
+    }
+}
+
+impl<P: Platform> Handler for CallerListener<P> {
+    type Body = AnswerBody;
+
+    async fn answer(self: Rc<Self>, request: Request<Incoming>) -> Response<AnswerBody> {
+        let active = Active::new(&self.0);
+        let mut response = request::answer(&self.0, request).await;
+        if self.0.lifecycle.is_stopping() {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+        }
+        drop(active);
+        response
+    }
+
+    fn limits(&self) -> ConnectionLimits {
+        let routing = self.0.routing.borrow();
+        let limits = routing.config.as_ref().map(|config| config.limits).unwrap_or_default();
+        ConnectionLimits {
+            head_bytes: limits.head_bytes,
+            head_time: limits.head_time,
+            idle_time: limits.idle_time,
+            connections: (self.0.settings.borrow().descriptors / CALLER_DIVISOR).max(1),
+        }
+    }
+
+    fn connections(&self, change: i64) {
+        self.0.metrics.connections.add(change);
+    }
+}
--- /dev/null
+++ b/src/state/mod.rs
@@ -0,0 +1,148 @@
+//! What all tasks of an instance share, in parts that own their cells.
+//!
+//! | part | what it owns |
+//! |---|---|
+//! | [`StoreCopy`] | the view of the store and how current it is |
+//! | [`Lifecycle`] | running, stopping, ending |
+//! | [`Requests`] | requests in flight and what they hold |
+//! | [`Routing`], [`Splits`], [`RetryBudget`] | the state of the decisions |
+//! | [`Settings`], [`Metrics`], [`Log`] | what their names say |
+//!
+//! [`Instance`] joins them: a change of the view updates the routing state, and a change
+//! of that the splits, the retry budget and the metrics. Relies on `store`, `decision`
+//! and `telemetry`; the tasks in `sync`, `proxy`, `directory` and `operator` rely on it.
+
+mod change_log;
+mod lifecycle;
+mod requests;
+mod store_copy;
+
+pub use lifecycle::Lifecycle;
+pub use requests::Requests;
+pub use store_copy::StoreCopy;
+
+use crate::decision::change::StateChange;
+use crate::decision::retry::{RetryBudget, budget, max_saved};
+use crate::decision::routing::Routing;
+use crate::decision::split::Splits;
+use crate::platform::{HeaderNames, Platform};
+use crate::settings::Settings;
+use crate::store::{Event, Listing};
+use crate::telemetry::log::Log;
+use crate::telemetry::metrics::Metrics;
+use std::cell::RefCell;
+use std::rc::Rc;
+use tokio::time::Instant;
+
+/// An instance.
+pub struct Instance<P: Platform> {
+    /// Settings in force; replaced by a reload.
+    pub settings: RefCell<Rc<Settings>>,
+    /// The client of the platform's store.
+    pub store: P::Store,
+    /// Header names.
+    pub names: HeaderNames,
+    /// The view of the store and how current it is.
+    pub store_copy: StoreCopy,
+    /// The configuration, targets and members that the view describes.
+    pub routing: RefCell<Routing>,
+    /// Shares of split routes.
+    pub splits: RefCell<Splits>,
+    /// The retry budget.
+    pub retries: RefCell<RetryBudget>,
+    /// Whether the instance runs, stops or ends.
+    pub lifecycle: Lifecycle,
+    /// Requests in flight.
+    pub requests: Requests,
+    /// Counters.
+    pub metrics: Metrics,
+    /// The log.
+    pub log: Log,
+}
+
+impl<P: Platform> Instance<P> {
+    /// An instance with an empty view.
+    pub fn new(settings: Settings, store: P::Store, log: Log) -> Self {
+        Self {
+            routing: RefCell::new(Routing::new(settings.halls.clone())),
+            retries: RefCell::new(budget(settings.retry_ratio, settings.retry_slack, 1)),
+            settings: RefCell::new(Rc::new(settings)),
+            store,
+            names: P::headers(),
+            store_copy: StoreCopy::default(),
+            splits: RefCell::new(Splits::default()),
+            lifecycle: Lifecycle::default(),
+            requests: Requests::new(Instant::now()),
+            metrics: Metrics::default(),
+            log,
+        }
+    }
+
+    /// The settings in force.
+    pub fn settings(&self) -> Rc<Settings> {
+        self.settings.borrow().clone()
+    }
+
+    /// Whether callers should use this instance.
+    pub fn is_ready(&self) -> bool {
+        !self.lifecycle.is_stopping() && self.routing.borrow().config.is_some()
+    }
+
+    /// Applies a list of the store's items; `source` is for the log.
+    pub fn take_listing(&self, listing: Listing, source: &'static str) {
+        let changes = self.store_copy.take_listing(listing);
+        self.apply_changes(&changes, source);
+    }
+
+    /// Applies events of the store up to the revision `at`; `source` is for the log.
+    pub fn take_events(&self, events: Vec<Event>, at: u64, source: &'static str) {
+        let changes = self.store_copy.take_events(events, at);
+        self.apply_changes(&changes, source);
+    }
+
+    fn apply_changes(&self, changes: &[Event], source: &'static str) {
+        if changes.is_empty() {
+            return;
+        }
+        let now = Instant::now();
+        let grace_until = self.store_copy.grace_until(now);
+        let state_changes = self.routing.borrow_mut().apply::<P>(changes, now, grace_until);
+        self.handle_changes(&state_changes, source);
+    }
+
+    /// Removes targets whose registrations were not renewed within their grace.
+    pub fn remove_expired(&self) {
+        let state_changes = self.routing.borrow_mut().remove_expired(Instant::now());
+        self.handle_changes(&state_changes, "lapse");
+    }
+
+    fn handle_changes(&self, state_changes: &[StateChange], source: &'static str) {
+        let revision = self.store_copy.view().at();
+        for state_change in state_changes {
+            change_log::log_change(state_change, revision, source);
+            match state_change {
+                StateChange::Config(version) => self.config_changed(*version),
+                StateChange::Member { .. } => self.members_changed(),
+                StateChange::Policies { .. }
+                | StateChange::Evacuation { .. }
+                | StateChange::Target { .. }
+                | StateChange::Refused(_) => {}
+            }
+        }
+    }
+
+    fn config_changed(&self, version: u64) {
+        self.metrics.config_version.set(version as i64);
+        let routing = self.routing.borrow();
+        let Some(config) = &routing.config else { return };
+        let split = config.split_routes();
+        self.splits.borrow_mut().retain(|name| split.contains(name));
+    }
+
+    fn members_changed(&self) {
+        let members = self.routing.borrow().members.len();
+        self.metrics.members.set(members as i64);
+        let settings = self.settings();
+        self.retries.borrow_mut().set_max_saved(max_saved(settings.retry_slack, members));
+    }
+}
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -287,18 +287,18 @@
         headers: &headers,
     };
     let charge = CapCharge::default();
-    let active = scene.world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
+    let active = scene.routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
     let query = Query {
         route: &route,
         service: "shop",
-        object,
+        affinity: object,
         region: "a",
         slow_start: None,
         active: active.as_ref(),
         tried: &[],
         now: scene.now,
     };
-    match choose(&scene.world, &scene.config, &query) {
+    match choose(&scene.routing, &scene.config, &query) {
         Ok(target) => Outcome::To(target.id[1..].parse().unwrap()),
         Err(NoTarget::Capped(_)) => Outcome::Capped,
         Err(NoTarget::NoneUsable) => Outcome::NoneUsable,
@@ -309,11 +309,12 @@
 /// The targets as place alone orders them for an object: asked one by one of
 /// a scene without policies.
 fn place(scene: &Scene, object: u64) -> Vec<usize> {
-    let mut tried = Vec::new();
+    let (mut tried, mut place) = (Vec::new(), Vec::new());
     while let Ok(target) = scene.choose(object, &tried) {
-        tried.push(target.id.clone());
+        tried.push(target.key);
+        place.push(target.id[1..].parse().unwrap());
     }
-    tried.iter().map(|id| id[1..].parse().unwrap()).collect()
+    place
 }
 
 proptest! {
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -3,7 +3,8 @@
 mod scene;
 
 use hyper::{HeaderMap, Method, Uri};
-use lockloft::decision::choice::{Exclusion, NoTarget, Query, Verdict, choose, explain};
+use lockloft::decision::choice::{NoTarget, Query, Verdict, choose, explain};
+use lockloft::decision::exclusion::Exclusion;
 use lockloft::decision::target::Target;
 use lockloft::policy::Sources;
 use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, PolicyMask, RequestFacts};
@@ -52,7 +53,7 @@
     asked: &Asked,
     object: u64,
     trial: &CapCharge,
-    with: impl Fn(&lockloft::decision::world::World, &lockloft::model::config::Config, &Query<'_>) -> T,
+    with: impl Fn(&lockloft::decision::routing::Routing, &lockloft::model::config::Config, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
     let facts = RequestFacts {
@@ -64,18 +65,18 @@
         uri: &asked.uri,
         headers: &asked.headers,
     };
-    let active = scene.world.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, trial));
+    let active = scene.routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, trial));
     let query = Query {
         route: &route,
         service: "shop",
-        object,
+        affinity: object,
         region: "a",
         slow_start: None,
         active: active.as_ref(),
         tried: &[],
         now: scene.now,
     };
-    let decided = with(&scene.world, &scene.config, &query);
+    let decided = with(&scene.routing, &scene.config, &query);
     (decided, active.as_ref().map_or_else(Vec::new, Active::applied))
 }
 
@@ -134,7 +135,7 @@
             break;
         }
         assert_eq!(acted, ["p"]);
-        held.push(target.enter(scene.now));
+        held.push(target.begin(scene.now));
         assert!(held.len() <= 16, "two targets of four slots took more than twice their slots");
     }
 }
@@ -171,7 +172,7 @@
     let counts = halls(&scene, &Asked::plain(), 0..200);
     assert!(counts.contains_key("a-1") && !counts.contains_key("b-1"), "{counts:?}");
     scene.put("policies", "no document");
-    assert_eq!(scene.world.policies.as_ref().unwrap().revision, 5);
+    assert_eq!(scene.routing.policies.as_ref().unwrap().revision, 5);
 }
 
 #[test]
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -1,15 +1,18 @@
-//! A small world without processes: eight targets in four halls.
+//! A small routing without processes: eight targets in four halls.
 
 // Each test program uses its own part of it.
 #![allow(dead_code)]
 
 use bytes::Bytes;
 use lockloft::decision::choice::{NoTarget, Query, choose};
-use lockloft::decision::target::Target;
-use lockloft::decision::world::World;
+use lockloft::decision::routing::Routing;
+use lockloft::decision::target::{Target, TargetKey};
 use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
 use lockloft::model::member::Member;
-use lockloft::platform::{Event, Item, Listing, Platform, Record, TargetRegistration, TargetState};
+use lockloft::model::record::Record;
+use lockloft::model::registration::{TargetRegistration, TargetState};
+use lockloft::platform::Platform;
+use lockloft::store::{Event, Item, Listing};
 use std::collections::HashMap;
 use std::rc::Rc;
 use std::time::Duration;
@@ -38,7 +41,7 @@
 }
 
 /// A config whose service bears `rate` requests a second while cold.
-pub fn catalog_with_rate(rate: f64) -> Config {
+pub fn config_with_rate(rate: f64) -> Config {
     let service = Service {
         max_connections: 100,
         warmup: Duration::from_secs(3),
@@ -65,7 +68,7 @@
     fn policies_key() -> &'static str {
         "policies"
     }
-    fn read(item: &Item) -> Result<Record, lockloft::platform::RecordError> {
+    fn read(item: &Item) -> Result<Record, lockloft::model::record::RecordError> {
         if item.key == Self::policies_key() {
             return Ok(Record::Policies);
         }
@@ -73,8 +76,8 @@
         if Member::read(&item.value).is_some() {
             return Ok(Record::Own(item.key.clone()));
         }
-        if let Some(rate) = text.strip_prefix("catalog ") {
-            return Ok(Record::Config(catalog_with_rate(rate.parse().unwrap())));
+        if let Some(rate) = text.strip_prefix("config ") {
+            return Ok(Record::Config(config_with_rate(rate.parse().unwrap())));
         }
         let words: Vec<&str> = text.split(' ').collect();
         Ok(match words.as_slice() {
@@ -93,8 +96,8 @@
             _ => Record::Unknown,
         })
     }
-    fn read_gone(key: &str) -> lockloft::platform::RemovedRecord {
-        lockloft::platform::RemovedRecord::Target(key.to_owned())
+    fn read_gone(key: &str) -> lockloft::model::record::RemovedRecord {
+        lockloft::model::record::RemovedRecord::Target(key.to_owned())
     }
     fn directory_question(_: &str, _: &str) -> Option<lockloft::platform::CallerPlace> {
         None
@@ -107,8 +110,8 @@
 /// A store that nobody asks.
 pub struct NoStore;
 
-impl lockloft::platform::Store for NoStore {
-    async fn list(&self, _: &str) -> Result<Listing, lockloft::platform::StoreError> {
+impl lockloft::store::Store for NoStore {
+    async fn list(&self, _: &str) -> Result<Listing, lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
     async fn watch(
@@ -116,34 +119,29 @@
         _: &str,
         _: u64,
         _: Duration,
-    ) -> Result<lockloft::platform::Watched, lockloft::platform::StoreError> {
+    ) -> Result<lockloft::store::Watched, lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn grant(&self, _: Duration) -> Result<lockloft::platform::LeaseId, lockloft::platform::StoreError> {
+    async fn grant(&self, _: Duration) -> Result<lockloft::store::LeaseId, lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn renew(&self, _: lockloft::platform::LeaseId) -> Result<(), lockloft::platform::StoreError> {
+    async fn renew(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn end(&self, _: lockloft::platform::LeaseId) -> Result<(), lockloft::platform::StoreError> {
+    async fn end(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), lockloft::platform::StoreError> {
+    async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
-    async fn put(
-        &self,
-        _: &str,
-        _: Bytes,
-        _: lockloft::platform::LeaseId,
-    ) -> Result<(), lockloft::platform::StoreError> {
+    async fn put(&self, _: &str, _: Bytes, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("no test here asks the store")
     }
 }
 
-/// A world, its config and a time.
+/// A routing, its config and a time.
 pub struct Scene {
-    pub world: World,
+    pub routing: Routing,
     pub config: Config,
     pub revision: u64,
     pub now: Instant,
@@ -154,8 +152,8 @@
     /// in region `a`, `b-1`, `b-2` in region `b`.
     pub fn new() -> Self {
         let regions = [("a-1", "a"), ("a-2", "a"), ("b-1", "b"), ("b-2", "b")];
-        let world = World::new(regions.iter().map(|(hall, region)| ((*hall).into(), (*region).into())).collect());
-        let mut scene = Self { world, config: config(Vec::new()), revision: 0, now: Instant::now() };
+        let routing = Routing::new(regions.iter().map(|(hall, region)| ((*hall).into(), (*region).into())).collect());
+        let mut scene = Self { routing, config: config(Vec::new()), revision: 0, now: Instant::now() };
         for number in 0..8 {
             let hall = regions[number / 2].0;
             scene.put(&format!("t{number}"), &format!("{hall} 4 ready 1 0"));
@@ -167,7 +165,7 @@
     pub fn put(&mut self, key: &str, value: &str) {
         self.revision += 1;
         let item = Item { key: key.to_owned(), value: Bytes::from(value.to_owned()), revision: self.revision };
-        self.world.apply::<Plain>(&[Event::Put(item)], self.now, None);
+        self.routing.apply::<Plain>(&[Event::Put(item)], self.now, None);
     }
 
     /// Removes a key of the store; the target is kept until a time where one
@@ -175,18 +173,33 @@
     pub fn remove(&mut self, key: &str, grace_until: Option<Instant>) {
         self.revision += 1;
         let event = Event::Gone { key: key.to_owned(), revision: self.revision };
-        self.world.apply::<Plain>(&[event], self.now, grace_until);
+        self.routing.apply::<Plain>(&[event], self.now, grace_until);
+    }
+
+    /// Removes all targets.
+    pub fn remove_all(&mut self) {
+        for number in 0..8 {
+            self.remove(&format!("t{number}"), None);
+        }
     }
 
-    /// Chooses a target for an object.
-    pub fn choose(&self, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
-        self.choose_on(&route("r", "a", "/"), object, tried)
+    /// Chooses a target for an affinity key.
+    pub fn choose(&self, affinity: u64, tried: &[TargetKey]) -> Result<Rc<Target>, NoTarget> {
+        self.choose_on(&route("r", "a", "/"), affinity, tried)
     }
 
     /// The same on a route of its own.
-    pub fn choose_on(&self, route: &Route, object: u64, tried: &[Rc<str>]) -> Result<Rc<Target>, NoTarget> {
-        let query =
-            Query { route, service: "shop", object, region: "a", slow_start: None, active: None, tried, now: self.now };
-        choose(&self.world, &self.config, &query)
+    pub fn choose_on(&self, route: &Route, affinity: u64, tried: &[TargetKey]) -> Result<Rc<Target>, NoTarget> {
+        let query = Query {
+            route,
+            service: "shop",
+            affinity,
+            region: "a",
+            slow_start: None,
+            active: None,
+            tried,
+            now: self.now,
+        };
+        choose(&self.routing, &self.config, &query)
     }
 }
