--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -81,7 +81,7 @@
     /// Takes in a report that arrived now. What this instance has in flight itself is
     /// taken off: it is counted exactly.
     pub fn report(&mut self, report: LoadReport, now: Instant) {
-        let all = report.running + report.waiting;
+        let all = report.running.saturating_add(report.waiting);
         self.reported = Some(ReportedLoad { requests: all.saturating_sub(self.in_flight), at: now });
     }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -17,6 +17,14 @@
     Duration::from_millis(count)
 }
 
+#[test]
+fn a_report_of_more_requests_than_can_be_counted_is_a_full_target() {
+    let mut load = Load::default();
+    let now = Instant::now();
+    load.report(LoadReport { running: u32::MAX, waiting: 1, slots: 1 }, now);
+    assert!((load.at(now) - f64::from(u32::MAX)).abs() < 1e-9);
+}
+
 #[test]
 fn load_is_what_is_in_flight_and_the_fading_rest_of_the_report() {
     // In flight; running and waiting as reported; age of the report, ms; load.
