--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -4,11 +4,11 @@
 //! until callers stop sending them, and ends only when none is in flight.
 //!
 //! 1. From the signal on, readiness fails and the registration is withdrawn.
-//! 2. Requests are served in the first [`SERVING_SHARE`] of `bounds.stop_s`; later ones
+//! 2. Requests are served in the first `SERVING_SHARE` of `bounds.stop_s`; later ones
 //!    are refused with 503 and a retry-after.
-//! 3. After [`MIN_DURATION`], once no request arrived for [`QUIET_TIME`] and none is in
+//! 3. After `MIN_DURATION`, once no request arrived for `QUIET_TIME` and none is in
 //!    flight, new requests are refused.
-//! 4. The process ends when the last request has ended, or [`KILL_MARGIN`] before the
+//! 4. The process ends when the last request has ended, or `KILL_MARGIN` before the
 //!    platform kills it.
 //!
 //! Inputs: `bounds.stop_s` in seconds, the time of the signal, the number of requests
--- a/src/store/grace.rs
+++ b/src/store/grace.rs
@@ -4,8 +4,8 @@
 //!
 //! Inputs:
 //! - the time at which the store became reachable again, as this instance or a peer
-//!   observed it; within [`DETECTION_WINDOW`] old, else there is no grace;
-//! - the age of the view at that time; unless it is above [`MIN_VIEW_AGE`], the store was
+//!   observed it; within `DETECTION_WINDOW` old, else there is no grace;
+//! - the age of the view at that time; unless it is above `MIN_VIEW_AGE`, the store was
 //!   reachable for the targets too, and a registration that is gone was removed.
 //!
 //! Why: leases expire during an outage, and a store that comes up lists only those
--- a/src/sync/peers/unreadable.rs
+++ b/src/sync/peers/unreadable.rs
@@ -11,7 +11,7 @@
 /// No run set it; it concerns the log only.
 const REPORT_EVERY: Duration = Duration::from_secs(5);
 
-/// Logs unreadable answers, at most once each [`REPORT_EVERY`].
+/// Logs unreadable answers, at most once each `REPORT_EVERY`.
 #[derive(Debug, Default)]
 pub struct UnreadableLog {
     reported_at: Option<Instant>,
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -76,7 +76,7 @@
     }
 
     /// Asks the relay for changes and applies them; where it fails or its view is stale,
-    /// it is not followed for [`RETRY_AFTER`].
+    /// it is not followed for `RETRY_AFTER`.
     pub async fn follow<P: Platform>(&mut self, instance: &Instance<P>, relay: SocketAddr) {
         let Err(error) = self.ask(instance, relay).await else { return };
         if let RelayError::Peer(PeerError::Unreadable(_)) = error {
