--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -31,7 +31,7 @@
 //! | what is done after a try | [`next_try`] | told not run means not run; a request that may have run is not run again |
 //! | retry budget | [`retry`] | failing targets do not get a multiple of their load |
 //! | whom the directory names | [`directory`] | callers find an instance that takes requests |
-//! | what a stopping instance takes | [`crate::instance::stop`] | no request is lost to a planned stop |
+//! | what a stopping instance takes | [`stop`] | no request is lost to a planned stop |
 //!
 //! State that the rules look at: [`routing`] (what the store says), made of [`targets`],
 //! [`members`] and [`change`]; [`target`], with one small state for each rule; [`query`],
@@ -58,5 +58,6 @@
 pub mod routing;
 pub mod slow_start;
 pub mod split;
+pub mod stop;
 pub mod target;
 pub mod targets;
--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -4,7 +4,7 @@
 //! until callers stop sending them, and ends only when none is in flight.
 //!
 //! 1. From the signal on, readiness fails and the registration is withdrawn.
-//! 2. Requests are served in the first `SERVING_SHARE` of `bounds.stop_s`; later ones
+//! 2. Requests are served for the time that [`crate::decision::stop`] gives; later ones
 //!    are refused with 503 and a retry-after.
 //! 3. After `MIN_DURATION`, once no request arrived for `QUIET_TIME` and none is in
 //!    flight, new requests are refused.
@@ -16,8 +16,8 @@
 //! a directory answer for a while and go on sending. Guards: no request is cut off by a
 //! planned stop. Test: `planned_stop`.
 //!
-//! Owns the constants of the stop; the state is in [`crate::state`]. Relies on the
-//! caller's listener to count requests and to ask [`takes_requests`].
+//! Owns the times of the stop; the state is in [`crate::state`]. Relies on the callers'
+//! listener to count requests and on [`crate::proxy::request`] to refuse late ones.
 
 use crate::platform::Platform;
 use crate::state::Instance;
@@ -41,20 +41,6 @@
 /// Time between checks whether the stop may end: short against [`KILL_MARGIN`] and
 /// [`QUIET_TIME`]. Evidence: no run set it.
 const POLL_EVERY: Duration = Duration::from_millis(50);
-/// Share of `bounds.stop_s` in which requests are still served. One that arrives at half
-/// time has as long left as the longest timeout of a route on the sites. Evidence:
-/// 1b9d349 (requests lost before, none after); half and double change the worth by 0.001
-/// at most on roll-term.
-const SERVING_SHARE: f64 = 0.5;
-
-/// Whether a request that arrives now is served rather than refused.
-pub fn takes_requests<P: Platform>(instance: &Instance<P>) -> bool {
-    if instance.lifecycle.is_ending() {
-        return false;
-    }
-    let stop = instance.settings.borrow().stop;
-    instance.lifecycle.stopping_for().is_none_or(|elapsed| elapsed < stop.mul_f64(SERVING_SHARE))
-}
 
 /// Runs a planned stop; returns when the process may end.
 pub async fn drain<P: Platform>(instance: Rc<Instance<P>>) {
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -4,7 +4,7 @@
 //! the request to [`crate::proxy::attempts`]. Counts each request by its outcome and
 //! writes its line in the access log. Relies on the configuration in force.
 
-use crate::instance::stop::takes_requests;
+use crate::decision::stop::takes_requests;
 use crate::model::config::{Config, Route};
 use crate::net::headers::remove_hop_by_hop;
 use crate::platform::Platform;
@@ -75,7 +75,8 @@
     started: Instant,
     record: &mut AccessRecord,
 ) -> Result<Response<AnswerBody>, Refusal> {
-    if !takes_requests(instance) {
+    let stop = instance.settings.borrow().stop;
+    if instance.lifecycle.is_ending() || !takes_requests(instance.lifecycle.stopping_for(), stop) {
         return Err(Refusal::Stopping);
     }
     let config = first_config(instance).await.ok_or(Refusal::NoConfig)?;
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,6 +7,7 @@
 use lockloft::decision::load::{Load, LoadReport};
 use lockloft::decision::members::Members;
 use lockloft::decision::slow_start::{SlowStart, spacing};
+use lockloft::decision::stop::takes_requests;
 use lockloft::model::member::Member;
 use proptest::prelude::*;
 use std::net::SocketAddr;
@@ -274,3 +275,13 @@
     assert_eq!(spacing(10), ms(103));
     assert_eq!(spacing(0), ms(1_030));
 }
+
+#[test]
+fn requests_are_taken_in_the_first_half_of_a_stop() {
+    let stop = ms(6_000);
+    // Time since the stop began, ms; whether a request is served.
+    let table = [(None, true), (Some(0), true), (Some(2_999), true), (Some(3_000), false), (Some(6_000), false)];
+    for (since, expected) in table {
+        assert_eq!(takes_requests(since.map(ms), stop), expected, "{since:?}");
+    }
+}
