--- a/src/platform.rs
+++ b/src/platform.rs
@@ -1,5 +1,5 @@
-//! What an instance asks of the platform it runs on. The names and
-//! formats behind these types are the platform crate's business.
+//! What an instance needs from the platform it runs on. The `platform` crate
+//! implements it; the platform's own names and formats stay there.
 
 use crate::model::record::{Record, RecordError, RemovedRecord};
 use crate::store::{Item, Store};
@@ -8,23 +8,22 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Names of the headers by which callers, instances and targets understand one
-/// another.
+/// Names of the headers between callers, instances and targets.
 #[derive(Clone, Debug)]
 pub struct HeaderNames {
-    /// Identifies one attempt of a caller.
+    /// Identifies one attempt of a caller; set by the caller, returned by the target.
     pub request_id: HeaderName,
-    /// Milliseconds that are left.
+    /// Milliseconds until the caller, or the instance on its behalf, gives up.
     pub deadline_ms: HeaderName,
-    /// The object that a request is about.
-    pub object: HeaderName,
-    /// A target's mark on its own answers.
+    /// Affinity key: the same for all requests about one object; set by the caller.
+    pub affinity_key: HeaderName,
+    /// Signature of a target on its answer.
     pub signature: HeaderName,
-    /// The one target that may run the request.
+    /// Id of the one target that may run the request; set by the instance.
     pub expected_target: HeaderName,
     /// A target's running requests, waiting requests and slots.
     pub load: HeaderName,
-    /// The target did not run the request.
+    /// Set by a target on an answer to a request that it did not run.
     pub not_executed: HeaderName,
 }
 
@@ -37,25 +36,31 @@
     pub hall: String,
 }
 
-/// A platform: its store, and how it spells what the product means.
+/// A platform: its store, its names and its formats. A platform holds no state, so
+/// that its functions are called by type.
 pub trait Platform: 'static {
     /// Client of the platform's store.
     type Store: Store;
 
     /// Header names.
     fn headers() -> HeaderNames;
-    /// Path of the readiness check.
+    /// Path at which the platform asks whether the instance is ready.
     fn ready_path() -> &'static str;
-    /// The prefixes of the store that matter, the own one last.
+    /// Prefix of the keys at which instances register; followed by an instance's name.
     fn own_prefix() -> &'static str;
-    /// The key of the operators' policies.
+    /// Key of the operators' policies.
     fn policies_key() -> &'static str;
-    /// Translates an item.
+    /// Decodes an item of the store.
+    ///
+    /// # Errors
+    /// [`RecordError`] for a value that does not fit its key; the last good value
+    /// then stays in force.
     fn read(item: &Item) -> Result<Record, RecordError>;
-    /// What a key stands for when it has gone; the config never goes.
+    /// The record that a removed key held; the configuration is never removed.
     fn read_gone(key: &str) -> RemovedRecord;
-    /// Reads a caller's question to the directory; `None` for any other path.
+    /// Decodes a caller's question to the directory; `None` for any other path.
     fn directory_question(path: &str, query: &str) -> Option<CallerPlace>;
-    /// The directory's answer, as JSON.
+    /// The directory's answer, as JSON: where instances take callers' requests, and
+    /// how long the caller may keep the answer.
     fn directory_answer(addresses: &[SocketAddr], ttl: Duration) -> Bytes;
 }
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -120,7 +120,7 @@
     /// Hash of the object that the request is about; of the request itself
     /// where none is named or the route does not care.
     fn object(&self) -> u64 {
-        let named = self.parts.headers.get(&self.instance.names.object).filter(|_| self.route.affinity);
+        let named = self.parts.headers.get(&self.instance.names.affinity_key).filter(|_| self.route.affinity);
         match named.or_else(|| self.parts.headers.get(&self.instance.names.request_id)) {
             Some(value) => hash_affinity(value.as_bytes()),
             None => rand::random(),
