--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -345,7 +345,7 @@
 
 /// Whether the target is too slow to be sent more than a try now and then.
 fn is_skipped_as_slow(query: &Query<'_>, target: &Target, median: f64) -> bool {
-    target.is_slow(median, query.route.objective, query.now) && !target.may_try_slow(query.now)
+    target.is_slow(median, query.route.latency_objective, query.now) && !target.may_try_slow(query.now)
 }
 
 fn may_send_in_slow_start(routing: &Routing, query: &Query<'_>, target: &Target) -> bool {
--- a/src/model/config/route.rs
+++ b/src/model/config/route.rs
@@ -41,7 +41,7 @@
     /// Longest time a request is held; `None` for no bound.
     pub timeout: Option<Duration>,
     /// Time within which an answer is worth most; zero where none is given.
-    pub objective: Duration,
+    pub latency_objective: Duration,
     /// Rank, 0 the most urgent.
     pub priority: u32,
     /// Most targets one request may be sent to, at least 1.
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -27,7 +27,7 @@
         repeat: Repeat::Safe,
         services: vec![WeightedService { service: "shop".into(), weight: 1.0 }],
         timeout: None,
-        objective: Duration::from_millis(300),
+        latency_objective: Duration::from_millis(300),
         priority: 1,
         max_attempts: 2,
         affinity: true,
