--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -1,4 +1,5 @@
-//! The registration of a target: what its record in the store says.
+//! The registration of a target: what its record in the store says. The target
+//! rewrites it every few seconds, and it expires when the target stops doing so.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,31 +8,32 @@
 /// Whether a target takes new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes requests.
+    /// It takes new requests.
     Ready,
-    /// It finishes what it has.
+    /// It finishes the requests it has, and is to get no new ones.
     Draining,
 }
 
-/// What the store says of a target.
+/// One registration. All but state, sequence and slow start are fixed for one life
+/// of the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRegistration {
-    /// Identity of this life of the target.
+    /// Id, unique for each start of a target.
     pub id: Rc<str>,
     /// Service name.
     pub service: Rc<str>,
-    /// Where it listens.
+    /// Where it takes requests.
     pub address: SocketAddr,
     /// Its hall.
     pub hall: Rc<str>,
     /// Version of its software.
     pub version: Rc<str>,
-    /// Requests it works on at once.
+    /// Requests it works on at once, at least 1; it queues a few more.
     pub slots: u32,
     /// Whether it takes requests.
     pub state: TargetState,
-    /// Count of its own writes; a lower one is older.
+    /// Count of the target's writes of this record; a lower one is older.
     pub sequence: u64,
-    /// How much longer it stays cold from the time of the write.
+    /// What is left of its slow start, from the time of the write on.
     pub cold: Duration,
 }
