--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -1,5 +1,5 @@
 //! The registration of a target: what its record in the store says. The target
-//! rewrites it every few seconds, and it expires when the target stops doing so.
+//! rewrites it with each heartbeat, and it expires when the heartbeats end.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
