--- a/src/decision/routing.rs
+++ b/src/decision/routing.rs
@@ -9,7 +9,7 @@
 use crate::model::registration::TargetRegistration;
 use crate::platform::Platform;
 use crate::policy::{Policies, PolicyDocument};
-use crate::store::{Event, Item};
+use crate::store::Event;
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -168,19 +168,21 @@
         let mut state_changes = Vec::new();
         for change in changes {
             match change {
-                Event::Put(item) => match P::read(item) {
-                    Ok(Record::Policies) => state_changes.extend(self.learn_policies(item)),
-                    Ok(fact) => state_changes.extend(self.learn(fact, &item.value, now)),
+                Event::Put(item) => match P::decode(item) {
+                    Ok(Record::Policies(document)) => {
+                        state_changes.extend(self.learn_policies(&item.key, document));
+                    }
+                    Ok(record) => state_changes.extend(self.learn(record, now)),
                     Err(error) => state_changes.push(StateChange::Refused(error)),
                 },
-                Event::Gone { key, .. } => state_changes.extend(self.forget(P::read_gone(key), now, grace_until)),
+                Event::Gone { key, .. } => state_changes.extend(self.forget(P::decode_removal(key), now, grace_until)),
             }
         }
         state_changes
     }
 
-    fn learn(&mut self, fact: Record, value: &[u8], now: Instant) -> Option<StateChange> {
-        match fact {
+    fn learn(&mut self, record: Record, now: Instant) -> Option<StateChange> {
+        match record {
             Record::Config(config) => {
                 let version = config.version;
                 if self.config.as_ref().is_some_and(|known| known.version >= version) {
@@ -194,30 +196,24 @@
                 self.evacuated.insert(hall).then_some(StateChange::Evacuation { hall: name, on: true })
             }
             Record::Target(registration) => self.learn_target(&registration, now),
-            Record::Own(name) => {
-                let member = Member::read(value)?;
+            Record::Member { name, member } => {
                 if self.members.insert(name.clone(), member).is_none() {
                     self.members_at = now;
                 }
                 Some(StateChange::Member { name, present: true })
             }
-            Record::Policies | Record::Unknown => None,
+            Record::Policies(_) | Record::Unknown => None,
         }
     }
 
     /// Takes later policies in force, whole or not at all.
-    fn learn_policies(&mut self, item: &Item) -> Option<StateChange> {
-        let refused = |problem: String| StateChange::Refused(RecordError { key: item.key.clone(), problem });
-        let document = match PolicyDocument::read(&item.value) {
-            Ok(document) => document,
-            Err(problem) => return Some(refused(problem)),
-        };
+    fn learn_policies(&mut self, key: &str, document: PolicyDocument) -> Option<StateChange> {
         if self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
             return None;
         }
         match Policies::try_from(&document) {
             Ok(policies) => self.policies = Some(Rc::new(policies)),
-            Err(error) => return Some(refused(error.to_string())),
+            Err(error) => return Some(StateChange::Refused(RecordError::new(key, error))),
         }
         Some(StateChange::Policies { revision: document.revision, by: document.by })
     }
@@ -258,7 +254,7 @@
                     None => Some(self.remove_target(&target, now)),
                 }
             }
-            RemovedRecord::Own(name) => {
+            RemovedRecord::Member(name) => {
                 self.members.remove(&name)?;
                 self.members_at = now;
                 Some(StateChange::Member { name, present: false })
@@ -289,7 +285,7 @@
         for target in self.targets.values().filter(|target| *target.hall == *hall) {
             let warmup = self.config.as_ref().and_then(|config| config.services.get(&target.service));
             if let Some(service) = warmup {
-                target.begin_slow_start(service.warmup, now);
+                target.begin_slow_start(service.slow_start, now);
             }
         }
     }
--- a/src/model/member.rs
+++ b/src/model/member.rs
@@ -1,15 +1,16 @@
-//! What an instance says of itself in the store.
+//! The registration of an instance: what its record in the store says.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One instance.
+/// One instance. lockloft writes and reads this record itself, as JSON with these
+/// field names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where callers reach it.
+    /// Where callers send their requests.
     pub callers: SocketAddr,
-    /// Where peers reach it.
+    /// Where other instances and operators ask it.
     pub peer: SocketAddr,
     /// Its hall.
     pub hall: String,
@@ -18,11 +19,6 @@
 }
 
 impl Member {
-    /// Reads a value of the store; `None` where it is none of this form.
-    pub fn read(value: &[u8]) -> Option<Self> {
-        serde_json::from_slice(value).ok()
-    }
-
     /// The value for the store.
     pub fn value(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).expect("a member is plain strings"))
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,6 @@
 //! What the operators and the platform describe, decoded: plain data without
-//! behaviour over time. Relies on nothing else of lockloft.
+//! behaviour over time. Relies on [`crate::policy`] alone, for the
+//! document that a record holds.
 
 pub mod config;
 pub mod member;
--- a/src/model/record.rs
+++ b/src/model/record.rs
@@ -1,46 +1,68 @@
 //! Records of the store, decoded.
 
 use crate::model::config::Config;
+use crate::model::member::Member;
 use crate::model::registration::TargetRegistration;
+use crate::policy::PolicyDocument;
 use std::rc::Rc;
 use thiserror::Error;
 
-/// An item of the store, in the product's terms.
+/// What an item of the store says.
 #[derive(Debug)]
 pub enum Record {
     /// The operators' configuration.
     Config(Config),
-    /// A hall whose targets are to get nothing.
+    /// A hall that is evacuated: its targets receive no requests.
     Evacuation(Rc<str>),
-    /// A target.
+    /// The registration of a target.
     Target(TargetRegistration),
-    /// The operators' policies, in lockloft's own form.
-    Policies,
-    /// A key that lockloft itself wrote, without its prefix.
-    Own(String),
-    /// Nothing that lockloft knows.
+    /// The operators' policies; whether they may come into force is still to be
+    /// checked.
+    Policies(PolicyDocument),
+    /// The registration of an instance.
+    Member {
+        /// Name of the instance.
+        name: String,
+        /// What it registered.
+        member: Member,
+    },
+    /// A key that lockloft does not use.
     Unknown,
 }
 
-/// A value that cannot be translated.
+/// A value that cannot be decoded.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
-#[error("{key}: {problem}; the last good value stays in force, correct the value")]
+#[error("{key}: {}{problem}; the last good value stays in force, correct the value", prefix(.field))]
 pub struct RecordError {
     /// The key.
     pub key: String,
+    /// Path of the field; empty where the value as a whole is wrong, or the problem
+    /// names a field that is missing.
+    pub field: String,
     /// What is wrong.
     pub problem: String,
 }
 
-/// What went with a key.
+impl RecordError {
+    /// An error of the value as a whole.
+    pub fn new(key: &str, problem: impl ToString) -> Self {
+        Self { key: key.to_owned(), field: String::new(), problem: problem.to_string() }
+    }
+}
+
+fn prefix(field: &str) -> String {
+    if field.is_empty() { String::new() } else { format!("{field}: ") }
+}
+
+/// What a removed key held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RemovedRecord {
-    /// The evacuation of a hall.
+    /// The evacuation of a hall, by its name.
     Evacuation(String),
-    /// A target.
+    /// The registration of a target, by its id.
     Target(String),
-    /// A key of lockloft's own, without its prefix.
-    Own(String),
-    /// Nothing that lockloft knows.
+    /// The registration of an instance, by its name.
+    Member(String),
+    /// Nothing whose removal changes anything.
     Unknown,
 }
--- a/src/platform.rs
+++ b/src/platform.rs
@@ -55,9 +55,9 @@
     /// # Errors
     /// [`RecordError`] for a value that does not fit its key; the last good value
     /// then stays in force.
-    fn read(item: &Item) -> Result<Record, RecordError>;
+    fn decode(item: &Item) -> Result<Record, RecordError>;
     /// The record that a removed key held; the configuration is never removed.
-    fn read_gone(key: &str) -> RemovedRecord;
+    fn decode_removal(key: &str) -> RemovedRecord;
     /// Decodes a caller's question to the directory; `None` for any other path.
     fn directory_question(path: &str, query: &str) -> Option<CallerPlace>;
     /// The directory's answer, as JSON: where instances take callers' requests, and
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -8,10 +8,10 @@
 use lockloft::decision::routing::Routing;
 use lockloft::decision::target::Target;
 use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
-use lockloft::model::member::Member;
-use lockloft::model::record::Record;
+use lockloft::model::record::{Record, RecordError};
 use lockloft::model::registration::{TargetRegistration, TargetState};
 use lockloft::platform::Platform;
+use lockloft::policy::PolicyDocument;
 use lockloft::store::{Event, Item, Listing};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -44,7 +44,7 @@
 pub fn catalog_with_rate(rate: f64) -> Config {
     let service = Service {
         max_connections: 100,
-        warmup: Duration::from_secs(3),
+        slow_start: Duration::from_secs(3),
         slow_start_rate: rate,
         health_path: "/health".to_owned(),
     };
@@ -68,13 +68,14 @@
     fn policies_key() -> &'static str {
         "policies"
     }
-    fn read(item: &Item) -> Result<Record, lockloft::model::record::RecordError> {
+    fn decode(item: &Item) -> Result<Record, RecordError> {
         if item.key == Self::policies_key() {
-            return Ok(Record::Policies);
+            let document = PolicyDocument::read(&item.value).map_err(|error| RecordError::new(&item.key, error));
+            return document.map(Record::Policies);
         }
         let text = String::from_utf8_lossy(&item.value).into_owned();
-        if Member::read(&item.value).is_some() {
-            return Ok(Record::Own(item.key.clone()));
+        if let Ok(member) = serde_json::from_slice(&item.value) {
+            return Ok(Record::Member { name: item.key.clone(), member });
         }
         if let Some(rate) = text.strip_prefix("catalog ") {
             return Ok(Record::Config(catalog_with_rate(rate.parse().unwrap())));
@@ -96,7 +97,7 @@
             _ => Record::Unknown,
         })
     }
-    fn read_gone(key: &str) -> lockloft::model::record::RemovedRecord {
+    fn decode_removal(key: &str) -> lockloft::model::record::RemovedRecord {
         lockloft::model::record::RemovedRecord::Target(key.to_owned())
     }
     fn directory_question(_: &str, _: &str) -> Option<lockloft::platform::CallerPlace> {
