--- a/src/decision/routing/apply.rs
+++ b/src/decision/routing/apply.rs
@@ -22,12 +22,11 @@
 use crate::decision::change::{StateChange, TargetChange};
 use crate::decision::target::Target;
 use crate::model::config::Config;
-use crate::model::member::Member;
 use crate::model::record::{Record, RecordError, RemovedRecord};
 use crate::model::registration::{TargetRegistration, TargetState};
 use crate::platform::Platform;
 use crate::policy::{Policies, PolicyDocument};
-use crate::store::{Event, Item};
+use crate::store::Event;
 use std::rc::Rc;
 use tokio::time::Instant;
 
@@ -42,11 +41,11 @@
     ) -> Vec<StateChange> {
         self.targets.sweep_tombstones(now);
         let apply_one = |change: &Event| match change {
-            Event::Put(item) => match P::read(item) {
-                Ok(record) => self.apply_record(record, item, now),
+            Event::Put(item) => match P::decode(item) {
+                Ok(record) => self.apply_record(&item.key, record, now),
                 Err(error) => Some(StateChange::Refused(error)),
             },
-            Event::Gone { key, .. } => self.remove_record(P::read_gone(key), now, grace_until),
+            Event::Gone { key, .. } => self.remove_record(P::decode_removal(key), now, grace_until),
         };
         changes.iter().filter_map(apply_one).collect()
     }
@@ -57,17 +56,16 @@
         expired.iter().map(|target| self.remove_target(target, now)).collect()
     }
 
-    fn apply_record(&mut self, record: Record, item: &Item, now: Instant) -> Option<StateChange> {
+    fn apply_record(&mut self, key: &str, record: Record, now: Instant) -> Option<StateChange> {
         match record {
             Record::Config(config) => self.apply_config(config),
-            Record::Policies => self.apply_policies(item),
+            Record::Policies(document) => self.apply_policies(key, document),
             Record::Evacuation(hall) => {
                 let name = hall.to_string();
                 self.evacuated.insert(hall).then_some(StateChange::Evacuation { hall: name, on: true })
             }
             Record::Target(registration) => self.apply_registration(&registration, now),
-            Record::Own(name) => {
-                let member = Member::read(&item.value)?;
+            Record::Member { name, member } => {
                 self.members.insert(name.clone(), member, now);
                 Some(StateChange::Member { name, present: true })
             }
@@ -85,18 +83,13 @@
     }
 
     /// Takes later policies in force, whole or not at all.
-    fn apply_policies(&mut self, item: &Item) -> Option<StateChange> {
-        let refused = |problem: String| StateChange::Refused(RecordError { key: item.key.clone(), problem });
-        let document = match PolicyDocument::read(&item.value) {
-            Ok(document) => document,
-            Err(problem) => return Some(refused(problem.to_string())),
-        };
+    fn apply_policies(&mut self, key: &str, document: PolicyDocument) -> Option<StateChange> {
         if self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
             return None;
         }
         match Policies::try_from(&document) {
             Ok(policies) => self.policies = Some(Rc::new(policies)),
-            Err(error) => return Some(refused(error.to_string())),
+            Err(error) => return Some(StateChange::Refused(RecordError::new(key, error))),
         }
         Some(StateChange::Policies { revision: document.revision, by: document.by })
     }
@@ -123,7 +116,7 @@
                 let target = self.targets.get(&id)?.clone();
                 Some(self.remove_registration(&target, now, grace_until))
             }
-            RemovedRecord::Own(name) => {
+            RemovedRecord::Member(name) => {
                 self.members.remove(&name, now).then_some(StateChange::Member { name, present: false })
             }
             RemovedRecord::Unknown => None,
@@ -153,7 +146,7 @@
         }
         for target in self.targets.iter().filter(|target| *target.hall == *hall) {
             if let Some(service) = self.service(&target.service) {
-                target.begin_slow_start(service.warmup, now);
+                target.begin_slow_start(service.slow_start, now);
             }
         }
         Some(StateChange::Evacuation { hall, on: false })
