--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -4,7 +4,7 @@
 use crate::decision::slow_start;
 use crate::model::registration::{TargetRegistration, TargetState};
 use crate::net::pool::Pool;
-use crate::policy::{Policies, PolicyMask, TargetFacts};
+use crate::policy::{Policies, PolicySet, TargetFacts};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -121,7 +121,7 @@
     latency: Cell<Latency>,
     replaced: Cell<bool>,
     expires_at: Cell<Option<Instant>>,
-    selecting: Cell<Option<(u64, PolicyMask)>>,
+    selecting: Cell<Option<(u64, PolicySet)>>,
 }
 
 impl Target {
@@ -214,7 +214,7 @@
     }
 
     /// The policies whose places select it, worked out once for each revision.
-    pub fn selecting(&self, policies: &Policies) -> PolicyMask {
+    pub fn selecting(&self, policies: &Policies) -> PolicySet {
         if let Some((revision, mask)) = self.selecting.get()
             && revision == policies.revision
         {
--- a/src/operator/policies.rs
+++ b/src/operator/policies.rs
@@ -5,7 +5,7 @@
 use super::apply;
 use super::refusal::Refusal;
 use crate::platform::Platform;
-use crate::policy::{Policies, PolicyDocument, PolicyMask};
+use crate::policy::{Policies, PolicyDocument, PolicySet};
 use crate::state::Instance;
 use http_body_util::{BodyExt, Limited};
 use hyper::body::Incoming;
@@ -54,7 +54,7 @@
 fn idle<P: Platform>(instance: &Instance<P>, policies: &Policies) -> Vec<String> {
     let routing = instance.routing.borrow();
     let selecting = routing.targets().map(|target| policies.selecting(&target.facts()));
-    let reached = selecting.fold(PolicyMask::default(), PolicyMask::or);
+    let reached = selecting.fold(PolicySet::default(), PolicySet::or);
     let idle = policies.iter().enumerate().filter(|(position, _)| !reached.contains(*position));
     idle.map(|(_, policy)| policy.name.clone()).collect()
 }
--- a/src/policy/check.rs
+++ b/src/policy/check.rs
@@ -9,12 +9,12 @@
 use super::file::{Checked, File};
 use super::label::Interner;
 use super::labels::Labels;
-use super::mask::MAX_POLICIES;
 use super::names::Names;
 use super::policies::Policies;
 use super::raw::{RawFile, RawPolicy};
 use super::read_labels::LabelReader;
 use super::read_policy::read_policy;
+use super::set::MAX_POLICIES;
 use super::source::Sources;
 
 impl TryFrom<&PolicyDocument> for Policies {
--- a/src/policy/credit.rs
+++ b/src/policy/credit.rs
@@ -26,8 +26,8 @@
 //! **Tests.** `tests/caps.rs` against plain sums and a naive decider;
 //! `what_is_moved_stays_within_the_cap` in `tests/policies.rs`.
 
-use super::mask::PolicyMask;
 use super::policies::Policies;
+use super::set::PolicySet;
 use std::cell::Cell;
 
 /// Credit of one move, in units of credit. Whole numbers, so that many small
@@ -81,7 +81,7 @@
     }
 
     /// Lets the caps that select the request earn for it, the first time.
-    pub(super) fn earn(&self, policies: &Policies, caps: PolicyMask) {
+    pub(super) fn earn(&self, policies: &Policies, caps: PolicySet) {
         if self.earned.replace(true) {
             return;
         }
@@ -95,11 +95,11 @@
     ///
     /// # Errors
     /// The position of the first cap that has no credit; nothing is spent then.
-    pub(super) fn pay(&self, policies: &Policies, caps: PolicyMask) -> Result<(), usize> {
+    pub(super) fn pay(&self, policies: &Policies, caps: PolicySet) -> Result<(), usize> {
         if self.paid.get() {
             return Ok(());
         }
-        let mut spent = PolicyMask::default();
+        let mut spent = PolicySet::default();
         for position in caps.positions() {
             if !policies.credits[position].spend() {
                 spent.positions().for_each(|position| policies.credits[position].refund());
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -5,8 +5,8 @@
 use super::action::{Action, UNRANKED};
 use super::credit::CapCharge;
 use super::facts::RequestFacts;
-use super::mask::PolicyMask;
 use super::policies::Policies;
+use super::set::PolicySet;
 use super::verdict::{Order, PolicyVerdict};
 use crate::hash::unit;
 use std::cell::Cell;
@@ -21,11 +21,11 @@
 #[derive(Debug)]
 pub struct Active<'a> {
     policies: Rc<Policies>,
-    mask: PolicyMask,
+    set: PolicySet,
     /// The weight policy whose places the request goes to, where one has it.
     weight: Option<usize>,
     /// The policies that had a part in the choice so far.
-    applied: Cell<PolicyMask>,
+    applied: Cell<PolicySet>,
     charge: &'a CapCharge,
 }
 
@@ -38,12 +38,12 @@
         object: u64,
         charge: &'a CapCharge,
     ) -> Option<Self> {
-        let mask = policies.of_request(request);
-        if mask.is_empty() {
+        let set = policies.of_request(request);
+        if set.is_empty() {
             return None;
         }
-        let weight = pick_weight(policies, mask, unit(object, WEIGHT_SEED));
-        let active = Self { policies: policies.clone(), mask, weight, applied: Cell::default(), charge };
+        let weight = pick_weight(policies, set, unit(object, WEIGHT_SEED));
+        let active = Self { policies: policies.clone(), set, weight, applied: Cell::default(), charge };
         charge.earn(policies, active.caps());
         Some(active)
     }
@@ -54,15 +54,15 @@
     }
 
     /// What the policies say of a target, which those in `selecting` select.
-    pub fn verdict(&self, selecting: PolicyMask) -> PolicyVerdict {
-        let selecting = selecting.and(self.mask);
+    pub fn verdict(&self, selecting: PolicySet) -> PolicyVerdict {
+        let selecting = selecting.and(self.set);
         let kinds = &self.policies.kinds;
         let denials = selecting.and(kinds.denials);
         if !denials.is_empty() {
             self.note(denials);
             return PolicyVerdict::Denied;
         }
-        let allowances = self.mask.and(kinds.allowances);
+        let allowances = self.set.and(kinds.allowances);
         if !allowances.is_empty() && selecting.and(allowances).is_empty() {
             self.note(allowances);
             return PolicyVerdict::NotAllowed;
@@ -76,7 +76,7 @@
         PolicyVerdict::Open(order)
     }
 
-    fn order(&self, selecting: PolicyMask) -> Order {
+    fn order(&self, selecting: PolicySet) -> Order {
         Order {
             unwanted: self.weight.is_some_and(|position| !selecting.contains(position)),
             rank: self.rank(selecting.and(self.policies.kinds.preferences)),
@@ -94,7 +94,7 @@
         match self.charge.pay(&self.policies, self.caps()) {
             Ok(()) => true,
             Err(exhausted) => {
-                self.note(PolicyMask::only(exhausted));
+                self.note(PolicySet::only(exhausted));
                 false
             }
         }
@@ -102,17 +102,17 @@
 
     /// Notes the weight and the preferences that led to a target, which the policies
     /// in `selecting` select.
-    pub fn note_choice(&self, selecting: PolicyMask) {
-        let selecting = selecting.and(self.mask);
+    pub fn note_choice(&self, selecting: PolicySet) {
+        let selecting = selecting.and(self.set);
         let preferences = selecting.and(self.policies.kinds.preferences);
         let best = Action::Prefer(self.rank(preferences));
         for position in preferences.positions() {
             if self.policies.list[position].action == best {
-                self.note(PolicyMask::only(position));
+                self.note(PolicySet::only(position));
             }
         }
         if let Some(position) = self.weight.filter(|position| selecting.contains(*position)) {
-            self.note(PolicyMask::only(position));
+            self.note(PolicySet::only(position));
         }
     }
 
@@ -121,15 +121,15 @@
         self.policies.names(self.applied.get()).map(str::to_owned).collect()
     }
 
-    fn note(&self, mask: PolicyMask) {
-        self.applied.set(self.applied.get().or(mask));
+    fn note(&self, set: PolicySet) {
+        self.applied.set(self.applied.get().or(set));
     }
 
-    fn caps(&self) -> PolicyMask {
-        self.mask.and(self.policies.kinds.caps)
+    fn caps(&self) -> PolicySet {
+        self.set.and(self.policies.kinds.caps)
     }
 
-    fn rank(&self, preferences: PolicyMask) -> u16 {
+    fn rank(&self, preferences: PolicySet) -> u16 {
         let rank = |position: usize| match self.policies.list[position].action {
             Action::Prefer(rank) => rank,
             _ => UNRANKED,
@@ -140,9 +140,9 @@
 
 /// The weight whose part of the scale from 0 to 1 the point falls in; weights
 /// share the scale in name order.
-fn pick_weight(policies: &Policies, mask: PolicyMask, point: f64) -> Option<usize> {
+fn pick_weight(policies: &Policies, set: PolicySet, point: f64) -> Option<usize> {
     let mut start = 0.0;
-    for position in mask.and(policies.kinds.weights).positions() {
+    for position in set.and(policies.kinds.weights).positions() {
         let Action::Weight(share) = policies.list[position].action else { continue };
         if point < start + share {
             return Some(position);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -20,7 +20,7 @@
 //! | [`action`] | a checked policy and what it says |
 //! | [`label`], [`selector`] | interned labels; tests on them |
 //! | `facts`, `labels` | what labels are read from; the labels of a target or a request |
-//! | `policies`, `mask` | the policies of one document; sets of them |
+//! | `policies`, `set` | the policies of one document; sets of them |
 //! | `matched`, `verdict` | the policies that select one request; what they say of a target |
 //! | [`credit`] | the cap rule |
 //!
@@ -37,7 +37,6 @@
 mod file;
 pub mod label;
 mod labels;
-mod mask;
 mod matched;
 mod names;
 mod policies;
@@ -45,6 +44,7 @@
 mod read_labels;
 mod read_policy;
 pub mod selector;
+mod set;
 mod source;
 mod unsupported;
 mod verdict;
@@ -53,8 +53,8 @@
 pub use document::{DocumentError, PolicyDocument};
 pub use error::{Place, PolicyError};
 pub use facts::{RequestFacts, TargetFacts};
-pub use mask::{MAX_POLICIES, PolicyMask};
 pub use matched::Active;
 pub use policies::Policies;
+pub use set::{MAX_POLICIES, PolicySet};
 pub use source::{Source, Sources};
 pub use verdict::{Order, PolicyVerdict};
--- a/src/policy/policies.rs
+++ b/src/policy/policies.rs
@@ -6,8 +6,8 @@
 use super::facts::{RequestFacts, TargetFacts};
 use super::label::{Interner, LabelSet};
 use super::labels::Labels;
-use super::mask::PolicyMask;
 use super::selector::Selector;
+use super::set::PolicySet;
 
 /// The checked policies of one document.
 ///
@@ -19,7 +19,7 @@
     pub revision: u64,
     interner: Interner,
     labels: Labels,
-    /// In name order; a position in it is a position in a [`PolicyMask`].
+    /// In name order; a position in it is a position in a [`PolicySet`].
     pub(super) list: Vec<Policy>,
     /// Credit of each policy, by position; used by those that have a cap.
     pub(super) credits: Vec<Credit>,
@@ -29,12 +29,12 @@
 /// The policies of each kind of action, and those with a cap.
 #[derive(Debug)]
 pub(super) struct Kinds {
-    pub(super) drains: PolicyMask,
-    pub(super) denials: PolicyMask,
-    pub(super) allowances: PolicyMask,
-    pub(super) preferences: PolicyMask,
-    pub(super) weights: PolicyMask,
-    pub(super) caps: PolicyMask,
+    pub(super) drains: PolicySet,
+    pub(super) denials: PolicySet,
+    pub(super) allowances: PolicySet,
+    pub(super) preferences: PolicySet,
+    pub(super) weights: PolicySet,
+    pub(super) caps: PolicySet,
 }
 
 impl Kinds {
@@ -62,25 +62,25 @@
     }
 
     /// The policies whose `places` select a target.
-    pub fn selecting(&self, target: &TargetFacts<'_>) -> PolicyMask {
+    pub fn selecting(&self, target: &TargetFacts<'_>) -> PolicySet {
         let labels = self.labels.of_target(&self.interner, target);
         self.selected(&labels, |policy| &policy.places)
     }
 
     /// The policies whose `requests` select a request.
-    pub(super) fn of_request(&self, request: &RequestFacts<'_>) -> PolicyMask {
+    pub(super) fn of_request(&self, request: &RequestFacts<'_>) -> PolicySet {
         let labels = self.labels.of_request(&self.interner, request);
         self.selected(&labels, |policy| &policy.requests)
     }
 
-    fn selected(&self, labels: &LabelSet, selector: impl Fn(&Policy) -> &Selector) -> PolicyMask {
+    fn selected(&self, labels: &LabelSet, selector: impl Fn(&Policy) -> &Selector) -> PolicySet {
         let selecting = self.list.iter().enumerate().filter(|(_, policy)| selector(policy).selects(labels));
         selecting.map(|(position, _)| position).collect()
     }
 
     /// Names of the policies in a set, in name order.
-    pub fn names(&self, mask: PolicyMask) -> impl Iterator<Item = &str> {
-        mask.positions().map(|position| self.list[position].name.as_str())
+    pub fn names(&self, set: PolicySet) -> impl Iterator<Item = &str> {
+        set.positions().map(|position| self.list[position].name.as_str())
     }
 
     /// All policies, in name order.
--- a/src/policy/mask.rs
+++ b/src/policy/set.rs
@@ -1,16 +1,16 @@
 //! A set of policies as one 128-bit number, so that what selects a request and
 //! what selects a target are joined in one step.
 
-/// Largest number of policies of one document: a [`PolicyMask`] has one bit for
+/// Largest number of policies of one document: a [`PolicySet`] has one bit for
 /// each. Follows from the type.
 pub const MAX_POLICIES: usize = u128::BITS as usize;
 
 /// A set of the policies of one document, by their positions in name order.
 /// Positions are below [`MAX_POLICIES`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct PolicyMask(u128);
+pub struct PolicySet(u128);
 
-impl PolicyMask {
+impl PolicySet {
     /// The set of one policy.
     pub fn only(position: usize) -> Self {
         Self(1 << position)
@@ -54,7 +54,7 @@
     }
 }
 
-impl FromIterator<usize> for PolicyMask {
+impl FromIterator<usize> for PolicySet {
     fn from_iter<T: IntoIterator<Item = usize>>(positions: T) -> Self {
         positions.into_iter().map(Self::only).fold(Self::default(), Self::or)
     }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -6,7 +6,7 @@
 use lockloft::decision::choice::{Exclusion, NoTarget, Query, Verdict, choose, explain};
 use lockloft::decision::target::Target;
 use lockloft::policy::Sources;
-use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, PolicyMask, RequestFacts};
+use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, PolicySet, RequestFacts};
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::{BTreeSet, HashMap};
@@ -291,11 +291,11 @@
         other in prop::collection::btree_set(0usize..128, 0..40),
     ) {
         let mask = |set: &BTreeSet<usize>| {
-            let mut mask = PolicyMask::default();
+            let mut mask = PolicySet::default();
             set.iter().for_each(|position| mask.insert(*position));
             mask
         };
-        let positions = |mask: PolicyMask| mask.positions().collect::<Vec<_>>();
+        let positions = |mask: PolicySet| mask.positions().collect::<Vec<_>>();
         prop_assert_eq!(positions(mask(&one)), one.iter().copied().collect::<Vec<_>>());
         let both: Vec<usize> = one.intersection(&other).copied().collect();
         prop_assert_eq!(positions(mask(&one).and(mask(&other))), both);
