--- a/src/command/check.rs
+++ b/src/command/check.rs
@@ -2,8 +2,7 @@
 
 use super::error::CommandError;
 use super::output::Output;
-use crate::policy::Policies;
-use crate::policy::Sources;
+use crate::policy::{Policies, Sources};
 use std::path::Path;
 
 /// Reads a file or folder.
--- a/src/command/client.rs
+++ b/src/command/client.rs
@@ -51,13 +51,14 @@
     }
 
     async fn call<T: DeserializeOwned>(&self, method: Method, path: &str, body: Bytes) -> Result<T, CommandError> {
+        // Whatever ended the exchange, the remedy is the same: another address.
         let unreachable = || CommandError::Unreachable { instance: self.instance.clone() };
         let exchanged = timeout(TIMEOUT, self.exchange(method, path, body)).await.map_err(|_| unreachable())?;
         let (status, bytes) = exchanged.map_err(|_| unreachable())?;
         if status.is_success() {
-            return serde_json::from_slice(&bytes).map_err(|e| CommandError::BadAnswer(e.to_string()));
+            return serde_json::from_slice(&bytes).map_err(bad_answer);
         }
-        let refused: Refused = serde_json::from_slice(&bytes).map_err(|e| CommandError::BadAnswer(e.to_string()))?;
+        let refused: Refused = serde_json::from_slice(&bytes).map_err(bad_answer)?;
         Err(match status {
             StatusCode::CONFLICT => CommandError::Conflict(refused.message),
             _ => CommandError::Refused(refused.message),
@@ -80,6 +81,10 @@
     }
 }
 
+fn bad_answer(error: serde_json::Error) -> CommandError {
+    CommandError::BadAnswer(error.to_string())
+}
+
 /// A query string of keys and values.
 pub fn query<'a>(pairs: impl Iterator<Item = (String, &'a str)>) -> String {
     url::form_urlencoded::Serializer::new(String::new()).extend_pairs(pairs).finish()
--- a/src/command/explain.rs
+++ b/src/command/explain.rs
@@ -38,6 +38,7 @@
         }
         // Whoever collects lines may put a time or a name before them.
         let json = text.find('{').map_or("", |start| &text[start..]);
+        // Other lines may mention the id as well: they are no account of a request.
         lines.extend(Line::read(json).filter(|line| line.id() == id));
     }
     Ok(lines)
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -8,8 +8,7 @@
 
 use super::api::ApplyRequest;
 use crate::platform::Platform;
-use crate::policy::PolicyError;
-use crate::policy::{Policies, PolicyDocument};
+use crate::policy::{Policies, PolicyDocument, PolicyError};
 use crate::state::Instance;
 use crate::store::{Store, StoreError};
 use crate::sync::call::call;
