--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -7,7 +7,7 @@
 use crate::decision::target::Target;
 use crate::hash::unit;
 use crate::model::config::{Config, Route};
-use crate::policy::{Active, Order, PolicyVerdict};
+use crate::policy::{MatchedPolicies, Order, PolicyVerdict};
 use std::cmp::Ordering;
 use std::rc::Rc;
 use tokio::time::Instant;
@@ -123,7 +123,7 @@
     /// Who may warm cold targets; nobody while what is known may be stale.
     pub slow_start: Option<SlowStartShare<'a>>,
     /// The operators' policies that select the request.
-    pub active: Option<&'a Active<'a>>,
+    pub active: Option<&'a MatchedPolicies<'a>>,
     /// Targets already tried.
     pub tried: &'a [Rc<str>],
     /// The time.
@@ -279,7 +279,7 @@
 
 fn rank<'a>(routing: &'a Routing, query: &Query<'_>) -> Ranking<'a> {
     let median = routing.median_latency(query.service);
-    let has_caps = query.active.is_some_and(Active::has_caps);
+    let has_caps = query.active.is_some_and(MatchedPolicies::has_caps);
     let mut ranking = Ranking { candidates: Vec::with_capacity(TARGETS_PER_KEY + 1), default_target: None };
     for target in routing.targets_of(query.service) {
         let exclusion = exclusion(routing, query, target, median);
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -9,7 +9,7 @@
 use crate::hash::hash_affinity;
 use crate::model::config::Route;
 use crate::platform::Platform;
-use crate::policy::{Active, CapCharge, RequestFacts};
+use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
 use crate::settings::Settings;
 use crate::state::Instance;
 use crate::store::health::StoreHealth;
@@ -33,7 +33,8 @@
     let service = &*weighted.service;
     let charge = CapCharge::dry();
     let facts = facts(&question, &settings, route, service);
-    let active = routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
+    let active =
+        routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, object, &charge));
     let query = query(&settings, &instance.health, route, service, object, active.as_ref());
     let verdicts = explain(&routing, &config, &query);
     let chosen = verdicts.iter().find(|(_, verdict)| *verdict == Verdict::Chosen);
@@ -44,7 +45,7 @@
         config: config.version,
         policies: routing.policies.as_ref().map(|policies| policies.revision),
         view_age_ms: instance.health.knowledge_age().map(|age| age.as_millis() as u64),
-        acted: active.as_ref().map_or_else(Vec::new, Active::applied),
+        acted: active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied),
         chosen: chosen.map(|(target, _)| target.id.to_string()),
         targets,
     })
@@ -71,7 +72,7 @@
     route: &'a Route,
     service: &'a str,
     object: u64,
-    active: Option<&'a Active<'a>>,
+    active: Option<&'a MatchedPolicies<'a>>,
 ) -> Query<'a> {
     let share = SlowStartShare { own: &settings.name, bounds: settings.cold };
     Query {
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -19,7 +19,7 @@
 
 /// The policies that select a request.
 #[derive(Debug)]
-pub struct Active<'a> {
+pub struct MatchedPolicies<'a> {
     policies: Rc<Policies>,
     set: PolicySet,
     /// The weight policy whose places the request goes to, where one has it.
@@ -29,7 +29,7 @@
     charge: &'a CapCharge,
 }
 
-impl<'a> Active<'a> {
+impl<'a> MatchedPolicies<'a> {
     /// Finds the policies that select a request about `object`; `None` where
     /// none does. Their caps earn for the request, once over all its tries.
     pub fn find(
@@ -43,9 +43,9 @@
             return None;
         }
         let weight = pick_weight(policies, set, unit(object, WEIGHT_SEED));
-        let active = Self { policies: policies.clone(), set, weight, applied: Cell::default(), charge };
-        charge.earn(policies, active.caps());
-        Some(active)
+        let matched = Self { policies: policies.clone(), set, weight, applied: Cell::default(), charge };
+        charge.earn(policies, matched.caps());
+        Some(matched)
     }
 
     /// The document that they belong to.
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -53,7 +53,7 @@
 pub use document::{DocumentError, PolicyDocument};
 pub use error::{Place, PolicyError};
 pub use facts::{RequestFacts, TargetFacts};
-pub use matched::Active;
+pub use matched::MatchedPolicies;
 pub use policies::Policies;
 pub use set::{MAX_POLICIES, PolicySet};
 pub use source::{Source, Sources};
--- a/src/proxy/attempt.rs
+++ b/src/proxy/attempt.rs
@@ -8,7 +8,7 @@
 use crate::model::config::{Config, Repeat, Route, WeightedService};
 use crate::net::request_body::RequestBody;
 use crate::platform::Platform;
-use crate::policy::{Active, CapCharge, RequestFacts};
+use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
 use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::exchange::{Exchange, Fault};
 use crate::proxy::incoming_body::IncomingBody;
@@ -155,7 +155,7 @@
                 now: Instant::now(),
             };
             let chosen = choose(&routing, self.config, &query);
-            story.policies = active.as_ref().map_or_else(Vec::new, Active::applied);
+            story.policies = active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied);
             let is_capped = matches!(chosen, Err(NoTarget::Capped(_)));
             match chosen {
                 Ok(target) => {
@@ -175,7 +175,13 @@
     }
 
     /// The operators' policies that select the request.
-    fn active(&self, routing: &Routing, settings: &Settings, service: &str, object: u64) -> Option<Active<'_>> {
+    fn active(
+        &self,
+        routing: &Routing,
+        settings: &Settings,
+        service: &str,
+        object: u64,
+    ) -> Option<MatchedPolicies<'_>> {
         let facts = RequestFacts {
             service,
             route: &self.route.name,
@@ -185,7 +191,7 @@
             uri: &self.parts.uri,
             headers: &self.parts.headers,
         };
-        Active::find(routing.policies.as_ref()?, &facts, object, &self.charge)
+        MatchedPolicies::find(routing.policies.as_ref()?, &facts, object, &self.charge)
     }
 
     fn note_fault(&self, fault: &Fault, target: &Target) {
--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -7,7 +7,7 @@
 use lockloft::decision::choice::{NoTarget, Query, choose};
 use lockloft::policy::Sources;
 use lockloft::policy::credit::Credit;
-use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, RequestFacts};
+use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, RequestFacts};
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::BTreeMap;
@@ -287,7 +287,8 @@
         headers: &headers,
     };
     let charge = CapCharge::default();
-    let active = scene.routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, &charge));
+    let active =
+        scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, object, &charge));
     let query = Query {
         route: &route,
         service: "shop",
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -6,7 +6,7 @@
 use lockloft::decision::choice::{Exclusion, NoTarget, Query, Verdict, choose, explain};
 use lockloft::decision::target::Target;
 use lockloft::policy::Sources;
-use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, PolicySet, RequestFacts};
+use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, PolicySet, RequestFacts};
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::{BTreeSet, HashMap};
@@ -64,7 +64,8 @@
         uri: &asked.uri,
         headers: &asked.headers,
     };
-    let active = scene.routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, trial));
+    let active =
+        scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, object, trial));
     let query = Query {
         route: &route,
         service: "shop",
@@ -76,7 +77,7 @@
         now: scene.now,
     };
     let decided = with(&scene.routing, &scene.config, &query);
-    (decided, active.as_ref().map_or_else(Vec::new, Active::applied))
+    (decided, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
 }
 
 fn halls(scene: &Scene, asked: &Asked, objects: std::ops::Range<u64>) -> HashMap<String, u32> {
