--- a/standins/src/options.rs
+++ b/standins/src/cli.rs
@@ -20,7 +20,7 @@
 ";
 
 /// The most instance processes of a soak.
-const MOST_ENTRIES: usize = 32;
+const MAX_INSTANCES: usize = 32;
 /// Exit code for a command line that cannot be read.
 const USAGE: u8 = 2;
 
@@ -31,7 +31,7 @@
         ["soak", seed] => block(soak(seed, "1", crate::soak::INSTANCES)),
         ["soak", seed, count] => block(soak(seed, count, crate::soak::INSTANCES)),
         ["soak", seed, count, instances] => match instances.parse() {
-            Ok(instances @ 2..=MOST_ENTRIES) => block(soak(seed, count, instances)),
+            Ok(instances @ 2..=MAX_INSTANCES) => block(soak(seed, count, instances)),
             _ => ExitCode::from(USAGE),
         },
         ["entry", settings] => platform::run(std::path::Path::new(settings)),
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,7 +1,7 @@
 //! The demonstration: a store, targets and instances on loopback, narrated.
 
-use crate::site::{Ask, InstanceProcess, RouteSpec, Site};
-use crate::upstream::Upstream;
+use crate::site::{InstanceProcess, RouteSpec, Site, TestRequest};
+use crate::target::TargetServer;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
@@ -11,7 +11,7 @@
 
 struct Show {
     site: Site,
-    targets: Vec<Upstream>,
+    targets: Vec<TargetServer>,
     instances: Vec<InstanceProcess>,
 }
 
@@ -43,7 +43,7 @@
         let site = Site::start(program).await;
         let mut targets = Vec::new();
         for number in 0..8 {
-            let target = Upstream::start(&format!("t-{number}"), 6, WORK).await.expect("loopback has free ports");
+            let target = TargetServer::start(&format!("t-{number}"), 6, WORK).await.expect("loopback has free ports");
             site.list(&target, "booking", HALLS[number % 4]);
             targets.push(target);
         }
@@ -53,7 +53,7 @@
             instances.push(site.ready_instance(&format!("e-{number}"), hall).await);
         }
         for instance in &instances {
-            let end = Instant::now() + crate::site::PATIENCE;
+            let end = Instant::now() + crate::site::WAIT_TIMEOUT;
             while instance.resolve("a").await.len() < 2 && Instant::now() < end {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -68,7 +68,7 @@
         let mut served = 0;
         for object in 0..40 {
             let instance = &self.instances[object % self.instances.len()];
-            let reply = Ask::post("/buy/ticket", "one berth").about(object).send(instance.callers).await;
+            let reply = TestRequest::post("/buy/ticket", "one berth").affinity(object).send(instance.callers).await;
             served += usize::from(reply.is_ok_and(|reply| reply.status == 200));
         }
         let runs = self.targets.iter().zip(before).map(|(target, had)| target.runs().len() - had);
@@ -77,7 +77,7 @@
 
     async fn serve(&self) {
         println!("A caller in region a asks the directory: {}.", self.instances[0].resolve("a").await.join(", "));
-        let ask = Ask::post("/buy/ticket", "one berth");
+        let ask = TestRequest::post("/buy/ticket", "one berth");
         let reply = ask.send(self.instances[0].callers).await.expect("the instance answers");
         println!("Its purchase {}: {}, {}.", ask.id, reply.status, String::from_utf8_lossy(&reply.body));
         let line = self.instances[0].request_line(&ask.id).await;
@@ -89,7 +89,7 @@
     async fn seen_by_all(&self, event: &str, times: usize) -> Duration {
         let started = Instant::now();
         let all = || self.instances.iter().all(|instance| instance.events(event).len() >= times);
-        crate::site::until(event, all).await;
+        crate::site::wait_until(event, all).await;
         started.elapsed()
     }
 
@@ -130,7 +130,7 @@
         let mut lost = self.instances.remove(1);
         let killed = Instant::now();
         lost.kill();
-        while self.instances[0].resolve("a").await.len() > 1 && killed.elapsed() < crate::site::PATIENCE {
+        while self.instances[0].resolve("a").await.len() > 1 && killed.elapsed() < crate::site::WAIT_TIMEOUT {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let (served, _) = self.purchases().await;
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -8,10 +8,9 @@
 use hyper::service::service_fn;
 use hyper::{HeaderMap, Request, Response, StatusCode};
 use hyper_util::rt::TokioIo;
-use std::net::{IpAddr, SocketAddr};
-use std::sync::Arc;
+use std::net::SocketAddr;
 use std::time::Duration;
-use tokio::net::{TcpListener, TcpSocket, TcpStream};
+use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
@@ -48,21 +47,25 @@
 }
 
 impl Connection {
-    /// Connects from `source`, any address where absent.
-    pub async fn open(address: SocketAddr, source: Option<IpAddr>) -> Result<Self, NoReply> {
-        let connected = timeout(Duration::from_secs(1), connect(address, source)).await;
+    /// Connects to an address.
+    pub async fn open(address: SocketAddr) -> Result<Self, NoReply> {
+        let connected = timeout(Duration::from_secs(1), connect(address)).await;
         let stream = connected.map_err(|_| NoReply::Unreachable)?.map_err(|_| NoReply::Unreachable)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| NoReply::Unreachable)?;
         tokio::spawn(connection);
         Ok(Self { sender })
     }
 
-    /// Whether another request can be sent.
+    /// Waits until another request can be sent; false where the connection is
+    /// closed.
     pub async fn is_ready(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 
-    /// Sends a request and reads the whole answer.
+    /// Sends a request and reads the whole answer within `wait`.
+    ///
+    /// # Errors
+    /// `Broken` where the connection closes or the time runs out.
     pub async fn send(&mut self, request: Request<Full<Bytes>>, wait: Duration) -> Result<Reply, NoReply> {
         let exchange = async {
             let response = self.sender.send_request(request).await?;
@@ -77,20 +80,15 @@
     }
 }
 
-/// Connects a socket from `source`.
-pub async fn connect(address: SocketAddr, source: Option<IpAddr>) -> std::io::Result<TcpStream> {
-    let socket = TcpSocket::new_v4()?;
-    if let Some(source) = source {
-        socket.bind(SocketAddr::new(source, 0))?;
-    }
-    let stream = socket.connect(address).await?;
+async fn connect(address: SocketAddr) -> std::io::Result<TcpStream> {
+    let stream = TcpStream::connect(address).await?;
     stream.set_nodelay(true)?;
     Ok(stream)
 }
 
 /// Sends one request over a connection of its own.
 pub async fn once(address: SocketAddr, request: Request<Full<Bytes>>, wait: Duration) -> Result<Reply, NoReply> {
-    Connection::open(address, None).await?.send(request, wait).await
+    Connection::open(address).await?.send(request, wait).await
 }
 
 /// Gets one path.
@@ -117,9 +115,8 @@
 
 impl std::error::Error for Closed {}
 
-/// Serves connections with `answer` until the handle is aborted. `open` is
-/// waited before each connection is served.
-pub fn serve<F, A>(listener: TcpListener, open: Arc<dyn Fn() -> Duration + Send + Sync>, answer: F) -> JoinHandle<()>
+/// Serves connections with `answer` until the handle is aborted.
+pub fn serve<F, A>(listener: TcpListener, answer: F) -> JoinHandle<()>
 where
     F: Fn(Request<Incoming>) -> A + Clone + Send + 'static,
     A: Future<Output = Result<Response<Full<Bytes>>, Closed>> + Send + 'static,
@@ -130,9 +127,7 @@
             let Ok((stream, _)) = listener.accept().await else { continue };
             let _ = stream.set_nodelay(true);
             let answer = answer.clone();
-            let wait = open();
             connections.spawn(async move {
-                tokio::time::sleep(wait).await;
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(answer)).await;
             });
             while connections.try_join_next().is_some() {}
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -3,5 +3,5 @@
 use std::process::ExitCode;
 
 fn main() -> ExitCode {
-    standins::options::run(std::env::args().skip(1).collect())
+    standins::cli::run(std::env::args().skip(1).collect())
 }
--- a/standins/src/site.rs
+++ b/standins/src/site.rs
@@ -1,9 +1,9 @@
-//! A site: a store, upstreams, and instance instances as processes of their own.
+//! A site: a store, targets, and instance instances as processes of their own.
 
 use crate::http::{self, Connection, NoReply, Reply};
 use crate::ports::{free_address, spawn};
 use crate::store::{Door, Store};
-use crate::upstream::Upstream;
+use crate::target::TargetServer;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::{Method, Request};
@@ -19,9 +19,9 @@
 /// Host of all routes.
 pub const HOST: &str = "shop.example";
 /// Longest wait for something that must come about.
-pub const PATIENCE: Duration = Duration::from_secs(20);
+pub const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 /// Pause between looks.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 static NUMBER: AtomicU64 = AtomicU64::new(1);
 
@@ -32,11 +32,11 @@
 
 /// Waits until something holds; panics with `what` where it does not come
 /// about.
-pub async fn until(what: &str, mut holds: impl FnMut() -> bool) {
-    let end = Instant::now() + PATIENCE;
+pub async fn wait_until(what: &str, mut holds: impl FnMut() -> bool) {
+    let end = Instant::now() + WAIT_TIMEOUT;
     while !holds() {
         assert!(Instant::now() < end, "{what} did not come about");
-        tokio::time::sleep(LOOK).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
@@ -143,7 +143,7 @@
     /// Where it runs already: a second process would find the addresses taken,
     /// and the first one would run on without anybody who could end it.
     pub fn start(&mut self) {
-        assert!(self.has_ended(), "{} runs already", self.name);
+        assert!(self.has_exited(), "{} runs already", self.name);
         let log = File::options().create(true).append(true).open(&self.log).expect("the folder is ours");
         let mut command = Command::new(&self.program);
         command.arg("entry").arg(&self.settings);
@@ -186,7 +186,7 @@
     }
 
     /// Whether it runs no more.
-    pub fn has_ended(&mut self) -> bool {
+    pub fn has_exited(&mut self) -> bool {
         let ended = self.child.as_mut().is_none_or(|child| matches!(child.try_wait(), Ok(Some(_))));
         if ended {
             self.child = None;
@@ -195,8 +195,8 @@
     }
 
     /// Waits for its end.
-    pub async fn ended(&mut self) -> ExitStatus {
-        let end = Instant::now() + PATIENCE;
+    pub async fn wait_exit(&mut self) -> ExitStatus {
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             let child = self.child.as_mut().expect("it was started");
             if let Some(status) = child.try_wait().expect("it is our child") {
@@ -204,7 +204,7 @@
                 return status;
             }
             assert!(Instant::now() < end, "{} did not end", self.name);
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -214,11 +214,11 @@
     }
 
     /// Waits until it is ready.
-    pub async fn ready(&self) {
-        let end = Instant::now() + PATIENCE;
+    pub async fn wait_ready(&self) {
+        let end = Instant::now() + WAIT_TIMEOUT;
         while !self.is_ready().await {
             assert!(Instant::now() < end, "{} is not ready: {}", self.name, self.log());
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -245,13 +245,13 @@
 
     /// The line of its log for a request.
     pub async fn request_line(&self, id: &str) -> Value {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
             if let Some(line) = self.events("request").into_iter().find(|line| line["id"] == id) {
                 return line;
             }
             assert!(Instant::now() < end, "no line for {id} in the log of {}", self.name);
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
     }
 
@@ -272,7 +272,7 @@
 
 /// A request to be sent.
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct TestRequest {
     /// Its identity.
     pub id: String,
     /// Method.
@@ -287,7 +287,7 @@
     pub body: Bytes,
 }
 
-impl Ask {
+impl TestRequest {
     /// A GET with a fresh identity.
     pub fn get(path: &str) -> Self {
         Self {
@@ -306,7 +306,7 @@
     }
 
     /// About another object.
-    pub fn about(mut self, object: impl ToString) -> Self {
+    pub fn affinity(mut self, object: impl ToString) -> Self {
         self.object = object.to_string();
         self
     }
@@ -326,7 +326,7 @@
 
     /// Sends it to an instance over a connection of its own.
     pub async fn send(&self, instance: SocketAddr) -> Result<Reply, NoReply> {
-        Connection::open(instance, None).await?.send(self.request(), Duration::from_secs(10)).await
+        Connection::open(instance).await?.send(self.request(), Duration::from_secs(10)).await
     }
 }
 
@@ -367,15 +367,15 @@
         self.store.put("op/config", config(version, routes, services));
     }
 
-    /// Lists an upstream as ready.
-    pub fn list(&self, upstream: &Upstream, service: &str, zone: &str) {
-        self.list_as(upstream, service, zone, "ready", 1, 0);
+    /// Lists a target as ready.
+    pub fn list(&self, target: &TargetServer, service: &str, zone: &str) {
+        self.list_as(target, service, zone, "ready", 1, 0);
     }
 
-    /// Lists an upstream in some state.
-    pub fn list_as(&self, upstream: &Upstream, service: &str, zone: &str, state: &str, sequence: u64, cold_ms: u64) {
-        let registration = upstream.registration(service, zone, state, sequence, cold_ms);
-        self.store.put(&format!("servers/{}", upstream.id), registration);
+    /// Lists a target in some state.
+    pub fn list_as(&self, target: &TargetServer, service: &str, zone: &str, state: &str, sequence: u64, cold_ms: u64) {
+        let registration = target.registration(service, zone, state, sequence, cold_ms);
+        self.store.put(&format!("servers/{}", target.id), registration);
     }
 
     /// An instance that is not started yet, in a hall `REGION-...`.
@@ -421,7 +421,7 @@
     pub async fn ready_instance(&self, name: &str, hall: &str) -> InstanceProcess {
         let mut instance = self.instance(name, hall);
         instance.start();
-        instance.ready().await;
+        instance.wait_ready().await;
         instance
     }
 }
--- a/standins/src/soak/callers.rs
+++ b/standins/src/soak/callers.rs
@@ -3,7 +3,7 @@
 
 use super::record::Asked;
 use crate::http::{self, Connection};
-use crate::site::Ask;
+use crate::site::TestRequest;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -72,12 +72,12 @@
     }
 }
 
-fn draw(random: &mut StdRng, safe: bool) -> Ask {
+fn draw(random: &mut StdRng, safe: bool) -> TestRequest {
     let ask = match safe {
-        true => Ask::get("/look/a"),
-        false => Ask::post("/buy/a", vec![b'x'; random.random_range(1..20_000)]),
+        true => TestRequest::get("/look/a"),
+        false => TestRequest::post("/buy/a", vec![b'x'; random.random_range(1..20_000)]),
     };
-    ask.about(random.random_range(0..OBJECTS))
+    ask.affinity(random.random_range(0..OBJECTS))
 }
 
 /// A connection to an instance that some directory names.
@@ -89,5 +89,5 @@
         answer["addresses"].as_array()?.iter().filter_map(|address| address.as_str()?.parse().ok()).collect();
     let chosen = named.choose(random)?;
     let instance = shared.doors.iter().position(|door| door.callers == *chosen)?;
-    Some((instance, Connection::open(*chosen, None).await.ok()?))
+    Some((instance, Connection::open(*chosen).await.ok()?))
 }
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::Mode;
 use crate::store::Trouble;
-use crate::upstream::Misbehaviour;
+use crate::target::Misbehaviour;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
@@ -27,13 +27,13 @@
     Forget,
     /// All instances' keys are taken away.
     Revoke,
-    /// The way to an upstream has a trouble.
+    /// The way to a target has a trouble.
     Way(usize, Mode),
-    /// An upstream misbehaves.
-    Upstream(usize, Misbehaviour),
-    /// An upstream works ten times as long.
-    SlowUpstream(usize),
-    /// An upstream drains, goes, and comes back cold under another identity.
+    /// A target misbehaves.
+    Misbehave(usize, Misbehaviour),
+    /// A target works ten times as long.
+    SlowTarget(usize),
+    /// A target drains, goes, and comes back cold under another identity.
     Replace(usize),
     /// A hall is evacuated.
     Evacuate(usize),
@@ -65,8 +65,8 @@
 pub struct Size {
     /// Instances.
     pub instances: usize,
-    /// Upstreams.
-    pub upstreams: usize,
+    /// Targets.
+    pub targets: usize,
     /// Halls.
     pub halls: usize,
 }
@@ -87,21 +87,21 @@
 
 fn draw(random: &mut StdRng, size: Size) -> Fault {
     let instance = random.random_range(0..size.instances);
-    let upstream = random.random_range(0..size.upstreams);
+    let target = random.random_range(0..size.targets);
     let troubles = [Trouble::Silent, Trouble::Busy, Trouble::TooMany, Trouble::Reset, Trouble::AnswersLost];
     let ways = [Mode::Delay(Duration::from_millis(150)), Mode::Silent, Mode::SilentBack, Mode::Reset];
     let misbehaviours = [
         Misbehaviour::LoseAnswer,
-        Misbehaviour::Silent,
+        Misbehaviour::NoAnswer,
         Misbehaviour::SurplusAnswer,
         Misbehaviour::LateSurplusAnswer,
         Misbehaviour::UnframedReset,
-        Misbehaviour::Early,
-        Misbehaviour::BreakOff,
+        Misbehaviour::AnswerEarly,
+        Misbehaviour::Truncate,
         Misbehaviour::Unsigned,
         Misbehaviour::WrongId,
         Misbehaviour::Garbage,
-        Misbehaviour::Fail,
+        Misbehaviour::ServerError,
         Misbehaviour::Full,
     ];
     match random.random_range(0..16) {
@@ -112,11 +112,12 @@
         5 | 6 => Fault::Door(instance, *troubles.choose(random).expect("there are some")),
         7 => Fault::SlowStore,
         8 => [Fault::Forget, Fault::Revoke][random.random_range(0..2)],
-        9 | 10 => Fault::Way(upstream, *ways.choose(random).expect("there are some")),
-        11 | 12 => Fault::Upstream(upstream, *misbehaviours.choose(random).expect("there are some")),
-        13 => [Fault::SlowUpstream(upstream), Fault::Evacuate(random.random_range(0..size.halls))]
-            [random.random_range(0..2)],
-        14 => Fault::Replace(upstream),
+        9 | 10 => Fault::Way(target, *ways.choose(random).expect("there are some")),
+        11 | 12 => Fault::Misbehave(target, *misbehaviours.choose(random).expect("there are some")),
+        13 => {
+            [Fault::SlowTarget(target), Fault::Evacuate(random.random_range(0..size.halls))][random.random_range(0..2)]
+        }
+        14 => Fault::Replace(target),
         _ => Fault::Configure,
     }
 }
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -1,6 +1,6 @@
 //! A fault soak: real instance processes under load and faults from outside,
 //! chosen by a seed, while promises are checked from what callers and
-//! upstreams see.
+//! targets see.
 
 mod callers;
 pub mod faults;
@@ -21,8 +21,8 @@
     pub seed: u64,
     /// Instance processes.
     pub instances: usize,
-    /// Upstreams of the one service.
-    pub upstreams: usize,
+    /// Targets of the one service.
+    pub targets: usize,
     /// Callers that keep their connections open.
     pub callers: usize,
     /// Length of the traffic.
@@ -33,10 +33,10 @@
 pub const INSTANCES: usize = 5;
 
 impl Soak {
-    /// A soak of so many instances, with upstreams and callers in proportion.
+    /// A soak of so many instances, with targets and callers in proportion.
     pub fn new(seed: u64, instances: usize) -> Self {
-        let (upstreams, callers) = (instances * 8 / 5, instances * 16 / 5);
-        Self { seed, instances, upstreams, callers, time: Duration::from_secs(20) }
+        let (targets, callers) = (instances * 8 / 5, instances * 16 / 5);
+        Self { seed, instances, targets, callers, time: Duration::from_secs(20) }
     }
 }
 
@@ -57,7 +57,7 @@
 
 /// Runs a soak whose instances are `program entry SETTINGS`.
 pub async fn run(program: &Path, soak: Soak) -> Outcome {
-    let size = Size { instances: soak.instances, upstreams: soak.upstreams, halls: scene::HALLS.len() };
+    let size = Size { instances: soak.instances, targets: soak.targets, halls: scene::HALLS.len() };
     run_faults(program, soak, &plan(soak.seed, size, soak.time)).await
 }
 
--- a/standins/src/soak/record.rs
+++ b/standins/src/soak/record.rs
@@ -1,6 +1,6 @@
 //! What a soak saw, and the promises that it holds against it.
 
-use crate::upstream::Run;
+use crate::target::Run;
 use serde::Serialize;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
@@ -16,7 +16,7 @@
 const BUDGET_WINDOW: Duration = Duration::from_secs(10);
 /// Second tries allowed in a window: a share of its requests, and a slack.
 const BUDGET: (f64, f64) = (0.2, 64.0);
-/// Requests that a cold upstream may get in a second.
+/// Requests that a cold target may get in a second.
 const COLD_MOST: usize = 18;
 
 /// One request as its caller saw it.
@@ -54,7 +54,7 @@
     }
 }
 
-/// All runs of one life of an upstream, and what befell it.
+/// All runs of one life of a target, and what befell it.
 #[derive(Clone, Debug)]
 pub struct Life {
     /// Its runs.
@@ -72,7 +72,7 @@
 pub struct Record {
     /// Requests.
     pub asked: Vec<Asked>,
-    /// Lives of upstreams.
+    /// Lives of targets.
     pub lives: Vec<Life>,
     /// Times in which faults touched what instances may know.
     pub unsettled: Vec<Span>,
@@ -97,7 +97,7 @@
     pub unsound: usize,
     /// A request that was said not to have run had run.
     pub false_promise: usize,
-    /// A request ran at an upstream after the bound on its drain.
+    /// A request ran at a target after the bound on its drain.
     pub after_drain: usize,
     /// A request ran in an evacuated hall after the bound.
     pub after_evacuation: usize,
@@ -107,7 +107,7 @@
     pub went_back: usize,
     /// Windows in which second tries exceeded the budget.
     pub over_budget: usize,
-    /// Seconds in which a cold upstream got too many requests.
+    /// Seconds in which a cold target got too many requests.
     pub over_cold: usize,
     /// Fewer than nine in ten requests were served once all had healed.
     pub not_recovered: usize,
@@ -207,7 +207,7 @@
     matches!(status, Some(408 | 421 | 429 | 503))
 }
 
-/// Seconds within an upstream's cold time in which it got too many requests.
+/// Seconds within a target's cold time in which it got too many requests.
 fn seconds_over_cold(life: &Life) -> usize {
     let Some(until) = life.cold_until else { return 0 };
     let cold: Vec<Instant> = life.runs.iter().map(|run| run.at).filter(|at| *at < until).collect();
--- a/standins/src/soak/scene.rs
+++ b/standins/src/soak/scene.rs
@@ -1,4 +1,4 @@
-//! The system under soak: a store with a door for each instance, upstreams behind
+//! The system under soak: a store with a door for each instance, targets behind
 //! proxies, instance processes, and what the faults do to them.
 
 use super::Soak;
@@ -6,9 +6,9 @@
 use super::faults::{Fault, Planned};
 use super::record::{Life, Record, Span};
 use crate::proxy::{Mode, Proxy};
-use crate::site::{Ask, InstanceProcess, RouteSpec, Site};
+use crate::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use crate::store::{self, Trouble};
-use crate::upstream::{Misbehaviour, Upstream};
+use crate::target::{Misbehaviour, TargetServer};
 use std::collections::HashMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -18,11 +18,11 @@
 /// The halls, all of one region.
 pub const HALLS: [&str; 3] = ["a-1", "a-2", "a-3"];
 const SERVICE: &str = "shop";
-/// Time an upstream works on a warm object.
+/// Time a target works on a warm object.
 const WORK: Duration = Duration::from_millis(20);
 /// Time from a signal to stop until the kill, seconds.
 const STOP_S: f64 = 4.0;
-/// How long a returned upstream is cold.
+/// How long a returned target is cold.
 const COLD: Duration = Duration::from_millis(1_500);
 /// Time between the traffic's end and the calm requests that follow.
 const HEAL: Duration = Duration::from_secs(3);
@@ -30,7 +30,7 @@
 const TICK: Duration = Duration::from_millis(20);
 
 struct Server {
-    upstream: Upstream,
+    target: TargetServer,
     proxy: Proxy,
     hall: usize,
     sequence: u64,
@@ -85,7 +85,7 @@
             record: Record::default(),
             stopping: HashMap::new(),
         };
-        for number in 0..soak.upstreams {
+        for number in 0..soak.targets {
             scene.add_server(number % HALLS.len(), Duration::ZERO).await;
         }
         scene.site.configure(1, &routes(1), &[SERVICE]);
@@ -97,27 +97,26 @@
             scene.instances.push(instance);
         }
         for instance in &scene.instances {
-            instance.ready().await;
+            instance.wait_ready().await;
         }
         scene
     }
 
     async fn add_server(&mut self, hall: usize, cold: Duration) {
         let id = crate::site::fresh_id().replace("request", "u");
-        let upstream = Upstream::start(&id, 6, WORK).await.expect("loopback has free ports");
-        let proxy = Proxy::start(upstream.address).await.expect("loopback has free ports");
+        let target = TargetServer::start(&id, 6, WORK).await.expect("loopback has free ports");
+        let proxy = Proxy::start(target.address).await.expect("loopback has free ports");
         let cold_until = (!cold.is_zero()).then(|| Instant::now() + cold);
-        let server = Server { upstream, proxy, hall, sequence: 1, drained: None, cold_until };
+        let server = Server { target, proxy, hall, sequence: 1, drained: None, cold_until };
         self.list(&server, "ready", cold);
         self.servers.push(server);
     }
 
     fn list(&self, server: &Server, state: &str, cold: Duration) {
         let cold = cold.as_millis() as u64;
-        let registration = server.upstream.registration(SERVICE, HALLS[server.hall], state, server.sequence, cold);
-        let registration =
-            registration.replace(&server.upstream.address.to_string(), &server.proxy.address.to_string());
-        self.site.store.put(&format!("servers/{}", server.upstream.id), registration);
+        let registration = server.target.registration(SERVICE, HALLS[server.hall], state, server.sequence, cold);
+        let registration = registration.replace(&server.target.address.to_string(), &server.proxy.address.to_string());
+        self.site.store.put(&format!("servers/{}", server.target.id), registration);
     }
 
     /// Plays the faults under load, lets all heal, and gives what was seen.
@@ -184,11 +183,11 @@
             Fault::Reload(instance) => self.instances[instance].signal(libc::SIGHUP),
             Fault::Door(instance, trouble) => self.doors[instance].set(trouble),
             Fault::SlowStore => self.doors.iter().for_each(|door| door.slow(Duration::from_millis(300))),
-            Fault::Forget => self.site.store.forget_history(),
-            Fault::Revoke => self.site.store.remove_all("lockloft/"),
+            Fault::Forget => self.site.store.compact(),
+            Fault::Revoke => self.site.store.remove_prefix("lockloft/"),
             Fault::Way(server, mode) => self.servers[server].proxy.set(mode),
-            Fault::Upstream(server, misbehaviour) => self.servers[server].upstream.set(misbehaviour),
-            Fault::SlowUpstream(server) => self.servers[server].upstream.work(WORK * 10),
+            Fault::Misbehave(server, misbehaviour) => self.servers[server].target.set(misbehaviour),
+            Fault::SlowTarget(server) => self.servers[server].target.work(WORK * 10),
             Fault::Replace(server) => {
                 self.servers[server].sequence += 1;
                 self.list(&self.servers[server], "draining", Duration::ZERO);
@@ -222,8 +221,8 @@
             Fault::Door(instance, _) => self.doors[instance].set(Trouble::None),
             Fault::SlowStore => self.doors.iter().for_each(|door| door.slow(Duration::ZERO)),
             Fault::Way(server, _) => self.servers[server].proxy.set(Mode::Pass),
-            Fault::Upstream(server, _) => self.servers[server].upstream.set(Misbehaviour::None),
-            Fault::SlowUpstream(server) => self.servers[server].upstream.work(WORK),
+            Fault::Misbehave(server, _) => self.servers[server].target.set(Misbehaviour::None),
+            Fault::SlowTarget(server) => self.servers[server].target.work(WORK),
             Fault::Replace(server) => self.replace(server).await,
             Fault::Evacuate(hall) => {
                 self.site.store.remove(&format!("op/evacuate/{}", HALLS[hall]));
@@ -236,17 +235,17 @@
     /// Starts a killed instance again, unless an overlapping fault has done so
     /// or is to do so: a kill that ended earlier, or a planned stop.
     fn start_killed(&mut self, instance: usize) {
-        if !self.stopping.contains_key(&instance) && self.instances[instance].has_ended() {
+        if !self.stopping.contains_key(&instance) && self.instances[instance].has_exited() {
             self.instances[instance].start();
         }
     }
 
     async fn replace(&mut self, position: usize) {
         let hall = self.servers[position].hall;
-        self.site.store.remove(&format!("servers/{}", self.servers[position].upstream.id));
+        self.site.store.remove(&format!("servers/{}", self.servers[position].target.id));
         let old = self.servers.swap_remove(position);
         self.lives.push(life(&old));
-        // It serves on a little longer, as the platform's upstreams do.
+        // It serves on a little longer, as the platform's targets do.
         tokio::spawn(async move {
             tokio::time::sleep(Duration::from_secs(3)).await;
             drop(old);
@@ -259,7 +258,7 @@
     /// Starts instances again that have ended as planned.
     async fn restart_stopped(&mut self) {
         let ended: Vec<usize> =
-            self.stopping.keys().copied().filter(|instance| self.instances[*instance].has_ended()).collect();
+            self.stopping.keys().copied().filter(|instance| self.instances[*instance].has_exited()).collect();
         for instance in ended {
             let from = self.stopping.remove(&instance).expect("it is there");
             let span = Span { from, to: Instant::now() };
@@ -276,7 +275,7 @@
         let life = self.instances[instance].pid();
         let shown = self.shown.get(&instance).copied().unwrap_or(1);
         let version = if rand::random() { shown } else { self.version };
-        let ask = Ask::get(&format!("/since-{version}/x"));
+        let ask = TestRequest::get(&format!("/since-{version}/x"));
         let asked = tokio::time::timeout(Duration::from_millis(300), ask.send(self.instances[instance].callers)).await;
         let Ok(Ok(reply)) = asked else { return };
         if self.instances[instance].pid() != life {
@@ -297,7 +296,7 @@
         let after = 200;
         for number in 0..after {
             let instance = &self.instances[number % self.instances.len()];
-            let reply = Ask::get("/look/a").about(number).send(instance.callers).await;
+            let reply = TestRequest::get("/look/a").affinity(number).send(instance.callers).await;
             served += usize::from(reply.is_ok_and(|reply| reply.status == 200));
         }
         let mut record = std::mem::take(&mut self.record);
@@ -315,18 +314,18 @@
     }
 
     async fn heal(&mut self) {
-        let end = Instant::now() + crate::site::PATIENCE;
+        let end = Instant::now() + crate::site::WAIT_TIMEOUT;
         while !self.stopping.is_empty() && Instant::now() < end {
             self.restart_stopped().await;
             tokio::time::sleep(TICK).await;
         }
         for instance in &self.instances {
-            instance.ready().await;
+            instance.wait_ready().await;
         }
         tokio::time::sleep(HEAL).await;
     }
 }
 
 fn life(server: &Server) -> Life {
-    Life { runs: server.upstream.runs(), drained: server.drained, cold_until: server.cold_until, evacuated: Vec::new() }
+    Life { runs: server.target.runs(), drained: server.drained, cold_until: server.cold_until, evacuated: Vec::new() }
 }
--- a/standins/src/store.rs
+++ b/standins/src/store.rs
@@ -21,7 +21,7 @@
 /// Items on one page of a list.
 const PAGE: usize = 500;
 /// Time between looks after leases that have run out.
-const LEASE_LOOK: Duration = Duration::from_millis(20);
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
 
 /// How a door answers.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -131,12 +131,12 @@
         let door = Door { address: listener.local_addr()?, trouble: Arc::default() };
         let (shared, at) = (self.shared.clone(), door.clone());
         let answer = move |request| answer_at(shared.clone(), at.clone(), request);
-        let task = serve(listener, Arc::new(|| Duration::ZERO), answer);
+        let task = serve(listener, answer);
         self.tasks.lock().expect("no holder panics").push(task);
         Ok(door)
     }
 
-    /// Writes a key, as the operator or an upstream does.
+    /// Writes a key, as the operator or a target does.
     pub fn put(&self, key: &str, value: impl Into<Bytes>) -> u64 {
         let revision = self.shared.lock().put(key, value.into(), 0);
         self.shared.changed.notify_waiters();
@@ -150,14 +150,14 @@
     }
 
     /// Removes every key under a prefix, as when leases are revoked.
-    pub fn remove_all(&self, prefix: &str) {
+    pub fn remove_prefix(&self, prefix: &str) {
         for key in self.keys(prefix) {
             self.remove(&key);
         }
     }
 
     /// Forgets the history: watches from before get 410.
-    pub fn forget_history(&self) {
+    pub fn compact(&self) {
         let mut state = self.shared.lock();
         state.forgotten = state.revision;
         state.history.clear();
@@ -238,7 +238,7 @@
 
 async fn end_leases(shared: Arc<Shared>) {
     loop {
-        tokio::time::sleep(LEASE_LOOK).await;
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
         let now = Instant::now();
         let mut state = shared.lock();
         let over: Vec<u64> = state.leases.iter().filter(|(_, lease)| lease.until <= now).map(|(id, _)| *id).collect();
--- a/standins/src/upstream.rs
+++ b/standins/src/target.rs
@@ -1,4 +1,4 @@
-//! An upstream as the platform's pages describe it: incarnations, slots and a
+//! A target as the platform's pages describe it: incarnations, slots and a
 //! queue, signatures, load reports, cold objects, and its ways to misbehave.
 //! It writes its answers byte by byte, since some of them are no good HTTP.
 
@@ -12,7 +12,7 @@
 use tokio::sync::Semaphore;
 use tokio::task::{JoinHandle, JoinSet};
 
-/// How an upstream misbehaves.
+/// How a target misbehaves.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Misbehaviour {
     /// Not at all.
@@ -21,9 +21,7 @@
     /// It runs the request and closes the connection.
     LoseAnswer,
     /// It runs the request and says nothing more.
-    Silent,
-    /// It says nothing, and runs nothing.
-    Dark,
+    NoAnswer,
     /// It sends a second answer behind the first.
     SurplusAnswer,
     /// It sends a second answer a while behind the first.
@@ -33,9 +31,9 @@
     /// As `Unframed`, but the connection is reset midway.
     UnframedReset,
     /// It answers before the request's body is through, and reads on.
-    Early,
+    AnswerEarly,
     /// It breaks off in the middle of the answer.
-    BreakOff,
+    Truncate,
     /// Its answer has no signature.
     Unsigned,
     /// Its answer bears another request's identity.
@@ -43,17 +41,17 @@
     /// It sends bytes that are no answer.
     Garbage,
     /// It fails with a 500 of its own.
-    Fail,
+    ServerError,
     /// It is full: it answers 503 and does not run the request.
     Full,
     /// It works on and answers though its connection was closed meanwhile.
-    Deaf,
+    IgnoreClose,
     /// It sends these bytes, `{id}` in them being the request's identity, and
     /// closes the connection.
-    Says(&'static str),
+    Raw(&'static str),
 }
 
-/// One request that an upstream began to work on.
+/// One request that a target began to work on.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Run {
     /// The request's identity.
@@ -76,7 +74,6 @@
     work: Duration,
     runs: Vec<Run>,
     arrivals: u64,
-    health_checks: u64,
     warm: HashSet<String>,
     running: u32,
     waiting: u32,
@@ -91,8 +88,8 @@
     room: Semaphore,
 }
 
-/// A running upstream.
-pub struct Upstream {
+/// A running target.
+pub struct TargetServer {
     /// Identity of this incarnation.
     pub id: String,
     /// Where it listens.
@@ -101,24 +98,24 @@
     task: JoinHandle<()>,
 }
 
-impl Drop for Upstream {
+impl Drop for TargetServer {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-/// Time for an object that the upstream has not lately seen, as a multiple.
+/// Time for an object that the target has not lately seen, as a multiple.
 const COLD_FACTOR: u32 = 3;
 /// How much later a late surplus answer comes.
 const SURPLUS_DELAY: Duration = Duration::from_millis(30);
 
-impl Upstream {
-    /// Starts an upstream that works `work` on a request for a warm object.
+impl TargetServer {
+    /// Starts a target that works `work` on a request for a warm object.
     pub async fn start(id: &str, slots: u32, work: Duration) -> std::io::Result<Self> {
         Self::start_at(free_address(), id, slots, work).await
     }
 
-    /// Starts an upstream at an address, such as one that another has left.
+    /// Starts a target at an address, such as one that another has left.
     pub async fn start_at(address: SocketAddr, id: &str, slots: u32, work: Duration) -> std::io::Result<Self> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
@@ -127,7 +124,6 @@
             work,
             runs: Vec::new(),
             arrivals: 0,
-            health_checks: 0,
             warm: HashSet::new(),
             running: 0,
             waiting: 0,
@@ -167,11 +163,6 @@
         self.shared.lock().arrivals
     }
 
-    /// Health checks that reached it.
-    pub fn health_checks(&self) -> u64 {
-        self.shared.lock().health_checks
-    }
-
     /// Connections it has taken.
     pub fn connections(&self) -> u64 {
         self.shared.lock().connections
@@ -234,7 +225,7 @@
     loop {
         let Some(mut call) = read_head(&mut stream, &mut buffer).await else { return };
         let misbehaviour = shared.lock().misbehaviour;
-        if misbehaviour == Misbehaviour::Early && call.header("content-length").is_some() {
+        if misbehaviour == Misbehaviour::AnswerEarly && call.header("content-length").is_some() {
             let answer = answer(&shared, call.id(), 503, "early", &[("Lockloft-Not-Executed", "1")]);
             if stream.write_all(&answer).await.is_err() {
                 return;
@@ -256,7 +247,6 @@
 /// Answers one request; false where the connection is to be closed.
 async fn respond(stream: &mut TcpStream, shared: &Arc<Shared>, call: Call, misbehaviour: Misbehaviour) -> bool {
     if call.line.starts_with("GET /health ") {
-        shared.lock().health_checks += 1;
         let answer = answer(shared, "", 200, "", &[("Lockloft-Instance-Id", &shared.id)]);
         return stream.write_all(&answer).await.is_ok();
     }
@@ -269,9 +259,6 @@
         let refusal = answer(shared, call.id(), 503, "", &[("Lockloft-Not-Executed", "1")]);
         return stream.write_all(&refusal).await.is_ok();
     }
-    if misbehaviour == Misbehaviour::Dark {
-        std::future::pending::<()>().await;
-    }
     if !work(stream, shared, &call, misbehaviour).await {
         return false;
     }
@@ -301,7 +288,7 @@
     let mut byte = [0];
     let finished = tokio::select! {
         () = tokio::time::sleep(time) => true,
-        closed = stream.peek(&mut byte), if misbehaviour != Misbehaviour::Deaf => match closed {
+        closed = stream.peek(&mut byte), if misbehaviour != Misbehaviour::IgnoreClose => match closed {
             // Bytes of a next request are none of this one's business.
             Ok(size) if size > 0 => { tokio::time::sleep(time).await; true }
             _ => false,
@@ -322,19 +309,19 @@
     let whole = answer(shared, call.id(), 200, &body, &signed);
     match misbehaviour {
         Misbehaviour::LoseAnswer => false,
-        Misbehaviour::Silent => std::future::pending().await,
+        Misbehaviour::NoAnswer => std::future::pending().await,
         Misbehaviour::Garbage => {
             let _ = stream.write_all(b"this is no answer\r\n\r\n").await;
             false
         }
-        Misbehaviour::Says(text) => {
+        Misbehaviour::Raw(text) => {
             let _ = stream.write_all(text.replace("{id}", call.id()).as_bytes()).await;
             false
         }
         Misbehaviour::Unsigned => stream.write_all(&answer(shared, call.id(), 200, &body, &[])).await.is_ok(),
         Misbehaviour::WrongId => stream.write_all(&answer(shared, "another", 200, &body, &signed)).await.is_ok(),
-        Misbehaviour::Fail => stream.write_all(&answer(shared, call.id(), 500, "failed", &signed)).await.is_ok(),
-        Misbehaviour::BreakOff => {
+        Misbehaviour::ServerError => stream.write_all(&answer(shared, call.id(), 500, "failed", &signed)).await.is_ok(),
+        Misbehaviour::Truncate => {
             let _ = stream.write_all(&whole[..whole.len() - body.len() / 2]).await;
             false
         }
--- a/standins/tests/answer_order.rs
+++ b/standins/tests/answer_order.rs
@@ -5,8 +5,8 @@
 
 use common::{program, raw};
 use standins::http::{Connection, NoReply};
-use standins::site::{Ask, HOST, InstanceProcess, RouteSpec, Site, until};
-use standins::upstream::{Misbehaviour, Upstream};
+use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
+use standins::target::{Misbehaviour, TargetServer};
 use std::time::Duration;
 
 /// Requests that are under way together.
@@ -15,19 +15,19 @@
 struct Scene {
     _site: Site,
     instance: InstanceProcess,
-    upstream: Upstream,
+    target: TargetServer,
 }
 
-/// An upstream with room for all, whose one object is warm.
+/// A target with room for all, whose one object is warm.
 async fn scene(timeout_ms: u64) -> Scene {
     let site = Site::start(program()).await;
-    let upstream = Upstream::start("u-0", 64, Duration::from_millis(1)).await.unwrap();
-    site.list(&upstream, "shop", "a-1");
+    let target = TargetServer::start("u-0", 64, Duration::from_millis(1)).await.unwrap();
+    site.list(&target, "shop", "a-1");
     let mut routes = [RouteSpec::new("/look/", "safe", "shop"), RouteSpec::new("/buy/", "unsafe", "shop")];
     routes.iter_mut().for_each(|route| route.timeout_ms = timeout_ms);
     site.configure(1, &routes, &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
-    let scene = Scene { _site: site, instance, upstream };
+    let scene = Scene { _site: site, instance, target };
     scene.served("/look/a").await;
     scene
 }
@@ -35,7 +35,7 @@
 impl Scene {
     /// Asks and demands the request's own answer.
     async fn served(&self, path: &str) {
-        let ask = Ask::post(path, "one");
+        let ask = TestRequest::post(path, "one");
         let reply = ask.send(self.instance.callers).await.unwrap();
         assert_eq!(reply.status, 200);
         assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
@@ -43,7 +43,7 @@
     }
 
     async fn arrived(&self, id: &str) {
-        until("the request's arrival", || self.upstream.runs().iter().any(|run| run.id == id)).await;
+        wait_until("the request's arrival", || self.target.runs().iter().any(|run| run.id == id)).await;
     }
 }
 
@@ -55,9 +55,9 @@
         let mut tasks = tokio::task::JoinSet::new();
         for number in 0..TOGETHER {
             // The later a request comes, the sooner it is answered.
-            scene.upstream.work(Duration::from_millis(280 - 50 * number as u64));
+            scene.target.work(Duration::from_millis(280 - 50 * number as u64));
             let path = if (round + number) % 2 == 0 { "/look/a" } else { "/buy/a" };
-            let (ask, callers) = (Ask::post(path, "one"), scene.instance.callers);
+            let (ask, callers) = (TestRequest::post(path, "one"), scene.instance.callers);
             let id = ask.id.clone();
             tasks.spawn(async move { (number, ask.id.clone(), ask.send(callers).await.unwrap()) });
             scene.arrived(&id).await;
@@ -78,18 +78,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn late_answers_after_cancellation_reach_nobody_else() {
     let scene = scene(0).await;
-    for misbehaviour in [Misbehaviour::None, Misbehaviour::Deaf] {
+    for misbehaviour in [Misbehaviour::None, Misbehaviour::IgnoreClose] {
         for path in ["/look/a", "/buy/a"].repeat(5) {
-            scene.upstream.set(misbehaviour);
-            scene.upstream.work(Duration::from_millis(60));
+            scene.target.set(misbehaviour);
+            scene.target.work(Duration::from_millis(60));
             // Gives up before the answer: its connection is dropped.
-            let ask = Ask::post(path, "one");
-            let mut connection = Connection::open(scene.instance.callers, None).await.unwrap();
+            let ask = TestRequest::post(path, "one");
+            let mut connection = Connection::open(scene.instance.callers).await.unwrap();
             let lost = connection.send(ask.request(), Duration::from_millis(25)).await;
             assert_eq!(lost.map(|reply| reply.status.as_u16()), Err(NoReply::Broken));
             drop(connection);
-            scene.upstream.set(Misbehaviour::None);
-            scene.upstream.work(Duration::from_millis(1));
+            scene.target.set(Misbehaviour::None);
+            scene.target.work(Duration::from_millis(1));
             for _ in 0..4 {
                 scene.served(path).await;
             }
@@ -101,16 +101,16 @@
 async fn answers_that_come_after_the_route_s_time_reach_nobody_else() {
     let scene = scene(100).await;
     for path in ["/look/a", "/buy/a"].repeat(4) {
-        scene.upstream.set(Misbehaviour::Deaf);
-        scene.upstream.work(Duration::from_millis(130));
+        scene.target.set(Misbehaviour::IgnoreClose);
+        scene.target.work(Duration::from_millis(130));
         // The caller's own connection stays in use after the timeout.
-        let mut connection = Connection::open(scene.instance.callers, None).await.unwrap();
-        let late = connection.send(Ask::post(path, "one").request(), Duration::from_secs(5)).await.unwrap();
+        let mut connection = Connection::open(scene.instance.callers).await.unwrap();
+        let late = connection.send(TestRequest::post(path, "one").request(), Duration::from_secs(5)).await.unwrap();
         assert_eq!(late.status, 504);
-        scene.upstream.set(Misbehaviour::None);
-        scene.upstream.work(Duration::from_millis(1));
+        scene.target.set(Misbehaviour::None);
+        scene.target.work(Duration::from_millis(1));
         for _ in 0..4 {
-            let ask = Ask::post(path, "one");
+            let ask = TestRequest::post(path, "one");
             let reply = connection.send(ask.request(), Duration::from_secs(5)).await.unwrap();
             assert!(reply.status != 200 || reply.body.ends_with(ask.id.as_bytes()), "{reply:?}");
             scene.served(path).await;
@@ -146,5 +146,5 @@
     drop(stream);
     let line = scene.instance.request_line("half-1").await;
     assert_eq!(line["sends"], 0, "{line}");
-    assert!(scene.upstream.runs().iter().all(|run| run.id != "half-1"));
+    assert!(scene.target.runs().iter().all(|run| run.id != "half-1"));
 }
--- a/standins/tests/applied_policies.rs
+++ b/standins/tests/applied_policies.rs
@@ -7,9 +7,9 @@
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
-use standins::site::{InstanceProcess, PATIENCE, RouteSpec, Site};
+use standins::site::{InstanceProcess, RouteSpec, Site, WAIT_TIMEOUT};
 use standins::store::{Door, Trouble};
-use standins::upstream::Upstream;
+use standins::target::TargetServer;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -18,7 +18,7 @@
 /// Two instances, the first with a door of its own to the store.
 struct Scene {
     _site: Site,
-    _upstream: Upstream,
+    _target: TargetServer,
     door: Door,
     first: InstanceProcess,
     second: InstanceProcess,
@@ -27,15 +27,15 @@
 impl Scene {
     async fn start() -> Self {
         let site = Site::start(program()).await;
-        let upstream = Upstream::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-        site.list(&upstream, "shop", "a-1");
+        let target = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
+        site.list(&target, "shop", "a-1");
         site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
         let door = site.store.door().await.unwrap();
         let mut first = site.instance_at("e-1", "a-1", &door, &[]);
         first.start();
-        first.ready().await;
+        first.wait_ready().await;
         let second = site.ready_instance("e-2", "a-2").await;
-        Self { _site: site, _upstream: upstream, door, first, second }
+        Self { _site: site, _target: target, door, first, second }
     }
 
     /// Begins an apply at the first instance.
@@ -46,7 +46,7 @@
 
     async fn in_force(&self, revision: u64) {
         for instance in [&self.first, &self.second] {
-            let end = Instant::now() + PATIENCE;
+            let end = Instant::now() + WAIT_TIMEOUT;
             while read(&http::get(instance.peers, "/status").await.unwrap())["policies"] != revision {
                 assert!(Instant::now() < end, "revision {revision} is not in force at {}", instance.name);
                 tokio::time::sleep(Duration::from_millis(20)).await;
--- a/standins/tests/broken_answers.rs
+++ b/standins/tests/broken_answers.rs
@@ -6,8 +6,8 @@
 use common::{program, raw};
 use hyper::StatusCode;
 use standins::http::NoReply;
-use standins::site::{Ask, HOST, InstanceProcess, PATIENCE, RouteSpec, Site};
-use standins::upstream::{Misbehaviour, Upstream};
+use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest, WAIT_TIMEOUT};
+use standins::target::{Misbehaviour, TargetServer};
 use std::time::{Duration, Instant};
 
 /// The head of an answer that is good up to there.
@@ -49,38 +49,38 @@
 struct Scene {
     _site: Site,
     instance: InstanceProcess,
-    upstreams: Vec<Upstream>,
+    targets: Vec<TargetServer>,
 }
 
 async fn scene(count: usize) -> Scene {
     let site = Site::start(program()).await;
-    let mut upstreams = Vec::new();
+    let mut targets = Vec::new();
     for number in 0..count {
-        let upstream = Upstream::start(&format!("u-{number}"), 4, Duration::from_millis(2)).await.unwrap();
-        site.list(&upstream, "shop", "a-1");
-        upstreams.push(upstream);
+        let target = TargetServer::start(&format!("u-{number}"), 4, Duration::from_millis(2)).await.unwrap();
+        site.list(&target, "shop", "a-1");
+        targets.push(target);
     }
     let routes = [RouteSpec::new("/look/", "safe", "shop"), RouteSpec::new("/buy/", "unsafe", "shop")];
     site.configure(1, &routes, &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
-    Scene { _site: site, instance, upstreams }
+    Scene { _site: site, instance, targets }
 }
 
 impl Scene {
     fn all(&self, misbehaviour: Misbehaviour) {
-        self.upstreams.iter().for_each(|upstream| upstream.set(misbehaviour));
+        self.targets.iter().for_each(|target| target.set(misbehaviour));
     }
 
     fn runs_of(&self, id: &str) -> usize {
-        self.upstreams.iter().flat_map(Upstream::runs).filter(|run| run.id == id).count()
+        self.targets.iter().flat_map(TargetServer::runs).filter(|run| run.id == id).count()
     }
 
     /// Waits until requests are served again: a target that failed gets a
     /// moment's rest. Each answer on the way has to be the request's own.
     async fn served(&self) {
-        let end = Instant::now() + PATIENCE;
+        let end = Instant::now() + WAIT_TIMEOUT;
         loop {
-            let ask = Ask::post("/buy/x", "one");
+            let ask = TestRequest::post("/buy/x", "one");
             let reply = ask.send(self.instance.callers).await.unwrap();
             if reply.status == 200 {
                 assert!(reply.body.ends_with(ask.id.as_bytes()), "the answer of another request: {reply:?}");
@@ -113,8 +113,8 @@
     let scene = scene(1).await;
     for text in broken() {
         scene.served().await;
-        scene.all(Misbehaviour::Says(text));
-        let ask = Ask::post("/buy/x", "one");
+        scene.all(Misbehaviour::Raw(text));
+        let ask = TestRequest::post("/buy/x", "one");
         let reply = ask.send(scene.instance.callers).await.unwrap();
         assert_eq!(reply.status, StatusCode::BAD_GATEWAY, "{text:?}");
         assert_eq!(scene.runs_of(&ask.id), 1, "{text:?}");
@@ -131,11 +131,11 @@
     for text in broken() {
         // Second tries have to be earned.
         for _ in 0..10 {
-            assert_eq!(Ask::get("/look/a").send(scene.instance.callers).await.unwrap().status, 200);
+            assert_eq!(TestRequest::get("/look/a").send(scene.instance.callers).await.unwrap().status, 200);
         }
-        let home = scene.upstreams.iter().max_by_key(|upstream| upstream.runs().len()).unwrap();
-        home.set(Misbehaviour::Says(text));
-        let ask = Ask::get("/look/a");
+        let home = scene.targets.iter().max_by_key(|target| target.runs().len()).unwrap();
+        home.set(Misbehaviour::Raw(text));
+        let ask = TestRequest::get("/look/a");
         let reply = ask.send(scene.instance.callers).await.unwrap();
         assert_eq!(reply.status, 200, "{text:?}");
         assert!(reply.body.ends_with(ask.id.as_bytes()), "{text:?}");
@@ -149,7 +149,7 @@
     let scene = scene(1).await;
     for text in [large(true), &*format!("{HEAD}{}", BROKEN[2]).leak()] {
         scene.served().await;
-        scene.all(Misbehaviour::Says(text));
+        scene.all(Misbehaviour::Raw(text));
         let request = format!(
             "GET /look/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: cut-1\r\nLockloft-Deadline-Ms: 2000\r\n\
              Connection: close\r\n\r\n"
@@ -167,8 +167,8 @@
     for text in [large(true), large(false)] {
         for path in ["/look/x", "/buy/x"] {
             scene.served().await;
-            scene.all(Misbehaviour::Says(text));
-            let ask = Ask::post(path, "one");
+            scene.all(Misbehaviour::Raw(text));
+            let ask = TestRequest::post(path, "one");
             match ask.send(scene.instance.callers).await {
                 Err(broken) => assert_eq!(broken, NoReply::Broken),
                 Ok(reply) => assert_eq!(reply.status, 502, "never short and well-formed"),
@@ -190,9 +190,9 @@
         ["Content-Length: 5\r\nTransfer-Encoding: chunked", "Transfer-Encoding: chunked\r\nContent-Length: 5"]
     {
         scene.served().await;
-        scene.all(Misbehaviour::Says(format!("{HEAD}{framing}\r\n\r\n0\r\n\r\n{smuggled}").leak()));
-        let mut connection = standins::http::Connection::open(scene.instance.callers, None).await.unwrap();
-        let first = connection.send(Ask::post("/buy/x", "one").request(), Duration::from_secs(5)).await;
+        scene.all(Misbehaviour::Raw(format!("{HEAD}{framing}\r\n\r\n0\r\n\r\n{smuggled}").leak()));
+        let mut connection = standins::http::Connection::open(scene.instance.callers).await.unwrap();
+        let first = connection.send(TestRequest::post("/buy/x", "one").request(), Duration::from_secs(5)).await;
         assert!(!first.is_ok_and(|reply| String::from_utf8_lossy(&reply.body).contains("smuggled")));
         scene.all(Misbehaviour::None);
         scene.served().await;
--- a/standins/tests/garbage.rs
+++ b/standins/tests/garbage.rs
@@ -7,21 +7,21 @@
 use serde_json::{Value, json};
 use standins::http;
 use standins::ports::own_ip;
-use standins::site::{Ask, InstanceProcess, PATIENCE, RouteSpec, Site};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, WAIT_TIMEOUT};
 use standins::store::Trouble;
-use standins::upstream::Upstream;
+use standins::target::TargetServer;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-async fn scene() -> (Site, Upstream, InstanceProcess) {
+async fn scene() -> (Site, TargetServer, InstanceProcess) {
     let site = Site::start(program()).await;
-    let upstream = Upstream::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-    site.list(&upstream, "shop", "a-1");
+    let target = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
+    site.list(&target, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
-    (site, upstream, instance)
+    (site, target, instance)
 }
 
 /// What the instance has in force, without what changes by itself.
@@ -46,7 +46,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn garbage_at_any_address_changes_nothing() {
-    let (site, _upstream, instance) = scene().await;
+    let (site, _target, instance) = scene().await;
     let (before, revision) = (in_force(&instance).await, site.store.keys("").len());
     let garbage: [&[u8]; 5] = [
         b"NOT HTTP AT ALL\r\n\r\n",
@@ -64,12 +64,12 @@
     assert_eq!(in_force(&instance).await, before);
     assert_eq!(site.store.keys("").len(), revision, "something was written");
     assert!(instance.is_ready().await);
-    assert_eq!(Ask::get("/look/a").send(instance.callers).await.unwrap().status, 200);
+    assert_eq!(TestRequest::get("/look/a").send(instance.callers).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_question_or_an_apply_that_cannot_be_read_is_refused_and_changes_nothing() {
-    let (_site, _upstream, instance) = scene().await;
+    let (_site, _target, instance) = scene().await;
     let before = in_force(&instance).await;
     let good = json!({"id": "i", "by": "anna", "expect": null, "sources": {"files": []}});
     let without = |field: &str| {
@@ -105,7 +105,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn peers_that_answer_garbage_do_not_keep_an_instance_from_learning() {
-    let (site, _upstream, first) = scene().await;
+    let (site, _target, first) = scene().await;
     let garbage = [
         garbage_server(b"this is no answer\r\n\r\n").await,
         garbage_server(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}").await,
@@ -115,8 +115,8 @@
     site.door.set(Trouble::Silent);
     let mut instance = site.instance_at("e-2", "a-2", &site.door, &[garbage.as_slice(), &[first.peers]].concat());
     instance.start();
-    let end = Instant::now() + PATIENCE;
-    while !Ask::get("/look/a").send(instance.callers).await.is_ok_and(|reply| reply.status == 200) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while !TestRequest::get("/look/a").send(instance.callers).await.is_ok_and(|reply| reply.status == 200) {
         assert!(Instant::now() < end, "it learned nothing: {}", instance.log());
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
--- a/standins/tests/log.rs
+++ b/standins/tests/log.rs
@@ -4,8 +4,8 @@
 
 use common::program;
 use lockloft::telemetry::log::{Lines, spawn_writer};
-use standins::site::{Ask, RouteSpec, Site, until};
-use standins::upstream::Upstream;
+use standins::site::{RouteSpec, Site, TestRequest, wait_until};
+use standins::target::TargetServer;
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
@@ -105,22 +105,22 @@
 async fn a_burst_of_requests_is_answered_and_its_lines_stay_within_the_rate() {
     const RATE: usize = 10_000;
     let site = Site::start(program()).await;
-    let upstream = Upstream::start("u-1", 50, Duration::from_millis(1)).await.unwrap();
-    site.list(&upstream, "shop", "a-1");
+    let target = TargetServer::start("u-1", 50, Duration::from_millis(1)).await.unwrap();
+    site.list(&target, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
     let mut instance = site.instance("e-1", "a-1");
     instance.edit_settings(|text| format!("{text}\n[log]\nbytes_per_second = {RATE}\n"));
     let started = Instant::now();
     instance.start();
-    instance.ready().await;
+    instance.wait_ready().await;
     for object in 0..400 {
-        assert_eq!(Ask::get("/look/a").about(object % 7).send(instance.callers).await.unwrap().status, 200);
+        assert_eq!(TestRequest::get("/look/a").affinity(object % 7).send(instance.callers).await.unwrap().status, 200);
     }
-    until("the line of lines left out", || !instance.events("log_lines_left_out").is_empty()).await;
+    wait_until("the line of lines left out", || !instance.events("log_lines_left_out").is_empty()).await;
     let written = instance.log().len();
     let most = RATE as f64 * (started.elapsed().as_secs_f64() + 2.0);
     assert!((written as f64) < most, "{written} bytes in {:?}", started.elapsed());
     // The last batch may still be on its way to the file.
     let left_out = instance.metric("lockloft_entry_log_lines_left_out", "").await as usize;
-    until("each line is written or counted", || instance.events("request").len() + left_out == 400).await;
+    wait_until("each line is written or counted", || instance.events("request").len() + left_out == 400).await;
 }
--- a/standins/tests/planned_stop.rs
+++ b/standins/tests/planned_stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop of an instance.
 
-use standins::site::{Ask, RouteSpec, Site};
-use standins::upstream::Upstream;
+use standins::site::{RouteSpec, Site, TestRequest};
+use standins::target::TargetServer;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -9,39 +9,39 @@
     Path::new(env!("CARGO_BIN_EXE_standins"))
 }
 
-async fn site(work: Duration, stop_s: f64) -> (Site, Upstream) {
+async fn site(work: Duration, stop_s: f64) -> (Site, TargetServer) {
     let mut site = Site::start(program()).await;
     site.stop_after(stop_s);
-    let upstream = Upstream::start("u-1", 4, work).await.unwrap();
-    site.list(&upstream, "shop", "a-1");
+    let target = TargetServer::start("u-1", 4, work).await.unwrap();
+    site.list(&target, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/buy/", "unsafe", "shop")], &["shop"]);
-    (site, upstream)
+    (site, target)
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_under_way_ends_well_and_its_connection_is_closed() {
-    let (site, _upstream) = site(Duration::from_millis(300), 6.0).await;
+    let (site, _target) = site(Duration::from_millis(300), 6.0).await;
     let mut instance = site.ready_instance("e-1", "a-1").await;
     let callers = instance.callers;
-    let request = tokio::spawn(async move { Ask::post("/buy/x", "one").send(callers).await });
-    standins::site::until("the request's arrival", || _upstream.arrivals() == 1).await;
+    let request = tokio::spawn(async move { TestRequest::post("/buy/x", "one").send(callers).await });
+    standins::site::wait_until("the request's arrival", || _target.arrivals() == 1).await;
     instance.terminate();
     let reply = request.await.unwrap().unwrap();
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("connection"), "close");
     assert!(!instance.is_ready().await);
-    assert!(instance.ended().await.success());
+    assert!(instance.wait_exit().await.success());
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_go_on_being_served_after_the_signal_and_none_is_cut_by_the_end() {
-    let (site, _upstream) = site(Duration::from_millis(150), 4.0).await;
+    let (site, _target) = site(Duration::from_millis(150), 4.0).await;
     let mut instance = site.ready_instance("e-1", "a-1").await;
     instance.terminate();
     let asked = Instant::now();
     let (mut served, mut refused) = (0, 0);
     // A caller that does not heed the directory goes on to the very end.
-    while let Ok(reply) = Ask::post("/buy/x", "one").send(instance.callers).await {
+    while let Ok(reply) = TestRequest::post("/buy/x", "one").send(instance.callers).await {
         match reply.status.as_u16() {
             200 => served += 1,
             503 => refused += 1,
@@ -55,13 +55,13 @@
     }
     assert!(served > 0, "nothing was served after the signal");
     assert!(refused > 0, "requests were taken to the very end, after {:?}", asked.elapsed());
-    instance.ended().await;
-    assert_eq!(_upstream.runs().iter().filter(|run| run.cut).count(), 0);
+    instance.wait_exit().await;
+    assert_eq!(_target.runs().iter().filter(|run| run.cut).count(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_comes_just_as_a_quiet_entry_ends_is_not_cut() {
-    let (site, upstream) = site(Duration::from_millis(150), 6.0).await;
+    let (site, target) = site(Duration::from_millis(150), 6.0).await;
     let mut runs = Vec::new();
     for number in 0..12u64 {
         let mut instance = site.ready_instance(&format!("e-{number}"), "a-1").await;
@@ -69,11 +69,11 @@
             instance.terminate();
             let asked = Instant::now();
             tokio::time::sleep(Duration::from_millis(1_200)).await;
-            Ask::post("/buy/x", "one").send(instance.callers).await.unwrap();
+            TestRequest::post("/buy/x", "one").send(instance.callers).await.unwrap();
             // A second of quiet is over now; the end comes within 0.1 s.
             tokio::time::sleep_until((asked + Duration::from_millis(2_190 + 10 * number)).into()).await;
-            let reply = Ask::post("/buy/x", "one").send(instance.callers).await;
-            instance.ended().await;
+            let reply = TestRequest::post("/buy/x", "one").send(instance.callers).await;
+            instance.wait_exit().await;
             reply
         }));
     }
@@ -82,5 +82,5 @@
             assert!([200, 503].contains(&reply.status.as_u16()), "{reply:?}");
         }
     }
-    assert_eq!(upstream.runs().iter().filter(|run| run.cut).count(), 0);
+    assert_eq!(target.runs().iter().filter(|run| run.cut).count(), 0);
 }
--- a/standins/tests/policies.rs
+++ b/standins/tests/policies.rs
@@ -8,50 +8,51 @@
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
-use standins::site::{Ask, InstanceProcess, RouteSpec, Site, until};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
 use standins::store::Trouble;
-use standins::upstream::Upstream;
+use standins::target::TargetServer;
 use std::time::{Duration, Instant};
 
 const DRAIN: &str = "[[policy]]\nname = \"leave\"\nplaces = { hall = \"a-1\" }\ndrain = true\n";
 const NOTHING: &str = "";
 
-/// Two halls with an upstream each, and two instances.
+/// Two halls with a target each, and two instances.
 struct Scene {
     site: Site,
-    upstreams: [Upstream; 2],
+    targets: [TargetServer; 2],
     instances: [InstanceProcess; 2],
 }
 
 impl Scene {
     async fn start() -> Self {
         let site = Site::start(program()).await;
-        let one = Upstream::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-        let other = Upstream::start("u-2", 8, Duration::from_millis(2)).await.unwrap();
+        let one = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
+        let other = TargetServer::start("u-2", 8, Duration::from_millis(2)).await.unwrap();
         site.list(&one, "shop", "a-1");
         site.list(&other, "shop", "a-2");
         site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
         let instances = [site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await];
-        Self { site, upstreams: [one, other], instances }
+        Self { site, targets: [one, other], instances }
     }
 
     /// Waits until an instance has a revision of the policies in force.
     async fn in_force(&self, instance: usize, revision: u64) {
-        let end = Instant::now() + standins::site::PATIENCE;
+        let end = Instant::now() + standins::site::WAIT_TIMEOUT;
         while status(&self.instances[instance]).await["policies"] != revision {
             assert!(Instant::now() < end, "revision {revision} is not in force at instance {instance}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
 
-    /// How many of 40 objects the upstream of the drained hall gets.
+    /// How many of 40 objects the target of the drained hall gets.
     async fn to_drained_hall(&self, instance: usize) -> usize {
-        let before = self.upstreams[0].runs().len();
+        let before = self.targets[0].runs().len();
         for object in 0..40 {
-            let reply = Ask::get("/look/a").about(object).send(self.instances[instance].callers).await.unwrap();
+            let reply =
+                TestRequest::get("/look/a").affinity(object).send(self.instances[instance].callers).await.unwrap();
             assert_eq!(reply.status, 200);
         }
-        self.upstreams[0].runs().len() - before
+        self.targets[0].runs().len() - before
     }
 }
 
@@ -80,7 +81,7 @@
         scene.in_force(instance, 1).await;
         assert_eq!(scene.to_drained_hall(instance).await, 0);
     }
-    let ask = Ask::get("/look/a");
+    let ask = TestRequest::get("/look/a");
     ask.send(scene.instances[1].callers).await.unwrap();
     assert_eq!(scene.instances[1].request_line(&ask.id).await["policies"], "leave");
     let why = http::get(scene.instances[1].peers, "/why?host=shop.example&path=/look/a&object=3").await.unwrap();
@@ -114,7 +115,7 @@
     let door = scene.site.store.door().await.unwrap();
     let mut instance = scene.site.instance_at("e-3", "a-1", &door, &[]);
     instance.start();
-    instance.ready().await;
+    instance.wait_ready().await;
     door.set(Trouble::AnswersLost);
     let applied = tokio::spawn(async move {
         let reply = apply(&instance, "lost", None, DRAIN).await;
@@ -138,14 +139,14 @@
     scene.in_force(1, 1).await;
     scene.instances[0].kill();
     scene.instances[0].start();
-    scene.instances[0].ready().await;
+    scene.instances[0].wait_ready().await;
     scene.in_force(0, 1).await;
     assert_eq!(scene.to_drained_hall(0).await, 0);
     let door = scene.site.store.door().await.unwrap();
     let mut instance = scene.site.instance_at("e-3", "a-1", &door, &[scene.instances[1].peers]);
     door.set(Trouble::Silent);
     instance.start();
-    until("the instance knows the policies by a peer", || !instance.events("policies_in_force").is_empty()).await;
+    wait_until("the instance knows the policies by a peer", || !instance.events("policies_in_force").is_empty()).await;
     let refused = apply(&instance, "unheard", None, NOTHING).await;
     assert_eq!(refused.status, 503);
     assert!(message(&refused).contains("may still come into force"), "{}", message(&refused));
--- a/standins/tests/recovery_of_instances.rs
+++ b/standins/tests/recovery_of_instances.rs
@@ -4,15 +4,15 @@
 
 use common::program;
 use standins::http;
-use standins::site::{Ask, InstanceProcess, PATIENCE, RouteSpec, Site, until};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, WAIT_TIMEOUT, wait_until};
 use standins::store::Trouble;
-use standins::upstream::Upstream;
+use standins::target::TargetServer;
 use std::time::{Duration, Instant};
 
-async fn upstream(site: &Site, id: &str, hall: &str) -> Upstream {
-    let upstream = Upstream::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.list(&upstream, "shop", hall);
-    upstream
+async fn target(site: &Site, id: &str, hall: &str) -> TargetServer {
+    let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
+    site.list(&target, "shop", hall);
+    target
 }
 
 fn shop() -> RouteSpec {
@@ -30,8 +30,8 @@
 }
 
 async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
-    let end = Instant::now() + PATIENCE;
-    while !Ask::get(path).send(instance.callers).await.is_ok_and(|reply| reply.status == status) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    while !TestRequest::get(path).send(instance.callers).await.is_ok_and(|reply| reply.status == status) {
         assert!(Instant::now() < end, "{path} was never answered with {status} by {}", instance.name);
         tokio::time::sleep(Duration::from_millis(20)).await;
     }
@@ -40,7 +40,7 @@
 /// Whether an instance answers 20 objects, each with its own answer.
 async fn serves(instance: &InstanceProcess) {
     for object in 0..20 {
-        let ask = Ask::get("/look/a").about(object);
+        let ask = TestRequest::get("/look/a").affinity(object);
         let reply = ask.send(instance.callers).await.unwrap();
         assert_eq!(reply.status, 200, "{}", instance.name);
         assert!(reply.body.ends_with(ask.id.as_bytes()));
@@ -48,7 +48,7 @@
 }
 
 async fn until_named(asked: &InstanceProcess, instance: &InstanceProcess, is_named: bool) {
-    let (end, address) = (Instant::now() + PATIENCE, instance.callers.to_string());
+    let (end, address) = (Instant::now() + WAIT_TIMEOUT, instance.callers.to_string());
     while asked.resolve("a").await.contains(&address) != is_named {
         assert!(Instant::now() < end, "that {} is named stays {}", instance.name, !is_named);
         tokio::time::sleep(Duration::from_millis(20)).await;
@@ -58,24 +58,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn instances_cut_off_from_everything_serve_their_own_callers() {
     let site = site().await;
-    let _upstreams = [upstream(&site, "u-1", "a-1").await, upstream(&site, "u-2", "b-1").await];
+    let _targets = [target(&site, "u-1", "a-1").await, target(&site, "u-2", "b-1").await];
     let mut instances = Vec::new();
     for (name, hall) in [("e-1", "a-1"), ("e-2", "b-1")] {
         let door = site.store.door().await.unwrap();
         let mut instance = site.instance_at(name, hall, &door, &[]);
         instance.start();
-        instance.ready().await;
+        instance.wait_ready().await;
         instances.push((instance, door));
     }
     for (instance, _) in &instances {
-        until("the sight of each other", || instance.events("member").len() >= 2).await;
+        wait_until("the sight of each other", || instance.events("member").len() >= 2).await;
     }
     // Each learns nothing more: not of the store, nor of its frozen peer.
     instances.iter().for_each(|(_, door)| door.set(Trouble::Silent));
     for number in 0..2 {
         let (instance, peer) = (&instances[number].0, &instances[1 - number].0);
         peer.signal(libc::SIGSTOP);
-        until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
+        wait_until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
         serves(instance).await;
         assert!(instance.is_ready().await);
         peer.signal(libc::SIGCONT);
@@ -91,18 +91,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_instance_is_not_named_and_acts_on_nothing_that_changed_meanwhile() {
     let site = site().await;
-    let (left, stays) = (upstream(&site, "u-1", "a-1").await, upstream(&site, "u-2", "a-1").await);
+    let (left, stays) = (target(&site, "u-1", "a-1").await, target(&site, "u-2", "a-1").await);
     let (paused, other) = (site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await);
     until_named(&other, &paused, true).await;
     paused.signal(libc::SIGSTOP);
-    until("the lapse of its lease", || site.store.keys("lockloft/").len() == 1).await;
+    wait_until("the lapse of its lease", || site.store.keys("lockloft/").len() == 1).await;
     until_named(&other, &paused, false).await;
     site.list_as(&left, "shop", "a-1", "draining", 2, 0);
     site.configure(2, &[shop(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
     until_status(&other, "/new/a", 200).await;
     paused.signal(libc::SIGCONT);
     // It announces itself again, and what it did not know is in force soon.
-    until("its new key", || site.store.keys("lockloft/").len() == 2).await;
+    wait_until("its new key", || site.store.keys("lockloft/").len() == 2).await;
     until_named(&other, &paused, true).await;
     until_status(&paused, "/new/a", 200).await;
     let before = left.runs().len();
@@ -114,13 +114,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_death_in_a_hall_of_three_is_taken_over_too() {
     let site = site().await;
-    let _upstream = upstream(&site, "u-1", "a-1").await;
+    let _target = target(&site, "u-1", "a-1").await;
     let mut instances = Vec::new();
     for name in ["e-1", "e-2", "e-3"] {
         instances.push(site.ready_instance(name, "a-1").await);
     }
     let survivor = instances.pop().unwrap();
-    until("the sight of all", || survivor.events("member").len() >= 3).await;
+    wait_until("the sight of all", || survivor.events("member").len() >= 3).await;
     for (version, instance) in instances.iter_mut().enumerate() {
         instance.kill();
         let route = format!("/new-{version}/");
@@ -135,21 +135,21 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replaced_instance_serves_while_the_store_is_down() {
     let site = site().await;
-    let _upstream = upstream(&site, "u-1", "a-1").await;
+    let _target = target(&site, "u-1", "a-1").await;
     let first = site.ready_instance("e-1", "a-1").await;
     let mut replaced = site.instance_at("e-2", "a-1", &site.door, &[first.peers]);
     replaced.start();
-    replaced.ready().await;
+    replaced.wait_ready().await;
     site.door.set(Trouble::Silent);
     replaced.kill();
     // Also when nobody has learned anything of the store for a while.
-    until("the store counts as lost", || !first.events("store_lost").is_empty()).await;
+    wait_until("the store counts as lost", || !first.events("store_lost").is_empty()).await;
     replaced.start();
     until_status(&replaced, "/look/a", 200).await;
     serves(&replaced).await;
     serves(&first).await;
     assert_eq!(status(&replaced).await["store_lost"], true);
     site.door.set(Trouble::None);
-    until("its key", || site.store.keys("lockloft/").len() == 2).await;
+    wait_until("its key", || site.store.keys("lockloft/").len() == 2).await;
     until_named(&first, &replaced, true).await;
 }
--- a/standins/tests/relay.rs
+++ b/standins/tests/relay.rs
@@ -4,15 +4,15 @@
 
 use common::program;
 use lockloft::sync::relay::FOLLOWERS;
-use standins::site::{Ask, InstanceProcess, RouteSpec, Site, until};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
 use standins::store::Trouble;
-use standins::upstream::Upstream;
+use standins::target::TargetServer;
 use std::time::{Duration, Instant};
 
-async fn upstream(site: &Site, id: &str, service: &str, hall: &str) -> Upstream {
-    let upstream = Upstream::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.list(&upstream, service, hall);
-    upstream
+async fn target(site: &Site, id: &str, service: &str, hall: &str) -> TargetServer {
+    let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
+    site.list(&target, service, hall);
+    target
 }
 
 fn shop() -> Vec<RouteSpec> {
@@ -21,9 +21,9 @@
 
 /// Waits until a path is answered with a status by an instance.
 async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     loop {
-        let reply = Ask::get(path).send(instance.callers).await;
+        let reply = TestRequest::get(path).send(instance.callers).await;
         if reply.as_ref().is_ok_and(|reply| reply.status == status) {
             return;
         }
@@ -38,7 +38,7 @@
     for number in 1..=count {
         instances.push(site.ready_instance(&format!("e-{number}"), "a-1").await);
     }
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     for instance in &instances {
         while instance.resolve("a").await.len() < count {
             assert!(Instant::now() < end, "{} does not see all", instance.name);
@@ -51,18 +51,18 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn one_entry_of_a_hall_watches_the_store_for_all() {
     let site = Site::start(program()).await;
-    let upstream = upstream(&site, "u-1", "shop", "a-1").await;
+    let target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let instances = hall(&site, 4).await;
-    until("the relay's news", || instances[3].log().contains("\"source\":\"relay\"")).await;
+    wait_until("the relay's news", || instances[3].log().contains("\"source\":\"relay\"")).await;
     // Whatever watches the others still have in the store end with a change.
     site.store.put("op/evacuate/b-1", "{}");
-    until("the evacuation", || instances.iter().all(|instance| instance.events("evacuation").len() == 1)).await;
+    wait_until("the evacuation", || instances.iter().all(|instance| instance.events("evacuation").len() == 1)).await;
     let before = site.store.calls("kv-watch");
     for sequence in 2..8 {
-        site.list_as(&upstream, "shop", "a-1", if sequence % 2 == 0 { "draining" } else { "ready" }, sequence, 0);
+        site.list_as(&target, "shop", "a-1", if sequence % 2 == 0 { "draining" } else { "ready" }, sequence, 0);
         let seen = |instance: &InstanceProcess| instance.events("target").len() as u64 >= sequence;
-        until("the change", || instances.iter().all(seen)).await;
+        wait_until("the change", || instances.iter().all(seen)).await;
     }
     let calls = site.store.calls("kv-watch") - before;
     assert!(calls <= 8, "{calls} watches for 6 changes and 4 instances");
@@ -72,14 +72,14 @@
 async fn a_hall_whose_relay_dies_freezes_or_loses_the_store_hears_of_changes_in_time() {
     for trouble in ["dies", "freezes", "loses the store"] {
         let site = Site::start(program()).await;
-        let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+        let _target = target(&site, "u-1", "shop", "a-1").await;
         site.configure(1, &shop(), &["shop"]);
         let door = site.store.door().await.unwrap();
         let mut relay = site.instance_at("e-0", "a-1", &door, &[]);
         relay.start();
-        relay.ready().await;
+        relay.wait_ready().await;
         let instances = hall(&site, 4).await;
-        until("the relay's news", || instances[3].log().contains("\"source\":\"relay\"")).await;
+        wait_until("the relay's news", || instances[3].log().contains("\"source\":\"relay\"")).await;
         match trouble {
             "dies" => relay.kill(),
             "freezes" => relay.signal(libc::SIGSTOP),
@@ -104,7 +104,7 @@
     for hall in halls {
         site.store.put(&format!("op/evacuate/{hall}"), "{}");
         let heard = |instance: &InstanceProcess| instance.events("evacuation").iter().any(|line| line["hall"] == *hall);
-        until("the evacuation", || instances.iter().all(heard)).await;
+        wait_until("the evacuation", || instances.iter().all(heard)).await;
     }
     site.store.calls("kv-watch") - before
 }
@@ -112,7 +112,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_hall_that_loses_its_relay_goes_on_with_one_watch() {
     let site = Site::start(program()).await;
-    let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+    let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let mut instances = hall(&site, FOLLOWERS + 3).await;
     watches_for_evacuations(&site, &instances, &["b-1"]).await;
@@ -126,7 +126,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn word_that_nothing_changed_reaches_the_leaves_of_the_tree() {
     let site = Site::start(program()).await;
-    let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+    let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let instances = hall(&site, FOLLOWERS + 3).await;
     watches_for_evacuations(&site, &instances, &["b-1"]).await;
@@ -134,7 +134,7 @@
     let left = |instance: &InstanceProcess| instance.events("relay_left").len();
     let before: Vec<usize> = instances.iter().map(left).collect();
     let heard = leaf.metric("lockloft_entry_relay_answers_total", "").await;
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     while leaf.metric("lockloft_entry_relay_answers_total", "").await < heard + 6.0 {
         assert!(Instant::now() < end, "the leaf hears nothing");
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/standins/tests/requests.rs
+++ b/standins/tests/requests.rs
@@ -6,28 +6,28 @@
 use common::{program, raw};
 use hyper::StatusCode;
 use standins::http::NoReply;
-use standins::site::{Ask, HOST, InstanceProcess, RouteSpec, Site, until};
-use standins::upstream::{Misbehaviour, Upstream};
+use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
+use standins::target::{Misbehaviour, TargetServer};
 use std::time::{Duration, Instant};
 
 struct Scene {
     site: Site,
     instance: InstanceProcess,
-    upstreams: Vec<Upstream>,
+    targets: Vec<TargetServer>,
 }
 
-/// One instance and `count` upstreams of a service that takes all routes.
+/// One instance and `count` targets of a service that takes all routes.
 async fn scene(count: usize) -> Scene {
     scene_with(count, |_| {}).await
 }
 
 async fn scene_with(count: usize, change: impl Fn(&mut RouteSpec)) -> Scene {
     let site = Site::start(program()).await;
-    let mut upstreams = Vec::new();
+    let mut targets = Vec::new();
     for number in 0..count {
-        let upstream = Upstream::start(&format!("u-{number}"), 4, Duration::from_millis(5)).await.unwrap();
-        site.list(&upstream, "shop", "a-1");
-        upstreams.push(upstream);
+        let target = TargetServer::start(&format!("u-{number}"), 4, Duration::from_millis(5)).await.unwrap();
+        site.list(&target, "shop", "a-1");
+        targets.push(target);
     }
     let mut routes = vec![
         RouteSpec::new("/look/", "safe", "shop"),
@@ -37,22 +37,22 @@
     routes.iter_mut().for_each(change);
     site.configure(3, &routes, &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
-    Scene { site, instance, upstreams }
+    Scene { site, instance, targets }
 }
 
 impl Scene {
     fn all(&self, misbehaviour: Misbehaviour) {
-        self.upstreams.iter().for_each(|upstream| upstream.set(misbehaviour));
+        self.targets.iter().for_each(|target| target.set(misbehaviour));
     }
 
     fn runs_of(&self, id: &str) -> usize {
-        self.upstreams.iter().flat_map(Upstream::runs).filter(|run| run.id == id).count()
+        self.targets.iter().flat_map(TargetServer::runs).filter(|run| run.id == id).count()
     }
 
     /// Earns second tries: the budget starts empty.
     async fn earn_retries(&self) {
         for _ in 0..30 {
-            assert_eq!(Ask::get("/look/a").send(self.instance.callers).await.unwrap().status, 200);
+            assert_eq!(TestRequest::get("/look/a").send(self.instance.callers).await.unwrap().status, 200);
         }
     }
 }
@@ -60,12 +60,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_answer_is_the_targets_own_with_its_signature() {
     let scene = scene(2).await;
-    let ask = Ask::post("/buy/x?berth=2", "two berths");
+    let ask = TestRequest::post("/buy/x?berth=2", "two berths");
     let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
     assert!(reply.body.ends_with(ask.id.as_bytes()));
-    let run = scene.upstreams.iter().flat_map(Upstream::runs).find(|run| run.id == ask.id).unwrap();
+    let run = scene.targets.iter().flat_map(TargetServer::runs).find(|run| run.id == ask.id).unwrap();
     assert_eq!((run.line.as_str(), run.body.as_slice()), ("POST /buy/x?berth=2 HTTP/1.1", b"two berths".as_slice()));
     assert!(run.deadline_ms.unwrap() <= ask.deadline_ms);
 }
@@ -78,16 +78,16 @@
          Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"
     );
     assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
-    assert_eq!(scene.upstreams[0].runs()[0].body, b"hello world");
+    assert_eq!(scene.targets[0].runs()[0].body, b"hello world");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_too_large_to_be_held_passes_through_unchanged() {
     let scene = scene(1).await;
     let body: Vec<u8> = (0..2_000_000u32).map(|n| (n % 251) as u8).collect();
-    let reply = Ask::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
+    let reply = TestRequest::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
-    assert_eq!(scene.upstreams[0].runs()[0].body, body);
+    assert_eq!(scene.targets[0].runs()[0].body, body);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -97,7 +97,7 @@
         "POST /send/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: big-1\r\nContent-Length: 9000000\r\n\r\n"
     );
     assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 413"));
-    assert_eq!(scene.upstreams[0].arrivals(), 0);
+    assert_eq!(scene.targets[0].arrivals(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -123,13 +123,13 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_unknown_path_gets_404_and_before_any_configuration_503() {
     let scene = scene(1).await;
-    assert_eq!(Ask::get("/nowhere/x").send(scene.instance.callers).await.unwrap().status, 404);
+    assert_eq!(TestRequest::get("/nowhere/x").send(scene.instance.callers).await.unwrap().status, 404);
     let site = Site::start(program()).await;
     let mut instance = site.instance("e-1", "a-1");
     instance.start();
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     let reply = loop {
-        match Ask::get("/nowhere/x").send(instance.callers).await {
+        match TestRequest::get("/nowhere/x").send(instance.callers).await {
             Ok(reply) => break reply,
             Err(_) => assert!(Instant::now() < end, "the instance does not listen"),
         }
@@ -145,14 +145,14 @@
     scene.earn_retries().await;
     for misbehaviour in [
         Misbehaviour::LoseAnswer,
-        Misbehaviour::BreakOff,
+        Misbehaviour::Truncate,
         Misbehaviour::Unsigned,
         Misbehaviour::WrongId,
         Misbehaviour::Garbage,
         Misbehaviour::UnframedReset,
     ] {
         scene.all(misbehaviour);
-        let ask = Ask::post("/buy/x", "one");
+        let ask = TestRequest::post("/buy/x", "one");
         let reply = ask.send(scene.instance.callers).await.unwrap();
         // A target that failed too often is left alone for a moment: then the
         // request did not run.
@@ -167,8 +167,9 @@
 }
 
 async fn until_served(scene: &Scene) {
-    let end = Instant::now() + standins::site::PATIENCE;
-    while Ask::post("/buy/x", "one").send(scene.instance.callers).await.map(|reply| reply.status) != Ok(StatusCode::OK)
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    while TestRequest::post("/buy/x", "one").send(scene.instance.callers).await.map(|reply| reply.status)
+        != Ok(StatusCode::OK)
     {
         assert!(Instant::now() < end, "nothing is served any more");
         tokio::time::sleep(Duration::from_millis(50)).await;
@@ -180,10 +181,10 @@
     let scene = scene(2).await;
     scene.earn_retries().await;
     // Object 1 lives at one of the two; only that one loses its answers.
-    let home = scene.upstreams.iter().max_by_key(|upstream| upstream.runs().len()).unwrap();
-    for misbehaviour in [Misbehaviour::LoseAnswer, Misbehaviour::BreakOff] {
+    let home = scene.targets.iter().max_by_key(|target| target.runs().len()).unwrap();
+    for misbehaviour in [Misbehaviour::LoseAnswer, Misbehaviour::Truncate] {
         home.set(misbehaviour);
-        let ask = Ask::get("/look/a");
+        let ask = TestRequest::get("/look/a");
         let reply = ask.send(scene.instance.callers).await.unwrap();
         assert_eq!(reply.status, 200, "{misbehaviour:?}");
         assert!(reply.body.ends_with(ask.id.as_bytes()));
@@ -196,9 +197,9 @@
     let scene = scene(2).await;
     scene.all(Misbehaviour::LoseAnswer);
     for _ in 0..100 {
-        let _ = Ask::get("/look/a").send(scene.instance.callers).await;
+        let _ = TestRequest::get("/look/a").send(scene.instance.callers).await;
     }
-    let arrivals: u64 = scene.upstreams.iter().map(Upstream::arrivals).sum();
+    let arrivals: u64 = scene.targets.iter().map(TargetServer::arrivals).sum();
     assert!(arrivals <= 120, "{arrivals} arrivals of 100 requests at a ratio of 0.2");
 }
 
@@ -208,7 +209,7 @@
     for misbehaviour in [Misbehaviour::SurplusAnswer, Misbehaviour::LateSurplusAnswer] {
         scene.all(misbehaviour);
         for _ in 0..20 {
-            let ask = Ask::get("/look/a");
+            let ask = TestRequest::get("/look/a");
             let reply = ask.send(scene.instance.callers).await.unwrap();
             if reply.status == 200 {
                 assert!(reply.body.ends_with(ask.id.as_bytes()));
@@ -221,45 +222,45 @@
 async fn an_answer_without_a_length_is_whole_or_not_passed_on() {
     let scene = scene(1).await;
     scene.all(Misbehaviour::Unframed);
-    let ask = Ask::post("/buy/x", "one");
+    let ask = TestRequest::post("/buy/x", "one");
     let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     assert!(reply.body.ends_with(ask.id.as_bytes()));
     scene.all(Misbehaviour::UnframedReset);
-    let reply = Ask::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
+    let reply = TestRequest::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 502);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_before_the_body_is_through_closes_that_connection() {
     let scene = scene(1).await;
-    scene.all(Misbehaviour::Early);
+    scene.all(Misbehaviour::AnswerEarly);
     let body = vec![7u8; 3_000_000];
-    let reply = Ask::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
+    let reply = TestRequest::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 503);
     scene.all(Misbehaviour::None);
-    let reply = Ask::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
+    let reply = TestRequest::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     // Nothing else was taken for the rest of the first body.
-    assert_eq!(scene.upstreams[0].runs().len(), 1);
-    assert_eq!(scene.upstreams[0].runs()[0].body, body);
+    assert_eq!(scene.targets[0].runs().len(), 1);
+    assert_eq!(scene.targets[0].runs()[0].body, body);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_is_full_leads_to_another_and_all_full_to_a_503() {
     let scene = scene(2).await;
     scene.earn_retries().await;
-    scene.upstreams[0].set(Misbehaviour::Full);
+    scene.targets[0].set(Misbehaviour::Full);
     for object in 0..10 {
-        let ask = Ask::post("/buy/x", "one").about(object);
+        let ask = TestRequest::post("/buy/x", "one").affinity(object);
         assert_eq!(ask.send(scene.instance.callers).await.unwrap().status, 200);
         assert_eq!(scene.runs_of(&ask.id), 1);
         for _ in 0..10 {
-            Ask::get("/look/a").send(scene.instance.callers).await.unwrap();
+            TestRequest::get("/look/a").send(scene.instance.callers).await.unwrap();
         }
     }
     scene.all(Misbehaviour::Full);
-    let ask = Ask::post("/buy/x", "one");
+    let ask = TestRequest::post("/buy/x", "one");
     let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").parse::<f64>().unwrap() > 0.0);
@@ -267,18 +268,18 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_address_that_another_upstream_took_over_runs_nothing() {
+async fn an_address_that_another_target_took_over_runs_nothing() {
     let mut scene = scene(2).await;
     scene.earn_retries().await;
-    let left = scene.upstreams.remove(0);
+    let left = scene.targets.remove(0);
     let address = left.address;
     left.stop().await;
-    let other = Upstream::start_at(address, "u-other", 4, Duration::from_millis(5)).await.unwrap();
+    let other = TargetServer::start_at(address, "u-other", 4, Duration::from_millis(5)).await.unwrap();
     for object in 0..8 {
-        let ask = Ask::post("/buy/x", "one").about(object);
+        let ask = TestRequest::post("/buy/x", "one").affinity(object);
         assert_eq!(ask.send(scene.instance.callers).await.unwrap().status, 200);
         for _ in 0..10 {
-            Ask::get("/look/a").about("fixed").send(scene.instance.callers).await.unwrap();
+            TestRequest::get("/look/a").affinity("fixed").send(scene.instance.callers).await.unwrap();
         }
     }
     assert!(other.arrivals() > 0, "no object lived at the address");
@@ -288,9 +289,9 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_dead_target_is_passed_over_even_by_requests_that_may_run_once() {
     let mut scene = scene(2).await;
-    scene.upstreams.remove(0).stop().await;
+    scene.targets.remove(0).stop().await;
     for object in 0..20 {
-        let ask = Ask::post("/buy/x", "one").about(object);
+        let ask = TestRequest::post("/buy/x", "one").affinity(object);
         let status = ask.send(scene.instance.callers).await.unwrap().status;
         assert_eq!(status, 200, "{}", scene.instance.log());
         assert_eq!(scene.runs_of(&ask.id), 1);
@@ -300,31 +301,31 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_route_s_timeout_is_answered_when_it_ends_and_promises_nothing() {
     let scene = scene_with(1, |route| route.timeout_ms = 300).await;
-    scene.all(Misbehaviour::Silent);
+    scene.all(Misbehaviour::NoAnswer);
     let started = Instant::now();
-    let reply = Ask::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
+    let reply = TestRequest::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 504);
     let took = started.elapsed();
     assert!((Duration::from_millis(290)..Duration::from_millis(700)).contains(&took), "{took:?}");
-    assert!(scene.upstreams[0].runs()[0].deadline_ms.unwrap() <= 300);
+    assert!(scene.targets[0].runs()[0].deadline_ms.unwrap() <= 300);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_cancels_its_request_at_the_target() {
     let scene = scene(1).await;
-    scene.upstreams[0].work(Duration::from_secs(3));
+    scene.targets[0].work(Duration::from_secs(3));
     let callers = scene.instance.callers;
-    let caller = tokio::spawn(async move { Ask::get("/look/a").send(callers).await });
-    until("the request's arrival", || scene.upstreams[0].runs().len() == 1).await;
+    let caller = tokio::spawn(async move { TestRequest::get("/look/a").send(callers).await });
+    wait_until("the request's arrival", || scene.targets[0].runs().len() == 1).await;
     caller.abort();
-    until("the cut at the target", || scene.upstreams[0].runs()[0].cut).await;
+    wait_until("the cut at the target", || scene.targets[0].runs()[0].cut).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_s_own_failure_is_passed_on_unchanged() {
     let scene = scene(1).await;
-    scene.all(Misbehaviour::Fail);
-    let ask = Ask::post("/buy/x", "one");
+    scene.all(Misbehaviour::ServerError);
+    let ask = TestRequest::post("/buy/x", "one");
     let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!((reply.status.as_u16(), reply.body.as_ref()), (500, b"failed".as_slice()));
     assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
@@ -333,24 +334,24 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_connection_that_rests_within_the_limit_stays_usable() {
     let scene = scene(1).await;
-    let mut connection = standins::http::Connection::open(scene.instance.callers, None).await.unwrap();
-    let first = connection.send(Ask::get("/look/a").request(), Duration::from_secs(5)).await.unwrap();
+    let mut connection = standins::http::Connection::open(scene.instance.callers).await.unwrap();
+    let first = connection.send(TestRequest::get("/look/a").request(), Duration::from_secs(5)).await.unwrap();
     assert_eq!(first.status, 200);
     // Four fifths of the five seconds that the configuration allows.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    let second = connection.send(Ask::get("/look/a").request(), Duration::from_secs(5)).await;
+    let second = connection.send(TestRequest::get("/look/a").request(), Duration::from_secs(5)).await;
     assert_eq!(second.map(|reply| reply.status.as_u16()), Ok::<_, NoReply>(200));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn every_request_has_one_line_in_the_log_with_its_outcome() {
     let scene = scene(1).await;
-    let ask = Ask::get("/look/a");
+    let ask = TestRequest::get("/look/a");
     ask.send(scene.instance.callers).await.unwrap();
     let line = scene.instance.request_line(&ask.id).await;
     assert_eq!((line["outcome"].as_str(), line["status"].as_u64()), (Some("answered"), Some(200)));
     assert_eq!((line["target"].as_str(), line["config"].as_u64()), (Some("u-0"), Some(3)));
-    let ask = Ask::get("/nowhere/a");
+    let ask = TestRequest::get("/nowhere/a");
     ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(scene.instance.request_line(&ask.id).await["outcome"], "no-route");
     assert!(scene.instance.metric("lockloft_entry_requests_total", "answered").await >= 1.0);
@@ -365,34 +366,34 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn connections_beyond_half_of_the_descriptors_wait_to_be_accepted() {
     let site = Site::start(program()).await;
-    let upstream = Upstream::start("u-0", 4, Duration::from_millis(5)).await.unwrap();
-    site.list(&upstream, "shop", "a-1");
+    let target = TargetServer::start("u-0", 4, Duration::from_millis(5)).await.unwrap();
+    site.list(&target, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
     let mut instance = site.instance("e-1", "a-1");
     instance.edit_settings(|text| text.replace("descriptors = 4100", "descriptors = 40"));
     instance.start();
-    instance.ready().await;
+    instance.wait_ready().await;
     let mut held = Vec::new();
     for _ in 0..20 {
-        let mut connection = standins::http::Connection::open(instance.callers, None).await.unwrap();
-        let reply = connection.send(Ask::get("/look/a").request(), Duration::from_secs(5)).await.unwrap();
+        let mut connection = standins::http::Connection::open(instance.callers).await.unwrap();
+        let reply = connection.send(TestRequest::get("/look/a").request(), Duration::from_secs(5)).await.unwrap();
         assert_eq!(reply.status, 200);
         held.push(connection);
     }
-    let mut one_more = standins::http::Connection::open(instance.callers, None).await.unwrap();
-    let waits = one_more.send(Ask::get("/look/a").request(), Duration::from_millis(300)).await;
+    let mut one_more = standins::http::Connection::open(instance.callers).await.unwrap();
+    let waits = one_more.send(TestRequest::get("/look/a").request(), Duration::from_millis(300)).await;
     assert_eq!(waits.map(|reply| reply.status.as_u16()), Err::<u16, _>(NoReply::Broken));
     held.clear();
-    assert_eq!(Ask::get("/look/a").send(instance.callers).await.unwrap().status, 200);
+    assert_eq!(TestRequest::get("/look/a").send(instance.callers).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_counts_as_held_until_its_request_has_ended() {
     let scene = scene(1).await;
-    scene.upstreams[0].work(Duration::from_millis(400));
+    scene.targets[0].work(Duration::from_millis(400));
     let callers = scene.instance.callers;
-    let request = tokio::spawn(async move { Ask::post("/send/x", vec![7; 100_000]).send(callers).await });
-    until("the request's arrival", || scene.upstreams[0].runs().len() == 1).await;
+    let request = tokio::spawn(async move { TestRequest::post("/send/x", vec![7; 100_000]).send(callers).await });
+    wait_until("the request's arrival", || scene.targets[0].runs().len() == 1).await;
     assert_eq!(scene.instance.metric("lockloft_entry_held_body_bytes", "").await, 100_000.0);
     assert_eq!(request.await.unwrap().unwrap().status, 200);
     assert_eq!(scene.instance.metric("lockloft_entry_held_body_bytes", "").await, 0.0);
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -9,7 +9,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_promise_is_broken_in_a_short_soak() {
-    let soak = Soak { seed: 7, instances: 3, upstreams: 4, callers: 6, time: Duration::from_secs(8) };
+    let soak = Soak { seed: 7, instances: 3, targets: 4, callers: 6, time: Duration::from_secs(8) };
     let outcome = soak::run(program(), soak).await;
     assert!(outcome.broken.is_none(), "{outcome:?}");
     assert!(outcome.faults > 5 && outcome.served > 100, "{outcome:?}");
@@ -17,7 +17,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn kills_and_a_stop_of_one_instance_that_overlap_start_it_once() {
-    let soak = Soak { seed: 1, instances: 2, upstreams: 2, callers: 2, time: Duration::from_secs(5) };
+    let soak = Soak { seed: 1, instances: 2, targets: 2, callers: 2, time: Duration::from_secs(5) };
     let planned = |at_ms, lasts_ms, fault| Planned {
         at: Duration::from_millis(at_ms),
         lasts: Duration::from_millis(lasts_ms),
@@ -37,7 +37,7 @@
 
 mod judgement {
     use standins::soak::record::{Asked, Broken, Life, Record, Span};
-    use standins::upstream::Run;
+    use standins::target::Run;
     use std::time::{Duration, Instant};
 
     fn asked(id: &str, status: Option<u16>) -> Asked {
--- a/standins/tests/store_copy.rs
+++ b/standins/tests/store_copy.rs
@@ -4,16 +4,16 @@
 mod common;
 
 use common::program;
-use standins::site::{Ask, InstanceProcess, RouteSpec, Site, until};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
 use standins::store::Trouble;
-use standins::upstream::Upstream;
+use standins::target::TargetServer;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-async fn upstream(site: &Site, id: &str, service: &str, hall: &str) -> Upstream {
-    let upstream = Upstream::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.list(&upstream, service, hall);
-    upstream
+async fn target(site: &Site, id: &str, service: &str, hall: &str) -> TargetServer {
+    let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
+    site.list(&target, service, hall);
+    target
 }
 
 fn shop() -> Vec<RouteSpec> {
@@ -22,9 +22,9 @@
 
 /// Waits until a path is answered with a status by an instance.
 async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     loop {
-        let reply = Ask::get(path).send(instance.callers).await;
+        let reply = TestRequest::get(path).send(instance.callers).await;
         if reply.as_ref().is_ok_and(|reply| reply.status == status) {
             return;
         }
@@ -35,7 +35,7 @@
 
 /// Waits until what an instance knows was last current so many milliseconds ago.
 async fn until_view_is_older(instance: &InstanceProcess, least_ms: u64) {
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     loop {
         let reply = standins::http::get(instance.peers, "/status").await.unwrap();
         let status: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
@@ -47,20 +47,20 @@
     }
 }
 
-/// Objects 0 to 39, asked for once each; how many went to which upstream.
-async fn spread(instance: &InstanceProcess, upstreams: &[&Upstream]) -> HashMap<String, usize> {
-    let before: Vec<usize> = upstreams.iter().map(|upstream| upstream.runs().len()).collect();
+/// Objects 0 to 39, asked for once each; how many went to which target.
+async fn spread(instance: &InstanceProcess, targets: &[&TargetServer]) -> HashMap<String, usize> {
+    let before: Vec<usize> = targets.iter().map(|target| target.runs().len()).collect();
     for object in 0..40 {
-        assert_eq!(Ask::get("/look/a").about(object).send(instance.callers).await.unwrap().status, 200);
+        assert_eq!(TestRequest::get("/look/a").affinity(object).send(instance.callers).await.unwrap().status, 200);
     }
-    let after = upstreams.iter().zip(before).map(|(upstream, had)| (upstream.id.clone(), upstream.runs().len() - had));
+    let after = targets.iter().zip(before).map(|(target, had)| (target.id.clone(), target.runs().len() - had));
     after.collect()
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_configuration_is_in_force_soon_and_an_older_one_never_again() {
     let site = Site::start(program()).await;
-    let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+    let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(5, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
@@ -69,59 +69,59 @@
     site.configure(7, &shop(), &["shop"]);
     // A later change proves that the older version was seen and left.
     site.store.put("op/evacuate/b-1", "{}");
-    until("the evacuation's line", || !instance.events("evacuation").is_empty()).await;
-    assert_eq!(Ask::get("/new/x").send(instance.callers).await.unwrap().status, 200);
+    wait_until("the evacuation's line", || !instance.events("evacuation").is_empty()).await;
+    assert_eq!(TestRequest::get("/new/x").send(instance.callers).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_that_cannot_be_read_is_refused_whole_with_one_line() {
     let site = Site::start(program()).await;
-    let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+    let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(5, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     site.store.put("op/config", "{\"version\": 6, \"resources\": [{\"resource_type\": \"routes\", \"spec\": {}}]}");
-    until("the refusal's line", || instance.events("value_refused").len() == 1).await;
+    wait_until("the refusal's line", || instance.events("value_refused").len() == 1).await;
     let line = &instance.events("value_refused")[0];
     assert!(line["error"].as_str().unwrap().contains("op/config"), "{line}");
-    assert_eq!(Ask::get("/look/x").send(instance.callers).await.unwrap().status, 200);
+    assert_eq!(TestRequest::get("/look/x").send(instance.callers).await.unwrap().status, 200);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_target_and_one_that_is_gone_get_nothing_more() {
     let site = Site::start(program()).await;
-    let (one, two) = (upstream(&site, "u-1", "shop", "a-1").await, upstream(&site, "u-2", "shop", "a-1").await);
+    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "a-1").await);
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     let counts = spread(&instance, &[&one, &two]).await;
     assert!(counts["u-1"] > 0 && counts["u-2"] > 0, "{counts:?}");
     site.list_as(&one, "shop", "a-1", "draining", 2, 0);
-    until("the draining's line", || instance.log().contains("draining")).await;
+    wait_until("the draining's line", || instance.log().contains("draining")).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     // A write that is older by its sequence does not bring it back.
     site.list_as(&one, "shop", "a-1", "ready", 1, 0);
     site.store.put("op/evacuate/c-1", "{}");
-    until("the evacuation's line", || !instance.events("evacuation").is_empty()).await;
+    wait_until("the evacuation's line", || !instance.events("evacuation").is_empty()).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     site.store.remove("servers/u-1");
-    until("the line of its end", || instance.log().contains("\"gone\"")).await;
+    wait_until("the line of its end", || instance.log().contains("\"gone\"")).await;
     site.list_as(&one, "shop", "a-1", "ready", 1, 0);
     site.store.remove("op/evacuate/c-1");
-    until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
+    wait_until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_evacuated_hall_gets_nothing_until_it_is_taken_back_and_warm() {
     let site = Site::start(program()).await;
-    let (one, two) = (upstream(&site, "u-1", "shop", "a-1").await, upstream(&site, "u-2", "shop", "a-2").await);
+    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "a-2").await);
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     site.store.put("op/evacuate/a-1", "{}");
-    until("the evacuation's line", || instance.events("evacuation").len() == 1).await;
+    wait_until("the evacuation's line", || instance.events("evacuation").len() == 1).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     site.store.remove("op/evacuate/a-1");
-    until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
-    let end = Instant::now() + standins::site::PATIENCE;
+    wait_until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     while spread(&instance, &[&one, &two]).await["u-1"] == 0 {
         assert!(Instant::now() < end, "the hall never came back");
     }
@@ -130,7 +130,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_of_a_route_with_regions_stay_in_them() {
     let site = Site::start(program()).await;
-    let (one, two) = (upstream(&site, "u-1", "shop", "a-1").await, upstream(&site, "u-2", "shop", "b-1").await);
+    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "b-1").await);
     let mut route = RouteSpec::new("/look/", "safe", "shop");
     route.regions = vec!["b".to_owned()];
     site.configure(1, &[route.clone()], &["shop"]);
@@ -144,36 +144,36 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_object_stays_at_its_target_whichever_entry_it_comes_through() {
     let site = Site::start(program()).await;
-    let upstreams = [
-        upstream(&site, "u-1", "shop", "a-1").await,
-        upstream(&site, "u-2", "shop", "a-1").await,
-        upstream(&site, "u-3", "shop", "a-2").await,
+    let targets = [
+        target(&site, "u-1", "shop", "a-1").await,
+        target(&site, "u-2", "shop", "a-1").await,
+        target(&site, "u-3", "shop", "a-2").await,
     ];
     site.configure(1, &shop(), &["shop"]);
     let (first, second) = (site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await);
     for object in 0..20 {
         for instance in [&first, &second] {
             for _ in 0..2 {
-                Ask::get("/look/a").about(object).send(instance.callers).await.unwrap();
+                TestRequest::get("/look/a").affinity(object).send(instance.callers).await.unwrap();
             }
         }
     }
-    let runs: usize = upstreams.iter().map(|upstream| upstream.runs().len()).sum();
+    let runs: usize = targets.iter().map(|target| target.runs().len()).sum();
     assert_eq!(runs, 80);
-    let busy = upstreams.iter().filter(|upstream| upstream.runs().len() % 4 == 0).count();
+    let busy = targets.iter().filter(|target| target.runs().len() % 4 == 0).count();
     assert_eq!(busy, 3, "each object's four requests went to one target");
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_split_keeps_its_shares() {
     let site = Site::start(program()).await;
-    let (one, two) = (upstream(&site, "u-1", "shop", "a-1").await, upstream(&site, "u-2", "other", "a-1").await);
+    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "other", "a-1").await);
     let mut route = RouteSpec::new("/look/", "safe", "shop");
     route.parts = vec![("shop".to_owned(), 70.0), ("other".to_owned(), 30.0)];
     site.configure(1, &[route], &["shop", "other"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     for number in 0..400 {
-        Ask::get("/look/a").about(number % 10).send(instance.callers).await.unwrap();
+        TestRequest::get("/look/a").affinity(number % 10).send(instance.callers).await.unwrap();
     }
     let share = two.runs().len() as f64 / (one.runs().len() + two.runs().len()) as f64;
     assert!((0.2..0.4).contains(&share), "{share}");
@@ -182,15 +182,15 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn with_its_history_forgotten_the_store_is_listed_anew() {
     let site = Site::start(program()).await;
-    let (one, two) = (upstream(&site, "u-1", "shop", "a-1").await, upstream(&site, "u-2", "shop", "a-1").await);
+    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "a-1").await);
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     site.door.set(Trouble::Reset);
-    until("the loss of the store", || instance.events("store_lost").len() == 1).await;
+    wait_until("the loss of the store", || instance.events("store_lost").len() == 1).await;
     site.store.remove("servers/u-1");
-    site.store.forget_history();
+    site.store.compact();
     site.door.set(Trouble::None);
-    until("the line of its end", || instance.log().contains("\"gone\"")).await;
+    wait_until("the line of its end", || instance.log().contains("\"gone\"")).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     assert_eq!(instance.events("store_regained").len(), 1);
 }
@@ -199,14 +199,14 @@
 async fn an_entry_that_the_store_turns_away_learns_from_its_peers() {
     for trouble in [Trouble::Busy, Trouble::TooMany, Trouble::Reset, Trouble::Silent] {
         let site = Site::start(program()).await;
-        let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+        let _target = target(&site, "u-1", "shop", "a-1").await;
         site.configure(1, &shop(), &["shop"]);
         let _other = site.ready_instance("e-1", "a-1").await;
         let door = site.store.door().await.unwrap();
         let mut instance = site.instance_at("e-2", "a-2", &door, &[]);
         instance.start();
-        instance.ready().await;
-        until("the sight of each other", || instance.events("member").len() >= 2).await;
+        instance.wait_ready().await;
+        wait_until("the sight of each other", || instance.events("member").len() >= 2).await;
         door.set(trouble);
         let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
         site.configure(2, &both, &["shop"]);
@@ -217,25 +217,25 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_that_starts_while_the_store_is_down_learns_from_its_seeds() {
     let site = Site::start(program()).await;
-    let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+    let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let first = site.ready_instance("e-1", "a-1").await;
     site.door.set(Trouble::Silent);
     let mut instance = site.instance_at("e-2", "a-2", &site.door, &[first.peers]);
     instance.start();
-    instance.ready().await;
+    instance.wait_ready().await;
     until_status(&instance, "/look/x", 200).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_directory_names_ready_entries_of_the_callers_region() {
     let site = Site::start(program()).await;
-    let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+    let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let one = site.ready_instance("e-1", "a-1").await;
     let mut two = site.ready_instance("e-2", "a-2").await;
     let far = site.ready_instance("e-3", "b-1").await;
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     loop {
         let mut named = one.resolve("a").await;
         named.sort();
@@ -268,9 +268,9 @@
     let site = Site::start(program()).await;
     site.configure(1, &shop(), &["shop"]);
     let _instance = site.ready_instance("e-1", "a-1").await;
-    until("the first key", || site.store.keys("lockloft/").len() == 1).await;
-    site.store.remove_all("lockloft/");
-    until("the second key", || site.store.keys("lockloft/").len() == 1).await;
+    wait_until("the first key", || site.store.keys("lockloft/").len() == 1).await;
+    site.store.remove_prefix("lockloft/");
+    wait_until("the second key", || site.store.keys("lockloft/").len() == 1).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -280,26 +280,26 @@
     let instance = site.ready_instance("e-1", "a-1").await;
     instance.edit_settings(|text| text.replace("retry_ratio = 0.2", "retry_ratio = 2"));
     instance.signal(libc::SIGHUP);
-    until("the refusal's line", || instance.events("reload_refused").len() == 1).await;
+    wait_until("the refusal's line", || instance.events("reload_refused").len() == 1).await;
     let error = instance.events("reload_refused")[0]["error"].as_str().unwrap().to_owned();
     assert!(error.contains("bounds.retry_ratio") && error.contains("give a share"), "{error}");
     instance.edit_settings(|text| text.replace("retry_ratio = 2", "retry_ratio = 0.1"));
     instance.signal(libc::SIGHUP);
-    until("the reload's line", || instance.events("reloaded").len() == 1).await;
+    wait_until("the reload's line", || instance.events("reloaded").len() == 1).await;
     assert!(instance.is_ready().await);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_comes_before_the_first_configuration_waits_a_moment_for_it() {
     let site = Site::start(program()).await;
-    let _upstream = upstream(&site, "u-1", "shop", "a-1").await;
+    let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     site.door.slow(Duration::from_millis(100));
     let mut instance = site.instance("e-1", "a-1");
     instance.start();
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     let reply = loop {
-        match Ask::get("/look/a").send(instance.callers).await {
+        match TestRequest::get("/look/a").send(instance.callers).await {
             Ok(reply) => break reply,
             Err(_) => assert!(Instant::now() < end, "the instance does not listen"),
         }
@@ -310,22 +310,22 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn targets_whose_entries_lapse_with_the_store_away_serve_on_until_they_are_surely_gone() {
     let site = Site::start(program()).await;
-    let lives = upstream(&site, "lives", "shop", "a-1").await;
-    let ends = upstream(&site, "ends", "shop", "a-1").await;
+    let lives = target(&site, "lives", "shop", "a-1").await;
+    let ends = target(&site, "ends", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     site.door.set(Trouble::Silent);
-    until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
+    wait_until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
     // Instances run out after three heartbeats, not sooner.
     until_view_is_older(&instance, 4_000).await;
-    site.store.remove_all("servers/");
+    site.store.remove_prefix("servers/");
     site.door.set(Trouble::None);
     let state =
         |id: &str, state: &str| instance.events("target").iter().any(|line| line["id"] == id && line["state"] == state);
-    until("both are seen to have lapsed", || state("lives", "lapsed") && state("ends", "lapsed")).await;
+    wait_until("both are seen to have lapsed", || state("lives", "lapsed") && state("ends", "lapsed")).await;
     assert!(spread(&instance, &[&lives, &ends]).await.values().all(|runs| *runs > 0), "both serve on");
     site.list_as(&lives, "shop", "a-1", "ready", 2, 0);
-    until("one is gone", || state("ends", "gone")).await;
+    wait_until("one is gone", || state("ends", "gone")).await;
     let runs = spread(&instance, &[&lives, &ends]).await;
     assert_eq!((runs["lives"], runs["ends"]), (40, 0));
     assert!(!state("lives", "gone"));
@@ -334,23 +334,23 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_goes_as_an_entry_is_let_in_again_is_left_at_once() {
     let site = Site::start(program()).await;
-    let _stays = upstream(&site, "stays", "shop", "a-1").await;
-    let _goes = upstream(&site, "goes", "shop", "a-1").await;
+    let _stays = target(&site, "stays", "shop", "a-1").await;
+    let _goes = target(&site, "goes", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let others = site.ready_instance("e-1", "a-1").await;
     let door = site.store.door().await.unwrap();
     let mut instance = site.instance_at("e-2", "a-2", &door, &[others.peers]);
     instance.start();
-    instance.ready().await;
+    instance.wait_ready().await;
     door.set(Trouble::Busy);
-    until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
+    wait_until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
     site.store.put("op/evacuate/b-1", "{}");
-    until("a peer's news", || instance.events("evacuation").iter().any(|line| line["source"] == "peer")).await;
+    wait_until("a peer's news", || instance.events("evacuation").iter().any(|line| line["source"] == "peer")).await;
     door.set(Trouble::None);
-    until("the store answers again", || !instance.events("store_regained").is_empty()).await;
-    site.store.remove_all("servers/goes");
+    wait_until("the store answers again", || !instance.events("store_regained").is_empty()).await;
+    site.store.remove_prefix("servers/goes");
     let seen =
         |state: &str| instance.events("target").iter().any(|line| line["id"] == "goes" && line["state"] == state);
-    until("the target's end is seen", || seen("gone") || seen("lapsed")).await;
+    wait_until("the target's end is seen", || seen("gone") || seen("lapsed")).await;
     assert!(!seen("lapsed"), "the others kept the instance's knowledge current: nothing can have run out");
 }
--- a/standins/tests/targets.rs
+++ b/standins/tests/targets.rs
@@ -3,8 +3,8 @@
 mod common;
 
 use common::program;
-use standins::site::{Ask, InstanceProcess, RouteSpec, Site, config};
-use standins::upstream::Upstream;
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, config};
+use standins::target::TargetServer;
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::{Duration, Instant};
@@ -40,35 +40,35 @@
     let mut number = caller;
     while !stop.load(Relaxed) {
         number += 7;
-        let _ = Ask::get("/look/a").about(number % 60).send(instance).await;
+        let _ = TestRequest::get("/look/a").affinity(number % 60).send(instance).await;
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
 }
 
-async fn scene() -> (Site, InstanceProcess, Vec<Upstream>) {
+async fn scene() -> (Site, InstanceProcess, Vec<TargetServer>) {
     let site = Site::start(program()).await;
-    let mut upstreams = Vec::new();
+    let mut targets = Vec::new();
     for number in 0..4 {
-        let upstream = Upstream::start(&format!("u-{number}"), 6, Duration::from_millis(40)).await.unwrap();
-        site.list(&upstream, "shop", "a-1");
-        upstreams.push(upstream);
+        let target = TargetServer::start(&format!("u-{number}"), 6, Duration::from_millis(40)).await.unwrap();
+        site.list(&target, "shop", "a-1");
+        targets.push(target);
     }
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
-    (site, instance, upstreams)
+    (site, instance, targets)
 }
 
-/// Runs that began at an upstream after a time.
-fn runs_since(upstream: &Upstream, time: Instant) -> usize {
-    upstream.runs().iter().filter(|run| run.at > time).count()
+/// Runs that began at a target after a time.
+fn runs_since(target: &TargetServer, time: Instant) -> usize {
+    target.runs().iter().filter(|run| run.at > time).count()
 }
 
-async fn until_share(upstreams: &[Upstream], what: &str, holds: impl Fn(f64) -> bool) {
-    let end = Instant::now() + standins::site::PATIENCE;
+async fn until_share(targets: &[TargetServer], what: &str, holds: impl Fn(f64) -> bool) {
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     loop {
         let since = Instant::now();
         tokio::time::sleep(Duration::from_secs(1)).await;
-        let runs: Vec<usize> = upstreams.iter().map(|upstream| runs_since(upstream, since)).collect();
+        let runs: Vec<usize> = targets.iter().map(|target| runs_since(target, since)).collect();
         let share = runs[0] as f64 / runs.iter().sum::<usize>().max(1) as f64;
         if holds(share) {
             return;
@@ -79,31 +79,31 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_much_slower_than_its_peers_gets_a_try_now_and_then_until_it_recovers() {
-    let (_site, instance, upstreams) = scene().await;
+    let (_site, instance, targets) = scene().await;
     let load = Load::start(&instance);
-    until_share(&upstreams, "its share before", |share| share > 0.1).await;
-    upstreams[0].work(Duration::from_millis(900));
-    until_share(&upstreams, "its share while slow", |share| share < 0.03).await;
-    upstreams[0].work(Duration::from_millis(40));
-    until_share(&upstreams, "its share after", |share| share > 0.1).await;
+    until_share(&targets, "its share before", |share| share > 0.1).await;
+    targets[0].work(Duration::from_millis(900));
+    until_share(&targets, "its share while slow", |share| share < 0.03).await;
+    targets[0].work(Duration::from_millis(40));
+    until_share(&targets, "its share after", |share| share > 0.1).await;
     load.end().await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cold_target_gets_no_more_than_its_rate_from_all_entries_together() {
-    let (site, instance, upstreams) = scene().await;
+    let (site, instance, targets) = scene().await;
     let mut instances = vec![instance];
     for name in ["e-2", "e-3"] {
         instances.push(site.ready_instance(name, "a-2").await);
     }
-    let cold = Upstream::start("cold", 6, Duration::from_millis(40)).await.unwrap();
+    let cold = TargetServer::start("cold", 6, Duration::from_millis(40)).await.unwrap();
     site.list_as(&cold, "shop", "a-1", "ready", 1, 60_000);
     let loads: Vec<Load> = instances.iter().map(Load::start).collect();
-    standins::site::until("the cold target got 30 requests", || cold.runs().len() >= 30).await;
+    standins::site::wait_until("the cold target got 30 requests", || cold.runs().len() >= 30).await;
     for load in loads {
         load.end().await;
     }
-    assert!(upstreams.iter().all(|upstream| !upstream.runs().is_empty()));
+    assert!(targets.iter().all(|target| !target.runs().is_empty()));
     let runs = cold.runs();
     for (number, run) in runs.iter().enumerate() {
         let within = runs[number..].iter().take_while(|later| later.at - run.at < Duration::from_secs(1)).count();
@@ -112,30 +112,30 @@
 }
 
 /// Sends this many requests at once; gives the connections that were opened.
-async fn burst(instance: &InstanceProcess, upstream: &Upstream, count: usize) -> u64 {
-    let before = upstream.connections();
+async fn burst(instance: &InstanceProcess, target: &TargetServer, count: usize) -> u64 {
+    let before = target.connections();
     let address = instance.callers;
-    let ask = || tokio::spawn(async move { Ask::get("/look/a").send(address).await });
+    let ask = || tokio::spawn(async move { TestRequest::get("/look/a").send(address).await });
     let asks: Vec<_> = (0..count).map(|_| ask()).collect();
     for ask in asks {
         assert_eq!(ask.await.unwrap().unwrap().status, 200);
     }
-    upstream.connections() - before
+    target.connections() - before
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn no_more_connections_are_kept_idle_than_the_target_takes_from_all_instances() {
     let site = Site::start(program()).await;
-    let upstream = Upstream::start("u-1", 8, Duration::from_millis(40)).await.unwrap();
-    site.list(&upstream, "shop", "a-1");
+    let target = TargetServer::start("u-1", 8, Duration::from_millis(40)).await.unwrap();
+    site.list(&target, "shop", "a-1");
     let routes = [RouteSpec::new("/look/", "safe", "shop")];
     let config = config(1, &routes, &["shop"]).replace("\"max_connections\":300", "\"max_connections\":4");
     site.store.put("op/config", config);
     let instance = site.ready_instance("e-1", "a-1").await;
-    let end = Instant::now() + standins::site::PATIENCE;
+    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
     // Two are kept, so that each burst of six opens four, once the bound is known.
-    while burst(&instance, &upstream, 6).await != 4 {
+    while burst(&instance, &target, 6).await != 4 {
         assert!(Instant::now() < end, "idle connections are not bounded");
     }
-    assert_eq!(burst(&instance, &upstream, 2).await, 0);
+    assert_eq!(burst(&instance, &target, 2).await, 0);
 }
