--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -68,6 +68,9 @@
     /// `Broken` where the connection closes or the time runs out.
     pub async fn send(&mut self, request: Request<Full<Bytes>>, wait: Duration) -> Result<Reply, NoReply> {
         let exchange = async {
+            // The task of the connection may still be busy with the end of the
+            // previous answer; hyper refuses a request that is sent meanwhile.
+            self.sender.ready().await?;
             let response = self.sender.send_request(request).await?;
             let (parts, body) = response.into_parts();
             let body = body.collect().await?.to_bytes();
