--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,7 +1,7 @@
 //! The demonstration: a store, targets and instances on loopback, narrated.
 
 use crate::site::{InstanceProcess, RouteSpec, Site, TestRequest};
-use crate::target::TargetServer;
+use crate::target_server::{Registration, TargetServer};
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
@@ -44,7 +44,7 @@
         let mut targets = Vec::new();
         for number in 0..8 {
             let target = TargetServer::start(&format!("t-{number}"), 6, WORK).await.expect("loopback has free ports");
-            site.list(&target, "booking", HALLS[number % 4]);
+            site.register(&target, "booking", HALLS[number % 4]);
             targets.push(target);
         }
         site.configure(1, &[RouteSpec::new("/buy/", "unsafe", "booking")], &["booking"]);
@@ -53,7 +53,7 @@
             instances.push(site.ready_instance(&format!("e-{number}"), hall).await);
         }
         for instance in &instances {
-            let end = Instant::now() + crate::site::WAIT_TIMEOUT;
+            let end = Instant::now() + crate::wait::WAIT_TIMEOUT;
             while instance.resolve("a").await.len() < 2 && Instant::now() < end {
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -89,13 +89,13 @@
     async fn seen_by_all(&self, event: &str, times: usize) -> Duration {
         let started = Instant::now();
         let all = || self.instances.iter().all(|instance| instance.events(event).len() >= times);
-        crate::site::wait_until(event, all).await;
+        crate::wait::wait_until(event, all).await;
         started.elapsed()
     }
 
     async fn drain(&self) {
         let before = self.instances.iter().map(|instance| instance.events("target").len()).max().unwrap_or(0);
-        self.site.list_as(&self.targets[0], "booking", HALLS[0], "draining", 2, 0);
+        self.site.register_as(&self.targets[0], &Registration::draining("booking", HALLS[0], 2));
         let took = self.seen_by_all("target", before + 1).await;
         let (served, runs) = self.purchases().await;
         println!(
@@ -130,7 +130,7 @@
         let mut lost = self.instances.remove(1);
         let killed = Instant::now();
         lost.kill();
-        while self.instances[0].resolve("a").await.len() > 1 && killed.elapsed() < crate::site::WAIT_TIMEOUT {
+        while self.instances[0].resolve("a").await.len() > 1 && killed.elapsed() < crate::wait::WAIT_TIMEOUT {
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
         let (served, _) = self.purchases().await;
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -9,4 +9,5 @@
 pub mod site;
 pub mod soak;
 pub mod store;
-pub mod target;
+pub mod target_server;
+pub mod wait;
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -2,7 +2,7 @@
 
 use crate::proxy::Mode;
 use crate::store::Trouble;
-use crate::target::Misbehaviour;
+use crate::target_server::Misbehaviour;
 use rand::rngs::StdRng;
 use rand::seq::IndexedRandom;
 use rand::{Rng, SeedableRng};
--- a/standins/src/soak/record.rs
+++ b/standins/src/soak/record.rs
@@ -1,6 +1,6 @@
 //! What a soak saw, and the promises that it holds against it.
 
-use crate::target::Run;
+use crate::target_server::Run;
 use serde::Serialize;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
--- a/standins/src/soak/scene.rs
+++ b/standins/src/soak/scene.rs
@@ -8,7 +8,7 @@
 use crate::proxy::{Mode, Proxy};
 use crate::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use crate::store::{self, Trouble};
-use crate::target::{Misbehaviour, TargetServer};
+use crate::target_server::{Misbehaviour, Registration, TargetServer, TargetState};
 use std::collections::HashMap;
 use std::path::Path;
 use std::sync::Arc;
@@ -108,15 +108,14 @@
         let proxy = Proxy::start(target.address).await.expect("loopback has free ports");
         let cold_until = (!cold.is_zero()).then(|| Instant::now() + cold);
         let server = Server { target, proxy, hall, sequence: 1, drained: None, cold_until };
-        self.list(&server, "ready", cold);
+        self.register(&server, TargetState::Ready, cold);
         self.servers.push(server);
     }
 
-    fn list(&self, server: &Server, state: &str, cold: Duration) {
-        let cold = cold.as_millis() as u64;
-        let registration = server.target.registration(SERVICE, HALLS[server.hall], state, server.sequence, cold);
-        let registration = registration.replace(&server.target.address.to_string(), &server.proxy.address.to_string());
-        self.site.store.put(&format!("servers/{}", server.target.id), registration);
+    fn register(&self, server: &Server, state: TargetState, slow_start: Duration) {
+        let (service, hall, sequence) = (SERVICE, HALLS[server.hall], server.sequence);
+        let registration = Registration { service, hall, state, sequence, slow_start };
+        self.site.register_at(&server.target, server.proxy.address, &registration);
     }
 
     /// Plays the faults under load, lets all heal, and gives what was seen.
@@ -187,10 +186,10 @@
             Fault::Revoke => self.site.store.remove_prefix("lockloft/"),
             Fault::Way(server, mode) => self.servers[server].proxy.set(mode),
             Fault::Misbehave(server, misbehaviour) => self.servers[server].target.set(misbehaviour),
-            Fault::SlowTarget(server) => self.servers[server].target.work(WORK * 10),
+            Fault::SlowTarget(server) => self.servers[server].target.set_work(WORK * 10),
             Fault::Replace(server) => {
                 self.servers[server].sequence += 1;
-                self.list(&self.servers[server], "draining", Duration::ZERO);
+                self.register(&self.servers[server], TargetState::Draining, Duration::ZERO);
                 self.servers[server].drained.get_or_insert_with(Instant::now);
             }
             Fault::Evacuate(hall) => {
@@ -222,7 +221,7 @@
             Fault::SlowStore => self.doors.iter().for_each(|door| door.slow(Duration::ZERO)),
             Fault::Way(server, _) => self.servers[server].proxy.set(Mode::Pass),
             Fault::Misbehave(server, _) => self.servers[server].target.set(Misbehaviour::None),
-            Fault::SlowTarget(server) => self.servers[server].target.work(WORK),
+            Fault::SlowTarget(server) => self.servers[server].target.set_work(WORK),
             Fault::Replace(server) => self.replace(server).await,
             Fault::Evacuate(hall) => {
                 self.site.store.remove(&format!("op/evacuate/{}", HALLS[hall]));
@@ -314,7 +313,7 @@
     }
 
     async fn heal(&mut self) {
-        let end = Instant::now() + crate::site::WAIT_TIMEOUT;
+        let end = Instant::now() + crate::wait::WAIT_TIMEOUT;
         while !self.stopping.is_empty() && Instant::now() < end {
             self.restart_stopped().await;
             tokio::time::sleep(TICK).await;
--- /dev/null
+++ b/standins/src/target_server/misbehaviour.rs
@@ -0,0 +1,40 @@
+//! The ways in which a target server misbehaves on purpose.
+
+/// How a target misbehaves.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
+pub enum Misbehaviour {
+    /// Not at all.
+    #[default]
+    None,
+    /// It runs the request and closes the connection.
+    LoseAnswer,
+    /// It runs the request and says nothing more.
+    NoAnswer,
+    /// It sends a second answer behind the first.
+    SurplusAnswer,
+    /// It sends a second answer a while behind the first.
+    LateSurplusAnswer,
+    /// Its answer has no length and ends with the connection.
+    Unframed,
+    /// As `Unframed`, but the connection is reset midway.
+    UnframedReset,
+    /// It answers before the request's body is through, and reads on.
+    AnswerEarly,
+    /// It breaks off in the middle of the answer.
+    Truncate,
+    /// Its answer has no signature.
+    Unsigned,
+    /// Its answer bears another request's identity.
+    WrongId,
+    /// It sends bytes that are no answer.
+    Garbage,
+    /// It fails with a 500 of its own.
+    ServerError,
+    /// It is full: it answers 503 and does not run the request.
+    Full,
+    /// It works on and answers though its connection was closed meanwhile.
+    IgnoreClose,
+    /// It sends these bytes, `{id}` in them being the request's identity, and
+    /// closes the connection.
+    Raw(&'static str),
+}
--- /dev/null
+++ b/standins/src/target_server/mod.rs
@@ -0,0 +1,156 @@
+//! A stand-in for a target: slots and a queue, signed answers, load reports,
+//! cold objects, and misbehaviour that tests switch on.
+//!
+//! Owns its listener, its connections and a list of everything it ran. It
+//! writes and reads the target's side of the wire by itself, without
+//! `platform/`: a fault in one codec must not hide in both.
+
+mod message;
+mod misbehaviour;
+mod registration;
+mod server;
+
+pub use misbehaviour::Misbehaviour;
+pub use registration::{Registration, TargetState};
+
+use crate::ports::{after_spawns, free_address};
+use std::collections::HashSet;
+use std::net::SocketAddr;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::{Duration, Instant};
+use tokio::net::TcpListener;
+use tokio::sync::Semaphore;
+use tokio::task::JoinHandle;
+
+/// One request that a target began to work on.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct Run {
+    /// The request's identity.
+    pub id: String,
+    /// The request line: method, path and version.
+    pub line: String,
+    /// Its body.
+    pub body: Vec<u8>,
+    /// The time that the instance gave, milliseconds.
+    pub deadline_ms: Option<u64>,
+    /// When it began.
+    pub at: Instant,
+    /// Whether its connection closed before the answer.
+    pub cut: bool,
+}
+
+#[derive(Debug, Default)]
+struct State {
+    misbehaviour: Misbehaviour,
+    /// Time for one request about a warm object.
+    work: Duration,
+    runs: Vec<Run>,
+    /// Requests that arrived, run or not.
+    arrivals: u64,
+    /// Objects that were asked for before.
+    warm: HashSet<String>,
+    running: u32,
+    waiting: u32,
+    /// Connections accepted.
+    connections: u64,
+}
+
+#[derive(Debug)]
+struct Shared {
+    id: String,
+    slots: u32,
+    slots_free: Semaphore,
+    state: Mutex<State>,
+}
+
+impl Shared {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no holder panics")
+    }
+
+    /// The load as an answer reports it.
+    fn load(&self) -> String {
+        let state = self.lock();
+        format!("{},{},{}", state.running, state.waiting, self.slots)
+    }
+}
+
+/// A running target server; dropped, it closes all connections.
+pub struct TargetServer {
+    /// Identity of this incarnation.
+    pub id: String,
+    /// Where it listens.
+    pub address: SocketAddr,
+    shared: Arc<Shared>,
+    task: JoinHandle<()>,
+}
+
+impl Drop for TargetServer {
+    fn drop(&mut self) {
+        self.task.abort();
+    }
+}
+
+impl TargetServer {
+    /// Starts a target that runs up to `slots` requests at a time and works
+    /// `work` on a request for a warm object.
+    ///
+    /// # Errors
+    /// Where its address cannot be listened on.
+    pub async fn start(id: &str, slots: u32, work: Duration) -> std::io::Result<Self> {
+        Self::start_at(free_address(), id, slots, work).await
+    }
+
+    /// Starts a target at an address, such as one that another has left.
+    ///
+    /// # Errors
+    /// Where the address cannot be listened on.
+    pub async fn start_at(address: SocketAddr, id: &str, slots: u32, work: Duration) -> std::io::Result<Self> {
+        let listener = TcpListener::bind(address).await?;
+        let state = Mutex::new(State { work, ..State::default() });
+        let slots_free = Semaphore::new(slots as usize);
+        let shared = Arc::new(Shared { id: id.to_owned(), slots, slots_free, state });
+        let task = tokio::spawn(server::accept(listener, shared.clone()));
+        Ok(Self { id: id.to_owned(), address, shared, task })
+    }
+
+    /// Ends it: its address is free and its connections are closed when this
+    /// returns.
+    pub async fn stop(mut self) {
+        self.task.abort();
+        // The error says that the task was aborted.
+        let _ = (&mut self.task).await;
+        after_spawns();
+    }
+
+    /// Changes how it misbehaves.
+    pub fn set(&self, misbehaviour: Misbehaviour) {
+        self.shared.lock().misbehaviour = misbehaviour;
+    }
+
+    /// Changes how long it works on a request for a warm object.
+    pub fn set_work(&self, work: Duration) {
+        self.shared.lock().work = work;
+    }
+
+    /// The requests it began to work on.
+    pub fn runs(&self) -> Vec<Run> {
+        self.shared.lock().runs.clone()
+    }
+
+    /// Requests that arrived, run or not, health checks aside.
+    pub fn arrivals(&self) -> u64 {
+        self.shared.lock().arrivals
+    }
+
+    /// Connections it has accepted.
+    pub fn connections(&self) -> u64 {
+        self.shared.lock().connections
+    }
+
+    /// The value in the store that registers it at `address`, which is its own
+    /// or that of a proxy before it.
+    pub fn registration(&self, address: SocketAddr, registration: &Registration) -> String {
+        registration.to_json(address, self.shared.slots)
+    }
+}
--- a/standins/tests/answer_order.rs
+++ b/standins/tests/answer_order.rs
@@ -5,8 +5,9 @@
 
 use common::{program, raw};
 use standins::http::{Connection, NoReply};
-use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
-use standins::target::{Misbehaviour, TargetServer};
+use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest};
+use standins::target_server::{Misbehaviour, TargetServer};
+use standins::wait::wait_until;
 use std::time::Duration;
 
 /// Requests that are under way together.
@@ -22,7 +23,7 @@
 async fn scene(timeout_ms: u64) -> Scene {
     let site = Site::start(program()).await;
     let target = TargetServer::start("u-0", 64, Duration::from_millis(1)).await.unwrap();
-    site.list(&target, "shop", "a-1");
+    site.register(&target, "shop", "a-1");
     let mut routes = [RouteSpec::new("/look/", "safe", "shop"), RouteSpec::new("/buy/", "unsafe", "shop")];
     routes.iter_mut().for_each(|route| route.timeout_ms = timeout_ms);
     site.configure(1, &routes, &["shop"]);
@@ -55,7 +56,7 @@
         let mut tasks = tokio::task::JoinSet::new();
         for number in 0..TOGETHER {
             // The later a request comes, the sooner it is answered.
-            scene.target.work(Duration::from_millis(280 - 50 * number as u64));
+            scene.target.set_work(Duration::from_millis(280 - 50 * number as u64));
             let path = if (round + number) % 2 == 0 { "/look/a" } else { "/buy/a" };
             let (ask, callers) = (TestRequest::post(path, "one"), scene.instance.callers);
             let id = ask.id.clone();
@@ -81,7 +82,7 @@
     for misbehaviour in [Misbehaviour::None, Misbehaviour::IgnoreClose] {
         for path in ["/look/a", "/buy/a"].repeat(5) {
             scene.target.set(misbehaviour);
-            scene.target.work(Duration::from_millis(60));
+            scene.target.set_work(Duration::from_millis(60));
             // Gives up before the answer: its connection is dropped.
             let ask = TestRequest::post(path, "one");
             let mut connection = Connection::open(scene.instance.callers).await.unwrap();
@@ -89,7 +90,7 @@
             assert_eq!(lost.map(|reply| reply.status.as_u16()), Err(NoReply::Broken));
             drop(connection);
             scene.target.set(Misbehaviour::None);
-            scene.target.work(Duration::from_millis(1));
+            scene.target.set_work(Duration::from_millis(1));
             for _ in 0..4 {
                 scene.served(path).await;
             }
@@ -102,13 +103,13 @@
     let scene = scene(100).await;
     for path in ["/look/a", "/buy/a"].repeat(4) {
         scene.target.set(Misbehaviour::IgnoreClose);
-        scene.target.work(Duration::from_millis(130));
+        scene.target.set_work(Duration::from_millis(130));
         // The caller's own connection stays in use after the timeout.
         let mut connection = Connection::open(scene.instance.callers).await.unwrap();
         let late = connection.send(TestRequest::post(path, "one").request(), Duration::from_secs(5)).await.unwrap();
         assert_eq!(late.status, 504);
         scene.target.set(Misbehaviour::None);
-        scene.target.work(Duration::from_millis(1));
+        scene.target.set_work(Duration::from_millis(1));
         for _ in 0..4 {
             let ask = TestRequest::post(path, "one");
             let reply = connection.send(ask.request(), Duration::from_secs(5)).await.unwrap();
--- a/standins/tests/applied_policies.rs
+++ b/standins/tests/applied_policies.rs
@@ -7,9 +7,10 @@
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
-use standins::site::{InstanceProcess, RouteSpec, Site, WAIT_TIMEOUT};
+use standins::site::{InstanceProcess, RouteSpec, Site};
 use standins::store::{Door, Trouble};
-use standins::target::TargetServer;
+use standins::target_server::TargetServer;
+use standins::wait::WAIT_TIMEOUT;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
@@ -28,7 +29,7 @@
     async fn start() -> Self {
         let site = Site::start(program()).await;
         let target = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-        site.list(&target, "shop", "a-1");
+        site.register(&target, "shop", "a-1");
         site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
         let door = site.store.door().await.unwrap();
         let mut first = site.instance_at("e-1", "a-1", &door, &[]);
--- a/standins/tests/broken_answers.rs
+++ b/standins/tests/broken_answers.rs
@@ -6,8 +6,9 @@
 use common::{program, raw};
 use hyper::StatusCode;
 use standins::http::NoReply;
-use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest, WAIT_TIMEOUT};
-use standins::target::{Misbehaviour, TargetServer};
+use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest};
+use standins::target_server::{Misbehaviour, TargetServer};
+use standins::wait::WAIT_TIMEOUT;
 use std::time::{Duration, Instant};
 
 /// The head of an answer that is good up to there.
@@ -57,7 +58,7 @@
     let mut targets = Vec::new();
     for number in 0..count {
         let target = TargetServer::start(&format!("u-{number}"), 4, Duration::from_millis(2)).await.unwrap();
-        site.list(&target, "shop", "a-1");
+        site.register(&target, "shop", "a-1");
         targets.push(target);
     }
     let routes = [RouteSpec::new("/look/", "safe", "shop"), RouteSpec::new("/buy/", "unsafe", "shop")];
--- a/standins/tests/garbage.rs
+++ b/standins/tests/garbage.rs
@@ -7,9 +7,10 @@
 use serde_json::{Value, json};
 use standins::http;
 use standins::ports::own_ip;
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, WAIT_TIMEOUT};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
-use standins::target::TargetServer;
+use standins::target_server::TargetServer;
+use standins::wait::WAIT_TIMEOUT;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -18,7 +19,7 @@
 async fn scene() -> (Site, TargetServer, InstanceProcess) {
     let site = Site::start(program()).await;
     let target = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-    site.list(&target, "shop", "a-1");
+    site.register(&target, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     (site, target, instance)
--- a/standins/tests/log.rs
+++ b/standins/tests/log.rs
@@ -4,8 +4,9 @@
 
 use common::program;
 use lockloft::telemetry::log::{Lines, spawn_writer};
-use standins::site::{RouteSpec, Site, TestRequest, wait_until};
-use standins::target::TargetServer;
+use standins::site::{RouteSpec, Site, TestRequest};
+use standins::target_server::TargetServer;
+use standins::wait::wait_until;
 use std::io::Write;
 use std::sync::mpsc::{Receiver, Sender, channel};
 use std::time::{Duration, Instant};
@@ -106,7 +107,7 @@
     const RATE: usize = 10_000;
     let site = Site::start(program()).await;
     let target = TargetServer::start("u-1", 50, Duration::from_millis(1)).await.unwrap();
-    site.list(&target, "shop", "a-1");
+    site.register(&target, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
     let mut instance = site.instance("e-1", "a-1");
     instance.edit_settings(|text| format!("{text}\n[log]\nbytes_per_second = {RATE}\n"));
--- a/standins/tests/planned_stop.rs
+++ b/standins/tests/planned_stop.rs
@@ -1,7 +1,7 @@
 //! A planned stop of an instance.
 
 use standins::site::{RouteSpec, Site, TestRequest};
-use standins::target::TargetServer;
+use standins::target_server::TargetServer;
 use std::path::Path;
 use std::time::{Duration, Instant};
 
@@ -13,7 +13,7 @@
     let mut site = Site::start(program()).await;
     site.stop_after(stop_s);
     let target = TargetServer::start("u-1", 4, work).await.unwrap();
-    site.list(&target, "shop", "a-1");
+    site.register(&target, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/buy/", "unsafe", "shop")], &["shop"]);
     (site, target)
 }
@@ -24,7 +24,7 @@
     let mut instance = site.ready_instance("e-1", "a-1").await;
     let callers = instance.callers;
     let request = tokio::spawn(async move { TestRequest::post("/buy/x", "one").send(callers).await });
-    standins::site::wait_until("the request's arrival", || _target.arrivals() == 1).await;
+    standins::wait::wait_until("the request's arrival", || _target.arrivals() == 1).await;
     instance.terminate();
     let reply = request.await.unwrap().unwrap();
     assert_eq!(reply.status, 200);
--- a/standins/tests/policies.rs
+++ b/standins/tests/policies.rs
@@ -8,9 +8,10 @@
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
-use standins::target::TargetServer;
+use standins::target_server::TargetServer;
+use standins::wait::wait_until;
 use std::time::{Duration, Instant};
 
 const DRAIN: &str = "[[policy]]\nname = \"leave\"\nplaces = { hall = \"a-1\" }\ndrain = true\n";
@@ -28,8 +29,8 @@
         let site = Site::start(program()).await;
         let one = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
         let other = TargetServer::start("u-2", 8, Duration::from_millis(2)).await.unwrap();
-        site.list(&one, "shop", "a-1");
-        site.list(&other, "shop", "a-2");
+        site.register(&one, "shop", "a-1");
+        site.register(&other, "shop", "a-2");
         site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
         let instances = [site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await];
         Self { site, targets: [one, other], instances }
@@ -37,7 +38,7 @@
 
     /// Waits until an instance has a revision of the policies in force.
     async fn in_force(&self, instance: usize, revision: u64) {
-        let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+        let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
         while status(&self.instances[instance]).await["policies"] != revision {
             assert!(Instant::now() < end, "revision {revision} is not in force at instance {instance}");
             tokio::time::sleep(Duration::from_millis(20)).await;
--- a/standins/tests/recovery_of_instances.rs
+++ b/standins/tests/recovery_of_instances.rs
@@ -4,14 +4,15 @@
 
 use common::program;
 use standins::http;
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, WAIT_TIMEOUT, wait_until};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
-use standins::target::TargetServer;
+use standins::target_server::{Registration, TargetServer};
+use standins::wait::{WAIT_TIMEOUT, wait_until};
 use std::time::{Duration, Instant};
 
 async fn target(site: &Site, id: &str, hall: &str) -> TargetServer {
     let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.list(&target, "shop", hall);
+    site.register(&target, "shop", hall);
     target
 }
 
@@ -97,7 +98,7 @@
     paused.signal(libc::SIGSTOP);
     wait_until("the lapse of its lease", || site.store.keys("lockloft/").len() == 1).await;
     until_named(&other, &paused, false).await;
-    site.list_as(&left, "shop", "a-1", "draining", 2, 0);
+    site.register_as(&left, &Registration::draining("shop", "a-1", 2));
     site.configure(2, &[shop(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
     until_status(&other, "/new/a", 200).await;
     paused.signal(libc::SIGCONT);
--- a/standins/tests/relay.rs
+++ b/standins/tests/relay.rs
@@ -4,14 +4,15 @@
 
 use common::program;
 use lockloft::sync::relay::FOLLOWERS;
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
-use standins::target::TargetServer;
+use standins::target_server::{Registration, TargetServer, TargetState};
+use standins::wait::wait_until;
 use std::time::{Duration, Instant};
 
 async fn target(site: &Site, id: &str, service: &str, hall: &str) -> TargetServer {
     let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.list(&target, service, hall);
+    site.register(&target, service, hall);
     target
 }
 
@@ -21,7 +22,7 @@
 
 /// Waits until a path is answered with a status by an instance.
 async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     loop {
         let reply = TestRequest::get(path).send(instance.callers).await;
         if reply.as_ref().is_ok_and(|reply| reply.status == status) {
@@ -38,7 +39,7 @@
     for number in 1..=count {
         instances.push(site.ready_instance(&format!("e-{number}"), "a-1").await);
     }
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     for instance in &instances {
         while instance.resolve("a").await.len() < count {
             assert!(Instant::now() < end, "{} does not see all", instance.name);
@@ -60,7 +61,8 @@
     wait_until("the evacuation", || instances.iter().all(|instance| instance.events("evacuation").len() == 1)).await;
     let before = site.store.calls("kv-watch");
     for sequence in 2..8 {
-        site.list_as(&target, "shop", "a-1", if sequence % 2 == 0 { "draining" } else { "ready" }, sequence, 0);
+        let state = if sequence % 2 == 0 { TargetState::Draining } else { TargetState::Ready };
+        site.register_as(&target, &Registration { state, sequence, ..Registration::ready("shop", "a-1") });
         let seen = |instance: &InstanceProcess| instance.events("target").len() as u64 >= sequence;
         wait_until("the change", || instances.iter().all(seen)).await;
     }
@@ -134,7 +136,7 @@
     let left = |instance: &InstanceProcess| instance.events("relay_left").len();
     let before: Vec<usize> = instances.iter().map(left).collect();
     let heard = leaf.metric("lockloft_entry_relay_answers_total", "").await;
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     while leaf.metric("lockloft_entry_relay_answers_total", "").await < heard + 6.0 {
         assert!(Instant::now() < end, "the leaf hears nothing");
         tokio::time::sleep(Duration::from_millis(100)).await;
--- a/standins/tests/requests.rs
+++ b/standins/tests/requests.rs
@@ -6,8 +6,9 @@
 use common::{program, raw};
 use hyper::StatusCode;
 use standins::http::NoReply;
-use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
-use standins::target::{Misbehaviour, TargetServer};
+use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest};
+use standins::target_server::{Misbehaviour, TargetServer};
+use standins::wait::wait_until;
 use std::time::{Duration, Instant};
 
 struct Scene {
@@ -26,7 +27,7 @@
     let mut targets = Vec::new();
     for number in 0..count {
         let target = TargetServer::start(&format!("u-{number}"), 4, Duration::from_millis(5)).await.unwrap();
-        site.list(&target, "shop", "a-1");
+        site.register(&target, "shop", "a-1");
         targets.push(target);
     }
     let mut routes = vec![
@@ -127,7 +128,7 @@
     let site = Site::start(program()).await;
     let mut instance = site.instance("e-1", "a-1");
     instance.start();
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     let reply = loop {
         match TestRequest::get("/nowhere/x").send(instance.callers).await {
             Ok(reply) => break reply,
@@ -167,7 +168,7 @@
 }
 
 async fn until_served(scene: &Scene) {
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     while TestRequest::post("/buy/x", "one").send(scene.instance.callers).await.map(|reply| reply.status)
         != Ok(StatusCode::OK)
     {
@@ -313,7 +314,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_caller_that_leaves_cancels_its_request_at_the_target() {
     let scene = scene(1).await;
-    scene.targets[0].work(Duration::from_secs(3));
+    scene.targets[0].set_work(Duration::from_secs(3));
     let callers = scene.instance.callers;
     let caller = tokio::spawn(async move { TestRequest::get("/look/a").send(callers).await });
     wait_until("the request's arrival", || scene.targets[0].runs().len() == 1).await;
@@ -367,7 +368,7 @@
 async fn connections_beyond_half_of_the_descriptors_wait_to_be_accepted() {
     let site = Site::start(program()).await;
     let target = TargetServer::start("u-0", 4, Duration::from_millis(5)).await.unwrap();
-    site.list(&target, "shop", "a-1");
+    site.register(&target, "shop", "a-1");
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
     let mut instance = site.instance("e-1", "a-1");
     instance.edit_settings(|text| text.replace("descriptors = 4100", "descriptors = 40"));
@@ -390,7 +391,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_body_counts_as_held_until_its_request_has_ended() {
     let scene = scene(1).await;
-    scene.targets[0].work(Duration::from_millis(400));
+    scene.targets[0].set_work(Duration::from_millis(400));
     let callers = scene.instance.callers;
     let request = tokio::spawn(async move { TestRequest::post("/send/x", vec![7; 100_000]).send(callers).await });
     wait_until("the request's arrival", || scene.targets[0].runs().len() == 1).await;
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -37,7 +37,7 @@
 
 mod judgement {
     use standins::soak::record::{Asked, Broken, Life, Record, Span};
-    use standins::target::Run;
+    use standins::target_server::Run;
     use std::time::{Duration, Instant};
 
     fn asked(id: &str, status: Option<u16>) -> Asked {
--- a/standins/tests/store_copy.rs
+++ b/standins/tests/store_copy.rs
@@ -4,15 +4,16 @@
 mod common;
 
 use common::program;
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
+use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
-use standins::target::TargetServer;
+use standins::target_server::{Registration, TargetServer};
+use standins::wait::wait_until;
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
 async fn target(site: &Site, id: &str, service: &str, hall: &str) -> TargetServer {
     let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.list(&target, service, hall);
+    site.register(&target, service, hall);
     target
 }
 
@@ -22,7 +23,7 @@
 
 /// Waits until a path is answered with a status by an instance.
 async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     loop {
         let reply = TestRequest::get(path).send(instance.callers).await;
         if reply.as_ref().is_ok_and(|reply| reply.status == status) {
@@ -35,7 +36,7 @@
 
 /// Waits until what an instance knows was last current so many milliseconds ago.
 async fn until_view_is_older(instance: &InstanceProcess, least_ms: u64) {
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     loop {
         let reply = standins::http::get(instance.peers, "/status").await.unwrap();
         let status: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
@@ -94,17 +95,17 @@
     let instance = site.ready_instance("e-1", "a-1").await;
     let counts = spread(&instance, &[&one, &two]).await;
     assert!(counts["u-1"] > 0 && counts["u-2"] > 0, "{counts:?}");
-    site.list_as(&one, "shop", "a-1", "draining", 2, 0);
+    site.register_as(&one, &Registration::draining("shop", "a-1", 2));
     wait_until("the draining's line", || instance.log().contains("draining")).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     // A write that is older by its sequence does not bring it back.
-    site.list_as(&one, "shop", "a-1", "ready", 1, 0);
+    site.register(&one, "shop", "a-1");
     site.store.put("op/evacuate/c-1", "{}");
     wait_until("the evacuation's line", || !instance.events("evacuation").is_empty()).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     site.store.remove("servers/u-1");
     wait_until("the line of its end", || instance.log().contains("\"gone\"")).await;
-    site.list_as(&one, "shop", "a-1", "ready", 1, 0);
+    site.register(&one, "shop", "a-1");
     site.store.remove("op/evacuate/c-1");
     wait_until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
@@ -121,7 +122,7 @@
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     site.store.remove("op/evacuate/a-1");
     wait_until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     while spread(&instance, &[&one, &two]).await["u-1"] == 0 {
         assert!(Instant::now() < end, "the hall never came back");
     }
@@ -169,7 +170,7 @@
     let site = Site::start(program()).await;
     let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "other", "a-1").await);
     let mut route = RouteSpec::new("/look/", "safe", "shop");
-    route.parts = vec![("shop".to_owned(), 70.0), ("other".to_owned(), 30.0)];
+    route.services = vec![("shop".to_owned(), 70.0), ("other".to_owned(), 30.0)];
     site.configure(1, &[route], &["shop", "other"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     for number in 0..400 {
@@ -235,7 +236,7 @@
     let one = site.ready_instance("e-1", "a-1").await;
     let mut two = site.ready_instance("e-2", "a-2").await;
     let far = site.ready_instance("e-3", "b-1").await;
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     loop {
         let mut named = one.resolve("a").await;
         named.sort();
@@ -297,7 +298,7 @@
     site.door.slow(Duration::from_millis(100));
     let mut instance = site.instance("e-1", "a-1");
     instance.start();
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     let reply = loop {
         match TestRequest::get("/look/a").send(instance.callers).await {
             Ok(reply) => break reply,
@@ -324,7 +325,7 @@
         |id: &str, state: &str| instance.events("target").iter().any(|line| line["id"] == id && line["state"] == state);
     wait_until("both are seen to have lapsed", || state("lives", "lapsed") && state("ends", "lapsed")).await;
     assert!(spread(&instance, &[&lives, &ends]).await.values().all(|runs| *runs > 0), "both serve on");
-    site.list_as(&lives, "shop", "a-1", "ready", 2, 0);
+    site.register_as(&lives, &Registration { sequence: 2, ..Registration::ready("shop", "a-1") });
     wait_until("one is gone", || state("ends", "gone")).await;
     let runs = spread(&instance, &[&lives, &ends]).await;
     assert_eq!((runs["lives"], runs["ends"]), (40, 0));
--- a/standins/tests/targets.rs
+++ b/standins/tests/targets.rs
@@ -4,7 +4,7 @@
 
 use common::program;
 use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, config};
-use standins::target::TargetServer;
+use standins::target_server::{Registration, TargetServer};
 use std::sync::Arc;
 use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
 use std::time::{Duration, Instant};
@@ -50,7 +50,7 @@
     let mut targets = Vec::new();
     for number in 0..4 {
         let target = TargetServer::start(&format!("u-{number}"), 6, Duration::from_millis(40)).await.unwrap();
-        site.list(&target, "shop", "a-1");
+        site.register(&target, "shop", "a-1");
         targets.push(target);
     }
     site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
@@ -64,7 +64,7 @@
 }
 
 async fn until_share(targets: &[TargetServer], what: &str, holds: impl Fn(f64) -> bool) {
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     loop {
         let since = Instant::now();
         tokio::time::sleep(Duration::from_secs(1)).await;
@@ -82,9 +82,9 @@
     let (_site, instance, targets) = scene().await;
     let load = Load::start(&instance);
     until_share(&targets, "its share before", |share| share > 0.1).await;
-    targets[0].work(Duration::from_millis(900));
+    targets[0].set_work(Duration::from_millis(900));
     until_share(&targets, "its share while slow", |share| share < 0.03).await;
-    targets[0].work(Duration::from_millis(40));
+    targets[0].set_work(Duration::from_millis(40));
     until_share(&targets, "its share after", |share| share > 0.1).await;
     load.end().await;
 }
@@ -97,9 +97,10 @@
         instances.push(site.ready_instance(name, "a-2").await);
     }
     let cold = TargetServer::start("cold", 6, Duration::from_millis(40)).await.unwrap();
-    site.list_as(&cold, "shop", "a-1", "ready", 1, 60_000);
+    let slow_start = Duration::from_secs(60);
+    site.register_as(&cold, &Registration { slow_start, ..Registration::ready("shop", "a-1") });
     let loads: Vec<Load> = instances.iter().map(Load::start).collect();
-    standins::site::wait_until("the cold target got 30 requests", || cold.runs().len() >= 30).await;
+    standins::wait::wait_until("the cold target got 30 requests", || cold.runs().len() >= 30).await;
     for load in loads {
         load.end().await;
     }
@@ -127,12 +128,12 @@
 async fn no_more_connections_are_kept_idle_than_the_target_takes_from_all_instances() {
     let site = Site::start(program()).await;
     let target = TargetServer::start("u-1", 8, Duration::from_millis(40)).await.unwrap();
-    site.list(&target, "shop", "a-1");
+    site.register(&target, "shop", "a-1");
     let routes = [RouteSpec::new("/look/", "safe", "shop")];
     let config = config(1, &routes, &["shop"]).replace("\"max_connections\":300", "\"max_connections\":4");
     site.store.put("op/config", config);
     let instance = site.ready_instance("e-1", "a-1").await;
-    let end = Instant::now() + standins::site::WAIT_TIMEOUT;
+    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     // Two are kept, so that each burst of six opens four, once the bound is known.
     while burst(&instance, &target, 6).await != 4 {
         assert!(Instant::now() < end, "idle connections are not bounded");
