--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -1,7 +1,7 @@
 //! A small deployment on loopback: a store, and instances as processes of
 //! their own.
 //!
-//! Owns the store, its first door, and the folder with the instances' settings
+//! Owns the store, its first endpoint, and the folder with the instances' settings
 //! and logs; targets and instances belong to whoever starts them.
 
 mod config;
@@ -12,7 +12,7 @@
 pub use process::{InstanceProcess, Placement};
 pub use request::{TestRequest, fresh_id};
 
-use crate::store::{Door, Store};
+use crate::store::{Endpoint, Store};
 use crate::target_server::{Registration, TargetServer};
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -27,7 +27,7 @@
     /// The store.
     pub store: Store,
     /// The store's address for all but those instances that got their own.
-    pub door: Door,
+    pub endpoint: Endpoint,
     folder: PathBuf,
     program: PathBuf,
     stop_s: f64,
@@ -44,10 +44,10 @@
     /// An empty site whose instances are run by `program entry SETTINGS`.
     pub async fn start(program: &Path) -> Self {
         let store = Store::start();
-        let door = store.door().await.expect("loopback has free ports");
+        let endpoint = store.endpoint().await.expect("loopback has free ports");
         let folder = std::env::temp_dir().join(format!("lockloft-site-{}-{}", std::process::id(), fresh_id()));
         std::fs::create_dir_all(&folder).expect("the temporary folder can be written to");
-        Self { store, door, folder, program: program.to_owned(), stop_s: STOP_S }
+        Self { store, endpoint, folder, program: program.to_owned(), stop_s: STOP_S }
     }
 
     /// Instances started from now on are killed so long after a signal to stop.
@@ -78,12 +78,12 @@
 
     /// An instance that is not started yet, in a hall `REGION-...`.
     pub fn instance(&self, name: &str, hall: &str) -> InstanceProcess {
-        self.instance_at(name, hall, &self.door, &[])
+        self.instance_at(name, hall, &self.endpoint, &[])
     }
 
-    /// An instance with its own door to the store, and seeds.
-    pub fn instance_at(&self, name: &str, hall: &str, door: &Door, seeds: &[SocketAddr]) -> InstanceProcess {
-        let placement = Placement { name, hall, store: door.address, seeds, stop_s: self.stop_s };
+    /// An instance with its own endpoint to the store, and seeds.
+    pub fn instance_at(&self, name: &str, hall: &str, endpoint: &Endpoint, seeds: &[SocketAddr]) -> InstanceProcess {
+        let placement = Placement { name, hall, store: endpoint.address, seeds, stop_s: self.stop_s };
         InstanceProcess::new(&self.program, &self.folder, &placement)
     }
 
--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -19,9 +19,9 @@
     Stop(usize),
     /// An instance reads its settings again.
     Reload(usize),
-    /// The store's door for an instance has a trouble.
-    Door(usize, Trouble),
-    /// All doors are slow.
+    /// The store's endpoint for an instance has a trouble.
+    Store(usize, Trouble),
+    /// All endpoints are slow.
     SlowStore,
     /// The store forgets its history.
     Forget,
@@ -44,8 +44,8 @@
 impl Fault {
     /// Whether it strikes instances, their store or what they may know of it.
     pub fn is_about_knowledge(self) -> bool {
-        use Fault::{Door, Forget, Freeze, Kill, Revoke, SlowStore, Stop};
-        matches!(self, Kill(_) | Freeze(_) | Stop(_) | Door(..) | SlowStore | Forget | Revoke)
+        use Fault::{Forget, Freeze, Kill, Revoke, SlowStore, Stop, Store};
+        matches!(self, Kill(_) | Freeze(_) | Stop(_) | Store(..) | SlowStore | Forget | Revoke)
     }
 }
 
@@ -109,7 +109,7 @@
         1 => Fault::Freeze(instance),
         2 | 3 => Fault::Stop(instance),
         4 => Fault::Reload(instance),
-        5 | 6 => Fault::Door(instance, *troubles.choose(random).expect("there are some")),
+        5 | 6 => Fault::Store(instance, *troubles.choose(random).expect("there are some")),
         7 => Fault::SlowStore,
         8 => [Fault::Forget, Fault::Revoke][random.random_range(0..2)],
         9 | 10 => Fault::Way(target, *ways.choose(random).expect("there are some")),
--- a/standins/src/soak/scene.rs
+++ b/standins/src/soak/scene.rs
@@ -1,4 +1,4 @@
-//! The system under soak: a store with a door for each instance, targets behind
+//! The system under soak: a store with a endpoint for each instance, targets behind
 //! proxies, instance processes, and what the faults do to them.
 
 use super::Soak;
@@ -49,7 +49,7 @@
 pub struct Scene {
     soak: Soak,
     site: Site,
-    doors: Vec<store::Door>,
+    endpoints: Vec<store::Endpoint>,
     instances: Vec<InstanceProcess>,
     servers: Vec<Server>,
     lives: Vec<Life>,
@@ -75,7 +75,7 @@
         let mut scene = Self {
             soak,
             site,
-            doors: Vec::new(),
+            endpoints: Vec::new(),
             instances: Vec::new(),
             servers: Vec::new(),
             lives: Vec::new(),
@@ -90,10 +90,11 @@
         }
         scene.site.configure(1, &routes(1), &[SERVICE]);
         for number in 0..soak.instances {
-            let door = scene.site.store.door().await.expect("loopback has free ports");
-            let mut instance = scene.site.instance_at(&format!("e-{number}"), HALLS[number % HALLS.len()], &door, &[]);
+            let endpoint = scene.site.store.endpoint().await.expect("loopback has free ports");
+            let mut instance =
+                scene.site.instance_at(&format!("e-{number}"), HALLS[number % HALLS.len()], &endpoint, &[]);
             instance.start();
-            scene.doors.push(door);
+            scene.endpoints.push(endpoint);
             scene.instances.push(instance);
         }
         for instance in &scene.instances {
@@ -120,10 +121,10 @@
 
     /// Plays the faults under load, lets all heal, and gives what was seen.
     pub async fn play(&mut self, planned: &[Planned]) -> Record {
-        let doors =
+        let endpoints =
             self.instances.iter().map(|instance| Door { callers: instance.callers, directory: instance.directory });
         let shared =
-            Arc::new(Shared { doors: doors.collect(), asked: Default::default(), stop: AtomicBool::new(false) });
+            Arc::new(Shared { doors: endpoints.collect(), asked: Default::default(), stop: AtomicBool::new(false) });
         let tasks: Vec<_> = (0..self.soak.callers as u64)
             .map(|caller| tokio::spawn(callers::call(shared.clone(), self.soak.seed * 1_000 + caller)))
             .collect();
@@ -180,8 +181,8 @@
                 self.stopping.insert(instance, Instant::now());
             }
             Fault::Reload(instance) => self.instances[instance].signal(libc::SIGHUP),
-            Fault::Door(instance, trouble) => self.doors[instance].set(trouble),
-            Fault::SlowStore => self.doors.iter().for_each(|door| door.slow(Duration::from_millis(300))),
+            Fault::Store(instance, trouble) => self.endpoints[instance].set(trouble),
+            Fault::SlowStore => self.endpoints.iter().for_each(|endpoint| endpoint.slow(Duration::from_millis(300))),
             Fault::Forget => self.site.store.compact(),
             Fault::Revoke => self.site.store.remove_prefix("lockloft/"),
             Fault::Way(server, mode) => self.servers[server].proxy.set(mode),
@@ -217,8 +218,8 @@
                 self.instances[instance].signal(libc::SIGCONT);
                 self.record.struck.push((instance, span));
             }
-            Fault::Door(instance, _) => self.doors[instance].set(Trouble::None),
-            Fault::SlowStore => self.doors.iter().for_each(|door| door.slow(Duration::ZERO)),
+            Fault::Store(instance, _) => self.endpoints[instance].set(Trouble::None),
+            Fault::SlowStore => self.endpoints.iter().for_each(|endpoint| endpoint.slow(Duration::ZERO)),
             Fault::Way(server, _) => self.servers[server].proxy.set(Mode::Pass),
             Fault::Misbehave(server, _) => self.servers[server].target.set(Misbehaviour::None),
             Fault::SlowTarget(server) => self.servers[server].target.set_work(WORK),
--- /dev/null
+++ b/standins/src/store/calls.rs
@@ -0,0 +1,174 @@
+//! The store's calls: each path with its question and its answer.
+
+use super::state::State;
+use super::{Endpoint, Shared, Trouble};
+use crate::http::{Closed, text};
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use http_body_util::{BodyExt, Full};
+use hyper::body::{Bytes, Incoming};
+use hyper::{Method, Request, Response, StatusCode, Uri};
+use serde_json::{Value, json};
+use std::collections::HashMap;
+use std::sync::Arc;
+use std::time::{Duration, Instant};
+
+/// Items on one page of a list: a round number, on which no test depends.
+const PAGE: usize = 500;
+/// Time of a lease where the request gives none.
+const DEFAULT_TTL: Duration = Duration::from_secs(1);
+/// Time after which a watch looks again whether its endpoint has a trouble.
+const WATCH_CHECK_INTERVAL: Duration = Duration::from_millis(50);
+
+type Answer = Response<Full<Bytes>>;
+
+/// Answers a call as its endpoint's trouble says.
+pub async fn answer(shared: Arc<Shared>, endpoint: Endpoint, request: Request<Incoming>) -> Result<Answer, Closed> {
+    let trouble = endpoint.trouble();
+    tokio::time::sleep(endpoint.delay()).await;
+    match trouble {
+        Trouble::Silent => std::future::pending().await,
+        Trouble::Reset => return Err(Closed),
+        Trouble::Busy => return Ok(text(StatusCode::SERVICE_UNAVAILABLE, "")),
+        Trouble::TooMany => return Ok(text(StatusCode::TOO_MANY_REQUESTS, "")),
+        Trouble::None | Trouble::AnswersLost => {}
+    }
+    let writes = request.method() == Method::POST;
+    let response = dispatch(&shared, &endpoint, request).await?;
+    if writes && endpoint.trouble() == Trouble::AnswersLost {
+        std::future::pending::<()>().await;
+    }
+    Ok(response)
+}
+
+async fn dispatch(shared: &Shared, endpoint: &Endpoint, request: Request<Incoming>) -> Result<Answer, Closed> {
+    let query = Query::of(request.uri());
+    let path = request.uri().path().to_owned();
+    let call = path.trim_start_matches("/-/").split('/').next().unwrap_or("").to_owned();
+    *shared.lock().calls.entry(call.clone()).or_default() += 1;
+    let lease: u64 = path.rsplit('/').next().and_then(|id| id.parse().ok()).unwrap_or(0);
+    let body = request.into_body().collect().await.map_err(|_| Closed)?.to_bytes();
+    // Calls without a body read nothing from it.
+    let body: Value = serde_json::from_slice(&body).unwrap_or_default();
+    match call.as_str() {
+        "kv-range" => Ok(list(&shared.lock(), &query)),
+        "kv-watch" => watch(shared, endpoint, &query).await,
+        "kv-txn" => Ok(transact(shared, &body)),
+        "kv-lease" => Ok(grant_lease(shared, &body)),
+        "kv-keep" => Ok(renew_lease(shared, lease)),
+        "kv-lease-end" => Ok(end_lease(shared, lease)),
+        _ => Ok(text(StatusCode::NOT_FOUND, "")),
+    }
+}
+
+/// Parameters of a call.
+struct Query(HashMap<String, String>);
+
+impl Query {
+    fn of(uri: &Uri) -> Self {
+        Self(url::form_urlencoded::parse(uri.query().unwrap_or("").as_bytes()).into_owned().collect())
+    }
+
+    /// Empty where absent.
+    fn text(&self, name: &str) -> &str {
+        self.0.get(name).map_or("", String::as_str)
+    }
+
+    /// 0 where absent.
+    fn number(&self, name: &str) -> u64 {
+        self.text(name).parse().unwrap_or(0)
+    }
+}
+
+fn reply(value: &Value) -> Answer {
+    text(StatusCode::OK, value.to_string())
+}
+
+fn list(state: &State, query: &Query) -> Answer {
+    let (prefix, after) = (query.text("path_prefix"), query.text("after"));
+    let mut found = state.items.iter().filter(|(key, _)| key.starts_with(prefix) && key.as_str() > after);
+    let items: Vec<Value> = found.by_ref().take(PAGE).map(|(key, item)| item.to_json(key)).collect();
+    reply(&json!({"items": items, "more": found.next().is_some(), "at": state.revision}))
+}
+
+/// Answers once something has changed or the time is over.
+async fn watch(shared: &Shared, endpoint: &Endpoint, query: &Query) -> Result<Answer, Closed> {
+    let (prefix, after) = (query.text("path_prefix"), query.number("after"));
+    let end = Instant::now() + Duration::from_millis(query.number("wait_ms"));
+    loop {
+        let changed = shared.changed.notified();
+        if let Some(answer) = changes(&shared.lock(), prefix, after, end) {
+            return Ok(answer);
+        }
+        // The end of the pause is as good as a change: both lead to a look.
+        let _ = tokio::time::timeout(WATCH_CHECK_INTERVAL, changed).await;
+        match endpoint.trouble() {
+            Trouble::Reset => return Err(Closed),
+            Trouble::Silent => std::future::pending::<()>().await,
+            _ => {}
+        }
+    }
+}
+
+/// The answer to a watch, `None` where it has to wait.
+fn changes(state: &State, prefix: &str, after: u64, end: Instant) -> Option<Answer> {
+    if after < state.compacted {
+        return Some(text(StatusCode::GONE, ""));
+    }
+    let events = state.changes(prefix, after);
+    let is_due = !events.is_empty() || Instant::now() >= end;
+    is_due.then(|| reply(&json!({"events": events, "at": state.revision})))
+}
+
+fn rows<'a>(body: &'a Value, name: &str) -> impl Iterator<Item = &'a Value> {
+    body[name].as_array().into_iter().flatten()
+}
+
+/// Writes and removes keys, all or none, where they have the expected
+/// revisions.
+fn transact(shared: &Shared, body: &Value) -> Answer {
+    let mut state = shared.lock();
+    let is_expected = |row: &Value| {
+        let found = state.items.get(row["key"].as_str().unwrap_or("")).map_or(0, |item| item.revision);
+        Some(found) == row["revision"].as_u64()
+    };
+    if !rows(body, "expected_revision").all(is_expected) {
+        return text(StatusCode::PRECONDITION_FAILED, json!({"items": []}).to_string());
+    }
+    for row in rows(body, "put") {
+        let lease = row["lease"].as_u64().unwrap_or(0);
+        if lease != 0 && !state.has_lease(lease) {
+            return text(StatusCode::NOT_FOUND, "");
+        }
+        let Ok(value) = STANDARD.decode(row["value"].as_str().unwrap_or("")) else {
+            return text(StatusCode::BAD_REQUEST, "");
+        };
+        state.put(row["key"].as_str().unwrap_or(""), value.into(), lease);
+    }
+    for key in rows(body, "remove") {
+        state.remove(key.as_str().unwrap_or(""));
+    }
+    let revision = state.revision;
+    drop(state);
+    shared.changed.notify_waiters();
+    reply(&json!({"revision": revision}))
+}
+
+fn grant_lease(shared: &Shared, body: &Value) -> Answer {
+    let ttl = body["ttl_ms"].as_u64().map_or(DEFAULT_TTL, Duration::from_millis);
+    let lease = shared.lock().grant_lease(ttl);
+    reply(&json!({"lease": lease, "ttl_ms": ttl.as_millis() as u64}))
+}
+
+fn renew_lease(shared: &Shared, id: u64) -> Answer {
+    match shared.lock().renew_lease(id) {
+        Some(ttl) => reply(&json!({"ttl_ms": ttl.as_millis() as u64})),
+        None => text(StatusCode::NOT_FOUND, ""),
+    }
+}
+
+fn end_lease(shared: &Shared, id: u64) -> Answer {
+    let has_ended = shared.lock().end_lease(id);
+    shared.changed.notify_waiters();
+    if has_ended { reply(&json!({})) } else { text(StatusCode::NOT_FOUND, "") }
+}
--- /dev/null
+++ b/standins/src/store/mod.rs
@@ -0,0 +1,120 @@
+//! A stand-in for the platform's store: keys with revisions, leases, watches
+//! over a history that can be compacted, and endpoints with troubles.
+//!
+//! Owns all keys and leases and the tasks that serve them. It spells the
+//! store's side of the wire out by itself, without `platform/`: a fault in one
+//! codec must not hide in both. A transaction that fails on a lease keeps what
+//! it put before; the instance writes one key at a time.
+
+mod calls;
+mod endpoint;
+mod state;
+
+pub use endpoint::{Endpoint, Trouble};
+
+use crate::http::serve;
+use crate::ports::own_ip;
+use bytes::Bytes;
+use state::State;
+use std::sync::{Arc, Mutex, MutexGuard};
+use std::time::Duration;
+use tokio::net::TcpListener;
+use tokio::sync::Notify;
+use tokio::task::JoinHandle;
+
+/// Time between looks for leases that have expired: far below the shortest
+/// lease of the tests, 1 s.
+const LEASE_CHECK_INTERVAL: Duration = Duration::from_millis(20);
+
+#[derive(Debug, Default)]
+struct Shared {
+    state: Mutex<State>,
+    changed: Notify,
+}
+
+impl Shared {
+    fn lock(&self) -> MutexGuard<'_, State> {
+        self.state.lock().expect("no holder panics")
+    }
+}
+
+/// A running store; dropped, it closes all endpoints.
+pub struct Store {
+    shared: Arc<Shared>,
+    tasks: Mutex<Vec<JoinHandle<()>>>,
+}
+
+impl Drop for Store {
+    fn drop(&mut self) {
+        for task in self.tasks.lock().expect("no holder panics").drain(..) {
+            task.abort();
+        }
+    }
+}
+
+impl Store {
+    /// Starts an empty store without endpoints.
+    pub fn start() -> Self {
+        let shared = Arc::new(Shared::default());
+        let leases = tokio::spawn(expire_leases(shared.clone()));
+        Self { shared, tasks: Mutex::new(vec![leases]) }
+    }
+
+    /// Opens an endpoint.
+    ///
+    /// # Errors
+    /// Where loopback cannot be listened on.
+    pub async fn endpoint(&self) -> std::io::Result<Endpoint> {
+        let listener = TcpListener::bind((own_ip(), 0)).await?;
+        let endpoint = Endpoint::new(listener.local_addr()?);
+        let (shared, at) = (self.shared.clone(), endpoint.clone());
+        let task = serve(listener, move |request| calls::answer(shared.clone(), at.clone(), request));
+        self.tasks.lock().expect("no holder panics").push(task);
+        Ok(endpoint)
+    }
+
+    /// Writes a key without a lease, as the operator or a target does; gives
+    /// the revision.
+    pub fn put(&self, key: &str, value: impl Into<Bytes>) -> u64 {
+        let revision = self.shared.lock().put(key, value.into(), 0);
+        self.shared.changed.notify_waiters();
+        revision
+    }
+
+    /// Removes a key.
+    pub fn remove(&self, key: &str) {
+        self.shared.lock().remove(key);
+        self.shared.changed.notify_waiters();
+    }
+
+    /// Removes every key under a prefix, as when leases are revoked.
+    pub fn remove_prefix(&self, prefix: &str) {
+        for key in self.keys(prefix) {
+            self.remove(&key);
+        }
+    }
+
+    /// Compacts the history: watches from before get 410.
+    pub fn compact(&self) {
+        self.shared.lock().compact();
+    }
+
+    /// Keys under a prefix.
+    pub fn keys(&self, prefix: &str) -> Vec<String> {
+        self.shared.lock().items.keys().filter(|key| key.starts_with(prefix)).cloned().collect()
+    }
+
+    /// Calls of a kind so far, such as `kv-watch`.
+    pub fn calls(&self, kind: &str) -> u64 {
+        self.shared.lock().calls.get(kind).copied().unwrap_or(0)
+    }
+}
+
+async fn expire_leases(shared: Arc<Shared>) {
+    loop {
+        tokio::time::sleep(LEASE_CHECK_INTERVAL).await;
+        if shared.lock().expire_leases() {
+            shared.changed.notify_waiters();
+        }
+    }
+}
--- /dev/null
+++ b/standins/src/store/state.rs
@@ -0,0 +1,147 @@
+//! What the store holds: keys with revisions, their history, and leases.
+
+use base64::Engine;
+use base64::engine::general_purpose::STANDARD;
+use bytes::Bytes;
+use serde_json::{Value, json};
+use std::collections::{BTreeMap, HashMap};
+use std::time::{Duration, Instant};
+
+/// A key's value.
+#[derive(Clone, Debug)]
+pub struct Item {
+    value: Bytes,
+    /// Revision of the last write.
+    pub revision: u64,
+    /// Revision of the write that created the key.
+    created: u64,
+    /// The lease that it ends with; 0 for none.
+    lease: u64,
+}
+
+impl Item {
+    /// The item as it is listed.
+    pub fn to_json(&self, key: &str) -> Value {
+        json!({
+            "key": key,
+            "value": STANDARD.encode(&self.value),
+            "revision": self.revision,
+            "made": self.created,
+            "lease": self.lease,
+        })
+    }
+}
+
+#[derive(Clone, Debug)]
+struct Change {
+    key: String,
+    revision: u64,
+    /// `None` where the key was removed.
+    item: Option<Item>,
+}
+
+impl Change {
+    fn to_json(&self) -> Value {
+        match &self.item {
+            Some(item) => item.to_json(&self.key),
+            None => json!({"key": self.key, "revision": self.revision, "gone": true}),
+        }
+    }
+}
+
+#[derive(Debug)]
+struct Lease {
+    ttl: Duration,
+    expires: Instant,
+}
+
+/// Everything that the store holds.
+#[derive(Debug, Default)]
+pub struct State {
+    /// Keys with their values.
+    pub items: BTreeMap<String, Item>,
+    /// Revision of the last change.
+    pub revision: u64,
+    /// Changes up to this revision are no longer in the history.
+    pub compacted: u64,
+    history: Vec<Change>,
+    leases: HashMap<u64, Lease>,
+    last_lease: u64,
+    /// Calls so far, by the first word of their path.
+    pub calls: HashMap<String, u64>,
+}
+
+impl State {
+    /// Writes a key under a lease, 0 for none; gives the revision.
+    pub fn put(&mut self, key: &str, value: Bytes, lease: u64) -> u64 {
+        self.revision += 1;
+        let created = self.items.get(key).map_or(self.revision, |item| item.created);
+        let item = Item { value, revision: self.revision, created, lease };
+        self.items.insert(key.to_owned(), item.clone());
+        self.history.push(Change { key: key.to_owned(), revision: self.revision, item: Some(item) });
+        self.revision
+    }
+
+    /// Removes a key, where it is there.
+    pub fn remove(&mut self, key: &str) {
+        if self.items.remove(key).is_some() {
+            self.revision += 1;
+            self.history.push(Change { key: key.to_owned(), revision: self.revision, item: None });
+        }
+    }
+
+    /// Forgets the history.
+    pub fn compact(&mut self) {
+        self.compacted = self.revision;
+        self.history.clear();
+    }
+
+    /// Changes of keys under a prefix after a revision.
+    pub fn changes(&self, prefix: &str, after: u64) -> Vec<Value> {
+        let matching = self.history.iter().filter(|change| change.revision > after && change.key.starts_with(prefix));
+        matching.map(Change::to_json).collect()
+    }
+
+    /// Grants a lease; gives its number.
+    pub fn grant_lease(&mut self, ttl: Duration) -> u64 {
+        self.last_lease += 1;
+        self.leases.insert(self.last_lease, Lease { ttl, expires: Instant::now() + ttl });
+        self.last_lease
+    }
+
+    /// Renews a lease; gives its time, `None` where it has ended.
+    pub fn renew_lease(&mut self, id: u64) -> Option<Duration> {
+        let lease = self.leases.get_mut(&id)?;
+        lease.expires = Instant::now() + lease.ttl;
+        Some(lease.ttl)
+    }
+
+    /// Whether a lease has not ended.
+    pub fn has_lease(&self, id: u64) -> bool {
+        self.leases.contains_key(&id)
+    }
+
+    /// Ends a lease and removes its keys; false where it had ended before.
+    pub fn end_lease(&mut self, id: u64) -> bool {
+        if self.leases.remove(&id).is_none() {
+            return false;
+        }
+        let leased = self.items.iter().filter(|(_, item)| item.lease == id);
+        let keys: Vec<String> = leased.map(|(key, _)| key.clone()).collect();
+        for key in keys {
+            self.remove(&key);
+        }
+        true
+    }
+
+    /// Ends the leases whose time is over; false where there are none.
+    pub fn expire_leases(&mut self) -> bool {
+        let now = Instant::now();
+        let expired: Vec<u64> =
+            self.leases.iter().filter(|(_, lease)| lease.expires <= now).map(|(id, _)| *id).collect();
+        for id in &expired {
+            self.end_lease(*id);
+        }
+        !expired.is_empty()
+    }
+}
--- a/standins/tests/applied_policies.rs
+++ b/standins/tests/applied_policies.rs
@@ -8,7 +8,7 @@
 use serde_json::Value;
 use standins::http::{self, Reply};
 use standins::site::{InstanceProcess, RouteSpec, Site};
-use standins::store::{Door, Trouble};
+use standins::store::{Endpoint, Trouble};
 use standins::target_server::TargetServer;
 use standins::wait::WAIT_TIMEOUT;
 use std::net::SocketAddr;
@@ -16,11 +16,11 @@
 
 const DRAIN: &str = "[[policy]]\nname = \"leave\"\nplaces = { hall = \"a-1\" }\ndrain = true\n";
 
-/// Two instances, the first with a door of its own to the store.
+/// Two instances, the first with a endpoint of its own to the store.
 struct Scene {
     _site: Site,
     _target: TargetServer,
-    door: Door,
+    endpoint: Endpoint,
     first: InstanceProcess,
     second: InstanceProcess,
 }
@@ -31,12 +31,12 @@
         let target = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
         site.register(&target, "shop", "a-1");
         site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
-        let door = site.store.door().await.unwrap();
-        let mut first = site.instance_at("e-1", "a-1", &door, &[]);
+        let endpoint = site.store.endpoint().await.unwrap();
+        let mut first = site.instance_at("e-1", "a-1", &endpoint, &[]);
         first.start();
         first.wait_ready().await;
         let second = site.ready_instance("e-2", "a-2").await;
-        Self { _site: site, _target: target, door, first, second }
+        Self { _site: site, _target: target, endpoint, first, second }
     }
 
     /// Begins an apply at the first instance.
@@ -70,11 +70,11 @@
 async fn an_apply_that_the_store_did_not_take_is_written_again_and_once() {
     let scene = Scene::start().await;
     for (revision, trouble) in [Trouble::Busy, Trouble::TooMany, Trouble::Reset].into_iter().enumerate() {
-        scene.door.set(trouble);
+        scene.endpoint.set(trouble);
         let begun = scene.begin(["a", "b", "c"][revision], Some(revision as u64));
         tokio::time::sleep(Duration::from_millis(300)).await;
         assert!(!begun.is_finished(), "{trouble:?}: it was told an end before there was one");
-        scene.door.set(Trouble::None);
+        scene.endpoint.set(Trouble::None);
         let reply = begun.await.unwrap();
         assert_eq!(reply.status, 200, "{trouble:?}: {}", read(&reply));
         assert_eq!(read(&reply)["revision"], revision as u64 + 1, "{trouble:?}");
@@ -85,10 +85,10 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_apply_that_another_overtook_while_the_store_was_away_is_a_conflict() {
     let scene = Scene::start().await;
-    scene.door.set(Trouble::Busy);
+    scene.endpoint.set(Trouble::Busy);
     let begun = scene.begin("late", Some(0));
     assert_eq!(apply(scene.second.peers, "nino", Some(0), DRAIN).await.status, 200);
-    scene.door.set(Trouble::None);
+    scene.endpoint.set(Trouble::None);
     let reply = begun.await.unwrap();
     assert_eq!(reply.status, 409, "{}", read(&reply));
     assert!(read(&reply)["message"].as_str().unwrap().contains("revision 1 by nino"), "{}", read(&reply));
--- a/standins/tests/garbage.rs
+++ b/standins/tests/garbage.rs
@@ -113,8 +113,8 @@
         garbage_server(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nnot json!").await,
         garbage_server(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n{\"at\"\r\n").await,
     ];
-    site.door.set(Trouble::Silent);
-    let mut instance = site.instance_at("e-2", "a-2", &site.door, &[garbage.as_slice(), &[first.peers]].concat());
+    site.endpoint.set(Trouble::Silent);
+    let mut instance = site.instance_at("e-2", "a-2", &site.endpoint, &[garbage.as_slice(), &[first.peers]].concat());
     instance.start();
     let end = Instant::now() + WAIT_TIMEOUT;
     while !TestRequest::get("/look/a").send(instance.callers).await.is_ok_and(|reply| reply.status == 200) {
--- a/standins/tests/policies.rs
+++ b/standins/tests/policies.rs
@@ -113,17 +113,17 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_apply_whose_answer_is_lost_is_resolved_by_reading() {
     let mut scene = Scene::start().await;
-    let door = scene.site.store.door().await.unwrap();
-    let mut instance = scene.site.instance_at("e-3", "a-1", &door, &[]);
+    let endpoint = scene.site.store.endpoint().await.unwrap();
+    let mut instance = scene.site.instance_at("e-3", "a-1", &endpoint, &[]);
     instance.start();
     instance.wait_ready().await;
-    door.set(Trouble::AnswersLost);
+    endpoint.set(Trouble::AnswersLost);
     let applied = tokio::spawn(async move {
         let reply = apply(&instance, "lost", None, DRAIN).await;
         (instance, reply)
     });
     scene.in_force(1, 1).await;
-    door.set(Trouble::None);
+    endpoint.set(Trouble::None);
     let (instance, reply) = applied.await.unwrap();
     assert_eq!(reply.status, 200, "{}", message(&reply));
     assert_eq!(status(&instance).await["store_lost"], false);
@@ -143,9 +143,9 @@
     scene.instances[0].wait_ready().await;
     scene.in_force(0, 1).await;
     assert_eq!(scene.to_drained_hall(0).await, 0);
-    let door = scene.site.store.door().await.unwrap();
-    let mut instance = scene.site.instance_at("e-3", "a-1", &door, &[scene.instances[1].peers]);
-    door.set(Trouble::Silent);
+    let endpoint = scene.site.store.endpoint().await.unwrap();
+    let mut instance = scene.site.instance_at("e-3", "a-1", &endpoint, &[scene.instances[1].peers]);
+    endpoint.set(Trouble::Silent);
     instance.start();
     wait_until("the instance knows the policies by a peer", || !instance.events("policies_in_force").is_empty()).await;
     let refused = apply(&instance, "unheard", None, NOTHING).await;
--- a/standins/tests/recovery_of_instances.rs
+++ b/standins/tests/recovery_of_instances.rs
@@ -62,17 +62,17 @@
     let _targets = [target(&site, "u-1", "a-1").await, target(&site, "u-2", "b-1").await];
     let mut instances = Vec::new();
     for (name, hall) in [("e-1", "a-1"), ("e-2", "b-1")] {
-        let door = site.store.door().await.unwrap();
-        let mut instance = site.instance_at(name, hall, &door, &[]);
+        let endpoint = site.store.endpoint().await.unwrap();
+        let mut instance = site.instance_at(name, hall, &endpoint, &[]);
         instance.start();
         instance.wait_ready().await;
-        instances.push((instance, door));
+        instances.push((instance, endpoint));
     }
     for (instance, _) in &instances {
         wait_until("the sight of each other", || instance.events("member").len() >= 2).await;
     }
     // Each learns nothing more: not of the store, nor of its frozen peer.
-    instances.iter().for_each(|(_, door)| door.set(Trouble::Silent));
+    instances.iter().for_each(|(_, endpoint)| endpoint.set(Trouble::Silent));
     for number in 0..2 {
         let (instance, peer) = (&instances[number].0, &instances[1 - number].0);
         peer.signal(libc::SIGSTOP);
@@ -81,7 +81,7 @@
         assert!(instance.is_ready().await);
         peer.signal(libc::SIGCONT);
     }
-    instances.iter().for_each(|(_, door)| door.set(Trouble::None));
+    instances.iter().for_each(|(_, endpoint)| endpoint.set(Trouble::None));
     site.configure(2, &[shop(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
     for (instance, _) in &instances {
         until_status(instance, "/new/a", 200).await;
@@ -138,10 +138,10 @@
     let site = site().await;
     let _target = target(&site, "u-1", "a-1").await;
     let first = site.ready_instance("e-1", "a-1").await;
-    let mut replaced = site.instance_at("e-2", "a-1", &site.door, &[first.peers]);
+    let mut replaced = site.instance_at("e-2", "a-1", &site.endpoint, &[first.peers]);
     replaced.start();
     replaced.wait_ready().await;
-    site.door.set(Trouble::Silent);
+    site.endpoint.set(Trouble::Silent);
     replaced.kill();
     // Also when nobody has learned anything of the store for a while.
     wait_until("the store counts as lost", || !first.events("store_lost").is_empty()).await;
@@ -150,7 +150,7 @@
     serves(&replaced).await;
     serves(&first).await;
     assert_eq!(status(&replaced).await["store_lost"], true);
-    site.door.set(Trouble::None);
+    site.endpoint.set(Trouble::None);
     wait_until("its key", || site.store.keys("lockloft/").len() == 2).await;
     until_named(&first, &replaced, true).await;
 }
--- a/standins/tests/relay.rs
+++ b/standins/tests/relay.rs
@@ -76,8 +76,8 @@
         let site = Site::start(program()).await;
         let _target = target(&site, "u-1", "shop", "a-1").await;
         site.configure(1, &shop(), &["shop"]);
-        let door = site.store.door().await.unwrap();
-        let mut relay = site.instance_at("e-0", "a-1", &door, &[]);
+        let endpoint = site.store.endpoint().await.unwrap();
+        let mut relay = site.instance_at("e-0", "a-1", &endpoint, &[]);
         relay.start();
         relay.wait_ready().await;
         let instances = hall(&site, 4).await;
@@ -85,7 +85,7 @@
         match trouble {
             "dies" => relay.kill(),
             "freezes" => relay.signal(libc::SIGSTOP),
-            _ => door.set(Trouble::Silent),
+            _ => endpoint.set(Trouble::Silent),
         }
         let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
         site.configure(2, &both, &["shop"]);
--- a/standins/tests/store_copy.rs
+++ b/standins/tests/store_copy.rs
@@ -186,11 +186,11 @@
     let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "a-1").await);
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
-    site.door.set(Trouble::Reset);
+    site.endpoint.set(Trouble::Reset);
     wait_until("the loss of the store", || instance.events("store_lost").len() == 1).await;
     site.store.remove("servers/u-1");
     site.store.compact();
-    site.door.set(Trouble::None);
+    site.endpoint.set(Trouble::None);
     wait_until("the line of its end", || instance.log().contains("\"gone\"")).await;
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     assert_eq!(instance.events("store_regained").len(), 1);
@@ -203,12 +203,12 @@
         let _target = target(&site, "u-1", "shop", "a-1").await;
         site.configure(1, &shop(), &["shop"]);
         let _other = site.ready_instance("e-1", "a-1").await;
-        let door = site.store.door().await.unwrap();
-        let mut instance = site.instance_at("e-2", "a-2", &door, &[]);
+        let endpoint = site.store.endpoint().await.unwrap();
+        let mut instance = site.instance_at("e-2", "a-2", &endpoint, &[]);
         instance.start();
         instance.wait_ready().await;
         wait_until("the sight of each other", || instance.events("member").len() >= 2).await;
-        door.set(trouble);
+        endpoint.set(trouble);
         let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
         site.configure(2, &both, &["shop"]);
         until_status(&instance, "/new/x", 200).await;
@@ -221,8 +221,8 @@
     let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let first = site.ready_instance("e-1", "a-1").await;
-    site.door.set(Trouble::Silent);
-    let mut instance = site.instance_at("e-2", "a-2", &site.door, &[first.peers]);
+    site.endpoint.set(Trouble::Silent);
+    let mut instance = site.instance_at("e-2", "a-2", &site.endpoint, &[first.peers]);
     instance.start();
     instance.wait_ready().await;
     until_status(&instance, "/look/x", 200).await;
@@ -295,7 +295,7 @@
     let site = Site::start(program()).await;
     let _target = target(&site, "u-1", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    site.door.slow(Duration::from_millis(100));
+    site.endpoint.slow(Duration::from_millis(100));
     let mut instance = site.instance("e-1", "a-1");
     instance.start();
     let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
@@ -315,12 +315,12 @@
     let ends = target(&site, "ends", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
-    site.door.set(Trouble::Silent);
+    site.endpoint.set(Trouble::Silent);
     wait_until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
     // Instances run out after three heartbeats, not sooner.
     until_view_is_older(&instance, 4_000).await;
     site.store.remove_prefix("servers/");
-    site.door.set(Trouble::None);
+    site.endpoint.set(Trouble::None);
     let state =
         |id: &str, state: &str| instance.events("target").iter().any(|line| line["id"] == id && line["state"] == state);
     wait_until("both are seen to have lapsed", || state("lives", "lapsed") && state("ends", "lapsed")).await;
@@ -339,15 +339,15 @@
     let _goes = target(&site, "goes", "shop", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let others = site.ready_instance("e-1", "a-1").await;
-    let door = site.store.door().await.unwrap();
-    let mut instance = site.instance_at("e-2", "a-2", &door, &[others.peers]);
+    let endpoint = site.store.endpoint().await.unwrap();
+    let mut instance = site.instance_at("e-2", "a-2", &endpoint, &[others.peers]);
     instance.start();
     instance.wait_ready().await;
-    door.set(Trouble::Busy);
+    endpoint.set(Trouble::Busy);
     wait_until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
     site.store.put("op/evacuate/b-1", "{}");
     wait_until("a peer's news", || instance.events("evacuation").iter().any(|line| line["source"] == "peer")).await;
-    door.set(Trouble::None);
+    endpoint.set(Trouble::None);
     wait_until("the store answers again", || !instance.events("store_regained").is_empty()).await;
     site.store.remove_prefix("servers/goes");
     let seen =
