--- a/standins/src/soak/faults.rs
+++ b/standins/src/soak/faults.rs
@@ -23,17 +23,17 @@
     Store(usize, Trouble),
     /// All endpoints are slow.
     SlowStore,
-    /// The store forgets its history.
-    Forget,
-    /// All instances' keys are taken away.
+    /// The store's history is compacted.
+    Compact,
+    /// All instances' keys are removed.
     Revoke,
-    /// The way to a target has a trouble.
-    Way(usize, Mode),
+    /// The network to a target has a trouble.
+    Network(usize, Mode),
     /// A target misbehaves.
     Misbehave(usize, Misbehaviour),
     /// A target works ten times as long.
     SlowTarget(usize),
-    /// A target drains, goes, and comes back cold under another identity.
+    /// A target drains, ends, and is replaced by one in its slow start.
     Replace(usize),
     /// A hall is evacuated.
     Evacuate(usize),
@@ -42,10 +42,20 @@
 }
 
 impl Fault {
-    /// Whether it strikes instances, their store or what they may know of it.
-    pub fn is_about_knowledge(self) -> bool {
-        use Fault::{Forget, Freeze, Kill, Revoke, SlowStore, Stop, Store};
-        matches!(self, Kill(_) | Freeze(_) | Stop(_) | Store(..) | SlowStore | Forget | Revoke)
+    /// Whether it affects instances, their store or their view of it.
+    pub fn affects_view(self) -> bool {
+        use Fault::{Compact, Freeze, Kill, Revoke, SlowStore, Stop, Store};
+        matches!(self, Kill(_) | Freeze(_) | Stop(_) | Store(..) | SlowStore | Compact | Revoke)
+    }
+
+    /// The instance whose process it is done to.
+    pub fn instance(self) -> Option<usize> {
+        match self {
+            Self::Kill(instance) | Self::Freeze(instance) | Self::Stop(instance) | Self::Reload(instance) => {
+                Some(instance)
+            }
+            _ => None,
+        }
     }
 }
 
@@ -60,7 +70,7 @@
     pub fault: Fault,
 }
 
-/// How much there is to strike.
+/// How many there are of what faults are done to.
 #[derive(Clone, Copy, Debug)]
 pub struct Size {
     /// Instances.
@@ -85,35 +95,36 @@
     planned
 }
 
+const TROUBLES: [Trouble; 5] = [Trouble::Silent, Trouble::Busy, Trouble::TooMany, Trouble::Reset, Trouble::AnswersLost];
+const NETWORK_MODES: [Mode; 4] = [Mode::Delay(Duration::from_millis(150)), Mode::Silent, Mode::SilentBack, Mode::Reset];
+const MISBEHAVIOURS: [Misbehaviour; 12] = [
+    Misbehaviour::LoseAnswer,
+    Misbehaviour::NoAnswer,
+    Misbehaviour::SurplusAnswer,
+    Misbehaviour::LateSurplusAnswer,
+    Misbehaviour::UnframedReset,
+    Misbehaviour::AnswerEarly,
+    Misbehaviour::Truncate,
+    Misbehaviour::Unsigned,
+    Misbehaviour::WrongId,
+    Misbehaviour::Garbage,
+    Misbehaviour::ServerError,
+    Misbehaviour::Full,
+];
+
 fn draw(random: &mut StdRng, size: Size) -> Fault {
     let instance = random.random_range(0..size.instances);
     let target = random.random_range(0..size.targets);
-    let troubles = [Trouble::Silent, Trouble::Busy, Trouble::TooMany, Trouble::Reset, Trouble::AnswersLost];
-    let ways = [Mode::Delay(Duration::from_millis(150)), Mode::Silent, Mode::SilentBack, Mode::Reset];
-    let misbehaviours = [
-        Misbehaviour::LoseAnswer,
-        Misbehaviour::NoAnswer,
-        Misbehaviour::SurplusAnswer,
-        Misbehaviour::LateSurplusAnswer,
-        Misbehaviour::UnframedReset,
-        Misbehaviour::AnswerEarly,
-        Misbehaviour::Truncate,
-        Misbehaviour::Unsigned,
-        Misbehaviour::WrongId,
-        Misbehaviour::Garbage,
-        Misbehaviour::ServerError,
-        Misbehaviour::Full,
-    ];
     match random.random_range(0..16) {
         0 => Fault::Kill(instance),
         1 => Fault::Freeze(instance),
         2 | 3 => Fault::Stop(instance),
         4 => Fault::Reload(instance),
-        5 | 6 => Fault::Store(instance, *troubles.choose(random).expect("there are some")),
+        5 | 6 => Fault::Store(instance, *TROUBLES.choose(random).expect("there are some")),
         7 => Fault::SlowStore,
-        8 => [Fault::Forget, Fault::Revoke][random.random_range(0..2)],
-        9 | 10 => Fault::Way(target, *ways.choose(random).expect("there are some")),
-        11 | 12 => Fault::Misbehave(target, *misbehaviours.choose(random).expect("there are some")),
+        8 => [Fault::Compact, Fault::Revoke][random.random_range(0..2)],
+        9 | 10 => Fault::Network(target, *NETWORK_MODES.choose(random).expect("there are some")),
+        11 | 12 => Fault::Misbehave(target, *MISBEHAVIOURS.choose(random).expect("there are some")),
         13 => {
             [Fault::SlowTarget(target), Fault::Evacuate(random.random_range(0..size.halls))][random.random_range(0..2)]
         }
--- /dev/null
+++ b/standins/src/soak/inject.rs
@@ -0,0 +1,170 @@
+//! How each fault is begun and ended.
+
+use super::faults::{Fault, Planned};
+use super::observations::Interval;
+use super::system::{HALLS, System, TICK, WORK};
+use super::targets::ProxiedTarget;
+use crate::proxy::Mode;
+use crate::store::Trouble;
+use crate::target_server::Misbehaviour;
+use std::time::{Duration, Instant};
+
+/// How long a replaced target's slow start lasts.
+const SLOW_START: Duration = Duration::from_millis(1_500);
+/// What each answer of a slow store takes.
+const STORE_DELAY: Duration = Duration::from_millis(300);
+/// How much longer a slow target works.
+const SLOWDOWN: u32 = 10;
+
+/// A fault that is to be ended.
+struct ActiveFault {
+    fault: Fault,
+    begun: Instant,
+    ends: Instant,
+}
+
+impl System {
+    /// Begins and ends the faults; returns at the end of the soak's time.
+    pub(super) async fn inject(&mut self, planned: &[Planned]) {
+        let started = Instant::now();
+        let mut active: Vec<ActiveFault> = Vec::new();
+        let mut next = planned.iter().peekable();
+        while started.elapsed() < self.soak.time {
+            tokio::time::sleep(TICK).await;
+            while let Some(due) = next.next_if(|planned| planned.at <= started.elapsed()) {
+                active.extend(self.begin_planned(due));
+            }
+            let now = Instant::now();
+            let (over, left) = active.into_iter().partition(|fault| fault.ends <= now);
+            active = left;
+            self.end_all(over).await;
+            self.restart_stopped();
+            self.check_version().await;
+        }
+        self.end_all(active).await;
+    }
+
+    fn begin_planned(&mut self, planned: &Planned) -> Option<ActiveFault> {
+        let begun = Instant::now();
+        if !self.begin(planned.fault) {
+            return None;
+        }
+        self.observations.faults += 1;
+        Some(ActiveFault { fault: planned.fault, begun, ends: begun + planned.lasts })
+    }
+
+    async fn end_all(&mut self, faults: Vec<ActiveFault>) {
+        for fault in faults {
+            self.end(&fault).await;
+        }
+    }
+
+    /// Begins a fault; false where it cannot be made now.
+    fn begin(&mut self, fault: Fault) -> bool {
+        if fault.instance().is_some_and(|instance| self.stopping.contains_key(&instance)) {
+            return false;
+        }
+        match fault {
+            Fault::Kill(instance) => self.kill(instance),
+            Fault::Freeze(instance) => self.instances[instance].signal(libc::SIGSTOP),
+            Fault::Stop(instance) => self.stop(instance),
+            Fault::Reload(instance) => self.instances[instance].signal(libc::SIGHUP),
+            Fault::Store(instance, trouble) => self.endpoints[instance].set(trouble),
+            Fault::SlowStore => self.delay_store(STORE_DELAY),
+            Fault::Compact => self.site.store.compact(),
+            Fault::Revoke => self.site.store.remove_prefix("lockloft/"),
+            Fault::Network(target, mode) => self.targets[target].proxy.set(mode),
+            Fault::Misbehave(target, misbehaviour) => self.targets[target].target.set(misbehaviour),
+            Fault::SlowTarget(target) => self.targets[target].target.set_work(WORK * SLOWDOWN),
+            Fault::Replace(target) => self.targets[target].drain(&self.site),
+            Fault::Evacuate(hall) => {
+                self.site.store.put(&evacuation(hall), "{}");
+            }
+            Fault::Configure => self.configure_next(),
+        }
+        true
+    }
+
+    async fn end(&mut self, ended: &ActiveFault) {
+        let span = Interval { from: ended.begun, to: Instant::now() };
+        if ended.fault.affects_view() {
+            self.observations.view_faults.push(span);
+        }
+        match ended.fault {
+            Fault::Kill(instance) => {
+                self.start_killed(instance);
+                self.observations.outages.push((instance, span));
+            }
+            Fault::Freeze(instance) => {
+                self.instances[instance].signal(libc::SIGCONT);
+                self.observations.outages.push((instance, span));
+            }
+            Fault::Store(instance, _) => self.endpoints[instance].set(Trouble::None),
+            Fault::SlowStore => self.delay_store(Duration::ZERO),
+            Fault::Network(target, _) => self.targets[target].proxy.set(Mode::Pass),
+            Fault::Misbehave(target, _) => self.targets[target].target.set(Misbehaviour::None),
+            Fault::SlowTarget(target) => self.targets[target].target.set_work(WORK),
+            Fault::Replace(target) => self.replace(target).await,
+            Fault::Evacuate(hall) => {
+                self.site.store.remove(&evacuation(hall));
+                self.evacuations[hall].push(span);
+            }
+            Fault::Stop(_) | Fault::Reload(_) | Fault::Compact | Fault::Revoke | Fault::Configure => {}
+        }
+    }
+
+    fn kill(&mut self, instance: usize) {
+        self.instances[instance].kill();
+        self.versions.forget(instance);
+    }
+
+    fn stop(&mut self, instance: usize) {
+        self.instances[instance].terminate();
+        self.stopping.insert(instance, Instant::now());
+    }
+
+    fn delay_store(&self, delay: Duration) {
+        self.endpoints.iter().for_each(|endpoint| endpoint.slow(delay));
+    }
+
+    /// Starts a killed instance again, unless an overlapping fault has done so
+    /// or is to do so: a kill that ended earlier, or a planned stop.
+    fn start_killed(&mut self, instance: usize) {
+        if !self.stopping.contains_key(&instance) && self.instances[instance].has_exited() {
+            self.instances[instance].start();
+        }
+    }
+
+    /// Starts instances again that have ended as planned.
+    pub(super) fn restart_stopped(&mut self) {
+        let stopping: Vec<usize> = self.stopping.keys().copied().collect();
+        for instance in stopping {
+            if self.instances[instance].has_exited() {
+                self.restart(instance);
+            }
+        }
+    }
+
+    fn restart(&mut self, instance: usize) {
+        let from = self.stopping.remove(&instance).expect("it was stopped");
+        let span = Interval { from, to: Instant::now() };
+        self.observations.stops.push((instance, span));
+        self.observations.view_faults.push(span);
+        self.versions.forget(instance);
+        self.instances[instance].start();
+    }
+
+    /// Puts a target in its slow start in the place of another.
+    async fn replace(&mut self, position: usize) {
+        let old = &self.targets[position];
+        old.deregister(&self.site);
+        self.observations.incarnations.push(old.observed());
+        let new = ProxiedTarget::start(&self.site, old.hall, SLOW_START).await;
+        std::mem::replace(&mut self.targets[position], new).end_later();
+    }
+}
+
+/// The key that evacuates a hall.
+fn evacuation(hall: usize) -> String {
+    format!("op/evacuate/{}", HALLS[hall])
+}
--- a/standins/src/soak/mod.rs
+++ b/standins/src/soak/mod.rs
@@ -4,15 +4,20 @@
 
 mod callers;
 pub mod faults;
-pub mod record;
-mod scene;
+mod inject;
+pub mod observations;
+pub mod promises;
+mod system;
+mod targets;
+mod versions;
 
 use faults::{Planned, Size, plan};
-use record::Broken;
-use scene::Scene;
+use observations::SentRequest;
+use promises::Violations;
 use serde::Serialize;
 use std::path::Path;
 use std::time::Duration;
+use system::{HALLS, System};
 
 /// How large and long a soak is.
 #[derive(Clone, Copy, Debug)]
@@ -52,24 +57,25 @@
     /// Faults made.
     pub faults: usize,
     /// Promises broken.
-    pub broken: Broken,
+    pub broken: Violations,
 }
 
 /// Runs a soak whose instances are `program entry SETTINGS`.
 pub async fn run(program: &Path, soak: Soak) -> Outcome {
-    let size = Size { instances: soak.instances, targets: soak.targets, halls: scene::HALLS.len() };
+    let size = Size { instances: soak.instances, targets: soak.targets, halls: HALLS.len() };
     run_faults(program, soak, &plan(soak.seed, size, soak.time)).await
 }
 
 /// Runs a soak with these faults in place of those that its seed draws.
 pub async fn run_faults(program: &Path, soak: Soak, planned: &[Planned]) -> Outcome {
-    let mut scene = Scene::start(program, soak).await;
-    let record = scene.play(planned).await;
+    let mut system = System::start(program, soak).await;
+    let observations = system.run(planned).await;
+    let is_served = |request: &&SentRequest| request.status == Some(200);
     Outcome {
         seed: soak.seed,
-        requests: record.asked.len(),
-        served: record.asked.iter().filter(|asked| asked.status == Some(200)).count(),
-        faults: record.faults,
-        broken: record.judge(),
+        requests: observations.requests.len(),
+        served: observations.requests.iter().filter(is_served).count(),
+        faults: observations.faults,
+        broken: observations.violations(),
     }
 }
--- /dev/null
+++ b/standins/src/soak/observations.rs
@@ -0,0 +1,83 @@
+//! What a soak observed: requests as their callers saw them, runs as the
+//! targets saw them, and the faults in between.
+
+use crate::target_server::Run;
+use std::time::Instant;
+
+/// One request as its caller saw it.
+#[derive(Clone, Debug)]
+pub struct SentRequest {
+    /// Its identity.
+    pub id: String,
+    /// Whether it may run more than once.
+    pub safe: bool,
+    /// Number of the instance that it was sent to.
+    pub instance: usize,
+    /// When it was sent.
+    pub sent: Instant,
+    /// When its answer was whole, or the connection broke.
+    pub ended: Instant,
+    /// Status of a whole answer; `None` for a broken connection.
+    pub status: Option<u16>,
+    /// Whether a success was the target's own, whole and signed.
+    pub sound: bool,
+}
+
+/// A time in which something held.
+#[derive(Clone, Copy, Debug)]
+pub struct Interval {
+    /// Its begin.
+    pub from: Instant,
+    /// Its end.
+    pub to: Instant,
+}
+
+impl Interval {
+    /// Whether it has a moment in common with `from..=to`.
+    pub fn overlaps(&self, from: Instant, to: Instant) -> bool {
+        self.from <= to && from <= self.to
+    }
+}
+
+/// One incarnation of a target.
+#[derive(Clone, Debug)]
+pub struct Incarnation {
+    /// Its runs.
+    pub runs: Vec<Run>,
+    /// When the store took the registration that drains it.
+    pub drained: Option<Instant>,
+    /// End of its slow start.
+    pub slow_until: Option<Instant>,
+    /// Evacuations of its hall.
+    pub evacuated: Vec<Interval>,
+}
+
+/// Requests after everything had healed.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct AfterFaults {
+    /// Requests sent.
+    pub sent: usize,
+    /// Those of them answered with success.
+    pub served: usize,
+}
+
+/// Everything that a soak observed.
+#[derive(Debug, Default)]
+pub struct Observations {
+    /// Requests during the faults.
+    pub requests: Vec<SentRequest>,
+    /// Incarnations of targets.
+    pub incarnations: Vec<Incarnation>,
+    /// Times of faults that affect the instances' view of the store.
+    pub view_faults: Vec<Interval>,
+    /// Planned stops, by instance.
+    pub stops: Vec<(usize, Interval)>,
+    /// Times in which an instance was killed or frozen.
+    pub outages: Vec<(usize, Interval)>,
+    /// Times that an instance showed an older configuration than before.
+    pub went_back: usize,
+    /// Faults that were made.
+    pub faults: usize,
+    /// Requests after everything had healed.
+    pub after: AfterFaults,
+}
--- /dev/null
+++ b/standins/src/soak/system.rs
@@ -0,0 +1,158 @@
+//! The system under soak: a store with an endpoint for each instance, targets
+//! behind proxies, instance processes and callers.
+//!
+//! Owns all of them and what is observed. `inject` makes its faults,
+//! `versions` its configurations.
+
+use super::Soak;
+use super::callers::{self, InstanceAddresses, Shared};
+use super::faults::Planned;
+use super::observations::{AfterFaults, Interval, Observations};
+use super::targets::ProxiedTarget;
+use super::versions::{Versions, routes};
+use crate::site::{InstanceProcess, Site, TestRequest};
+use crate::store::Endpoint;
+use crate::wait::WAIT_TIMEOUT;
+use std::collections::HashMap;
+use std::path::Path;
+use std::sync::Arc;
+use std::sync::atomic::{AtomicBool, Ordering::Relaxed};
+use std::time::{Duration, Instant};
+use tokio::task::JoinHandle;
+
+/// The halls, all of one region.
+pub const HALLS: [&str; 3] = ["a-1", "a-2", "a-3"];
+/// The service of all targets.
+pub const SERVICE: &str = "shop";
+/// Time that a target works on a request for a warm object.
+pub const WORK: Duration = Duration::from_millis(20);
+/// Pause between looks for faults that are due.
+pub const TICK: Duration = Duration::from_millis(20);
+/// Time from a signal to stop until an instance has to have ended, seconds.
+const STOP_S: f64 = 4.0;
+/// Time between the traffic's end and the requests that follow.
+const HEAL_TIME: Duration = Duration::from_secs(3);
+/// Requests once everything has healed.
+const REQUESTS_AFTER: usize = 200;
+/// Callers of one seed have seeds of their own, this far from the next one's.
+const SEED_STEP: u64 = 1_000;
+
+/// The running system.
+pub struct System {
+    pub(super) soak: Soak,
+    pub(super) site: Site,
+    pub(super) endpoints: Vec<Endpoint>,
+    pub(super) instances: Vec<InstanceProcess>,
+    pub(super) targets: Vec<ProxiedTarget>,
+    /// When planned stops began, by instance.
+    pub(super) stopping: HashMap<usize, Instant>,
+    pub(super) versions: Versions,
+    /// By hall.
+    pub(super) evacuations: [Vec<Interval>; HALLS.len()],
+    pub(super) observations: Observations,
+}
+
+impl System {
+    /// Starts everything and waits until it is ready.
+    pub async fn start(program: &Path, soak: Soak) -> Self {
+        let mut site = Site::start(program).await;
+        site.stop_after(STOP_S);
+        let mut targets = Vec::new();
+        for number in 0..soak.targets {
+            targets.push(ProxiedTarget::start(&site, number % HALLS.len(), Duration::ZERO).await);
+        }
+        site.configure(1, &routes(1), &[SERVICE]);
+        let mut system = Self {
+            soak,
+            site,
+            endpoints: Vec::new(),
+            instances: Vec::new(),
+            targets,
+            stopping: HashMap::new(),
+            versions: Versions::first(),
+            evacuations: Default::default(),
+            observations: Observations::default(),
+        };
+        for number in 0..soak.instances {
+            system.start_instance(number).await;
+        }
+        system.wait_ready().await;
+        system
+    }
+
+    async fn start_instance(&mut self, number: usize) {
+        let endpoint = self.site.store.endpoint().await.expect("loopback has free ports");
+        let hall = HALLS[number % HALLS.len()];
+        let mut instance = self.site.instance_at(&format!("e-{number}"), hall, &endpoint, &[]);
+        instance.start();
+        self.endpoints.push(endpoint);
+        self.instances.push(instance);
+    }
+
+    async fn wait_ready(&self) {
+        for instance in &self.instances {
+            instance.wait_ready().await;
+        }
+    }
+
+    /// Makes the faults under load and lets all heal; gives what was observed.
+    pub async fn run(&mut self, planned: &[Planned]) -> Observations {
+        let shared = Arc::new(self.callers());
+        let tasks = self.start_callers(&shared);
+        self.inject(planned).await;
+        shared.stop.store(true, Relaxed);
+        for task in tasks {
+            task.await.expect("no caller panics");
+        }
+        self.heal().await;
+        self.observations.after = self.send_after().await;
+        self.observations.requests = std::mem::take(&mut *shared.requests.lock().expect("no holder panics"));
+        self.observe_targets();
+        std::mem::take(&mut self.observations)
+    }
+
+    fn callers(&self) -> Shared {
+        let addresses =
+            |instance: &InstanceProcess| InstanceAddresses { callers: instance.callers, directory: instance.directory };
+        Shared {
+            instances: self.instances.iter().map(addresses).collect(),
+            requests: Default::default(),
+            stop: AtomicBool::new(false),
+        }
+    }
+
+    fn start_callers(&self, shared: &Arc<Shared>) -> Vec<JoinHandle<()>> {
+        let seeds = (0..self.soak.callers as u64).map(|caller| self.soak.seed * SEED_STEP + caller);
+        seeds.map(|seed| tokio::spawn(callers::run(shared.clone(), seed))).collect()
+    }
+
+    async fn heal(&mut self) {
+        let end = Instant::now() + WAIT_TIMEOUT;
+        while !self.stopping.is_empty() && Instant::now() < end {
+            self.restart_stopped();
+            tokio::time::sleep(TICK).await;
+        }
+        self.wait_ready().await;
+        tokio::time::sleep(HEAL_TIME).await;
+    }
+
+    async fn send_after(&self) -> AfterFaults {
+        let mut served = 0;
+        for number in 0..REQUESTS_AFTER {
+            let instance = &self.instances[number % self.instances.len()];
+            let reply = TestRequest::get("/look/a").affinity(number).send(instance.callers).await;
+            served += usize::from(reply.is_ok_and(|reply| reply.status == 200));
+        }
+        AfterFaults { sent: REQUESTS_AFTER, served }
+    }
+
+    /// Adds the incarnations that still run. Those that were replaced are
+    /// there already, and are not held to the evacuations of their hall.
+    fn observe_targets(&mut self) {
+        for target in &self.targets {
+            let mut observed = target.observed();
+            observed.evacuated = self.evacuations[target.hall].clone();
+            self.observations.incarnations.push(observed);
+        }
+    }
+}
--- /dev/null
+++ b/standins/src/soak/targets.rs
@@ -0,0 +1,79 @@
+//! Targets of a soak, each behind a proxy that can break its network.
+
+use super::observations::Incarnation;
+use super::system::{HALLS, SERVICE, WORK};
+use crate::proxy::Proxy;
+use crate::site::{Site, fresh_id};
+use crate::target_server::{Registration, TargetServer, TargetState};
+use std::time::{Duration, Instant};
+
+/// Requests that a target runs at a time.
+const SLOTS: u32 = 6;
+/// How long the target of a removed registration serves on, as on the
+/// platform.
+const LINGER: Duration = Duration::from_secs(3);
+
+/// A target that is registered at the address of its proxy.
+pub struct ProxiedTarget {
+    /// The target.
+    pub target: TargetServer,
+    /// The proxy before it.
+    pub proxy: Proxy,
+    /// Its place in `HALLS`.
+    pub hall: usize,
+    /// When the store took the registration that drains it.
+    drained: Option<Instant>,
+    /// End of its slow start.
+    slow_until: Option<Instant>,
+    /// Number of its last registration.
+    sequence: u64,
+}
+
+impl ProxiedTarget {
+    /// Starts a target and registers it; a `slow_start` of zero is none.
+    pub async fn start(site: &Site, hall: usize, slow_start: Duration) -> Self {
+        let id = fresh_id().replace("request", "u");
+        let target = TargetServer::start(&id, SLOTS, WORK).await.expect("loopback has free ports");
+        let proxy = Proxy::start(target.address).await.expect("loopback has free ports");
+        let slow_until = (!slow_start.is_zero()).then(|| Instant::now() + slow_start);
+        let started = Self { target, proxy, hall, drained: None, slow_until, sequence: 1 };
+        started.register(site, TargetState::Ready, slow_start);
+        started
+    }
+
+    /// Registers it as draining.
+    pub fn drain(&mut self, site: &Site) {
+        self.sequence += 1;
+        self.register(site, TargetState::Draining, Duration::ZERO);
+        self.drained.get_or_insert_with(Instant::now);
+    }
+
+    /// Removes its registration.
+    pub fn deregister(&self, site: &Site) {
+        site.store.remove(&format!("servers/{}", self.target.id));
+    }
+
+    /// Ends it a little later.
+    pub fn end_later(self) {
+        tokio::spawn(async move {
+            tokio::time::sleep(LINGER).await;
+            drop(self);
+        });
+    }
+
+    /// What it ran so far.
+    pub fn observed(&self) -> Incarnation {
+        Incarnation {
+            runs: self.target.runs(),
+            drained: self.drained,
+            slow_until: self.slow_until,
+            evacuated: Vec::new(),
+        }
+    }
+
+    fn register(&self, site: &Site, state: TargetState, slow_start: Duration) {
+        let (hall, sequence) = (HALLS[self.hall], self.sequence);
+        let registration = Registration { service: SERVICE, hall, state, sequence, slow_start };
+        site.register_at(&self.target, self.proxy.address, &registration);
+    }
+}
--- a/standins/tests/soak.rs
+++ b/standins/tests/soak.rs
@@ -35,22 +35,23 @@
     assert_eq!(outcome.faults, faults.len());
 }
 
-mod judgement {
-    use standins::soak::record::{Asked, Broken, Life, Record, Span};
+mod promises {
+    use standins::soak::observations::{AfterFaults, Incarnation, Interval, Observations, SentRequest};
+    use standins::soak::promises::Violations;
     use standins::target_server::Run;
     use std::time::{Duration, Instant};
 
-    fn asked(id: &str, status: Option<u16>) -> Asked {
+    fn sent(id: &str, status: Option<u16>) -> SentRequest {
         let now = Instant::now();
-        Asked { id: id.to_owned(), safe: false, instance: 0, sent: now, ended: now, status, sound: true }
+        SentRequest { id: id.to_owned(), safe: false, instance: 0, sent: now, ended: now, status, sound: true }
     }
 
     fn run(id: &str, at: Instant) -> Run {
         Run { id: id.to_owned(), line: String::new(), body: Vec::new(), deadline_ms: None, at, cut: false }
     }
 
-    fn life(runs: Vec<Run>) -> Life {
-        Life { runs, drained: None, cold_until: None, evacuated: Vec::new() }
+    fn incarnation(runs: Vec<Run>) -> Incarnation {
+        Incarnation { runs, drained: None, slow_until: None, evacuated: Vec::new() }
     }
 
     fn seconds(number: u64) -> Duration {
@@ -58,74 +59,82 @@
     }
 
     #[test]
-    fn a_sound_record_breaks_nothing() {
-        let record = Record {
-            asked: vec![asked("1", Some(200)), asked("2", Some(503)), asked("3", Some(502))],
-            lives: vec![life(vec![run("1", Instant::now()), run("3", Instant::now())])],
-            after: (10, 10),
+    fn sound_observations_break_nothing() {
+        let observed = Observations {
+            requests: vec![sent("1", Some(200)), sent("2", Some(503)), sent("3", Some(502))],
+            incarnations: vec![incarnation(vec![run("1", Instant::now()), run("3", Instant::now())])],
+            after: AfterFaults { sent: 10, served: 10 },
             ..Default::default()
         };
-        assert_eq!(record.judge(), Broken::default());
+        assert_eq!(observed.violations(), Violations::default());
     }
 
     #[test]
     fn a_second_run_a_false_promise_and_an_unsound_success_are_found() {
         let now = Instant::now();
-        let mut unsound = asked("4", Some(200));
+        let mut unsound = sent("4", Some(200));
         unsound.sound = false;
-        let record = Record {
-            asked: vec![asked("1", Some(200)), asked("2", Some(503)), unsound],
-            lives: vec![life(vec![run("1", now), run("2", now)]), life(vec![run("1", now), run("4", now)])],
+        let observed = Observations {
+            requests: vec![sent("1", Some(200)), sent("2", Some(503)), unsound],
+            incarnations: vec![
+                incarnation(vec![run("1", now), run("2", now)]),
+                incarnation(vec![run("1", now), run("4", now)]),
+            ],
             ..Default::default()
         };
-        let expected = Broken { ran_twice: 1, false_promise: 1, unsound: 1, ..Default::default() };
-        assert_eq!(record.judge(), expected);
+        let expected = Violations { ran_twice: 1, false_promise: 1, unsound: 1, ..Default::default() };
+        assert_eq!(observed.violations(), expected);
     }
 
     #[test]
-    fn late_runs_after_a_drain_and_an_evacuation_are_found_unless_knowledge_was_unsettled() {
+    fn late_runs_after_a_drain_and_an_evacuation_are_found_unless_the_view_was_disturbed() {
         let start = Instant::now();
-        let mut drained = life(vec![run("1", start + seconds(1)), run("2", start + seconds(3))]);
+        let mut drained = incarnation(vec![run("1", start + seconds(1)), run("2", start + seconds(3))]);
         drained.drained = Some(start);
-        let mut evacuated = life(vec![run("3", start + seconds(4)), run("4", start + seconds(6))]);
-        evacuated.evacuated = vec![Span { from: start, to: start + seconds(8) }];
-        let mut record = Record { lives: vec![drained, evacuated], ..Default::default() };
-        let expected = Broken { after_drain: 1, after_evacuation: 1, ..Default::default() };
-        assert_eq!(record.judge(), expected);
-        record.unsettled = vec![Span { from: start + seconds(1), to: start + seconds(2) }];
-        assert_eq!(record.judge(), Broken::default());
+        let mut evacuated = incarnation(vec![run("3", start + seconds(4)), run("4", start + seconds(6))]);
+        evacuated.evacuated = vec![Interval { from: start, to: start + seconds(8) }];
+        let mut observed = Observations { incarnations: vec![drained, evacuated], ..Default::default() };
+        let expected = Violations { after_drain: 1, after_evacuation: 1, ..Default::default() };
+        assert_eq!(observed.violations(), expected);
+        observed.view_faults = vec![Interval { from: start + seconds(1), to: start + seconds(2) }];
+        assert_eq!(observed.violations(), Violations::default());
     }
 
     #[test]
-    fn a_cut_by_a_planned_stop_is_found_unless_the_entry_was_struck() {
+    fn a_cut_by_a_planned_stop_is_found_unless_the_instance_was_killed_or_frozen() {
         let start = Instant::now();
-        let mut cut = asked("1", None);
+        let mut cut = sent("1", None);
         cut.ended = start + seconds(1);
-        let mut record = Record {
-            asked: vec![cut],
-            lives: vec![life(vec![run("1", start)])],
-            stops: vec![(0, Span { from: start, to: start + seconds(2) })],
+        let mut observed = Observations {
+            requests: vec![cut],
+            incarnations: vec![incarnation(vec![run("1", start)])],
+            stops: vec![(0, Interval { from: start, to: start + seconds(2) })],
             ..Default::default()
         };
-        assert_eq!(record.judge().cut_by_stop, 1);
-        record.struck = vec![(0, Span { from: start, to: start })];
-        assert_eq!(record.judge().cut_by_stop, 0);
+        assert_eq!(observed.violations().cut_by_stop, 1);
+        observed.outages = vec![(0, Interval { from: start, to: start })];
+        assert_eq!(observed.violations().cut_by_stop, 0);
     }
 
     #[test]
-    fn too_many_second_tries_and_too_many_cold_requests_are_found() {
+    fn too_many_retries_and_too_many_requests_in_a_slow_start_are_found() {
         let start = Instant::now();
         let runs: Vec<Run> = (0..80).flat_map(|n| [run(&n.to_string(), start), run(&n.to_string(), start)]).collect();
-        let mut cold = life(runs);
-        cold.cold_until = Some(start + seconds(1));
-        let record = Record {
-            asked: (0..10).map(|n| Asked { safe: true, ..asked(&n.to_string(), Some(200)) }).collect(),
-            lives: vec![cold],
+        let mut cold = incarnation(runs);
+        cold.slow_until = Some(start + seconds(1));
+        let observed = Observations {
+            requests: (0..10).map(|n| SentRequest { safe: true, ..sent(&n.to_string(), Some(200)) }).collect(),
+            incarnations: vec![cold],
             ..Default::default()
         };
-        let broken = record.judge();
+        let broken = observed.violations();
         assert_eq!(broken.over_budget, 1);
         assert!(broken.over_cold > 0);
-        assert_eq!(Record { after: (100, 80), ..Default::default() }.judge().not_recovered, 1);
+        assert_eq!(
+            Observations { after: AfterFaults { sent: 100, served: 80 }, ..Default::default() }
+                .violations()
+                .not_recovered,
+            1
+        );
     }
 }
