--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -10,10 +10,21 @@
 use hyper_util::rt::TokioIo;
 use std::net::SocketAddr;
 use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
+/// Longest wait for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for the answer to a GET.
+const GET_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest wait for the answer to a POST: an apply of policies waits for the
+/// store longer than any other call.
+const POST_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest wait for what is answered to raw bytes.
+const RAW_TIMEOUT: Duration = Duration::from_secs(5);
+
 /// A whole answer.
 #[derive(Clone, Debug)]
 pub struct Reply {
@@ -49,7 +60,7 @@
 impl Connection {
     /// Connects to an address.
     pub async fn open(address: SocketAddr) -> Result<Self, NoReply> {
-        let connected = timeout(Duration::from_secs(1), connect(address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, connect(address)).await;
         let stream = connected.map_err(|_| NoReply::Unreachable)?.map_err(|_| NoReply::Unreachable)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| NoReply::Unreachable)?;
         tokio::spawn(connection);
@@ -97,13 +108,27 @@
 /// Gets one path.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Reply, NoReply> {
     let request = Request::get(path).header("host", address.to_string()).body(Full::default());
-    once(address, request.expect("the path is good"), Duration::from_secs(10)).await
+    once(address, request.expect("the path is good"), GET_TIMEOUT).await
 }
 
 /// Posts a body to one path.
 pub async fn post(address: SocketAddr, path: &str, body: Vec<u8>) -> Result<Reply, NoReply> {
     let request = Request::post(path).header("host", address.to_string()).body(Full::from(body));
-    once(address, request.expect("the path is good"), Duration::from_secs(15)).await
+    once(address, request.expect("the path is good"), POST_TIMEOUT).await
+}
+
+/// Sends bytes as they are and reads until the other side closes the connection
+/// or 5 s are over.
+///
+/// # Errors
+/// Where there is no connection.
+pub async fn raw(address: SocketAddr, bytes: &[u8]) -> std::io::Result<String> {
+    let mut stream = TcpStream::connect(address).await?;
+    stream.write_all(bytes).await?;
+    let mut read = Vec::new();
+    // What was read until a reset or the end of the time counts.
+    let _ = timeout(RAW_TIMEOUT, stream.read_to_end(&mut read)).await;
+    Ok(String::from_utf8_lossy(&read).into_owned())
 }
 
 /// Said by a server that closes the connection instead of answering.
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -6,6 +6,7 @@
 pub mod http;
 pub mod ports;
 pub mod proxy;
+pub mod scene;
 pub mod site;
 pub mod soak;
 pub mod store;
--- a/standins/src/site/process.rs
+++ b/standins/src/site/process.rs
@@ -1,9 +1,9 @@
 //! An instance as a process with settings, addresses and a log of its own.
 
-use super::HOST;
+use super::{HOST, TestRequest};
 use crate::http;
 use crate::ports::{free_address, spawn};
-use crate::wait::{POLL_INTERVAL, WAIT_TIMEOUT, wait_until};
+use crate::wait::{POLL_INTERVAL, WAIT_TIMEOUT, wait_for, wait_until};
 use serde_json::Value;
 use std::fs::File;
 use std::net::SocketAddr;
@@ -163,6 +163,24 @@
         }
     }
 
+    /// Its status, as operators see it.
+    ///
+    /// # Panics
+    /// Where it does not answer with one.
+    pub async fn status(&self) -> Value {
+        let reply = http::get(self.peers, "/status").await.expect("it serves its status");
+        serde_json::from_slice(&reply.body).expect("its status is JSON")
+    }
+
+    /// Waits until it answers a GET of a path with a status.
+    pub async fn wait_status(&self, path: &str, status: u16) {
+        wait_for(&format!("{status} for {path} by {}", self.name), async || {
+            let reply = TestRequest::get(path).send(self.callers).await;
+            reply.is_ok_and(|reply| reply.status == status)
+        })
+        .await;
+    }
+
     /// Callers' addresses that its directory names for a region.
     pub async fn resolve(&self, region: &str) -> Vec<String> {
         let path = format!("/-/resolve?name={HOST}&region={region}&zone=any");
--- a/standins/tests/answer_order.rs
+++ b/standins/tests/answer_order.rs
@@ -3,49 +3,38 @@
 
 mod common;
 
-use common::{program, raw};
-use standins::http::{Connection, NoReply};
-use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest};
-use standins::target_server::{Misbehaviour, TargetServer};
+use common::program;
+use standins::http::{Connection, NoReply, raw};
+use standins::scene::{SERVICE, Scene, Setup, look_route};
+use standins::site::{HOST, RouteSpec, TestRequest};
+use standins::target_server::Misbehaviour;
 use standins::wait::wait_until;
 use std::time::Duration;
 
 /// Requests that are under way together.
 const TOGETHER: usize = 6;
 
-struct Scene {
-    _site: Site,
-    instance: InstanceProcess,
-    target: TargetServer,
-}
-
 /// A target with room for all, whose one object is warm.
 async fn scene(timeout_ms: u64) -> Scene {
-    let site = Site::start(program()).await;
-    let target = TargetServer::start("u-0", 64, Duration::from_millis(1)).await.unwrap();
-    site.register(&target, "shop", "a-1");
-    let mut routes = [RouteSpec::new("/look/", "safe", "shop"), RouteSpec::new("/buy/", "unsafe", "shop")];
+    let mut routes = vec![look_route(), RouteSpec::new("/buy/", "unsafe", SERVICE)];
     routes.iter_mut().for_each(|route| route.timeout_ms = timeout_ms);
-    site.configure(1, &routes, &["shop"]);
-    let instance = site.ready_instance("e-1", "a-1").await;
-    let scene = Scene { _site: site, instance, target };
-    scene.served("/look/a").await;
+    let setup = Setup { slots: 64, work: Duration::from_millis(1), routes, ..Setup::targets(1) };
+    let scene = setup.start(program()).await;
+    served(&scene, "/look/a").await;
     scene
 }
 
-impl Scene {
-    /// Asks and demands the request's own answer.
-    async fn served(&self, path: &str) {
-        let ask = TestRequest::post(path, "one");
-        let reply = ask.send(self.instance.callers).await.unwrap();
-        assert_eq!(reply.status, 200);
-        assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
-        assert!(reply.body.ends_with(ask.id.as_bytes()), "the answer of another request came: {reply:?}");
-    }
+/// Sends a request and demands its own answer.
+async fn served(scene: &Scene, path: &str) {
+    let request = TestRequest::post(path, "one");
+    let reply = request.send(scene.instance.callers).await.unwrap();
+    assert_eq!(reply.status, 200);
+    assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", request.id));
+    assert!(reply.body.ends_with(request.id.as_bytes()), "the answer of another request came: {reply:?}");
+}
 
-    async fn arrived(&self, id: &str) {
-        wait_until("the request's arrival", || self.target.runs().iter().any(|run| run.id == id)).await;
-    }
+async fn arrived(scene: &Scene, id: &str) {
+    wait_until("the request's arrival", || scene.runs_of(id) > 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -56,12 +45,12 @@
         let mut tasks = tokio::task::JoinSet::new();
         for number in 0..TOGETHER {
             // The later a request comes, the sooner it is answered.
-            scene.target.set_work(Duration::from_millis(280 - 50 * number as u64));
+            scene.targets[0].set_work(Duration::from_millis(280 - 50 * number as u64));
             let path = if (round + number) % 2 == 0 { "/look/a" } else { "/buy/a" };
             let (ask, callers) = (TestRequest::post(path, "one"), scene.instance.callers);
             let id = ask.id.clone();
             tasks.spawn(async move { (number, ask.id.clone(), ask.send(callers).await.unwrap()) });
-            scene.arrived(&id).await;
+            arrived(&scene, &id).await;
         }
         let mut order = Vec::new();
         while let Some(ended) = tasks.join_next().await {
@@ -81,18 +70,18 @@
     let scene = scene(0).await;
     for misbehaviour in [Misbehaviour::None, Misbehaviour::IgnoreClose] {
         for path in ["/look/a", "/buy/a"].repeat(5) {
-            scene.target.set(misbehaviour);
-            scene.target.set_work(Duration::from_millis(60));
+            scene.targets[0].set(misbehaviour);
+            scene.targets[0].set_work(Duration::from_millis(60));
             // Gives up before the answer: its connection is dropped.
             let ask = TestRequest::post(path, "one");
             let mut connection = Connection::open(scene.instance.callers).await.unwrap();
             let lost = connection.send(ask.request(), Duration::from_millis(25)).await;
             assert_eq!(lost.map(|reply| reply.status.as_u16()), Err(NoReply::Broken));
             drop(connection);
-            scene.target.set(Misbehaviour::None);
-            scene.target.set_work(Duration::from_millis(1));
+            scene.targets[0].set(Misbehaviour::None);
+            scene.targets[0].set_work(Duration::from_millis(1));
             for _ in 0..4 {
-                scene.served(path).await;
+                served(&scene, path).await;
             }
         }
     }
@@ -102,19 +91,19 @@
 async fn answers_that_come_after_the_route_s_time_reach_nobody_else() {
     let scene = scene(100).await;
     for path in ["/look/a", "/buy/a"].repeat(4) {
-        scene.target.set(Misbehaviour::IgnoreClose);
-        scene.target.set_work(Duration::from_millis(130));
+        scene.targets[0].set(Misbehaviour::IgnoreClose);
+        scene.targets[0].set_work(Duration::from_millis(130));
         // The caller's own connection stays in use after the timeout.
         let mut connection = Connection::open(scene.instance.callers).await.unwrap();
         let late = connection.send(TestRequest::post(path, "one").request(), Duration::from_secs(5)).await.unwrap();
         assert_eq!(late.status, 504);
-        scene.target.set(Misbehaviour::None);
-        scene.target.set_work(Duration::from_millis(1));
+        scene.targets[0].set(Misbehaviour::None);
+        scene.targets[0].set_work(Duration::from_millis(1));
         for _ in 0..4 {
             let ask = TestRequest::post(path, "one");
             let reply = connection.send(ask.request(), Duration::from_secs(5)).await.unwrap();
             assert!(reply.status != 200 || reply.body.ends_with(ask.id.as_bytes()), "{reply:?}");
-            scene.served(path).await;
+            served(&scene, path).await;
         }
     }
 }
@@ -130,7 +119,7 @@
         )
     };
     let text: String = ids.iter().map(request).collect();
-    let answers = raw(scene.instance.callers, text.as_bytes()).await;
+    let answers = raw(scene.instance.callers, text.as_bytes()).await.unwrap();
     let places: Vec<usize> = ids.iter().map(|id| answers.find(&format!("u-0 {id}")).unwrap()).collect();
     assert!(places.is_sorted(), "{answers}");
     assert_eq!(answers.matches("HTTP/1.1 200").count(), 4, "{answers}");
@@ -147,5 +136,5 @@
     drop(stream);
     let line = scene.instance.request_line("half-1").await;
     assert_eq!(line["sends"], 0, "{line}");
-    assert!(scene.target.runs().iter().all(|run| run.id != "half-1"));
+    assert!(scene.targets[0].runs().iter().all(|run| run.id != "half-1"));
 }
--- a/standins/tests/applied_policies.rs
+++ b/standins/tests/applied_policies.rs
@@ -7,7 +7,8 @@
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
-use standins::site::{InstanceProcess, RouteSpec, Site};
+use standins::scene::{look_route, start_target};
+use standins::site::{InstanceProcess, Site};
 use standins::store::{Endpoint, Trouble};
 use standins::target_server::TargetServer;
 use standins::wait::WAIT_TIMEOUT;
@@ -28,9 +29,8 @@
 impl Scene {
     async fn start() -> Self {
         let site = Site::start(program()).await;
-        let target = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-        site.register(&target, "shop", "a-1");
-        site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
+        let target = start_target(&site, "u-1", "a-1").await;
+        site.configure(1, &[look_route()], &["shop"]);
         let endpoint = site.store.endpoint().await.unwrap();
         let mut first = site.instance_at("e-1", "a-1", &endpoint, &[]);
         first.start();
@@ -48,7 +48,7 @@
     async fn in_force(&self, revision: u64) {
         for instance in [&self.first, &self.second] {
             let end = Instant::now() + WAIT_TIMEOUT;
-            while read(&http::get(instance.peers, "/status").await.unwrap())["policies"] != revision {
+            while instance.status().await["policies"] != revision {
                 assert!(Instant::now() < end, "revision {revision} is not in force at {}", instance.name);
                 tokio::time::sleep(Duration::from_millis(20)).await;
             }
@@ -83,7 +83,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_apply_that_another_overtook_while_the_store_was_away_is_a_conflict() {
+async fn an_apply_that_another_overtook_while_the_store_refused_it_is_a_conflict() {
     let scene = Scene::start().await;
     scene.endpoint.set(Trouble::Busy);
     let begun = scene.begin("late", Some(0));
--- a/standins/tests/broken_answers.rs
+++ b/standins/tests/broken_answers.rs
@@ -3,11 +3,12 @@
 
 mod common;
 
-use common::{program, raw};
+use common::program;
 use hyper::StatusCode;
-use standins::http::NoReply;
-use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest};
-use standins::target_server::{Misbehaviour, TargetServer};
+use standins::http::{NoReply, raw};
+use standins::scene::{SERVICE, Scene, Setup, look_route};
+use standins::site::{HOST, RouteSpec, TestRequest};
+use standins::target_server::Misbehaviour;
 use standins::wait::WAIT_TIMEOUT;
 use std::time::{Duration, Instant};
 
@@ -47,50 +48,25 @@
     "HTTP/9.9 200 OK\r\nContent-Length: 0\r\n\r\n",
 ];
 
-struct Scene {
-    _site: Site,
-    instance: InstanceProcess,
-    targets: Vec<TargetServer>,
-}
-
 async fn scene(count: usize) -> Scene {
-    let site = Site::start(program()).await;
-    let mut targets = Vec::new();
-    for number in 0..count {
-        let target = TargetServer::start(&format!("u-{number}"), 4, Duration::from_millis(2)).await.unwrap();
-        site.register(&target, "shop", "a-1");
-        targets.push(target);
-    }
-    let routes = [RouteSpec::new("/look/", "safe", "shop"), RouteSpec::new("/buy/", "unsafe", "shop")];
-    site.configure(1, &routes, &["shop"]);
-    let instance = site.ready_instance("e-1", "a-1").await;
-    Scene { _site: site, instance, targets }
+    let routes = vec![look_route(), RouteSpec::new("/buy/", "unsafe", SERVICE)];
+    Setup { slots: 4, routes, ..Setup::targets(count) }.start(program()).await
 }
 
-impl Scene {
-    fn all(&self, misbehaviour: Misbehaviour) {
-        self.targets.iter().for_each(|target| target.set(misbehaviour));
-    }
-
-    fn runs_of(&self, id: &str) -> usize {
-        self.targets.iter().flat_map(TargetServer::runs).filter(|run| run.id == id).count()
-    }
-
-    /// Waits until requests are served again: a target that failed gets a
-    /// moment's rest. Each answer on the way has to be the request's own.
-    async fn served(&self) {
-        let end = Instant::now() + WAIT_TIMEOUT;
-        loop {
-            let ask = TestRequest::post("/buy/x", "one");
-            let reply = ask.send(self.instance.callers).await.unwrap();
-            if reply.status == 200 {
-                assert!(reply.body.ends_with(ask.id.as_bytes()), "the answer of another request: {reply:?}");
-                return;
-            }
-            assert_eq!(reply.status, 503, "nothing is broken any more");
-            assert!(Instant::now() < end, "nothing is served any more");
-            tokio::time::sleep(Duration::from_millis(20)).await;
+/// Waits until requests are served again: a target that failed gets a
+/// moment's rest. Each answer on the way has to be the request's own.
+async fn served(scene: &Scene) {
+    let end = Instant::now() + WAIT_TIMEOUT;
+    loop {
+        let ask = TestRequest::post("/buy/x", "one");
+        let reply = ask.send(scene.instance.callers).await.unwrap();
+        if reply.status == 200 {
+            assert!(reply.body.ends_with(ask.id.as_bytes()), "the answer of another request: {reply:?}");
+            return;
         }
+        assert_eq!(reply.status, 503, "nothing is broken any more");
+        assert!(Instant::now() < end, "nothing is served any more");
+        tokio::time::sleep(Duration::from_millis(20)).await;
     }
 }
 
@@ -113,24 +89,24 @@
 async fn a_broken_answer_to_a_request_that_may_run_once_is_a_502_and_spoils_no_other() {
     let scene = scene(1).await;
     for text in broken() {
-        scene.served().await;
-        scene.all(Misbehaviour::Raw(text));
+        served(&scene).await;
+        scene.set_all(Misbehaviour::Raw(text));
         let ask = TestRequest::post("/buy/x", "one");
         let reply = ask.send(scene.instance.callers).await.unwrap();
         assert_eq!(reply.status, StatusCode::BAD_GATEWAY, "{text:?}");
         assert_eq!(scene.runs_of(&ask.id), 1, "{text:?}");
         assert!(reply.header("lockloft-response-signature").is_empty(), "{text:?}");
         assert!(!String::from_utf8_lossy(&reply.body).contains("hel"), "{text:?}: {reply:?}");
-        scene.all(Misbehaviour::None);
+        scene.set_all(Misbehaviour::None);
     }
-    scene.served().await;
+    served(&scene).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_safe_request_gets_another_target_s_answer_in_place_of_a_broken_one() {
     let scene = scene(2).await;
     for text in broken() {
-        // Second tries have to be earned.
+        // Retries have to be earned.
         for _ in 0..10 {
             assert_eq!(TestRequest::get("/look/a").send(scene.instance.callers).await.unwrap().status, 200);
         }
@@ -149,16 +125,16 @@
 async fn a_chunked_answer_that_breaks_off_is_not_made_whole() {
     let scene = scene(1).await;
     for text in [large(true), &*format!("{HEAD}{}", BROKEN[2]).leak()] {
-        scene.served().await;
-        scene.all(Misbehaviour::Raw(text));
+        served(&scene).await;
+        scene.set_all(Misbehaviour::Raw(text));
         let request = format!(
             "GET /look/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: cut-1\r\nLockloft-Deadline-Ms: 2000\r\n\
              Connection: close\r\n\r\n"
         );
-        let answer = raw(scene.instance.callers, request.as_bytes()).await;
+        let answer = raw(scene.instance.callers, request.as_bytes()).await.unwrap();
         assert!(!answer.ends_with("0\r\n\r\n"), "a short answer was closed as if it were whole");
         assert!(!answer.starts_with("HTTP/1.1 200") || answer.contains("chunked"), "its length is a lie");
-        scene.all(Misbehaviour::None);
+        scene.set_all(Misbehaviour::None);
     }
 }
 
@@ -167,18 +143,18 @@
     let scene = scene(1).await;
     for text in [large(true), large(false)] {
         for path in ["/look/x", "/buy/x"] {
-            scene.served().await;
-            scene.all(Misbehaviour::Raw(text));
+            served(&scene).await;
+            scene.set_all(Misbehaviour::Raw(text));
             let ask = TestRequest::post(path, "one");
             match ask.send(scene.instance.callers).await {
                 Err(broken) => assert_eq!(broken, NoReply::Broken),
                 Ok(reply) => assert_eq!(reply.status, 502, "never short and well-formed"),
             }
             assert_eq!(scene.runs_of(&ask.id), 1, "a part of it was passed on already");
-            scene.all(Misbehaviour::None);
+            scene.set_all(Misbehaviour::None);
         }
     }
-    scene.served().await;
+    served(&scene).await;
 }
 
 /// Of a length and chunks at once, one reading leaves bytes that look like an
@@ -190,12 +166,12 @@
     for framing in
         ["Content-Length: 5\r\nTransfer-Encoding: chunked", "Transfer-Encoding: chunked\r\nContent-Length: 5"]
     {
-        scene.served().await;
-        scene.all(Misbehaviour::Raw(format!("{HEAD}{framing}\r\n\r\n0\r\n\r\n{smuggled}").leak()));
+        served(&scene).await;
+        scene.set_all(Misbehaviour::Raw(format!("{HEAD}{framing}\r\n\r\n0\r\n\r\n{smuggled}").leak()));
         let mut connection = standins::http::Connection::open(scene.instance.callers).await.unwrap();
         let first = connection.send(TestRequest::post("/buy/x", "one").request(), Duration::from_secs(5)).await;
         assert!(!first.is_ok_and(|reply| String::from_utf8_lossy(&reply.body).contains("smuggled")));
-        scene.all(Misbehaviour::None);
-        scene.served().await;
+        scene.set_all(Misbehaviour::None);
+        served(&scene).await;
     }
 }
--- a/standins/tests/garbage.rs
+++ b/standins/tests/garbage.rs
@@ -3,32 +3,26 @@
 
 mod common;
 
-use common::{program, raw};
+use common::program;
 use serde_json::{Value, json};
-use standins::http;
+use standins::http::{self, raw};
 use standins::ports::own_ip;
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
+use standins::scene::{Scene, Setup};
+use standins::site::{InstanceProcess, TestRequest};
 use standins::store::Trouble;
-use standins::target_server::TargetServer;
 use standins::wait::WAIT_TIMEOUT;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::TcpListener;
 
-async fn scene() -> (Site, TargetServer, InstanceProcess) {
-    let site = Site::start(program()).await;
-    let target = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-    site.register(&target, "shop", "a-1");
-    site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
-    let instance = site.ready_instance("e-1", "a-1").await;
-    (site, target, instance)
+async fn scene() -> Scene {
+    Setup::targets(1).start(program()).await
 }
 
 /// What the instance has in force, without what changes by itself.
 async fn in_force(instance: &InstanceProcess) -> Value {
-    let reply = http::get(instance.peers, "/status").await.unwrap();
-    let status: Value = serde_json::from_slice(&reply.body).unwrap();
+    let status = instance.status().await;
     json!([status["config"], status["policies"], status["members"], status["targets"], status["evacuated"]])
 }
 
@@ -47,7 +41,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn garbage_at_any_address_changes_nothing() {
-    let (site, _target, instance) = scene().await;
+    let Scene { site, instance, targets: _targets } = scene().await;
     let (before, revision) = (in_force(&instance).await, site.store.keys("").len());
     let garbage: [&[u8]; 5] = [
         b"NOT HTTP AT ALL\r\n\r\n",
@@ -58,7 +52,7 @@
     ];
     for address in [instance.peers, instance.directory, instance.readiness, instance.callers] {
         for bytes in garbage {
-            let answer = raw(address, bytes).await;
+            let answer = raw(address, bytes).await.unwrap();
             assert!(!answer.starts_with("HTTP/1.1 2"), "{answer}");
         }
     }
@@ -69,8 +63,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_question_or_an_apply_that_cannot_be_read_is_refused_and_changes_nothing() {
-    let (_site, _target, instance) = scene().await;
+async fn a_query_or_an_apply_that_cannot_be_parsed_is_refused_and_changes_nothing() {
+    let Scene { site: _site, instance, targets: _targets } = scene().await;
     let before = in_force(&instance).await;
     let good = json!({"id": "i", "by": "anna", "expect": null, "sources": {"files": []}});
     let without = |field: &str| {
@@ -105,8 +99,8 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn peers_that_answer_garbage_do_not_keep_an_instance_from_learning() {
-    let (site, _target, first) = scene().await;
+async fn peers_that_answer_garbage_do_not_keep_an_instance_from_its_view() {
+    let Scene { site, instance: first, targets: _targets } = scene().await;
     let garbage = [
         garbage_server(b"this is no answer\r\n\r\n").await,
         garbage_server(b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\n{}").await,
@@ -118,7 +112,7 @@
     instance.start();
     let end = Instant::now() + WAIT_TIMEOUT;
     while !TestRequest::get("/look/a").send(instance.callers).await.is_ok_and(|reply| reply.status == 200) {
-        assert!(Instant::now() < end, "it learned nothing: {}", instance.log());
+        assert!(Instant::now() < end, "it got no view: {}", instance.log());
         tokio::time::sleep(Duration::from_millis(50)).await;
     }
     assert_eq!(in_force(&instance).await[0], 1);
--- a/standins/tests/planned_stop.rs
+++ b/standins/tests/planned_stop.rs
@@ -1,30 +1,27 @@
 //! A planned stop of an instance.
 
+mod common;
+
+use common::program;
+use standins::scene::{SERVICE, Setup};
 use standins::site::{RouteSpec, Site, TestRequest};
 use standins::target_server::TargetServer;
-use std::path::Path;
 use std::time::{Duration, Instant};
 
-fn program() -> &'static Path {
-    Path::new(env!("CARGO_BIN_EXE_standins"))
-}
-
 async fn site(work: Duration, stop_s: f64) -> (Site, TargetServer) {
-    let mut site = Site::start(program()).await;
-    site.stop_after(stop_s);
-    let target = TargetServer::start("u-1", 4, work).await.unwrap();
-    site.register(&target, "shop", "a-1");
-    site.configure(1, &[RouteSpec::new("/buy/", "unsafe", "shop")], &["shop"]);
-    (site, target)
+    let routes = vec![RouteSpec::new("/buy/", "unsafe", SERVICE)];
+    let setup = Setup { slots: 4, work, routes, stop_s: Some(stop_s), ..Setup::targets(1) };
+    let (site, mut targets) = setup.deploy(program()).await;
+    (site, targets.remove(0))
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_under_way_ends_well_and_its_connection_is_closed() {
-    let (site, _target) = site(Duration::from_millis(300), 6.0).await;
+    let (site, target) = site(Duration::from_millis(300), 6.0).await;
     let mut instance = site.ready_instance("e-1", "a-1").await;
     let callers = instance.callers;
     let request = tokio::spawn(async move { TestRequest::post("/buy/x", "one").send(callers).await });
-    standins::wait::wait_until("the request's arrival", || _target.arrivals() == 1).await;
+    standins::wait::wait_until("the request's arrival", || target.arrivals() == 1).await;
     instance.terminate();
     let reply = request.await.unwrap().unwrap();
     assert_eq!(reply.status, 200);
@@ -35,7 +32,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_go_on_being_served_after_the_signal_and_none_is_cut_by_the_end() {
-    let (site, _target) = site(Duration::from_millis(150), 4.0).await;
+    let (site, target) = site(Duration::from_millis(150), 4.0).await;
     let mut instance = site.ready_instance("e-1", "a-1").await;
     instance.terminate();
     let asked = Instant::now();
@@ -56,11 +53,11 @@
     assert!(served > 0, "nothing was served after the signal");
     assert!(refused > 0, "requests were taken to the very end, after {:?}", asked.elapsed());
     instance.wait_exit().await;
-    assert_eq!(_target.runs().iter().filter(|run| run.cut).count(), 0);
+    assert_eq!(target.runs().iter().filter(|run| run.cut).count(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_request_that_comes_just_as_a_quiet_entry_ends_is_not_cut() {
+async fn a_request_that_arrives_just_as_an_idle_instance_exits_is_not_cut() {
     let (site, target) = site(Duration::from_millis(150), 6.0).await;
     let mut runs = Vec::new();
     for number in 0..12u64 {
--- a/standins/tests/policies.rs
+++ b/standins/tests/policies.rs
@@ -8,7 +8,8 @@
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
+use standins::scene::{look_route, start_target};
+use standins::site::{InstanceProcess, Site, TestRequest};
 use standins::store::Trouble;
 use standins::target_server::TargetServer;
 use standins::wait::wait_until;
@@ -27,11 +28,9 @@
 impl Scene {
     async fn start() -> Self {
         let site = Site::start(program()).await;
-        let one = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-        let other = TargetServer::start("u-2", 8, Duration::from_millis(2)).await.unwrap();
-        site.register(&one, "shop", "a-1");
-        site.register(&other, "shop", "a-2");
-        site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
+        let one = start_target(&site, "u-1", "a-1").await;
+        let other = start_target(&site, "u-2", "a-2").await;
+        site.configure(1, &[look_route()], &["shop"]);
         let instances = [site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await];
         Self { site, targets: [one, other], instances }
     }
@@ -39,7 +38,7 @@
     /// Waits until an instance has a revision of the policies in force.
     async fn in_force(&self, instance: usize, revision: u64) {
         let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-        while status(&self.instances[instance]).await["policies"] != revision {
+        while self.instances[instance].status().await["policies"] != revision {
             assert!(Instant::now() < end, "revision {revision} is not in force at instance {instance}");
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
@@ -57,10 +56,6 @@
     }
 }
 
-async fn status(instance: &InstanceProcess) -> Value {
-    serde_json::from_slice(&http::get(instance.peers, "/status").await.unwrap().body).unwrap()
-}
-
 async fn apply(instance: &InstanceProcess, id: &str, expect: Option<u64>, text: &str) -> Reply {
     let sources = Sources::single("policies.toml", text);
     let request = ApplyRequest { id: id.into(), by: "anna".into(), expect, sources };
@@ -73,7 +68,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn policies_applied_at_one_entry_are_in_force_at_all_and_explained() {
+async fn policies_applied_at_one_instance_are_in_force_at_all_and_explained() {
     let scene = Scene::start().await;
     assert!(scene.to_drained_hall(1).await > 0);
     let reply = apply(&scene.instances[0], "one", None, DRAIN).await;
@@ -126,7 +121,7 @@
     endpoint.set(Trouble::None);
     let (instance, reply) = applied.await.unwrap();
     assert_eq!(reply.status, 200, "{}", message(&reply));
-    assert_eq!(status(&instance).await["store_lost"], false);
+    assert_eq!(instance.status().await["store_lost"], false);
     // The write was done once: the next one follows it.
     scene.instances[0] = instance;
     assert_eq!(apply(&scene.instances[0], "next", Some(1), NOTHING).await.status, 200);
@@ -134,7 +129,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn policies_outlast_their_entries_and_the_store_s_outage() {
+async fn policies_outlast_their_instances_and_the_store_s_outage() {
     let mut scene = Scene::start().await;
     assert_eq!(apply(&scene.instances[0], "one", None, DRAIN).await.status, 200);
     scene.in_force(1, 1).await;
@@ -151,11 +146,11 @@
     let refused = apply(&instance, "unheard", None, NOTHING).await;
     assert_eq!(refused.status, 503);
     assert!(message(&refused).contains("may still come into force"), "{}", message(&refused));
-    assert_eq!(status(&scene.instances[1]).await["policies"], 1);
+    assert_eq!(scene.instances[1].status().await["policies"], 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_tool_speaks_to_instances() {
+async fn the_command_line_tool_works_with_instances() {
     let scene = Scene::start().await;
     let folder = std::env::temp_dir().join(standins::site::fresh_id());
     std::fs::create_dir(&folder).unwrap();
@@ -180,7 +175,7 @@
     for command in commands {
         assert_eq!(tool(command).await, success, "{command:?}");
     }
-    assert_eq!(status(&scene.instances[1]).await["policies"], 1, "--wait waited for all instances");
+    assert_eq!(scene.instances[1].status().await["policies"], 1, "--wait waited for all instances");
     assert_eq!(tool(&["apply", &file, "--expect", "0"]).await, format!("{:?}", std::process::ExitCode::from(3)));
     assert_eq!(tool(&["history"]).await, format!("{:?}", std::process::ExitCode::from(2)));
     std::fs::remove_dir_all(folder).unwrap();
--- a/standins/tests/recovery_of_instances.rs
+++ b/standins/tests/recovery_of_instances.rs
@@ -3,41 +3,19 @@
 mod common;
 
 use common::program;
-use standins::http;
+use standins::scene::{look_route, start_target};
 use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
-use standins::target_server::{Registration, TargetServer};
+use standins::target_server::Registration;
 use standins::wait::{WAIT_TIMEOUT, wait_until};
 use std::time::{Duration, Instant};
 
-async fn target(site: &Site, id: &str, hall: &str) -> TargetServer {
-    let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.register(&target, "shop", hall);
-    target
-}
-
-fn shop() -> RouteSpec {
-    RouteSpec::new("/look/", "safe", "shop")
-}
-
 async fn site() -> Site {
     let site = Site::start(program()).await;
-    site.configure(1, &[shop()], &["shop"]);
+    site.configure(1, &[look_route()], &["shop"]);
     site
 }
 
-async fn status(instance: &InstanceProcess) -> serde_json::Value {
-    serde_json::from_slice(&http::get(instance.peers, "/status").await.unwrap().body).unwrap()
-}
-
-async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
-    let end = Instant::now() + WAIT_TIMEOUT;
-    while !TestRequest::get(path).send(instance.callers).await.is_ok_and(|reply| reply.status == status) {
-        assert!(Instant::now() < end, "{path} was never answered with {status} by {}", instance.name);
-        tokio::time::sleep(Duration::from_millis(20)).await;
-    }
-}
-
 /// Whether an instance answers 20 objects, each with its own answer.
 async fn serves(instance: &InstanceProcess) {
     for object in 0..20 {
@@ -59,7 +37,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn instances_cut_off_from_everything_serve_their_own_callers() {
     let site = site().await;
-    let _targets = [target(&site, "u-1", "a-1").await, target(&site, "u-2", "b-1").await];
+    let _targets = [start_target(&site, "u-1", "a-1").await, start_target(&site, "u-2", "b-1").await];
     let mut instances = Vec::new();
     for (name, hall) in [("e-1", "a-1"), ("e-2", "b-1")] {
         let endpoint = site.store.endpoint().await.unwrap();
@@ -69,22 +47,22 @@
         instances.push((instance, endpoint));
     }
     for (instance, _) in &instances {
-        wait_until("the sight of each other", || instance.events("member").len() >= 2).await;
+        wait_until("each other's registration", || instance.events("member").len() >= 2).await;
     }
-    // Each learns nothing more: not of the store, nor of its frozen peer.
+    // Neither the store nor its frozen peer answers an instance.
     instances.iter().for_each(|(_, endpoint)| endpoint.set(Trouble::Silent));
     for number in 0..2 {
         let (instance, peer) = (&instances[number].0, &instances[1 - number].0);
         peer.signal(libc::SIGSTOP);
-        wait_until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
+        wait_until("the loss of the store", || !instance.events("store_lost").is_empty()).await;
         serves(instance).await;
         assert!(instance.is_ready().await);
         peer.signal(libc::SIGCONT);
     }
     instances.iter().for_each(|(_, endpoint)| endpoint.set(Trouble::None));
-    site.configure(2, &[shop(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
+    site.configure(2, &[look_route(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
     for (instance, _) in &instances {
-        until_status(instance, "/new/a", 200).await;
+        instance.wait_status("/new/a", 200).await;
         serves(instance).await;
     }
 }
@@ -92,20 +70,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_paused_instance_is_not_named_and_acts_on_nothing_that_changed_meanwhile() {
     let site = site().await;
-    let (left, stays) = (target(&site, "u-1", "a-1").await, target(&site, "u-2", "a-1").await);
+    let (left, stays) = (start_target(&site, "u-1", "a-1").await, start_target(&site, "u-2", "a-1").await);
     let (paused, other) = (site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await);
     until_named(&other, &paused, true).await;
     paused.signal(libc::SIGSTOP);
-    wait_until("the lapse of its lease", || site.store.keys("lockloft/").len() == 1).await;
+    wait_until("the end of its lease", || site.store.keys("lockloft/").len() == 1).await;
     until_named(&other, &paused, false).await;
     site.register_as(&left, &Registration::draining("shop", "a-1", 2));
-    site.configure(2, &[shop(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
-    until_status(&other, "/new/a", 200).await;
+    site.configure(2, &[look_route(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
+    other.wait_status("/new/a", 200).await;
     paused.signal(libc::SIGCONT);
-    // It announces itself again, and what it did not know is in force soon.
+    // It registers again, and what changed meanwhile is in force soon.
     wait_until("its new key", || site.store.keys("lockloft/").len() == 2).await;
     until_named(&other, &paused, true).await;
-    until_status(&paused, "/new/a", 200).await;
+    paused.wait_status("/new/a", 200).await;
     let before = left.runs().len();
     serves(&paused).await;
     assert_eq!(left.runs().len(), before, "a target that is leaving got new work");
@@ -115,41 +93,41 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_second_death_in_a_hall_of_three_is_taken_over_too() {
     let site = site().await;
-    let _target = target(&site, "u-1", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     let mut instances = Vec::new();
     for name in ["e-1", "e-2", "e-3"] {
         instances.push(site.ready_instance(name, "a-1").await);
     }
     let survivor = instances.pop().unwrap();
-    wait_until("the sight of all", || survivor.events("member").len() >= 3).await;
+    wait_until("the registration of all", || survivor.events("member").len() >= 3).await;
     for (version, instance) in instances.iter_mut().enumerate() {
         instance.kill();
         let route = format!("/new-{version}/");
-        site.configure(version as u64 + 2, &[shop(), RouteSpec::new(&route, "safe", "shop")], &["shop"]);
-        until_status(&survivor, &format!("{route}a"), 200).await;
+        site.configure(version as u64 + 2, &[look_route(), RouteSpec::new(&route, "safe", "shop")], &["shop"]);
+        survivor.wait_status(&format!("{route}a"), 200).await;
         until_named(&survivor, instance, false).await;
         serves(&survivor).await;
     }
-    assert_eq!(status(&survivor).await["members"], 1);
+    assert_eq!(survivor.status().await["members"], 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_replaced_instance_serves_while_the_store_is_down() {
     let site = site().await;
-    let _target = target(&site, "u-1", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     let first = site.ready_instance("e-1", "a-1").await;
     let mut replaced = site.instance_at("e-2", "a-1", &site.endpoint, &[first.peers]);
     replaced.start();
     replaced.wait_ready().await;
     site.endpoint.set(Trouble::Silent);
     replaced.kill();
-    // Also when nobody has learned anything of the store for a while.
-    wait_until("the store counts as lost", || !first.events("store_lost").is_empty()).await;
+    // Also when no instance has reached the store for a while.
+    wait_until("the loss of the store", || !first.events("store_lost").is_empty()).await;
     replaced.start();
-    until_status(&replaced, "/look/a", 200).await;
+    replaced.wait_status("/look/a", 200).await;
     serves(&replaced).await;
     serves(&first).await;
-    assert_eq!(status(&replaced).await["store_lost"], true);
+    assert_eq!(replaced.status().await["store_lost"], true);
     site.endpoint.set(Trouble::None);
     wait_until("its key", || site.store.keys("lockloft/").len() == 2).await;
     until_named(&first, &replaced, true).await;
--- a/standins/tests/relay.rs
+++ b/standins/tests/relay.rs
@@ -1,36 +1,18 @@
-//! How the instances of a hall hear of the store through one another.
+//! How the instances of a hall get the store's changes through a relay.
 
 mod common;
 
 use common::program;
 use lockloft::sync::relay::FOLLOWERS;
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
+use standins::scene::{look_route, start_target};
+use standins::site::{InstanceProcess, RouteSpec, Site};
 use standins::store::Trouble;
-use standins::target_server::{Registration, TargetServer, TargetState};
+use standins::target_server::{Registration, TargetState};
 use standins::wait::wait_until;
 use std::time::{Duration, Instant};
 
-async fn target(site: &Site, id: &str, service: &str, hall: &str) -> TargetServer {
-    let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.register(&target, service, hall);
-    target
-}
-
 fn shop() -> Vec<RouteSpec> {
-    vec![RouteSpec::new("/look/", "safe", "shop")]
-}
-
-/// Waits until a path is answered with a status by an instance.
-async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
-    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-    loop {
-        let reply = TestRequest::get(path).send(instance.callers).await;
-        if reply.as_ref().is_ok_and(|reply| reply.status == status) {
-            return;
-        }
-        assert!(Instant::now() < end, "{path} was never answered with {status}: {reply:?}");
-        tokio::time::sleep(Duration::from_millis(20)).await;
-    }
+    vec![look_route()]
 }
 
 /// Instances `e-1` and so on of one hall, all listed, the relay first.
@@ -42,7 +24,7 @@
     let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     for instance in &instances {
         while instance.resolve("a").await.len() < count {
-            assert!(Instant::now() < end, "{} does not see all", instance.name);
+            assert!(Instant::now() < end, "{} does not name all", instance.name);
             tokio::time::sleep(Duration::from_millis(20)).await;
         }
     }
@@ -50,12 +32,12 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn one_entry_of_a_hall_watches_the_store_for_all() {
+async fn one_instance_of_a_hall_watches_the_store_for_all() {
     let site = Site::start(program()).await;
-    let target = target(&site, "u-1", "shop", "a-1").await;
+    let target = start_target(&site, "u-1", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let instances = hall(&site, 4).await;
-    wait_until("the relay's news", || instances[3].log().contains("\"source\":\"relay\"")).await;
+    wait_until("a change from the relay", || instances[3].log().contains("\"source\":\"relay\"")).await;
     // Whatever watches the others still have in the store end with a change.
     site.store.put("op/evacuate/b-1", "{}");
     wait_until("the evacuation", || instances.iter().all(|instance| instance.events("evacuation").len() == 1)).await;
@@ -71,17 +53,17 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_hall_whose_relay_dies_freezes_or_loses_the_store_hears_of_changes_in_time() {
+async fn a_hall_whose_relay_dies_freezes_or_loses_the_store_gets_changes_in_time() {
     for trouble in ["dies", "freezes", "loses the store"] {
         let site = Site::start(program()).await;
-        let _target = target(&site, "u-1", "shop", "a-1").await;
+        let _target = start_target(&site, "u-1", "a-1").await;
         site.configure(1, &shop(), &["shop"]);
         let endpoint = site.store.endpoint().await.unwrap();
         let mut relay = site.instance_at("e-0", "a-1", &endpoint, &[]);
         relay.start();
         relay.wait_ready().await;
         let instances = hall(&site, 4).await;
-        wait_until("the relay's news", || instances[3].log().contains("\"source\":\"relay\"")).await;
+        wait_until("a change from the relay", || instances[3].log().contains("\"source\":\"relay\"")).await;
         match trouble {
             "dies" => relay.kill(),
             "freezes" => relay.signal(libc::SIGSTOP),
@@ -91,7 +73,7 @@
         site.configure(2, &both, &["shop"]);
         let changed = Instant::now();
         for instance in &instances {
-            until_status(instance, "/new/x", 200).await;
+            instance.wait_status("/new/x", 200).await;
         }
         // The shortest bound on a configuration.
         assert!(changed.elapsed() < Duration::from_secs(2), "{trouble}: {:?}", changed.elapsed());
@@ -99,7 +81,7 @@
     }
 }
 
-/// Waits until all these instances have heard of a number of evacuations, begun
+/// Waits until all these instances have received a number of evacuations, begun
 /// one after the other; gives the watches that the store saw meanwhile.
 async fn watches_for_evacuations(site: &Site, instances: &[InstanceProcess], halls: &[&str]) -> u64 {
     let before = site.store.calls("kv-watch");
@@ -114,7 +96,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_hall_that_loses_its_relay_goes_on_with_one_watch() {
     let site = Site::start(program()).await;
-    let _target = target(&site, "u-1", "shop", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let mut instances = hall(&site, FOLLOWERS + 3).await;
     watches_for_evacuations(&site, &instances, &["b-1"]).await;
@@ -126,9 +108,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn word_that_nothing_changed_reaches_the_leaves_of_the_tree() {
+async fn heartbeats_without_a_change_reach_the_leaves_of_the_relay_tree() {
     let site = Site::start(program()).await;
-    let _target = target(&site, "u-1", "shop", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let instances = hall(&site, FOLLOWERS + 3).await;
     watches_for_evacuations(&site, &instances, &["b-1"]).await;
@@ -138,7 +120,7 @@
     let heard = leaf.metric("lockloft_entry_relay_answers_total", "").await;
     let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     while leaf.metric("lockloft_entry_relay_answers_total", "").await < heard + 6.0 {
-        assert!(Instant::now() < end, "the leaf hears nothing");
+        assert!(Instant::now() < end, "the leaf receives nothing");
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
     assert_eq!(instances.iter().map(left).collect::<Vec<_>>(), before, "nobody left its relay");
--- a/standins/tests/requests.rs
+++ b/standins/tests/requests.rs
@@ -3,58 +3,32 @@
 
 mod common;
 
-use common::{program, raw};
+use common::program;
 use hyper::StatusCode;
-use standins::http::NoReply;
-use standins::site::{HOST, InstanceProcess, RouteSpec, Site, TestRequest};
+use standins::http::{NoReply, raw};
+use standins::scene::{SERVICE, Scene, Setup, look_route};
+use standins::site::{HOST, RouteSpec, Site, TestRequest};
 use standins::target_server::{Misbehaviour, TargetServer};
 use standins::wait::wait_until;
 use std::time::{Duration, Instant};
 
-struct Scene {
-    site: Site,
-    instance: InstanceProcess,
-    targets: Vec<TargetServer>,
-}
-
 /// One instance and `count` targets of a service that takes all routes.
 async fn scene(count: usize) -> Scene {
     scene_with(count, |_| {}).await
 }
 
 async fn scene_with(count: usize, change: impl Fn(&mut RouteSpec)) -> Scene {
-    let site = Site::start(program()).await;
-    let mut targets = Vec::new();
-    for number in 0..count {
-        let target = TargetServer::start(&format!("u-{number}"), 4, Duration::from_millis(5)).await.unwrap();
-        site.register(&target, "shop", "a-1");
-        targets.push(target);
-    }
-    let mut routes = vec![
-        RouteSpec::new("/look/", "safe", "shop"),
-        RouteSpec::new("/buy/", "unsafe", "shop"),
-        RouteSpec::new("/send/", "upload", "shop"),
-    ];
+    let mut routes =
+        vec![look_route(), RouteSpec::new("/buy/", "unsafe", SERVICE), RouteSpec::new("/send/", "upload", SERVICE)];
     routes.iter_mut().for_each(change);
-    site.configure(3, &routes, &["shop"]);
-    let instance = site.ready_instance("e-1", "a-1").await;
-    Scene { site, instance, targets }
+    let setup = Setup { slots: 4, work: Duration::from_millis(5), routes, version: 3, ..Setup::targets(count) };
+    setup.start(program()).await
 }
 
-impl Scene {
-    fn all(&self, misbehaviour: Misbehaviour) {
-        self.targets.iter().for_each(|target| target.set(misbehaviour));
-    }
-
-    fn runs_of(&self, id: &str) -> usize {
-        self.targets.iter().flat_map(TargetServer::runs).filter(|run| run.id == id).count()
-    }
-
-    /// Earns second tries: the budget starts empty.
-    async fn earn_retries(&self) {
-        for _ in 0..30 {
-            assert_eq!(TestRequest::get("/look/a").send(self.instance.callers).await.unwrap().status, 200);
-        }
+/// Earns retries: the budget starts empty.
+async fn earn_retries(scene: &Scene) {
+    for _ in 0..30 {
+        assert_eq!(TestRequest::get("/look/a").send(scene.instance.callers).await.unwrap().status, 200);
     }
 }
 
@@ -78,7 +52,7 @@
         "POST /send/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: chunked-1\r\nLockloft-Deadline-Ms: 2000\r\n\
          Transfer-Encoding: chunked\r\nConnection: close\r\n\r\n5\r\nhello\r\n6\r\n world\r\n0\r\n\r\n"
     );
-    assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 200"));
+    assert!(raw(scene.instance.callers, text.as_bytes()).await.unwrap().starts_with("HTTP/1.1 200"));
     assert_eq!(scene.targets[0].runs()[0].body, b"hello world");
 }
 
@@ -97,26 +71,26 @@
     let text = format!(
         "POST /send/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Request-Id: big-1\r\nContent-Length: 9000000\r\n\r\n"
     );
-    assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 413"));
+    assert!(raw(scene.instance.callers, text.as_bytes()).await.unwrap().starts_with("HTTP/1.1 413"));
     assert_eq!(scene.targets[0].arrivals(), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn malformed_and_oversized_heads_get_400_and_431() {
     let scene = scene(1).await;
-    assert!(raw(scene.instance.callers, b"nonsense\r\n\r\n").await.starts_with("HTTP/1.1 400"));
+    assert!(raw(scene.instance.callers, b"nonsense\r\n\r\n").await.unwrap().starts_with("HTTP/1.1 400"));
     let text = format!("GET /look/x HTTP/1.1\r\nHost: {HOST}\r\nX: {}\r\n\r\n", "x".repeat(40_000));
-    assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 431"));
+    assert!(raw(scene.instance.callers, text.as_bytes()).await.unwrap().starts_with("HTTP/1.1 431"));
     let text =
         format!("GET /look/x HTTP/1.1\r\nHost: {HOST}\r\nLockloft-Deadline-Ms: soon\r\nConnection: close\r\n\r\n");
-    assert!(raw(scene.instance.callers, text.as_bytes()).await.starts_with("HTTP/1.1 400"));
+    assert!(raw(scene.instance.callers, text.as_bytes()).await.unwrap().starts_with("HTTP/1.1 400"));
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_head_that_comes_too_slowly_is_closed() {
     let scene = scene(1).await;
     let started = Instant::now();
-    let answer = raw(scene.instance.callers, b"GET /look/x HTTP/1.1\r\nHo").await;
+    let answer = raw(scene.instance.callers, b"GET /look/x HTTP/1.1\r\nHo").await.unwrap();
     assert!(answer.is_empty(), "{answer}");
     assert!(started.elapsed() < Duration::from_secs(4), "the limit is one second");
 }
@@ -143,7 +117,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_lost_answer_of_a_request_that_may_run_once_is_a_502_and_runs_once() {
     let scene = scene(2).await;
-    scene.earn_retries().await;
+    earn_retries(&scene).await;
     for misbehaviour in [
         Misbehaviour::LoseAnswer,
         Misbehaviour::Truncate,
@@ -152,17 +126,17 @@
         Misbehaviour::Garbage,
         Misbehaviour::UnframedReset,
     ] {
-        scene.all(misbehaviour);
+        scene.set_all(misbehaviour);
         let ask = TestRequest::post("/buy/x", "one");
         let reply = ask.send(scene.instance.callers).await.unwrap();
-        // A target that failed too often is left alone for a moment: then the
+        // A target that failed too often is ejected for a moment: then the
         // request did not run.
         let expected =
             if scene.runs_of(&ask.id) == 0 { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::BAD_GATEWAY };
         assert_eq!(reply.status, expected, "{misbehaviour:?}");
         assert!(scene.runs_of(&ask.id) <= 1, "{misbehaviour:?}");
         assert!(reply.header("lockloft-response-signature").is_empty());
-        scene.all(Misbehaviour::None);
+        scene.set_all(Misbehaviour::None);
         until_served(&scene).await;
     }
 }
@@ -178,9 +152,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_safe_request_whose_answer_is_spoilt_is_served_by_another_target() {
+async fn a_safe_request_whose_answer_is_lost_is_served_by_another_target() {
     let scene = scene(2).await;
-    scene.earn_retries().await;
+    earn_retries(&scene).await;
     // Object 1 lives at one of the two; only that one loses its answers.
     let home = scene.targets.iter().max_by_key(|target| target.runs().len()).unwrap();
     for misbehaviour in [Misbehaviour::LoseAnswer, Misbehaviour::Truncate] {
@@ -194,9 +168,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn second_tries_stay_within_the_budget() {
+async fn retries_stay_within_the_budget() {
     let scene = scene(2).await;
-    scene.all(Misbehaviour::LoseAnswer);
+    scene.set_all(Misbehaviour::LoseAnswer);
     for _ in 0..100 {
         let _ = TestRequest::get("/look/a").send(scene.instance.callers).await;
     }
@@ -208,7 +182,7 @@
 async fn surplus_answers_never_reach_a_caller() {
     let scene = scene(1).await;
     for misbehaviour in [Misbehaviour::SurplusAnswer, Misbehaviour::LateSurplusAnswer] {
-        scene.all(misbehaviour);
+        scene.set_all(misbehaviour);
         for _ in 0..20 {
             let ask = TestRequest::get("/look/a");
             let reply = ask.send(scene.instance.callers).await.unwrap();
@@ -222,12 +196,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_without_a_length_is_whole_or_not_passed_on() {
     let scene = scene(1).await;
-    scene.all(Misbehaviour::Unframed);
+    scene.set_all(Misbehaviour::Unframed);
     let ask = TestRequest::post("/buy/x", "one");
     let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     assert!(reply.body.ends_with(ask.id.as_bytes()));
-    scene.all(Misbehaviour::UnframedReset);
+    scene.set_all(Misbehaviour::UnframedReset);
     let reply = TestRequest::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 502);
 }
@@ -235,11 +209,11 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_answer_before_the_body_is_through_closes_that_connection() {
     let scene = scene(1).await;
-    scene.all(Misbehaviour::AnswerEarly);
+    scene.set_all(Misbehaviour::AnswerEarly);
     let body = vec![7u8; 3_000_000];
     let reply = TestRequest::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 503);
-    scene.all(Misbehaviour::None);
+    scene.set_all(Misbehaviour::None);
     let reply = TestRequest::post("/send/x", body.clone()).send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
     // Nothing else was taken for the rest of the first body.
@@ -250,7 +224,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_that_is_full_leads_to_another_and_all_full_to_a_503() {
     let scene = scene(2).await;
-    scene.earn_retries().await;
+    earn_retries(&scene).await;
     scene.targets[0].set(Misbehaviour::Full);
     for object in 0..10 {
         let ask = TestRequest::post("/buy/x", "one").affinity(object);
@@ -260,7 +234,7 @@
             TestRequest::get("/look/a").send(scene.instance.callers).await.unwrap();
         }
     }
-    scene.all(Misbehaviour::Full);
+    scene.set_all(Misbehaviour::Full);
     let ask = TestRequest::post("/buy/x", "one");
     let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 503);
@@ -271,7 +245,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_address_that_another_target_took_over_runs_nothing() {
     let mut scene = scene(2).await;
-    scene.earn_retries().await;
+    earn_retries(&scene).await;
     let left = scene.targets.remove(0);
     let address = left.address;
     left.stop().await;
@@ -302,7 +276,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_route_s_timeout_is_answered_when_it_ends_and_promises_nothing() {
     let scene = scene_with(1, |route| route.timeout_ms = 300).await;
-    scene.all(Misbehaviour::NoAnswer);
+    scene.set_all(Misbehaviour::NoAnswer);
     let started = Instant::now();
     let reply = TestRequest::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 504);
@@ -325,7 +299,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_s_own_failure_is_passed_on_unchanged() {
     let scene = scene(1).await;
-    scene.all(Misbehaviour::ServerError);
+    scene.set_all(Misbehaviour::ServerError);
     let ask = TestRequest::post("/buy/x", "one");
     let reply = ask.send(scene.instance.callers).await.unwrap();
     assert_eq!((reply.status.as_u16(), reply.body.as_ref()), (500, b"failed".as_slice()));
--- a/standins/tests/store_copy.rs
+++ b/standins/tests/store_copy.rs
@@ -1,9 +1,10 @@
-//! What an instance knows, from where, and what it does when the store
-//! is away: configuration, drains, evacuations, members.
+//! An instance's view, where it comes from, and what happens when the store
+//! is unreachable: configuration, drains, evacuations, members.
 
 mod common;
 
 use common::program;
+use standins::scene::{look_route, start_target, start_target_of};
 use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
 use standins::target_server::{Registration, TargetServer};
@@ -11,35 +12,15 @@
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
-async fn target(site: &Site, id: &str, service: &str, hall: &str) -> TargetServer {
-    let target = TargetServer::start(id, 8, Duration::from_millis(2)).await.unwrap();
-    site.register(&target, service, hall);
-    target
-}
-
 fn shop() -> Vec<RouteSpec> {
-    vec![RouteSpec::new("/look/", "safe", "shop")]
-}
-
-/// Waits until a path is answered with a status by an instance.
-async fn until_status(instance: &InstanceProcess, path: &str, status: u16) {
-    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-    loop {
-        let reply = TestRequest::get(path).send(instance.callers).await;
-        if reply.as_ref().is_ok_and(|reply| reply.status == status) {
-            return;
-        }
-        assert!(Instant::now() < end, "{path} was never answered with {status}: {reply:?}");
-        tokio::time::sleep(Duration::from_millis(20)).await;
-    }
+    vec![look_route()]
 }
 
-/// Waits until what an instance knows was last current so many milliseconds ago.
+/// Waits until an instance's view was last current so many milliseconds ago.
 async fn until_view_is_older(instance: &InstanceProcess, least_ms: u64) {
     let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     loop {
-        let reply = standins::http::get(instance.peers, "/status").await.unwrap();
-        let status: serde_json::Value = serde_json::from_slice(&reply.body).unwrap();
+        let status = instance.status().await;
         if status["view_age_ms"].as_u64().is_some_and(|age| age > least_ms) {
             return;
         }
@@ -61,12 +42,12 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_new_configuration_is_in_force_soon_and_an_older_one_never_again() {
     let site = Site::start(program()).await;
-    let _target = target(&site, "u-1", "shop", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(5, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
     site.configure(9, &both, &["shop"]);
-    until_status(&instance, "/new/x", 200).await;
+    instance.wait_status("/new/x", 200).await;
     site.configure(7, &shop(), &["shop"]);
     // A later change proves that the older version was seen and left.
     site.store.put("op/evacuate/b-1", "{}");
@@ -77,7 +58,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_configuration_that_cannot_be_read_is_refused_whole_with_one_line() {
     let site = Site::start(program()).await;
-    let _target = target(&site, "u-1", "shop", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(5, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     site.store.put("op/config", "{\"version\": 6, \"resources\": [{\"resource_type\": \"routes\", \"spec\": {}}]}");
@@ -90,7 +71,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_draining_target_and_one_that_is_gone_get_nothing_more() {
     let site = Site::start(program()).await;
-    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "a-1").await);
+    let (one, two) = (start_target(&site, "u-1", "a-1").await, start_target(&site, "u-2", "a-1").await);
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     let counts = spread(&instance, &[&one, &two]).await;
@@ -112,9 +93,9 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_evacuated_hall_gets_nothing_until_it_is_taken_back_and_warm() {
+async fn an_evacuated_hall_gets_nothing_until_the_evacuation_ends() {
     let site = Site::start(program()).await;
-    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "a-2").await);
+    let (one, two) = (start_target(&site, "u-1", "a-1").await, start_target(&site, "u-2", "a-2").await);
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     site.store.put("op/evacuate/a-1", "{}");
@@ -124,14 +105,14 @@
     wait_until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
     let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
     while spread(&instance, &[&one, &two]).await["u-1"] == 0 {
-        assert!(Instant::now() < end, "the hall never came back");
+        assert!(Instant::now() < end, "the hall got no requests again");
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn requests_of_a_route_with_regions_stay_in_them() {
     let site = Site::start(program()).await;
-    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "b-1").await);
+    let (one, two) = (start_target(&site, "u-1", "a-1").await, start_target(&site, "u-2", "b-1").await);
     let mut route = RouteSpec::new("/look/", "safe", "shop");
     route.regions = vec!["b".to_owned()];
     site.configure(1, &[route.clone()], &["shop"]);
@@ -139,16 +120,16 @@
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     route.regions = vec!["c".to_owned()];
     site.configure(2, &[route], &["shop"]);
-    until_status(&instance, "/look/a", 503).await;
+    instance.wait_status("/look/a", 503).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_object_stays_at_its_target_whichever_entry_it_comes_through() {
+async fn an_object_stays_at_its_target_whichever_instance_forwards_it() {
     let site = Site::start(program()).await;
     let targets = [
-        target(&site, "u-1", "shop", "a-1").await,
-        target(&site, "u-2", "shop", "a-1").await,
-        target(&site, "u-3", "shop", "a-2").await,
+        start_target(&site, "u-1", "a-1").await,
+        start_target(&site, "u-2", "a-1").await,
+        start_target(&site, "u-3", "a-2").await,
     ];
     site.configure(1, &shop(), &["shop"]);
     let (first, second) = (site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await);
@@ -168,7 +149,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_split_keeps_its_shares() {
     let site = Site::start(program()).await;
-    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "other", "a-1").await);
+    let (one, two) = (start_target(&site, "u-1", "a-1").await, start_target_of(&site, "u-2", "other", "a-1").await);
     let mut route = RouteSpec::new("/look/", "safe", "shop");
     route.services = vec![("shop".to_owned(), 70.0), ("other".to_owned(), 30.0)];
     site.configure(1, &[route], &["shop", "other"]);
@@ -183,7 +164,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn with_its_history_forgotten_the_store_is_listed_anew() {
     let site = Site::start(program()).await;
-    let (one, two) = (target(&site, "u-1", "shop", "a-1").await, target(&site, "u-2", "shop", "a-1").await);
+    let (one, two) = (start_target(&site, "u-1", "a-1").await, start_target(&site, "u-2", "a-1").await);
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     site.endpoint.set(Trouble::Reset);
@@ -197,41 +178,41 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_the_store_turns_away_learns_from_its_peers() {
+async fn an_instance_that_the_store_refuses_gets_changes_from_its_peers() {
     for trouble in [Trouble::Busy, Trouble::TooMany, Trouble::Reset, Trouble::Silent] {
         let site = Site::start(program()).await;
-        let _target = target(&site, "u-1", "shop", "a-1").await;
+        let _target = start_target(&site, "u-1", "a-1").await;
         site.configure(1, &shop(), &["shop"]);
         let _other = site.ready_instance("e-1", "a-1").await;
         let endpoint = site.store.endpoint().await.unwrap();
         let mut instance = site.instance_at("e-2", "a-2", &endpoint, &[]);
         instance.start();
         instance.wait_ready().await;
-        wait_until("the sight of each other", || instance.events("member").len() >= 2).await;
+        wait_until("each other's registration", || instance.events("member").len() >= 2).await;
         endpoint.set(trouble);
         let both = [shop(), vec![RouteSpec::new("/new/", "safe", "shop")]].concat();
         site.configure(2, &both, &["shop"]);
-        until_status(&instance, "/new/x", 200).await;
+        instance.wait_status("/new/x", 200).await;
     }
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_that_starts_while_the_store_is_down_learns_from_its_seeds() {
+async fn an_instance_that_starts_while_the_store_is_unreachable_gets_its_view_from_its_seeds() {
     let site = Site::start(program()).await;
-    let _target = target(&site, "u-1", "shop", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let first = site.ready_instance("e-1", "a-1").await;
     site.endpoint.set(Trouble::Silent);
     let mut instance = site.instance_at("e-2", "a-2", &site.endpoint, &[first.peers]);
     instance.start();
     instance.wait_ready().await;
-    until_status(&instance, "/look/x", 200).await;
+    instance.wait_status("/look/x", 200).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
 async fn the_directory_names_ready_entries_of_the_callers_region() {
     let site = Site::start(program()).await;
-    let _target = target(&site, "u-1", "shop", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let one = site.ready_instance("e-1", "a-1").await;
     let mut two = site.ready_instance("e-2", "a-2").await;
@@ -265,7 +246,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn an_entry_whose_key_was_taken_away_announces_itself_again() {
+async fn an_instance_whose_key_was_removed_registers_again() {
     let site = Site::start(program()).await;
     site.configure(1, &shop(), &["shop"]);
     let _instance = site.ready_instance("e-1", "a-1").await;
@@ -293,7 +274,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn a_request_that_comes_before_the_first_configuration_waits_a_moment_for_it() {
     let site = Site::start(program()).await;
-    let _target = target(&site, "u-1", "shop", "a-1").await;
+    let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     site.endpoint.slow(Duration::from_millis(100));
     let mut instance = site.instance("e-1", "a-1");
@@ -309,14 +290,14 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn targets_whose_entries_lapse_with_the_store_away_serve_on_until_they_are_surely_gone() {
+async fn targets_whose_registrations_expire_while_the_store_is_unreachable_serve_on_until_the_grace_ends() {
     let site = Site::start(program()).await;
-    let lives = target(&site, "lives", "shop", "a-1").await;
-    let ends = target(&site, "ends", "shop", "a-1").await;
+    let lives = start_target(&site, "lives", "a-1").await;
+    let ends = start_target(&site, "ends", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let instance = site.ready_instance("e-1", "a-1").await;
     site.endpoint.set(Trouble::Silent);
-    wait_until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
+    wait_until("the loss of the store", || !instance.events("store_lost").is_empty()).await;
     // Instances run out after three heartbeats, not sooner.
     until_view_is_older(&instance, 4_000).await;
     site.store.remove_prefix("servers/");
@@ -333,10 +314,10 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_target_that_goes_as_an_entry_is_let_in_again_is_left_at_once() {
+async fn a_target_that_goes_as_the_store_answers_an_instance_again_gets_nothing_more() {
     let site = Site::start(program()).await;
-    let _stays = target(&site, "stays", "shop", "a-1").await;
-    let _goes = target(&site, "goes", "shop", "a-1").await;
+    let _stays = start_target(&site, "stays", "a-1").await;
+    let _goes = start_target(&site, "goes", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
     let others = site.ready_instance("e-1", "a-1").await;
     let endpoint = site.store.endpoint().await.unwrap();
@@ -344,9 +325,10 @@
     instance.start();
     instance.wait_ready().await;
     endpoint.set(Trouble::Busy);
-    wait_until("the store counts as lost", || !instance.events("store_lost").is_empty()).await;
+    wait_until("the loss of the store", || !instance.events("store_lost").is_empty()).await;
     site.store.put("op/evacuate/b-1", "{}");
-    wait_until("a peer's news", || instance.events("evacuation").iter().any(|line| line["source"] == "peer")).await;
+    wait_until("a change from a peer", || instance.events("evacuation").iter().any(|line| line["source"] == "peer"))
+        .await;
     endpoint.set(Trouble::None);
     wait_until("the store answers again", || !instance.events("store_regained").is_empty()).await;
     site.store.remove_prefix("servers/goes");
--- a/standins/tests/targets.rs
+++ b/standins/tests/targets.rs
@@ -3,6 +3,7 @@
 mod common;
 
 use common::program;
+use standins::scene::{Scene, Setup};
 use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, config};
 use standins::target_server::{Registration, TargetServer};
 use std::sync::Arc;
@@ -45,17 +46,8 @@
     }
 }
 
-async fn scene() -> (Site, InstanceProcess, Vec<TargetServer>) {
-    let site = Site::start(program()).await;
-    let mut targets = Vec::new();
-    for number in 0..4 {
-        let target = TargetServer::start(&format!("u-{number}"), 6, Duration::from_millis(40)).await.unwrap();
-        site.register(&target, "shop", "a-1");
-        targets.push(target);
-    }
-    site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
-    let instance = site.ready_instance("e-1", "a-1").await;
-    (site, instance, targets)
+async fn scene() -> Scene {
+    Setup { slots: 6, work: Duration::from_millis(40), ..Setup::targets(4) }.start(program()).await
 }
 
 /// Runs that began at a target after a time.
@@ -79,7 +71,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_target_much_slower_than_its_peers_gets_a_try_now_and_then_until_it_recovers() {
-    let (_site, instance, targets) = scene().await;
+    let Scene { site: _site, instance, targets } = scene().await;
     let load = Load::start(&instance);
     until_share(&targets, "its share before", |share| share > 0.1).await;
     targets[0].set_work(Duration::from_millis(900));
@@ -91,7 +83,7 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn a_cold_target_gets_no_more_than_its_rate_from_all_entries_together() {
-    let (site, instance, targets) = scene().await;
+    let Scene { site, instance, targets } = scene().await;
     let mut instances = vec![instance];
     for name in ["e-2", "e-3"] {
         instances.push(site.ready_instance(name, "a-2").await);
