--- a/standins/src/site/mod.rs
+++ b/standins/src/site/mod.rs
@@ -7,10 +7,12 @@
 mod config;
 mod process;
 mod request;
+mod settings;
 
 pub use config::{RouteSpec, config};
-pub use process::{InstanceProcess, Placement};
+pub use process::InstanceProcess;
 pub use request::{TestRequest, fresh_id};
+pub use settings::Placement;
 
 use crate::store::{Endpoint, Store};
 use crate::target_server::{Registration, TargetServer};
--- a/standins/src/site/process.rs
+++ b/standins/src/site/process.rs
@@ -1,5 +1,6 @@
 //! An instance as a process with settings, addresses and a log of its own.
 
+use super::settings::Placement;
 use super::{HOST, TestRequest};
 use crate::http;
 use crate::ports::{free_address, spawn};
@@ -30,20 +31,6 @@
     child: Option<Child>,
 }
 
-/// Where an instance stands and what it needs to start.
-pub struct Placement<'a> {
-    /// Its name.
-    pub name: &'a str,
-    /// Its hall, `REGION-...`.
-    pub hall: &'a str,
-    /// The store's address for it.
-    pub store: SocketAddr,
-    /// Addresses of peers that it asks before it has reached the store.
-    pub seeds: &'a [SocketAddr],
-    /// Time from a signal to stop until it has to have ended, seconds.
-    pub stop_s: f64,
-}
-
 impl Drop for InstanceProcess {
     fn drop(&mut self) {
         self.kill();
@@ -65,27 +52,10 @@
             program: program.to_owned(),
             child: None,
         };
-        std::fs::write(&instance.settings, instance.settings_text(placement)).expect("the folder is ours");
+        std::fs::write(&instance.settings, placement.settings(&instance)).expect("the folder is ours");
         instance
     }
 
-    fn settings_text(&self, placement: &Placement) -> String {
-        let Self { name, callers, readiness, directory, peers, .. } = self;
-        let Placement { hall, store, stop_s, .. } = placement;
-        let region = hall.split('-').next().unwrap_or(hall);
-        let seeds: Vec<String> = placement.seeds.iter().map(|seed| format!("\"{seed}\"")).collect();
-        let seeds = seeds.join(", ");
-        format!(
-            "seeds = [{seeds}]\n[instance]\nname = \"{name}\"\nhall = \"{hall}\"\nregion = \"{region}\"\n\
-             [listen]\ncallers = \"{callers}\"\nreadiness = \"{readiness}\"\n\
-             directory = \"{directory}\"\npeers = \"{peers}\"\n\
-             [store]\naddress = \"{store}\"\nshortest_lease_ms = 1000\n\
-             [bounds]\nstop_s = {stop_s}\ndirectory_ttl_s = 5\nretry_ratio = 0.2\nretry_slack = 64\n\
-             cold_overage = 1.5\ncold_slack = 5\n[limits]\nmemory_mb = 260\ndescriptors = 4100\n\
-             [halls]\na-1 = \"a\"\na-2 = \"a\"\na-3 = \"a\"\nb-1 = \"b\"\nb-2 = \"b\"\nc-1 = \"c\"\n"
-        )
-    }
-
     /// Starts the process.
     ///
     /// # Panics
