--- a/standins/src/cli.rs
+++ b/standins/src/cli.rs
@@ -1,6 +1,8 @@
-//! The stand-ins' command line.
+//! The stand-ins' command line: parses the arguments and runs the command. Exit
+//! code 1 says that a promise was broken or a command failed, 2 that the arguments
+//! cannot be read.
 
-use crate::demo;
+use crate::soak::{INSTANCES, Soak};
 use std::process::ExitCode;
 
 const HELP: &str = "\
@@ -28,15 +30,15 @@
 pub fn run(args: Vec<String>) -> ExitCode {
     let words: Vec<&str> = args.iter().map(String::as_str).collect();
     match words.as_slice() {
-        ["soak", seed] => block(soak(seed, "1", crate::soak::INSTANCES)),
-        ["soak", seed, count] => block(soak(seed, count, crate::soak::INSTANCES)),
+        ["soak", seed] => block_on(soak(seed, "1", INSTANCES)),
+        ["soak", seed, count] => block_on(soak(seed, count, INSTANCES)),
         ["soak", seed, count, instances] => match instances.parse() {
-            Ok(instances @ 2..=MAX_INSTANCES) => block(soak(seed, count, instances)),
+            Ok(instances @ 2..=MAX_INSTANCES) => block_on(soak(seed, count, instances)),
             _ => ExitCode::from(USAGE),
         },
         ["entry", settings] => platform::run(std::path::Path::new(settings)),
-        ["demo"] => block(demo::run(false)),
-        ["demo", "--once"] => block(demo::run(true)),
+        ["demo"] => block_on(demo(false)),
+        ["demo", "--once"] => block_on(demo(true)),
         ["--help" | "-h"] => {
             print!("{HELP}");
             ExitCode::SUCCESS
@@ -48,24 +50,36 @@
     }
 }
 
-fn block(work: impl Future<Output = ExitCode>) -> ExitCode {
+fn block_on(work: impl Future<Output = ExitCode>) -> ExitCode {
     match tokio::runtime::Builder::new_multi_thread().enable_all().build() {
         Ok(runtime) => runtime.block_on(work),
-        Err(error) => {
-            eprintln!("standins: {error}");
-            ExitCode::FAILURE
-        }
+        Err(error) => fail(&error),
+    }
+}
+
+async fn demo(once: bool) -> ExitCode {
+    match std::env::current_exe() {
+        Ok(program) => crate::demo::run(&program, once).await,
+        Err(error) => fail(&error),
     }
 }
 
 async fn soak(seed: &str, count: &str, instances: usize) -> ExitCode {
     let (Ok(first), Ok(count)) = (seed.parse::<u64>(), count.parse::<u64>()) else { return ExitCode::from(USAGE) };
-    let Ok(program) = std::env::current_exe() else { return ExitCode::FAILURE };
+    let program = match std::env::current_exe() {
+        Ok(program) => program,
+        Err(error) => return fail(&error),
+    };
     let mut kept = true;
     for seed in first..first + count {
-        let outcome = crate::soak::run(&program, crate::soak::Soak::new(seed, instances)).await;
+        let outcome = crate::soak::run(&program, Soak::new(seed, instances)).await;
         println!("{}", serde_json::to_string(&outcome).expect("an outcome is plain numbers"));
         kept &= outcome.broken.is_none();
     }
     if kept { ExitCode::SUCCESS } else { ExitCode::FAILURE }
 }
+
+fn fail(error: &std::io::Error) -> ExitCode {
+    eprintln!("standins: {error}");
+    ExitCode::FAILURE
+}
--- a/standins/src/demo.rs
+++ b/standins/src/demo.rs
@@ -1,7 +1,9 @@
-//! The demonstration: a store, targets and instances on loopback, narrated.
+//! The demonstration: a store, targets and instances on loopback; each step is
+//! printed with what it led to.
 
 use crate::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use crate::target_server::{Registration, TargetServer};
+use std::path::Path;
 use std::process::ExitCode;
 use std::time::{Duration, Instant};
 
@@ -9,37 +11,37 @@
 const WORK: Duration = Duration::from_millis(20);
 const HALLS: [&str; 4] = ["a-1", "a-2", "b-1", "b-2"];
 
-struct Show {
+struct Demo {
     site: Site,
     targets: Vec<TargetServer>,
     instances: Vec<InstanceProcess>,
 }
 
-/// Runs the demonstration; with `once` it ends by itself.
-pub async fn run(once: bool) -> ExitCode {
-    let Ok(program) = std::env::current_exe() else { return ExitCode::FAILURE };
+/// Runs the demonstration, whose instances are `program entry SETTINGS`; with
+/// `once` it ends by itself.
+pub async fn run(program: &Path, once: bool) -> ExitCode {
     println!("Starting a store, 8 targets of one service and 4 instances in 4 halls of 2 regions ...");
     let started = Instant::now();
-    let mut show = Show::start(&program).await;
+    let mut demo = Demo::start(program).await;
     println!("All instances are ready after {:.1} s.\n", started.elapsed().as_secs_f64());
-    show.serve().await;
-    show.drain().await;
-    show.evacuate().await;
-    show.change().await;
-    show.lose_an_instance().await;
+    demo.serve().await;
+    demo.drain().await;
+    demo.evacuate().await;
+    demo.change().await;
+    demo.lose_an_instance().await;
     if once {
         println!("\nDone.");
         return ExitCode::SUCCESS;
     }
     println!("\nThe system goes on running; end it with Ctrl-C. Callers' addresses:");
-    for instance in &show.instances {
+    for instance in &demo.instances {
         println!("  {} for callers, {}/metrics   # {}", instance.callers, instance.peers, instance.name);
     }
     std::future::pending().await
 }
 
-impl Show {
-    async fn start(program: &std::path::Path) -> Self {
+impl Demo {
+    async fn start(program: &Path) -> Self {
         let site = Site::start(program).await;
         let mut targets = Vec::new();
         for number in 0..8 {
@@ -77,10 +79,10 @@
 
     async fn serve(&self) {
         println!("A caller in region a asks the directory: {}.", self.instances[0].resolve("a").await.join(", "));
-        let ask = TestRequest::post("/buy/ticket", "one berth");
-        let reply = ask.send(self.instances[0].callers).await.expect("the instance answers");
-        println!("Its purchase {}: {}, {}.", ask.id, reply.status, String::from_utf8_lossy(&reply.body));
-        let line = self.instances[0].request_line(&ask.id).await;
+        let request = TestRequest::post("/buy/ticket", "one berth");
+        let reply = request.send(self.instances[0].callers).await.expect("the instance answers");
+        println!("Its purchase {}: {}, {}.", request.id, reply.status, String::from_utf8_lossy(&reply.body));
+        let line = self.instances[0].request_line(&request.id).await;
         println!("The instance's line for it:\n  {line}");
         let (served, runs) = self.purchases().await;
         println!("40 purchases through all instances: {served} served, by target {runs:?}.\n");
--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,5 @@
-//! Small HTTP helpers of the stand-ins.
+//! HTTP of the stand-ins: a client whose connections their users keep, and a
+//! server for answers that are whole and good.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -59,6 +60,9 @@
 
 impl Connection {
     /// Connects to an address.
+    ///
+    /// # Errors
+    /// `Unreachable` where there is no connection within 1 s.
     pub async fn open(address: SocketAddr) -> Result<Self, NoReply> {
         let connected = timeout(CONNECT_TIMEOUT, connect(address)).await;
         let stream = connected.map_err(|_| NoReply::Unreachable)?.map_err(|_| NoReply::Unreachable)?;
@@ -101,17 +105,26 @@
 }
 
 /// Sends one request over a connection of its own.
+///
+/// # Errors
+/// Where there is no connection, or no whole answer within `wait`.
 pub async fn once(address: SocketAddr, request: Request<Full<Bytes>>, wait: Duration) -> Result<Reply, NoReply> {
     Connection::open(address).await?.send(request, wait).await
 }
 
 /// Gets one path.
+///
+/// # Errors
+/// As `once`, within 10 s.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Reply, NoReply> {
     let request = Request::get(path).header("host", address.to_string()).body(Full::default());
     once(address, request.expect("the path is good"), GET_TIMEOUT).await
 }
 
 /// Posts a body to one path.
+///
+/// # Errors
+/// As `once`, within 15 s.
 pub async fn post(address: SocketAddr, path: &str, body: Vec<u8>) -> Result<Reply, NoReply> {
     let request = Request::post(path).header("host", address.to_string()).body(Full::from(body));
     once(address, request.expect("the path is good"), POST_TIMEOUT).await
@@ -131,7 +144,7 @@
     Ok(String::from_utf8_lossy(&read).into_owned())
 }
 
-/// Said by a server that closes the connection instead of answering.
+/// The error of a server that closes the connection instead of answering.
 #[derive(Debug)]
 pub struct Closed;
 
@@ -153,9 +166,11 @@
         let mut connections = tokio::task::JoinSet::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
+            // It fails only on a connection that is closed already.
             let _ = stream.set_nodelay(true);
             let answer = answer.clone();
             connections.spawn(async move {
+                // An error ends the connection, which is all that it can do here.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(answer)).await;
             });
             while connections.try_join_next().is_some() {}
--- a/standins/src/lib.rs
+++ b/standins/src/lib.rs
@@ -1,5 +1,9 @@
 //! Stand-ins for the systems around lockloft: the store, targets, callers and
 //! slow or broken networks; a demonstration; and the fault soak.
+//!
+//! Instances run as processes of their own, by the program `standins entry
+//! SETTINGS`, so that they can be killed, frozen and started again. Everything
+//! listens on loopback, at an IP of the process that starts it.
 
 pub mod cli;
 pub mod demo;
--- a/standins/src/main.rs
+++ b/standins/src/main.rs
@@ -1,4 +1,5 @@
-//! The stand-ins' program.
+//! The stand-ins' program: a demonstration, the fault soak, and an instance as the
+//! tests start it.
 
 use std::process::ExitCode;
 
--- a/standins/src/ports.rs
+++ b/standins/src/ports.rs
@@ -1,4 +1,7 @@
-//! Addresses to listen on that nothing else takes by itself.
+//! Addresses to listen on that no other process takes, and the start of
+//! processes without a copy of our sockets.
+//!
+//! Owns the list of the addresses that this process has given out.
 
 use std::collections::BTreeSet;
 use std::net::{Ipv4Addr, SocketAddr, TcpListener};
--- a/standins/src/proxy.rs
+++ b/standins/src/proxy.rs
@@ -1,5 +1,8 @@
 //! A loopback proxy before one address, whose connections can be delayed,
 //! silenced in one or both directions, refused or reset.
+//!
+//! Owns its listener and connections. It knows nothing of HTTP: what it breaks is
+//! the network.
 
 use crate::ports::own_ip;
 use std::net::SocketAddr;
@@ -10,6 +13,9 @@
 use tokio::sync::watch;
 use tokio::task::{JoinHandle, JoinSet};
 
+/// Bytes that are passed on at once.
+const BUFFER: usize = 16 << 10;
+
 /// What the proxy does to its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Mode {
@@ -42,6 +48,9 @@
 
 impl Proxy {
     /// Starts a proxy before `to`.
+    ///
+    /// # Errors
+    /// Where loopback cannot be listened on.
     pub async fn start(to: SocketAddr) -> std::io::Result<Self> {
         let listener = TcpListener::bind((own_ip(), 0)).await?;
         let address = listener.local_addr()?;
@@ -67,11 +76,12 @@
 
 async fn carry(mut near: TcpStream, to: SocketAddr, modes: watch::Receiver<Mode>) {
     let Ok(mut far) = TcpStream::connect(to).await else { return };
+    // Both fail only on a connection that is closed already.
     let _ = near.set_nodelay(true);
     let _ = far.set_nodelay(true);
     if pass_on(&mut near, &mut far, modes).await.is_err() {
         // Closed without lingering, a connection is reset: a break must not
-        // look like an end.
+        // look like an end. It fails where the connection is closed already.
         let _ = near.set_zero_linger();
         let _ = far.set_zero_linger();
     }
@@ -107,7 +117,7 @@
     mut modes: watch::Receiver<Mode>,
     direction: Direction,
 ) -> std::io::Result<()> {
-    let mut buffer = vec![0; 16 << 10];
+    let mut buffer = vec![0; BUFFER];
     loop {
         let size = from.read(&mut buffer).await?;
         let mode = *modes.borrow();
--- a/standins/tests/answer_order.rs
+++ b/standins/tests/answer_order.rs
@@ -47,9 +47,9 @@
             // The later a request comes, the sooner it is answered.
             scene.targets[0].set_work(Duration::from_millis(280 - 50 * number as u64));
             let path = if (round + number) % 2 == 0 { "/look/a" } else { "/buy/a" };
-            let (ask, callers) = (TestRequest::post(path, "one"), scene.instance.callers);
-            let id = ask.id.clone();
-            tasks.spawn(async move { (number, ask.id.clone(), ask.send(callers).await.unwrap()) });
+            let (request, callers) = (TestRequest::post(path, "one"), scene.instance.callers);
+            let id = request.id.clone();
+            tasks.spawn(async move { (number, request.id.clone(), request.send(callers).await.unwrap()) });
             arrived(&scene, &id).await;
         }
         let mut order = Vec::new();
@@ -73,9 +73,9 @@
             scene.targets[0].set(misbehaviour);
             scene.targets[0].set_work(Duration::from_millis(60));
             // Gives up before the answer: its connection is dropped.
-            let ask = TestRequest::post(path, "one");
+            let request = TestRequest::post(path, "one");
             let mut connection = Connection::open(scene.instance.callers).await.unwrap();
-            let lost = connection.send(ask.request(), Duration::from_millis(25)).await;
+            let lost = connection.send(request.request(), Duration::from_millis(25)).await;
             assert_eq!(lost.map(|reply| reply.status.as_u16()), Err(NoReply::Broken));
             drop(connection);
             scene.targets[0].set(Misbehaviour::None);
@@ -100,9 +100,9 @@
         scene.targets[0].set(Misbehaviour::None);
         scene.targets[0].set_work(Duration::from_millis(1));
         for _ in 0..4 {
-            let ask = TestRequest::post(path, "one");
-            let reply = connection.send(ask.request(), Duration::from_secs(5)).await.unwrap();
-            assert!(reply.status != 200 || reply.body.ends_with(ask.id.as_bytes()), "{reply:?}");
+            let request = TestRequest::post(path, "one");
+            let reply = connection.send(request.request(), Duration::from_secs(5)).await.unwrap();
+            assert!(reply.status != 200 || reply.body.ends_with(request.id.as_bytes()), "{reply:?}");
             served(&scene, path).await;
         }
     }
--- a/standins/tests/applied_policies.rs
+++ b/standins/tests/applied_policies.rs
@@ -11,9 +11,9 @@
 use standins::site::{InstanceProcess, Site};
 use standins::store::{Endpoint, Trouble};
 use standins::target_server::TargetServer;
-use standins::wait::WAIT_TIMEOUT;
+use standins::wait::wait_for;
 use std::net::SocketAddr;
-use std::time::{Duration, Instant};
+use std::time::Duration;
 
 const DRAIN: &str = "[[policy]]\nname = \"leave\"\nplaces = { hall = \"a-1\" }\ndrain = true\n";
 
@@ -47,11 +47,8 @@
 
     async fn in_force(&self, revision: u64) {
         for instance in [&self.first, &self.second] {
-            let end = Instant::now() + WAIT_TIMEOUT;
-            while instance.status().await["policies"] != revision {
-                assert!(Instant::now() < end, "revision {revision} is not in force at {}", instance.name);
-                tokio::time::sleep(Duration::from_millis(20)).await;
-            }
+            let what = format!("revision {revision} in force at {}", instance.name);
+            wait_for(&what, async || instance.status().await["policies"] == revision).await;
         }
     }
 }
--- a/standins/tests/broken_answers.rs
+++ b/standins/tests/broken_answers.rs
@@ -58,10 +58,10 @@
 async fn served(scene: &Scene) {
     let end = Instant::now() + WAIT_TIMEOUT;
     loop {
-        let ask = TestRequest::post("/buy/x", "one");
-        let reply = ask.send(scene.instance.callers).await.unwrap();
+        let request = TestRequest::post("/buy/x", "one");
+        let reply = request.send(scene.instance.callers).await.unwrap();
         if reply.status == 200 {
-            assert!(reply.body.ends_with(ask.id.as_bytes()), "the answer of another request: {reply:?}");
+            assert!(reply.body.ends_with(request.id.as_bytes()), "the answer of another request: {reply:?}");
             return;
         }
         assert_eq!(reply.status, 503, "nothing is broken any more");
@@ -91,10 +91,10 @@
     for text in broken() {
         served(&scene).await;
         scene.set_all(Misbehaviour::Raw(text));
-        let ask = TestRequest::post("/buy/x", "one");
-        let reply = ask.send(scene.instance.callers).await.unwrap();
+        let request = TestRequest::post("/buy/x", "one");
+        let reply = request.send(scene.instance.callers).await.unwrap();
         assert_eq!(reply.status, StatusCode::BAD_GATEWAY, "{text:?}");
-        assert_eq!(scene.runs_of(&ask.id), 1, "{text:?}");
+        assert_eq!(scene.runs_of(&request.id), 1, "{text:?}");
         assert!(reply.header("lockloft-response-signature").is_empty(), "{text:?}");
         assert!(!String::from_utf8_lossy(&reply.body).contains("hel"), "{text:?}: {reply:?}");
         scene.set_all(Misbehaviour::None);
@@ -112,11 +112,11 @@
         }
         let home = scene.targets.iter().max_by_key(|target| target.runs().len()).unwrap();
         home.set(Misbehaviour::Raw(text));
-        let ask = TestRequest::get("/look/a");
-        let reply = ask.send(scene.instance.callers).await.unwrap();
+        let request = TestRequest::get("/look/a");
+        let reply = request.send(scene.instance.callers).await.unwrap();
         assert_eq!(reply.status, 200, "{text:?}");
-        assert!(reply.body.ends_with(ask.id.as_bytes()), "{text:?}");
-        assert_eq!(scene.runs_of(&ask.id), 2, "{text:?}");
+        assert!(reply.body.ends_with(request.id.as_bytes()), "{text:?}");
+        assert_eq!(scene.runs_of(&request.id), 2, "{text:?}");
         home.set(Misbehaviour::None);
     }
 }
@@ -145,12 +145,12 @@
         for path in ["/look/x", "/buy/x"] {
             served(&scene).await;
             scene.set_all(Misbehaviour::Raw(text));
-            let ask = TestRequest::post(path, "one");
-            match ask.send(scene.instance.callers).await {
+            let request = TestRequest::post(path, "one");
+            match request.send(scene.instance.callers).await {
                 Err(broken) => assert_eq!(broken, NoReply::Broken),
                 Ok(reply) => assert_eq!(reply.status, 502, "never short and well-formed"),
             }
-            assert_eq!(scene.runs_of(&ask.id), 1, "a part of it was passed on already");
+            assert_eq!(scene.runs_of(&request.id), 1, "a part of it was passed on already");
             scene.set_all(Misbehaviour::None);
         }
     }
--- a/standins/tests/garbage.rs
+++ b/standins/tests/garbage.rs
@@ -26,7 +26,7 @@
     json!([status["config"], status["policies"], status["members"], status["targets"], status["evacuated"]])
 }
 
-/// Answers each connection with these bytes, whatever it asks.
+/// Answers each connection with these bytes, whatever it is sent.
 async fn garbage_server(text: &'static [u8]) -> SocketAddr {
     let listener = TcpListener::bind((own_ip(), 0)).await.unwrap();
     let address = listener.local_addr().unwrap();
--- a/standins/tests/policies.rs
+++ b/standins/tests/policies.rs
@@ -12,8 +12,7 @@
 use standins::site::{InstanceProcess, Site, TestRequest};
 use standins::store::Trouble;
 use standins::target_server::TargetServer;
-use standins::wait::wait_until;
-use std::time::{Duration, Instant};
+use standins::wait::{wait_for, wait_until};
 
 const DRAIN: &str = "[[policy]]\nname = \"leave\"\nplaces = { hall = \"a-1\" }\ndrain = true\n";
 const NOTHING: &str = "";
@@ -37,11 +36,8 @@
 
     /// Waits until an instance has a revision of the policies in force.
     async fn in_force(&self, instance: usize, revision: u64) {
-        let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-        while self.instances[instance].status().await["policies"] != revision {
-            assert!(Instant::now() < end, "revision {revision} is not in force at instance {instance}");
-            tokio::time::sleep(Duration::from_millis(20)).await;
-        }
+        let what = format!("revision {revision} in force at instance {instance}");
+        wait_for(&what, async || self.instances[instance].status().await["policies"] == revision).await;
     }
 
     /// How many of 40 objects the target of the drained hall gets.
@@ -77,9 +73,9 @@
         scene.in_force(instance, 1).await;
         assert_eq!(scene.to_drained_hall(instance).await, 0);
     }
-    let ask = TestRequest::get("/look/a");
-    ask.send(scene.instances[1].callers).await.unwrap();
-    assert_eq!(scene.instances[1].request_line(&ask.id).await["policies"], "leave");
+    let request = TestRequest::get("/look/a");
+    request.send(scene.instances[1].callers).await.unwrap();
+    assert_eq!(scene.instances[1].request_line(&request.id).await["policies"], "leave");
     let why = http::get(scene.instances[1].peers, "/why?host=shop.example&path=/look/a&object=3").await.unwrap();
     let why: Value = serde_json::from_slice(&why.body).unwrap();
     assert_eq!(why["chosen"], "u-2", "{why}");
--- a/standins/tests/recovery_of_instances.rs
+++ b/standins/tests/recovery_of_instances.rs
@@ -7,8 +7,7 @@
 use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
 use standins::target_server::Registration;
-use standins::wait::{WAIT_TIMEOUT, wait_until};
-use std::time::{Duration, Instant};
+use standins::wait::{wait_for, wait_until};
 
 async fn site() -> Site {
     let site = Site::start(program()).await;
@@ -19,19 +18,18 @@
 /// Whether an instance answers 20 objects, each with its own answer.
 async fn serves(instance: &InstanceProcess) {
     for object in 0..20 {
-        let ask = TestRequest::get("/look/a").affinity(object);
-        let reply = ask.send(instance.callers).await.unwrap();
+        let request = TestRequest::get("/look/a").affinity(object);
+        let reply = request.send(instance.callers).await.unwrap();
         assert_eq!(reply.status, 200, "{}", instance.name);
-        assert!(reply.body.ends_with(ask.id.as_bytes()));
+        assert!(reply.body.ends_with(request.id.as_bytes()));
     }
 }
 
-async fn until_named(asked: &InstanceProcess, instance: &InstanceProcess, is_named: bool) {
-    let (end, address) = (Instant::now() + WAIT_TIMEOUT, instance.callers.to_string());
-    while asked.resolve("a").await.contains(&address) != is_named {
-        assert!(Instant::now() < end, "that {} is named stays {}", instance.name, !is_named);
-        tokio::time::sleep(Duration::from_millis(20)).await;
-    }
+/// Waits until the directory of one instance names another, or no longer does.
+async fn wait_named(directory: &InstanceProcess, instance: &InstanceProcess, is_named: bool) {
+    let address = instance.callers.to_string();
+    let what = format!("that {} is named: {is_named}", instance.name);
+    wait_for(&what, async || directory.resolve("a").await.contains(&address) == is_named).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -72,17 +70,17 @@
     let site = site().await;
     let (left, stays) = (start_target(&site, "u-1", "a-1").await, start_target(&site, "u-2", "a-1").await);
     let (paused, other) = (site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await);
-    until_named(&other, &paused, true).await;
+    wait_named(&other, &paused, true).await;
     paused.signal(libc::SIGSTOP);
     wait_until("the end of its lease", || site.store.keys("lockloft/").len() == 1).await;
-    until_named(&other, &paused, false).await;
+    wait_named(&other, &paused, false).await;
     site.register_as(&left, &Registration::draining("shop", "a-1", 2));
     site.configure(2, &[look_route(), RouteSpec::new("/new/", "safe", "shop")], &["shop"]);
     other.wait_status("/new/a", 200).await;
     paused.signal(libc::SIGCONT);
     // It registers again, and what changed meanwhile is in force soon.
     wait_until("its new key", || site.store.keys("lockloft/").len() == 2).await;
-    until_named(&other, &paused, true).await;
+    wait_named(&other, &paused, true).await;
     paused.wait_status("/new/a", 200).await;
     let before = left.runs().len();
     serves(&paused).await;
@@ -105,7 +103,7 @@
         let route = format!("/new-{version}/");
         site.configure(version as u64 + 2, &[look_route(), RouteSpec::new(&route, "safe", "shop")], &["shop"]);
         survivor.wait_status(&format!("{route}a"), 200).await;
-        until_named(&survivor, instance, false).await;
+        wait_named(&survivor, instance, false).await;
         serves(&survivor).await;
     }
     assert_eq!(survivor.status().await["members"], 1);
@@ -130,5 +128,5 @@
     assert_eq!(replaced.status().await["store_lost"], true);
     site.endpoint.set(Trouble::None);
     wait_until("its key", || site.store.keys("lockloft/").len() == 2).await;
-    until_named(&first, &replaced, true).await;
+    wait_named(&first, &replaced, true).await;
 }
--- a/standins/tests/relay.rs
+++ b/standins/tests/relay.rs
@@ -8,7 +8,7 @@
 use standins::site::{InstanceProcess, RouteSpec, Site};
 use standins::store::Trouble;
 use standins::target_server::{Registration, TargetState};
-use standins::wait::wait_until;
+use standins::wait::{wait_for, wait_until};
 use std::time::{Duration, Instant};
 
 fn shop() -> Vec<RouteSpec> {
@@ -21,13 +21,15 @@
     for number in 1..=count {
         instances.push(site.ready_instance(&format!("e-{number}"), "a-1").await);
     }
-    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-    for instance in &instances {
-        while instance.resolve("a").await.len() < count {
-            assert!(Instant::now() < end, "{} does not name all", instance.name);
-            tokio::time::sleep(Duration::from_millis(20)).await;
+    let all_named = async || {
+        for instance in &instances {
+            if instance.resolve("a").await.len() < count {
+                return false;
+            }
         }
-    }
+        true
+    };
+    wait_for("directories that name all", all_named).await;
     instances
 }
 
@@ -117,11 +119,8 @@
     let leaf = &instances[FOLLOWERS + 2];
     let left = |instance: &InstanceProcess| instance.events("relay_left").len();
     let before: Vec<usize> = instances.iter().map(left).collect();
-    let heard = leaf.metric("lockloft_entry_relay_answers_total", "").await;
-    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-    while leaf.metric("lockloft_entry_relay_answers_total", "").await < heard + 6.0 {
-        assert!(Instant::now() < end, "the leaf receives nothing");
-        tokio::time::sleep(Duration::from_millis(100)).await;
-    }
+    let answers = async || leaf.metric("lockloft_entry_relay_answers_total", "").await;
+    let answered = answers().await;
+    wait_for("six answers of the leaf's relay", async || answers().await >= answered + 6.0).await;
     assert_eq!(instances.iter().map(left).collect::<Vec<_>>(), before, "nobody left its relay");
 }
--- a/standins/tests/requests.rs
+++ b/standins/tests/requests.rs
@@ -9,7 +9,7 @@
 use standins::scene::{SERVICE, Scene, Setup, look_route};
 use standins::site::{HOST, RouteSpec, Site, TestRequest};
 use standins::target_server::{Misbehaviour, TargetServer};
-use standins::wait::wait_until;
+use standins::wait::{wait_for, wait_until};
 use std::time::{Duration, Instant};
 
 /// One instance and `count` targets of a service that takes all routes.
@@ -35,14 +35,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn the_answer_is_the_targets_own_with_its_signature() {
     let scene = scene(2).await;
-    let ask = TestRequest::post("/buy/x?berth=2", "two berths");
-    let reply = ask.send(scene.instance.callers).await.unwrap();
+    let request = TestRequest::post("/buy/x?berth=2", "two berths");
+    let reply = request.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
-    assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
-    assert!(reply.body.ends_with(ask.id.as_bytes()));
-    let run = scene.targets.iter().flat_map(TargetServer::runs).find(|run| run.id == ask.id).unwrap();
+    assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", request.id));
+    assert!(reply.body.ends_with(request.id.as_bytes()));
+    let run = scene.targets.iter().flat_map(TargetServer::runs).find(|run| run.id == request.id).unwrap();
     assert_eq!((run.line.as_str(), run.body.as_slice()), ("POST /buy/x?berth=2 HTTP/1.1", b"two berths".as_slice()));
-    assert!(run.deadline_ms.unwrap() <= ask.deadline_ms);
+    assert!(run.deadline_ms.unwrap() <= request.deadline_ms);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -127,14 +127,14 @@
         Misbehaviour::UnframedReset,
     ] {
         scene.set_all(misbehaviour);
-        let ask = TestRequest::post("/buy/x", "one");
-        let reply = ask.send(scene.instance.callers).await.unwrap();
+        let request = TestRequest::post("/buy/x", "one");
+        let reply = request.send(scene.instance.callers).await.unwrap();
         // A target that failed too often is ejected for a moment: then the
         // request did not run.
         let expected =
-            if scene.runs_of(&ask.id) == 0 { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::BAD_GATEWAY };
+            if scene.runs_of(&request.id) == 0 { StatusCode::SERVICE_UNAVAILABLE } else { StatusCode::BAD_GATEWAY };
         assert_eq!(reply.status, expected, "{misbehaviour:?}");
-        assert!(scene.runs_of(&ask.id) <= 1, "{misbehaviour:?}");
+        assert!(scene.runs_of(&request.id) <= 1, "{misbehaviour:?}");
         assert!(reply.header("lockloft-response-signature").is_empty());
         scene.set_all(Misbehaviour::None);
         until_served(&scene).await;
@@ -142,13 +142,12 @@
 }
 
 async fn until_served(scene: &Scene) {
-    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-    while TestRequest::post("/buy/x", "one").send(scene.instance.callers).await.map(|reply| reply.status)
-        != Ok(StatusCode::OK)
-    {
-        assert!(Instant::now() < end, "nothing is served any more");
-        tokio::time::sleep(Duration::from_millis(50)).await;
-    }
+    let callers = scene.instance.callers;
+    let is_served = async || {
+        let reply = TestRequest::post("/buy/x", "one").send(callers).await;
+        reply.is_ok_and(|reply| reply.status == 200)
+    };
+    wait_for("a served request", is_served).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -159,11 +158,11 @@
     let home = scene.targets.iter().max_by_key(|target| target.runs().len()).unwrap();
     for misbehaviour in [Misbehaviour::LoseAnswer, Misbehaviour::Truncate] {
         home.set(misbehaviour);
-        let ask = TestRequest::get("/look/a");
-        let reply = ask.send(scene.instance.callers).await.unwrap();
+        let request = TestRequest::get("/look/a");
+        let reply = request.send(scene.instance.callers).await.unwrap();
         assert_eq!(reply.status, 200, "{misbehaviour:?}");
-        assert!(reply.body.ends_with(ask.id.as_bytes()));
-        assert_eq!(scene.runs_of(&ask.id), 2, "{misbehaviour:?}");
+        assert!(reply.body.ends_with(request.id.as_bytes()));
+        assert_eq!(scene.runs_of(&request.id), 2, "{misbehaviour:?}");
     }
 }
 
@@ -184,10 +183,10 @@
     for misbehaviour in [Misbehaviour::SurplusAnswer, Misbehaviour::LateSurplusAnswer] {
         scene.set_all(misbehaviour);
         for _ in 0..20 {
-            let ask = TestRequest::get("/look/a");
-            let reply = ask.send(scene.instance.callers).await.unwrap();
+            let request = TestRequest::get("/look/a");
+            let reply = request.send(scene.instance.callers).await.unwrap();
             if reply.status == 200 {
-                assert!(reply.body.ends_with(ask.id.as_bytes()));
+                assert!(reply.body.ends_with(request.id.as_bytes()));
             }
         }
     }
@@ -197,10 +196,10 @@
 async fn an_answer_without_a_length_is_whole_or_not_passed_on() {
     let scene = scene(1).await;
     scene.set_all(Misbehaviour::Unframed);
-    let ask = TestRequest::post("/buy/x", "one");
-    let reply = ask.send(scene.instance.callers).await.unwrap();
+    let request = TestRequest::post("/buy/x", "one");
+    let reply = request.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 200);
-    assert!(reply.body.ends_with(ask.id.as_bytes()));
+    assert!(reply.body.ends_with(request.id.as_bytes()));
     scene.set_all(Misbehaviour::UnframedReset);
     let reply = TestRequest::post("/buy/x", "one").send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 502);
@@ -227,19 +226,19 @@
     earn_retries(&scene).await;
     scene.targets[0].set(Misbehaviour::Full);
     for object in 0..10 {
-        let ask = TestRequest::post("/buy/x", "one").affinity(object);
-        assert_eq!(ask.send(scene.instance.callers).await.unwrap().status, 200);
-        assert_eq!(scene.runs_of(&ask.id), 1);
+        let request = TestRequest::post("/buy/x", "one").affinity(object);
+        assert_eq!(request.send(scene.instance.callers).await.unwrap().status, 200);
+        assert_eq!(scene.runs_of(&request.id), 1);
         for _ in 0..10 {
             TestRequest::get("/look/a").send(scene.instance.callers).await.unwrap();
         }
     }
     scene.set_all(Misbehaviour::Full);
-    let ask = TestRequest::post("/buy/x", "one");
-    let reply = ask.send(scene.instance.callers).await.unwrap();
+    let request = TestRequest::post("/buy/x", "one");
+    let reply = request.send(scene.instance.callers).await.unwrap();
     assert_eq!(reply.status, 503);
     assert!(reply.header("retry-after").parse::<f64>().unwrap() > 0.0);
-    assert_eq!(scene.runs_of(&ask.id), 0);
+    assert_eq!(scene.runs_of(&request.id), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -251,8 +250,8 @@
     left.stop().await;
     let other = TargetServer::start_at(address, "u-other", 4, Duration::from_millis(5)).await.unwrap();
     for object in 0..8 {
-        let ask = TestRequest::post("/buy/x", "one").affinity(object);
-        assert_eq!(ask.send(scene.instance.callers).await.unwrap().status, 200);
+        let request = TestRequest::post("/buy/x", "one").affinity(object);
+        assert_eq!(request.send(scene.instance.callers).await.unwrap().status, 200);
         for _ in 0..10 {
             TestRequest::get("/look/a").affinity("fixed").send(scene.instance.callers).await.unwrap();
         }
@@ -266,10 +265,10 @@
     let mut scene = scene(2).await;
     scene.targets.remove(0).stop().await;
     for object in 0..20 {
-        let ask = TestRequest::post("/buy/x", "one").affinity(object);
-        let status = ask.send(scene.instance.callers).await.unwrap().status;
+        let request = TestRequest::post("/buy/x", "one").affinity(object);
+        let status = request.send(scene.instance.callers).await.unwrap().status;
         assert_eq!(status, 200, "{}", scene.instance.log());
-        assert_eq!(scene.runs_of(&ask.id), 1);
+        assert_eq!(scene.runs_of(&request.id), 1);
     }
 }
 
@@ -300,10 +299,10 @@
 async fn a_target_s_own_failure_is_passed_on_unchanged() {
     let scene = scene(1).await;
     scene.set_all(Misbehaviour::ServerError);
-    let ask = TestRequest::post("/buy/x", "one");
-    let reply = ask.send(scene.instance.callers).await.unwrap();
+    let request = TestRequest::post("/buy/x", "one");
+    let reply = request.send(scene.instance.callers).await.unwrap();
     assert_eq!((reply.status.as_u16(), reply.body.as_ref()), (500, b"failed".as_slice()));
-    assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", ask.id));
+    assert_eq!(reply.header("lockloft-response-signature"), format!("signed-{}", request.id));
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -321,14 +320,14 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn every_request_has_one_line_in_the_log_with_its_outcome() {
     let scene = scene(1).await;
-    let ask = TestRequest::get("/look/a");
-    ask.send(scene.instance.callers).await.unwrap();
-    let line = scene.instance.request_line(&ask.id).await;
+    let request = TestRequest::get("/look/a");
+    request.send(scene.instance.callers).await.unwrap();
+    let line = scene.instance.request_line(&request.id).await;
     assert_eq!((line["outcome"].as_str(), line["status"].as_u64()), (Some("answered"), Some(200)));
     assert_eq!((line["target"].as_str(), line["config"].as_u64()), (Some("u-0"), Some(3)));
-    let ask = TestRequest::get("/nowhere/a");
-    ask.send(scene.instance.callers).await.unwrap();
-    assert_eq!(scene.instance.request_line(&ask.id).await["outcome"], "no-route");
+    let request = TestRequest::get("/nowhere/a");
+    request.send(scene.instance.callers).await.unwrap();
+    assert_eq!(scene.instance.request_line(&request.id).await["outcome"], "no-route");
     assert!(scene.instance.metric("lockloft_entry_requests_total", "answered").await >= 1.0);
     let text = line.to_string();
     assert!(
--- a/standins/tests/store_copy.rs
+++ b/standins/tests/store_copy.rs
@@ -8,7 +8,7 @@
 use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest};
 use standins::store::Trouble;
 use standins::target_server::{Registration, TargetServer};
-use standins::wait::wait_until;
+use standins::wait::{wait_for, wait_until};
 use std::collections::HashMap;
 use std::time::{Duration, Instant};
 
@@ -17,16 +17,9 @@
 }
 
 /// Waits until an instance's view was last current so many milliseconds ago.
-async fn until_view_is_older(instance: &InstanceProcess, least_ms: u64) {
-    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-    loop {
-        let status = instance.status().await;
-        if status["view_age_ms"].as_u64().is_some_and(|age| age > least_ms) {
-            return;
-        }
-        assert!(Instant::now() < end, "the view stays current: {status}");
-        tokio::time::sleep(Duration::from_millis(50)).await;
-    }
+async fn wait_view_age(instance: &InstanceProcess, min_ms: u64) {
+    let is_older = async || instance.status().await["view_age_ms"].as_u64().is_some_and(|age| age > min_ms);
+    wait_for("an older view", is_older).await;
 }
 
 /// Objects 0 to 39, asked for once each; how many went to which target.
@@ -103,10 +96,7 @@
     assert_eq!(spread(&instance, &[&one, &two]).await["u-1"], 0);
     site.store.remove("op/evacuate/a-1");
     wait_until("the end of the evacuation", || instance.events("evacuation").len() == 2).await;
-    let end = Instant::now() + standins::wait::WAIT_TIMEOUT;
-    while spread(&instance, &[&one, &two]).await["u-1"] == 0 {
-        assert!(Instant::now() < end, "the hall got no requests again");
-    }
+    wait_for("a request in the hall", async || spread(&instance, &[&one, &two]).await["u-1"] > 0).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -299,7 +289,7 @@
     site.endpoint.set(Trouble::Silent);
     wait_until("the loss of the store", || !instance.events("store_lost").is_empty()).await;
     // Instances run out after three heartbeats, not sooner.
-    until_view_is_older(&instance, 4_000).await;
+    wait_view_age(&instance, 4_000).await;
     site.store.remove_prefix("servers/");
     site.endpoint.set(Trouble::None);
     let state =
--- a/standins/tests/targets.rs
+++ b/standins/tests/targets.rs
@@ -108,10 +108,10 @@
 async fn burst(instance: &InstanceProcess, target: &TargetServer, count: usize) -> u64 {
     let before = target.connections();
     let address = instance.callers;
-    let ask = || tokio::spawn(async move { TestRequest::get("/look/a").send(address).await });
-    let asks: Vec<_> = (0..count).map(|_| ask()).collect();
-    for ask in asks {
-        assert_eq!(ask.await.unwrap().unwrap().status, 200);
+    let request = || tokio::spawn(async move { TestRequest::get("/look/a").send(address).await });
+    let requests: Vec<_> = (0..count).map(|_| request()).collect();
+    for request in requests {
+        assert_eq!(request.await.unwrap().unwrap().status, 200);
     }
     target.connections() - before
 }
