--- a/standins/tests/applied_policies.rs
+++ b/standins/tests/applied_policies.rs
@@ -70,7 +70,7 @@
         scene.endpoint.set(trouble);
         let begun = scene.begin(["a", "b", "c"][revision], Some(revision as u64));
         tokio::time::sleep(Duration::from_millis(300)).await;
-        assert!(!begun.is_finished(), "{trouble:?}: it was told an end before there was one");
+        assert!(!begun.is_finished(), "{trouble:?}: it was answered before the store took it");
         scene.endpoint.set(Trouble::None);
         let reply = begun.await.unwrap();
         assert_eq!(reply.status, 200, "{trouble:?}: {}", read(&reply));
--- a/standins/tests/relay.rs
+++ b/standins/tests/relay.rs
@@ -89,8 +89,9 @@
     let before = site.store.calls("kv-watch");
     for hall in halls {
         site.store.put(&format!("op/evacuate/{hall}"), "{}");
-        let heard = |instance: &InstanceProcess| instance.events("evacuation").iter().any(|line| line["hall"] == *hall);
-        wait_until("the evacuation", || instances.iter().all(heard)).await;
+        let received =
+            |instance: &InstanceProcess| instance.events("evacuation").iter().any(|line| line["hall"] == *hall);
+        wait_until("the evacuation", || instances.iter().all(received)).await;
     }
     site.store.calls("kv-watch") - before
 }
--- a/standins/tests/targets.rs
+++ b/standins/tests/targets.rs
@@ -16,7 +16,7 @@
 const COLD_OVERAGE: f64 = 1.5;
 const COLD_SLACK: f64 = 5.0;
 
-/// Callers that go on asking about 60 objects until they are told to stop.
+/// Callers that send requests about 60 objects until they are stopped.
 struct Load {
     stop: Arc<AtomicBool>,
     callers: Vec<JoinHandle<()>>,
