--- a/standins/src/http.rs
+++ b/standins/src/http.rs
@@ -1,4 +1,5 @@
-//! Small HTTP helpers of the stand-ins.
+//! HTTP of the stand-ins: a client whose connections their users keep, and a
+//! server for answers that are whole and good.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -10,10 +11,21 @@
 use hyper_util::rt::TokioIo;
 use std::net::SocketAddr;
 use std::time::Duration;
+use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::task::JoinHandle;
 use tokio::time::timeout;
 
+/// Longest wait for a connection.
+const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
+/// Longest wait for the answer to a GET.
+const GET_TIMEOUT: Duration = Duration::from_secs(10);
+/// Longest wait for the answer to a POST: an apply of policies waits for the
+/// store longer than any other call.
+const POST_TIMEOUT: Duration = Duration::from_secs(15);
+/// Longest wait for what is answered to raw bytes.
+const RAW_TIMEOUT: Duration = Duration::from_secs(5);
+
 /// A whole answer.
 #[derive(Clone, Debug)]
 pub struct Reply {
@@ -48,8 +60,11 @@
 
 impl Connection {
     /// Connects to an address.
+    ///
+    /// # Errors
+    /// `Unreachable` where there is no connection within 1 s.
     pub async fn open(address: SocketAddr) -> Result<Self, NoReply> {
-        let connected = timeout(Duration::from_secs(1), connect(address)).await;
+        let connected = timeout(CONNECT_TIMEOUT, connect(address)).await;
         let stream = connected.map_err(|_| NoReply::Unreachable)?.map_err(|_| NoReply::Unreachable)?;
         let (sender, connection) = handshake(TokioIo::new(stream)).await.map_err(|_| NoReply::Unreachable)?;
         tokio::spawn(connection);
@@ -90,23 +105,46 @@
 }
 
 /// Sends one request over a connection of its own.
+///
+/// # Errors
+/// Where there is no connection, or no whole answer within `wait`.
 pub async fn once(address: SocketAddr, request: Request<Full<Bytes>>, wait: Duration) -> Result<Reply, NoReply> {
     Connection::open(address).await?.send(request, wait).await
 }
 
 /// Gets one path.
+///
+/// # Errors
+/// As `once`, within 10 s.
 pub async fn get(address: SocketAddr, path: &str) -> Result<Reply, NoReply> {
     let request = Request::get(path).header("host", address.to_string()).body(Full::default());
-    once(address, request.expect("the path is good"), Duration::from_secs(10)).await
+    once(address, request.expect("the path is good"), GET_TIMEOUT).await
 }
 
 /// Posts a body to one path.
+///
+/// # Errors
+/// As `once`, within 15 s.
 pub async fn post(address: SocketAddr, path: &str, body: Vec<u8>) -> Result<Reply, NoReply> {
     let request = Request::post(path).header("host", address.to_string()).body(Full::from(body));
-    once(address, request.expect("the path is good"), Duration::from_secs(15)).await
+    once(address, request.expect("the path is good"), POST_TIMEOUT).await
+}
+
+/// Sends bytes as they are and reads until the other side closes the connection
+/// or 5 s are over.
+///
+/// # Errors
+/// Where there is no connection.
+pub async fn raw(address: SocketAddr, bytes: &[u8]) -> std::io::Result<String> {
+    let mut stream = TcpStream::connect(address).await?;
+    stream.write_all(bytes).await?;
+    let mut read = Vec::new();
+    // What was read until a reset or the end of the time counts.
+    let _ = timeout(RAW_TIMEOUT, stream.read_to_end(&mut read)).await;
+    Ok(String::from_utf8_lossy(&read).into_owned())
 }
 
-/// Said by a server that closes the connection instead of answering.
+/// The error of a server that closes the connection instead of answering.
 #[derive(Debug)]
 pub struct Closed;
 
@@ -128,9 +166,11 @@
         let mut connections = tokio::task::JoinSet::new();
         loop {
             let Ok((stream, _)) = listener.accept().await else { continue };
+            // It fails only on a connection that is closed already.
             let _ = stream.set_nodelay(true);
             let answer = answer.clone();
             connections.spawn(async move {
+                // An error ends the connection, which is all that it can do here.
                 let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service_fn(answer)).await;
             });
             while connections.try_join_next().is_some() {}
