--- a/tests/caps.rs
+++ b/tests/caps.rs
@@ -14,8 +14,11 @@
 
 const HALLS: [&str; 4] = ["a-1", "a-2", "b-1", "b-2"];
 const TARGETS: usize = 8;
-/// What rounding of a cap may add, in moves.
+/// What rounding of a cap may add to a share, in moves.
 const ROUNDING: f64 = 1e-3;
+/// Credit of one move for the naive decider, which counts in whole millionths: a cap
+/// earns what is left of it below that.
+const MOVE: i64 = 1_000_000;
 
 fn hall_of(target: usize) -> &'static str {
     HALLS[target / 2]
@@ -209,7 +212,7 @@
 /// The naive decider: the obvious search, and what each policy has earned.
 struct Naive<'a> {
     spec: &'a Spec,
-    earned: Vec<f64>,
+    earned: Vec<i64>,
 }
 
 impl Naive<'_> {
@@ -244,7 +247,7 @@
         let best = |targets: Vec<usize>| targets.into_iter().min_by_key(|target| (rank(*target), position(*target)));
         let caps: Vec<usize> = active.into_iter().filter(|number| spec.policies[*number].say == Say::Cap).collect();
         for number in &caps {
-            self.earned[*number] = (self.earned[*number] + spec.policies[*number].cap).min(1.0);
+            self.earned[*number] = (self.earned[*number] + (spec.policies[*number].cap * MOVE as f64) as i64).min(MOVE);
         }
         let Some(wanted) = best((0..TARGETS).filter(|target| is_open(*target)).collect()) else {
             return Outcome::NoneUsable;
@@ -254,8 +257,8 @@
         if caps.is_empty() || home == Some(hall_of(wanted)) {
             return Outcome::To(wanted);
         }
-        if caps.iter().all(|number| self.earned[*number] >= 1.0 - ROUNDING) {
-            caps.iter().for_each(|number| self.earned[*number] -= 1.0);
+        if caps.iter().all(|number| self.earned[*number] >= MOVE) {
+            caps.iter().for_each(|number| self.earned[*number] -= MOVE);
             return Outcome::To(wanted);
         }
         let at_home = (0..TARGETS).filter(|target| is_open(*target) && Some(hall_of(*target)) == home).collect();
@@ -333,7 +336,7 @@
             }
         }
         govern(&mut scene, &spec.toml());
-        let mut naive = Naive { spec: &spec, earned: vec![0.0; spec.policies.len()] };
+        let mut naive = Naive { spec: &spec, earned: vec![0; spec.policies.len()] };
         for (object, tier) in &spec.asks {
             let expected = naive.decide(&place(&bare, *object), *tier);
             prop_assert_eq!(decide(&scene, *object, *tier), expected, "object {}, {}", object, spec.toml());
