--- a/src/command/account.rs
+++ b/src/command/account.rs
@@ -36,8 +36,8 @@
 fn route(line: &RequestLine) -> String {
     let RequestLine { timestamp, id, config, .. } = line;
     let age = match line.view_age_ms {
-        Some(age) => format!("what was known of the store was {age} ms old"),
-        None => "nothing was known of the store".to_owned(),
+        Some(age) => format!("the view of the store was {age} ms old"),
+        None => "there was no view of the store".to_owned(),
     };
     match &line.route {
         Some(route) => format!("{timestamp}: request {id} took route {route} of configuration {config}; {age}.\n"),
@@ -53,7 +53,7 @@
     let RequestLine { sends, load, .. } = line;
     match (&line.target, &line.hall, &line.service) {
         (Some(target), Some(hall), Some(service)) if *sends == 0 && line.outcome == "full" => format!(
-            "It was sent to no target: {target} of {service} in {hall}, the first of its object, had {load:.1} requests.\n"
+            "It was sent to no target: {target} of {service} in {hall}, the first for its affinity key, had {load:.1} requests.\n"
         ),
         (Some(target), Some(hall), Some(service)) => format!(
             "It was sent {sends} time(s), last to {target} of {service} in {hall}, where {load:.1} requests were before it.\n"
@@ -71,18 +71,18 @@
 fn outcome_text(word: &str) -> &str {
     match word {
         "answered" => "the target's own answer was passed on",
-        "no-configuration" => "this entry had no configuration yet: see its store_lost and config_in_force lines",
+        "no-configuration" => "this instance had no configuration yet: see its store_lost and config_in_force lines",
         "no-route" => "no route of that configuration takes its host and path",
         "malformed" => "it could not be understood",
         "too-large" => "its body was over the configuration's limit",
         "broken-body" => "its body did not arrive whole in time",
         "no-target" => "no target might be used: see the target and evacuation lines before it",
         "capped" => "a policy's cap left no credit to move it to targets that had room",
-        "full" => "both targets of its object had no room",
-        "turned-away" => "every target that it was sent to turned it away unrun",
+        "full" => "both targets for its affinity key had no room",
+        "turned-away" => "every target that it was sent to refused it and did not run it",
         "unreachable" => "no target could be connected to",
         "too-late" => "its time ran out before it was sent",
-        "stopping" => "this entry was stopping",
+        "stopping" => "this instance was stopping",
         "lost" => "a target's answer was lost, so that it may have run",
         "timed-out" => "its time ran out while a target had it, so that it may have run",
         other => other,
--- a/src/command/why.rs
+++ b/src/command/why.rs
@@ -28,9 +28,9 @@
 
 fn text(why: &Why) -> String {
     let Why { route, service, config, .. } = why;
-    let age = why.view_age_ms.map_or("unknown".to_owned(), |age| format!("{age} ms"));
+    let age = why.view_age_ms.map_or("of unknown age".to_owned(), |age| format!("{age} ms old"));
     let mut text = format!(
-        "Route {route} of configuration {config} takes it, for service {service}; what is known is {age} old.\n"
+        "Route {route} of configuration {config} takes it, for service {service}; the view of the store is {age}.\n"
     );
     if !why.acted.is_empty() {
         // Policies that have a part are of a revision in force. An answer without one
@@ -58,16 +58,16 @@
         "chosen" => "chosen",
         "next" => "next, if the chosen one had no room",
         "full" => "has no room",
-        "farther" => "the object lives elsewhere",
-        "draining" => "is leaving",
+        "farther" => "other targets are preferred for this affinity key",
+        "draining" => "it is draining",
         "evacuated" => "its hall is evacuated",
         "region-not-allowed" => "the route does not allow its region",
         "denied" => "a deny policy selects it",
         "not-allowed" => "no allow policy selects it",
         "drained" => "a drain policy selects it",
-        "left-alone" => "it failed and is left alone for a while",
+        "left-alone" => "it failed repeatedly and is ejected for a while",
         "slow" => "it is far slower than its peers",
-        "cold" => "it is cold, and this instance has used its part of what it bears",
+        "cold" => "it is in slow start, and this instance has used its share of its rate",
         other => other,
     }
 }
--- a/src/operator/refusal.rs
+++ b/src/operator/refusal.rs
@@ -29,7 +29,7 @@
     #[error(transparent)]
     Apply(#[from] ApplyError),
     /// There is no configuration to decide by yet.
-    #[error("this entry has no configuration yet; ask another")]
+    #[error("this instance has no configuration yet; ask another instance")]
     NoConfig,
     /// No route takes the request in question.
     #[error("no route takes this host and path; correct them or add a route")]
--- a/src/policy/unsupported.rs
+++ b/src/policy/unsupported.rs
@@ -42,11 +42,11 @@
     /// The refusal of a policy that uses it.
     pub(super) fn refusal<R>(self, file: &File<R>, raw: &RawPolicy) -> PolicyError {
         let (field, text, remedy) = match self {
-            Self::Limit => ("limit", "entries bound no rates or counts", "use weight, cap or deny"),
+            Self::Limit => ("limit", "instances limit neither rates nor counts", "use weight, cap or deny"),
             Self::Priority => {
                 ("priority", "priorities come with the platform's routes", "set the route's priority there")
             }
-            Self::Pace => ("pace", "entries take a weight at once", "raise the weight in several applies"),
+            Self::Pace => ("pace", "instances apply a weight at once", "raise the weight in several applies"),
         };
         PolicyError::Mismatch { place: file.place("policy", &raw.name, field), text, remedy }
     }
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -166,6 +166,6 @@
 fn record_failure(target: &Target) {
     if let Some(lasting) = target.record_failure(Instant::now()) {
         let for_ms = lasting.as_millis() as u64;
-        tracing::info!(event = "target_left_alone", id = &*target.id, hall = &*target.hall, for_ms);
+        tracing::info!(event = "target_ejected", id = &*target.id, hall = &*target.hall, for_ms);
     }
 }
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -25,7 +25,7 @@
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
     /// No configuration is known yet.
-    #[error("this entry has no configuration yet; ask another entry")]
+    #[error("this instance has no configuration yet; send the request to another instance")]
     NoConfig,
     /// No route takes the host and path.
     #[error("no route takes this host and path; correct them or add a route")]
@@ -40,27 +40,25 @@
     #[error("the body did not arrive whole in time; send the request again")]
     BrokenBody,
     /// No target may be used.
-    #[error("no target may take this request now; come back after the time in retry-after")]
+    #[error("no target may take this request now; retry after the time in retry-after")]
     NoTarget,
     /// The object's targets have no room.
-    #[error("the targets of this object have no room; come back after the time in retry-after")]
+    #[error("the targets for this affinity key have no room; retry after the time in retry-after")]
     Full,
     /// A cap leaves no credit to move it to targets that have room.
-    #[error(
-        "a policy's cap keeps the request from the targets that have room; come back after the time in retry-after"
-    )]
+    #[error("a policy's cap keeps the request from the targets that have room; retry after the time in retry-after")]
     Capped,
     /// Targets turned it away without running it.
-    #[error("the targets turned the request away unrun; come back after the time in retry-after")]
+    #[error("the targets refused the request and did not run it; retry after the time in retry-after")]
     TurnedAway,
     /// No connection to a target could be made.
-    #[error("no target could be reached; come back after the time in retry-after")]
+    #[error("no target could be reached; retry after the time in retry-after")]
     Unreachable,
     /// Its time ran out before it was sent.
     #[error("the request's time ran out before it was sent; give it more time")]
     TooLate,
     /// This instance stops.
-    #[error("this entry is stopping; ask another entry")]
+    #[error("this instance is stopping; send the request to another instance")]
     Stopping,
     /// The exchange broke after the request may have run.
     #[error("the target's answer was lost; the request may have run")]
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -95,10 +95,10 @@
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum StoreError {
     /// No answer; a write may have been done, or may still be done.
-    #[error("the store did not answer; lockloft tries again by itself")]
+    #[error("the store did not answer; lockloft retries the call")]
     Silent,
     /// The store refused the call with this status; nothing was done.
-    #[error("the store turned the call away with {0}; lockloft tries again by itself")]
+    #[error("the store refused the call with status {0}; lockloft retries it")]
     Refused(u16),
     /// Another write came first: the key is not at the expected revision.
     #[error("another write came first; lockloft reads the key again")]
--- a/tests/cli.rs
+++ b/tests/cli.rs
@@ -106,7 +106,7 @@
     assert!(first < second, "{}", said.out);
     assert!(said.out.contains("It ended with 200 after 160 ms"), "{}", said.out);
     let said = Run::lockloft(&[&["explain", "r-2"], logs.as_slice()].concat()).ends(0);
-    assert!(said.out.contains("both targets of its object had no room"), "{}", said.out);
+    assert!(said.out.contains("both targets for its affinity key had no room"), "{}", said.out);
     let said = Run::lockloft(&[&["explain", "r-3"], logs.as_slice()].concat()).ends(1);
     assert!(said.err.contains("search the logs of all instances"), "{}", said.err);
 }
--- a/tests/wire_cli.rs
+++ b/tests/wire_cli.rs
@@ -178,16 +178,16 @@
         ("chosen", "chosen"),
         ("next", "next, if the chosen one had no room"),
         ("full", "has no room"),
-        ("farther", "the object lives elsewhere"),
-        ("draining", "is leaving"),
+        ("farther", "other targets are preferred for this affinity key"),
+        ("draining", "it is draining"),
         ("evacuated", "its hall is evacuated"),
         ("region-not-allowed", "the route does not allow its region"),
         ("denied", "a deny policy selects it"),
         ("not-allowed", "no allow policy selects it"),
         ("drained", "a drain policy selects it"),
-        ("left-alone", "it failed and is left alone for a while"),
+        ("left-alone", "it failed repeatedly and is ejected for a while"),
         ("slow", "it is far slower than its peers"),
-        ("cold", "it is cold, and this instance has used its part of what it bears"),
+        ("cold", "it is in slow start, and this instance has used its share of its rate"),
         ("later-word", "later-word"),
     ];
     let targets: Vec<String> = verdicts.iter().map(|(word, _)| target("i-1", word)).collect();
@@ -197,7 +197,7 @@
         targets.join(",")
     );
     let instance = Instance::start(&[("/why", &why)]);
-    let mut text = "Route /look/ of configuration 3 takes it, for service shop; what is known is 40 ms old.\n\
+    let mut text = "Route /look/ of configuration 3 takes it, for service shop; the view of the store is 40 ms old.\n\
         Policies with a part in it, of revision 7: one, two.\n\
         It would go to i-1. Nothing was sent.\n"
         .to_owned();
@@ -216,7 +216,7 @@
     let why = r#"{"route":"/look/","service":"shop","config":3,"policies":null,"view_age_ms":null,"acted":[],
         "chosen":null,"targets":[]}"#;
     let instance = Instance::start(&[("/why", why)]);
-    let text = "Route /look/ of configuration 3 takes it, for service shop; what is known is unknown old.\n\
+    let text = "Route /look/ of configuration 3 takes it, for service shop; the view of the store is of unknown age.\n\
         It would be refused. Nothing was sent.\n";
     assert_eq!(instance.prints(&["why", "host=h", "path=/p"]), text);
     instance.was_asked("GET /why?host=h&path=%2Fp");
@@ -270,20 +270,20 @@
     ),
     (
         r#"{"timestamp":"T2","level":"INFO","event":"request","id":"r-1","route":"buy","service":"shop","target":"i-2","hall":"a-2","load":2.0,"sends":2,"config":7,"policies":"one,two","view_age_ms":300,"outcome":"answered","status":200,"took_ms":160}"#,
-        "T2: request r-1 took route buy of configuration 7; what was known of the store was 300 ms old.\n\
+        "T2: request r-1 took route buy of configuration 7; the view of the store was 300 ms old.\n\
          Policies with a part in it: one,two.\n\
          It was sent 2 time(s), last to i-2 of shop in a-2, where 2.0 requests were before it.\n\
          It ended with 200 after 160 ms: the target's own answer was passed on.\n",
     ),
     (
         r#"{"timestamp":"T3","level":"INFO","event":"request","id":"r-1","route":"buy","service":"shop","target":"i-2","hall":"a-2","load":8.0,"sends":0,"config":7,"view_age_ms":300,"outcome":"full","status":503,"took_ms":1}"#,
-        "T3: request r-1 took route buy of configuration 7; what was known of the store was 300 ms old.\n\
-         It was sent to no target: i-2 of shop in a-2, the first of its object, had 8.0 requests.\n\
-         It ended with 503 after 1 ms: both targets of its object had no room.\n",
+        "T3: request r-1 took route buy of configuration 7; the view of the store was 300 ms old.\n\
+         It was sent to no target: i-2 of shop in a-2, the first for its affinity key, had 8.0 requests.\n\
+         It ended with 503 after 1 ms: both targets for its affinity key had no room.\n",
     ),
     (
         r#"{"timestamp":"T4","level":"INFO","event":"request","id":"r-1","load":0.0,"sends":0,"config":0,"outcome":"no-route","status":404,"took_ms":0}"#,
-        "T4: request r-1 took no route (configuration 0); nothing was known of the store.\n\
+        "T4: request r-1 took no route (configuration 0); there was no view of the store.\n\
          It was sent to no target.\n\
          It ended with 404 after 0 ms: no route of that configuration takes its host and path.\n",
     ),
