--- a/src/decision/cap_moves.rs
+++ b/src/decision/cap_moves.rs
@@ -25,13 +25,13 @@
 use crate::decision::affinity::Candidate;
 use crate::decision::query::Query;
 use crate::decision::target::Target;
-use crate::policy::{Active, PolicyVerdict};
+use crate::policy::{MatchedPolicies, PolicyVerdict};
 
 /// What caps allow a request.
 pub struct CapMoves<'a> {
     query: &'a Query<'a>,
     /// The policies that select the request, where a cap is among them.
-    caps: Option<&'a Active<'a>>,
+    caps: Option<&'a MatchedPolicies<'a>>,
     /// The default target; looked for only where there are caps.
     default_target: Option<Candidate<'a>>,
 }
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -123,7 +123,7 @@
     }
 
     fn by_latency(&self, target: &Target) -> Option<Exclusion> {
-        let (objective, now) = (self.query.route.objective, self.query.now);
+        let (objective, now) = (self.query.route.latency_objective, self.query.now);
         let is_excluded = target.is_slow(self.median, objective, now) && !target.may_try_slow(now);
         is_excluded.then_some(Exclusion::Slow)
     }
--- a/src/decision/query.rs
+++ b/src/decision/query.rs
@@ -6,7 +6,7 @@
 use crate::decision::slow_start::SlowStartShare;
 use crate::decision::target::{Target, TargetKey};
 use crate::model::config::Route;
-use crate::policy::{Active, Order, PolicyVerdict};
+use crate::policy::{MatchedPolicies, Order, PolicyVerdict};
 use tokio::time::Instant;
 
 /// A question for a target.
@@ -24,7 +24,7 @@
     /// be stale.
     pub slow_start: Option<SlowStartShare<'a>>,
     /// The operators' policies that select the request.
-    pub active: Option<&'a Active<'a>>,
+    pub active: Option<&'a MatchedPolicies<'a>>,
     /// The targets that it was sent to already.
     pub tried: &'a [TargetKey],
     /// The time.
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -11,7 +11,7 @@
 use crate::decision::slow_start::SlowStart;
 use crate::model::registration::{TargetRegistration, TargetState};
 use crate::net::pool::Pool;
-use crate::policy::{Policies, PolicyMask, TargetFacts};
+use crate::policy::{Policies, PolicySet, TargetFacts};
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -65,7 +65,7 @@
     slow_start: RefCell<SlowStart>,
     grace: RefCell<Grace>,
     /// The policies whose places select it, and the revision they belong to.
-    selecting: Cell<Option<(u64, PolicyMask)>>,
+    selecting: Cell<Option<(u64, PolicySet)>>,
 }
 
 impl Target {
@@ -128,7 +128,7 @@
     }
 
     /// The policies whose places select it, worked out once for each revision.
-    pub fn selecting(&self, policies: &Policies) -> PolicyMask {
+    pub fn selecting(&self, policies: &Policies) -> PolicySet {
         if let Some((revision, mask)) = self.selecting.get()
             && revision == policies.revision
         {
--- a/src/proxy/caller_request.rs
+++ b/src/proxy/caller_request.rs
@@ -42,7 +42,7 @@
     /// The affinity key's hash; a hash of the request's identity where it has no key
     /// or the route no affinity, and a random number where it has neither.
     pub fn affinity(&self) -> u64 {
-        let key = self.parts.headers.get(&self.instance.names.object).filter(|_| self.route.affinity);
+        let key = self.parts.headers.get(&self.instance.names.affinity_key).filter(|_| self.route.affinity);
         match key.or_else(|| self.id()) {
             Some(value) => hash_affinity(value.as_bytes()),
             None => rand::random(),
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -9,7 +9,7 @@
 use crate::decision::target::{Target, TargetKey};
 use crate::model::config::WeightedService;
 use crate::platform::Platform;
-use crate::policy::{Active, CapCharge, RequestFacts};
+use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
 use crate::proxy::access_record::AccessRecord;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::refusal::Refusal;
@@ -104,11 +104,11 @@
             now: Instant::now(),
         };
         let chosen = choose(snapshot.routing, self.request.config, &query);
-        (chosen, active.as_ref().map_or_else(Vec::new, Active::applied))
+        (chosen, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
     }
 
     /// The operators' policies that select the request.
-    fn active(&self, snapshot: &Snapshot<'_>, service: &str) -> Option<Active<'_>> {
+    fn active(&self, snapshot: &Snapshot<'_>, service: &str) -> Option<MatchedPolicies<'_>> {
         let parts = &self.request.parts;
         let facts = RequestFacts {
             service,
@@ -119,7 +119,7 @@
             uri: &parts.uri,
             headers: &parts.headers,
         };
-        Active::find(snapshot.routing.policies.as_ref()?, &facts, self.affinity, &self.charge)
+        MatchedPolicies::find(snapshot.routing.policies.as_ref()?, &facts, self.affinity, &self.charge)
     }
 }
 
--- a/standins/tests/policies.rs
+++ b/standins/tests/policies.rs
@@ -8,10 +8,11 @@
 use lockloft::policy::Sources;
 use serde_json::Value;
 use standins::http::{self, Reply};
-use standins::site::{InstanceProcess, RouteSpec, Site, TestRequest, wait_until};
+use standins::scene::{look_route, start_target};
+use standins::site::{InstanceProcess, Site, TestRequest};
 use standins::store::Trouble;
-use standins::target::TargetServer;
-use std::time::{Duration, Instant};
+use standins::target_server::TargetServer;
+use standins::wait::{wait_for, wait_until};
 
 const DRAIN: &str = "[[policy]]\nname = \"leave\"\nplaces = { hall = \"a-1\" }\ndrain = true\n";
 const NOTHING: &str = "";
@@ -26,22 +27,17 @@
 impl Scene {
     async fn start() -> Self {
         let site = Site::start(program()).await;
-        let one = TargetServer::start("u-1", 8, Duration::from_millis(2)).await.unwrap();
-        let other = TargetServer::start("u-2", 8, Duration::from_millis(2)).await.unwrap();
-        site.list(&one, "shop", "a-1");
-        site.list(&other, "shop", "a-2");
-        site.configure(1, &[RouteSpec::new("/look/", "safe", "shop")], &["shop"]);
+        let one = start_target(&site, "u-1", "a-1").await;
+        let other = start_target(&site, "u-2", "a-2").await;
+        site.configure(1, &[look_route()], &["shop"]);
         let instances = [site.ready_instance("e-1", "a-1").await, site.ready_instance("e-2", "a-2").await];
         Self { site, targets: [one, other], instances }
     }
 
     /// Waits until an instance has a revision of the policies in force.
     async fn in_force(&self, instance: usize, revision: u64) {
-        let end = Instant::now() + standins::site::WAIT_TIMEOUT;
-        while status(&self.instances[instance]).await["policies"] != revision {
-            assert!(Instant::now() < end, "revision {revision} is not in force at instance {instance}");
-            tokio::time::sleep(Duration::from_millis(20)).await;
-        }
+        let what = format!("revision {revision} in force at instance {instance}");
+        wait_for(&what, async || self.instances[instance].status().await["policies"] == revision).await;
     }
 
     /// How many of 40 objects the target of the drained hall gets.
@@ -56,10 +52,6 @@
     }
 }
 
-async fn status(instance: &InstanceProcess) -> Value {
-    serde_json::from_slice(&http::get(instance.peers, "/status").await.unwrap().body).unwrap()
-}
-
 async fn apply(instance: &InstanceProcess, id: &str, expect: Option<u64>, text: &str) -> Reply {
     let sources = Sources::single("policies.toml", text);
     let request = ApplyRequest { id: id.into(), by: "anna".into(), expect, sources };
@@ -72,7 +64,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn policies_applied_at_one_entry_are_in_force_at_all_and_explained() {
+async fn policies_applied_at_one_instance_are_in_force_at_all_and_explained() {
     let scene = Scene::start().await;
     assert!(scene.to_drained_hall(1).await > 0);
     let reply = apply(&scene.instances[0], "one", None, DRAIN).await;
@@ -81,9 +73,9 @@
         scene.in_force(instance, 1).await;
         assert_eq!(scene.to_drained_hall(instance).await, 0);
     }
-    let ask = TestRequest::get("/look/a");
-    ask.send(scene.instances[1].callers).await.unwrap();
-    assert_eq!(scene.instances[1].request_line(&ask.id).await["policies"], "leave");
+    let request = TestRequest::get("/look/a");
+    request.send(scene.instances[1].callers).await.unwrap();
+    assert_eq!(scene.instances[1].request_line(&request.id).await["policies"], "leave");
     let why = http::get(scene.instances[1].peers, "/why?host=shop.example&path=/look/a&object=3").await.unwrap();
     let why: Value = serde_json::from_slice(&why.body).unwrap();
     assert_eq!(why["chosen"], "u-2", "{why}");
@@ -112,20 +104,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn an_apply_whose_answer_is_lost_is_resolved_by_reading() {
     let mut scene = Scene::start().await;
-    let door = scene.site.store.door().await.unwrap();
-    let mut instance = scene.site.instance_at("e-3", "a-1", &door, &[]);
+    let endpoint = scene.site.store.endpoint().await.unwrap();
+    let mut instance = scene.site.instance_at("e-3", "a-1", &endpoint, &[]);
     instance.start();
     instance.wait_ready().await;
-    door.set(Trouble::AnswersLost);
+    endpoint.set(Trouble::AnswersLost);
     let applied = tokio::spawn(async move {
         let reply = apply(&instance, "lost", None, DRAIN).await;
         (instance, reply)
     });
     scene.in_force(1, 1).await;
-    door.set(Trouble::None);
+    endpoint.set(Trouble::None);
     let (instance, reply) = applied.await.unwrap();
     assert_eq!(reply.status, 200, "{}", message(&reply));
-    assert_eq!(status(&instance).await["store_lost"], false);
+    assert_eq!(instance.status().await["store_lost"], false);
     // The write was done once: the next one follows it.
     scene.instances[0] = instance;
     assert_eq!(apply(&scene.instances[0], "next", Some(1), NOTHING).await.status, 200);
@@ -133,7 +125,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn policies_outlast_their_entries_and_the_store_s_outage() {
+async fn policies_outlast_their_instances_and_the_store_s_outage() {
     let mut scene = Scene::start().await;
     assert_eq!(apply(&scene.instances[0], "one", None, DRAIN).await.status, 200);
     scene.in_force(1, 1).await;
@@ -142,19 +134,19 @@
     scene.instances[0].wait_ready().await;
     scene.in_force(0, 1).await;
     assert_eq!(scene.to_drained_hall(0).await, 0);
-    let door = scene.site.store.door().await.unwrap();
-    let mut instance = scene.site.instance_at("e-3", "a-1", &door, &[scene.instances[1].peers]);
-    door.set(Trouble::Silent);
+    let endpoint = scene.site.store.endpoint().await.unwrap();
+    let mut instance = scene.site.instance_at("e-3", "a-1", &endpoint, &[scene.instances[1].peers]);
+    endpoint.set(Trouble::Silent);
     instance.start();
     wait_until("the instance knows the policies by a peer", || !instance.events("policies_in_force").is_empty()).await;
     let refused = apply(&instance, "unheard", None, NOTHING).await;
     assert_eq!(refused.status, 503);
     assert!(message(&refused).contains("may still come into force"), "{}", message(&refused));
-    assert_eq!(status(&scene.instances[1]).await["policies"], 1);
+    assert_eq!(scene.instances[1].status().await["policies"], 1);
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_tool_speaks_to_instances() {
+async fn the_command_line_tool_works_with_instances() {
     let scene = Scene::start().await;
     let folder = std::env::temp_dir().join(standins::site::fresh_id());
     std::fs::create_dir(&folder).unwrap();
@@ -179,7 +171,7 @@
     for command in commands {
         assert_eq!(tool(command).await, success, "{command:?}");
     }
-    assert_eq!(status(&scene.instances[1]).await["policies"], 1, "--wait waited for all instances");
+    assert_eq!(scene.instances[1].status().await["policies"], 1, "--wait waited for all instances");
     assert_eq!(tool(&["apply", &file, "--expect", "0"]).await, format!("{:?}", std::process::ExitCode::from(3)));
     assert_eq!(tool(&["history"]).await, format!("{:?}", std::process::ExitCode::from(2)));
     std::fs::remove_dir_all(folder).unwrap();
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -7,7 +7,7 @@
 use lockloft::decision::exclusion::Exclusion;
 use lockloft::decision::target::Target;
 use lockloft::policy::Sources;
-use lockloft::policy::{Active, CapCharge, Policies, PolicyDocument, PolicyMask, RequestFacts};
+use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, PolicySet, RequestFacts};
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::{BTreeSet, HashMap};
@@ -65,7 +65,8 @@
         uri: &asked.uri,
         headers: &asked.headers,
     };
-    let active = scene.routing.policies.as_ref().and_then(|policies| Active::find(policies, &facts, object, trial));
+    let active =
+        scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, object, trial));
     let query = Query {
         route: &route,
         service: "shop",
@@ -77,7 +78,7 @@
         now: scene.now,
     };
     let decided = with(&scene.routing, &scene.config, &query);
-    (decided, active.as_ref().map_or_else(Vec::new, Active::applied))
+    (decided, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
 }
 
 fn halls(scene: &Scene, asked: &Asked, objects: std::ops::Range<u64>) -> HashMap<String, u32> {
@@ -292,11 +293,11 @@
         other in prop::collection::btree_set(0usize..128, 0..40),
     ) {
         let mask = |set: &BTreeSet<usize>| {
-            let mut mask = PolicyMask::default();
+            let mut mask = PolicySet::default();
             set.iter().for_each(|position| mask.insert(*position));
             mask
         };
-        let positions = |mask: PolicyMask| mask.positions().collect::<Vec<_>>();
+        let positions = |mask: PolicySet| mask.positions().collect::<Vec<_>>();
         prop_assert_eq!(positions(mask(&one)), one.iter().copied().collect::<Vec<_>>());
         let both: Vec<usize> = one.intersection(&other).copied().collect();
         prop_assert_eq!(positions(mask(&one).and(mask(&other))), both);
