--- a/src/policy/credit.rs
+++ b/src/policy/credit.rs
@@ -4,7 +4,8 @@
 //! **Inputs.** The caps that select the request: each a share of the selected
 //! requests, 0 to 1. Each cap's [`Credit`]: this instance's own count, in
 //! moves, exact to the request; it begins at 0 with each revision of the
-//! policies. Whether the request has earned and paid before: its [`CapCharge`].
+//! policies. Whether the request has earned and paid before: its
+//! [`CapCharge`](super::CapCharge).
 //! What a move is, is decided by the caller: the target that would be sent to is
 //! in another hall than the default target, the one that the request would go to
 //! if no target had any trouble (`decision/choice.rs`).
@@ -26,8 +27,6 @@
 //! **Tests.** `tests/caps.rs` against plain sums and a naive decider;
 //! `what_is_moved_stays_within_the_cap` in `tests/policies.rs`.
 
-use super::policies::Policies;
-use super::set::PolicySet;
 use std::cell::Cell;
 
 /// Credit of one move, in units of credit. Whole numbers, so that many small
@@ -64,50 +63,3 @@
         self.0.set((self.0.get() + gain).min(ONE_MOVE));
     }
 }
-
-/// What one request has earned and paid so far, over all its tries.
-#[derive(Debug, Default)]
-pub struct CapCharge {
-    /// Whether its caps have earned for it.
-    earned: Cell<bool>,
-    /// Whether it has paid for a move.
-    paid: Cell<bool>,
-}
-
-impl CapCharge {
-    /// A charge that neither earns nor pays, for a decision that sends nothing.
-    pub fn dry() -> Self {
-        Self { earned: Cell::new(true), paid: Cell::new(true) }
-    }
-
-    /// Lets the caps that select the request earn for it, the first time.
-    pub(super) fn earn(&self, policies: &Policies, caps: PolicySet) {
-        if self.earned.replace(true) {
-            return;
-        }
-        for position in caps.positions() {
-            let Some(cap) = policies.list[position].cap else { continue };
-            policies.credits[position].earn(cap);
-        }
-    }
-
-    /// Pays for a move, the first time.
-    ///
-    /// # Errors
-    /// The position of the first cap that has no credit; nothing is spent then.
-    pub(super) fn pay(&self, policies: &Policies, caps: PolicySet) -> Result<(), usize> {
-        if self.paid.get() {
-            return Ok(());
-        }
-        let mut spent = PolicySet::default();
-        for position in caps.positions() {
-            if !policies.credits[position].spend() {
-                spent.positions().for_each(|position| policies.credits[position].refund());
-                return Err(position);
-            }
-            spent.insert(position);
-        }
-        self.paid.set(true);
-        Ok(())
-    }
-}
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -3,7 +3,7 @@
 //! [`super`] has the order in which they are applied.
 
 use super::action::{Action, UNRANKED};
-use super::credit::CapCharge;
+use super::cap_charge::CapCharge;
 use super::facts::RequestFacts;
 use super::policies::Policies;
 use super::set::PolicySet;
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -22,13 +22,14 @@
 //! | `facts`, `labels` | what labels are read from; the labels of a target or a request |
 //! | `policies`, `set` | the policies of one document; sets of them |
 //! | `matched`, `verdict` | the policies that select one request; what they say of a target |
-//! | [`credit`] | the cap rule |
+//! | [`credit`], `cap_charge` | the cap rule; what one request has earned and paid |
 //!
 //! Relies on [`crate::hash`] only. The policies in force are kept by
 //! [`crate::decision::routing`], and what they say is joined with the other rules
 //! in [`crate::decision::choice`].
 
 pub mod action;
+mod cap_charge;
 mod check;
 pub mod credit;
 mod document;
@@ -45,11 +46,12 @@
 mod read_policy;
 pub mod selector;
 mod set;
+mod share;
 mod source;
 mod unsupported;
 mod verdict;
 
-pub use credit::CapCharge;
+pub use cap_charge::CapCharge;
 pub use document::{DocumentError, PolicyDocument};
 pub use error::{Place, PolicyError};
 pub use facts::{RequestFacts, TargetFacts};
--- a/src/policy/raw.rs
+++ b/src/policy/raw.rs
@@ -3,8 +3,8 @@
 
 use super::label::RawLabels;
 use super::selector::RawSelector;
-use super::unsupported::{RawLimit, RawPace};
 use serde::Deserialize;
+use std::time::Duration;
 use toml::Spanned;
 
 /// One file of a policy document.
@@ -65,3 +65,24 @@
     pub(super) priority: Option<u8>,
     pub(super) pace: Option<RawPace>,
 }
+
+/// The table `limit`, in requests.
+#[derive(Clone, Copy, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct RawLimit {
+    /// Requests in flight.
+    pub(super) flight: Option<u32>,
+    /// Requests a second.
+    pub(super) rate: Option<u32>,
+}
+
+/// The table `pace`.
+#[derive(Clone, Copy, Debug, Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct RawPace {
+    /// Share of the selected requests that each step adds, 0 to 1.
+    pub(super) share: f64,
+    /// Time between steps.
+    #[serde(with = "humantime_serde")]
+    pub(super) every: Duration,
+}
--- a/src/policy/read_policy.rs
+++ b/src/policy/read_policy.rs
@@ -1,11 +1,12 @@
 //! A policy, read from its fields.
 
 use super::action::{Action, Policy};
-use super::error::{Place, PolicyError};
+use super::error::PolicyError;
 use super::file::{Checked, File};
 use super::label::Interner;
 use super::raw::RawPolicy;
 use super::selector::Selector;
+use super::share::check_share;
 use super::unsupported::{Unsupported, check_limit, check_pace};
 
 /// Checks a policy; the labels of its selectors are interned.
@@ -50,14 +51,6 @@
     }
 }
 
-/// Refuses what is no share.
-pub(super) fn check_share(place: Place, value: f64) -> Checked<()> {
-    if (0.0..=1.0).contains(&value) {
-        return Ok(());
-    }
-    Err(PolicyError::Range { place, value: value.to_string(), range: "a share from 0 to 1" })
-}
-
 /// One thing that a policy says, done by instances or not.
 type Said = Result<Action, Unsupported>;
 
--- a/src/policy/unsupported.rs
+++ b/src/policy/unsupported.rs
@@ -4,31 +4,8 @@
 
 use super::error::PolicyError;
 use super::file::{Checked, File};
-use super::raw::RawPolicy;
-use super::read_policy::check_share;
-use serde::Deserialize;
-use std::time::Duration;
-
-/// The table `limit`, in requests.
-#[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(super) struct RawLimit {
-    /// Requests in flight.
-    flight: Option<u32>,
-    /// Requests a second.
-    rate: Option<u32>,
-}
-
-/// The table `pace`.
-#[derive(Clone, Copy, Debug, Deserialize)]
-#[serde(deny_unknown_fields)]
-pub(super) struct RawPace {
-    /// Share of the selected requests that each step adds, 0 to 1.
-    share: f64,
-    /// Time between steps.
-    #[serde(with = "humantime_serde")]
-    every: Duration,
-}
+use super::raw::{RawLimit, RawPolicy};
+use super::share::check_share;
 
 /// A field that no instance acts on.
 #[derive(Clone, Copy, Debug)]
