--- a/src/operator/question.rs
+++ b/src/operator/question.rs
@@ -18,7 +18,7 @@
     /// Path and query.
     pub uri: Uri,
     /// Affinity key, where one is given.
-    pub object: Option<String>,
+    pub affinity_key: Option<String>,
     /// Headers that labels may be read from.
     pub headers: HeaderMap,
 }
@@ -39,7 +39,7 @@
             host: host.clone(),
             method: method.parse()?,
             uri: path.parse()?,
-            object: pairs.get("object").cloned(),
+            affinity_key: pairs.get("object").cloned(),
             headers,
         })
     }
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -4,14 +4,14 @@
 use super::api::{Why, WhyTarget};
 use super::question::Question;
 use super::refusal::Refusal;
-use crate::decision::choice::{Query, SlowStartShare, Verdict, explain};
+use crate::decision::choice::{Verdict, explain};
 use crate::decision::target::Target;
 use crate::hash::hash_affinity;
 use crate::model::config::Route;
 use crate::platform::Platform;
 use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
 use crate::settings::Settings;
-use crate::state::{Instance, StoreCopy};
+use crate::state::Instance;
 use hyper::Uri;
 use tokio::time::Instant;
 
@@ -27,14 +27,14 @@
     let routing = instance.routing.borrow();
     let config = routing.config.clone().ok_or(Refusal::NoConfig)?;
     let route = question.route(&config)?;
-    let object = question.object.as_ref().map_or(0, |object| hash_affinity(object.as_bytes()));
-    let weighted = instance.splits.borrow().peek(route, object);
+    let affinity = question.affinity_key.as_ref().map_or(0, |key| hash_affinity(key.as_bytes()));
+    let weighted = instance.splits.borrow().peek(route, affinity);
     let service = &*weighted.service;
     let charge = CapCharge::dry();
     let facts = facts(&question, &settings, route, service);
     let active =
-        routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, object, &charge));
-    let query = query(&settings, &instance.store_copy, route, service, object, active.as_ref());
+        routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, affinity, &charge));
+    let query = instance.query(&settings, route, service, affinity, active.as_ref(), &[]);
     let verdicts = explain(&routing, &config, &query);
     let chosen = verdicts.iter().find(|(_, verdict)| *verdict == Verdict::Chosen);
     let targets = verdicts.iter().map(|(target, verdict)| line(target, *verdict, query.now)).collect();
@@ -63,29 +63,6 @@
     }
 }
 
-/// What the decision looks at. It has to be the same as for a caller's request,
-/// or the answer would explain another decision.
-fn query<'a>(
-    settings: &'a Settings,
-    store_copy: &StoreCopy,
-    route: &'a Route,
-    service: &'a str,
-    object: u64,
-    active: Option<&'a MatchedPolicies<'a>>,
-) -> Query<'a> {
-    let share = SlowStartShare { own: &settings.name, bounds: settings.slow_start };
-    Query {
-        route,
-        service,
-        affinity: object,
-        region: &settings.region,
-        slow_start: store_copy.is_current().then_some(share),
-        active,
-        tried: &[],
-        now: Instant::now(),
-    }
-}
-
 fn line(target: &Target, verdict: Verdict, now: Instant) -> WhyTarget {
     WhyTarget {
         target: target.id.to_string(),
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -12,9 +12,9 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Seed of the hash that places an object on the scale of weights. Any fixed
+/// Seed of the hash that places an affinity key on the scale of weights. Any fixed
 /// number will do: it has to be the same at every instance and another than those
-/// of other hashes of the object.
+/// of other hashes of the key.
 const WEIGHT_SEED: u64 = 0x9e37_79b9;
 
 /// The policies that select a request.
@@ -30,19 +30,19 @@
 }
 
 impl<'a> MatchedPolicies<'a> {
-    /// Finds the policies that select a request about `object`; `None` where
+    /// Finds the policies that select a request with this affinity hash; `None` where
     /// none does. Their caps earn for the request, once over all its tries.
     pub fn find(
         policies: &Rc<Policies>,
         request: &RequestFacts<'_>,
-        object: u64,
+        affinity: u64,
         charge: &'a CapCharge,
     ) -> Option<Self> {
         let set = policies.of_request(request);
         if set.is_empty() {
             return None;
         }
-        let weight = pick_weight(policies, set, unit(object, WEIGHT_SEED));
+        let weight = pick_weight(policies, set, unit(affinity, WEIGHT_SEED));
         let matched = Self { policies: policies.clone(), set, weight, applied: Cell::default(), charge };
         charge.earn(policies, matched.caps());
         Some(matched)
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -42,7 +42,7 @@
     /// No target may be used.
     #[error("no target may take this request now; retry after the time in retry-after")]
     NoTarget,
-    /// The object's targets have no room.
+    /// The targets for its affinity key have no room.
     #[error("the targets for this affinity key have no room; retry after the time in retry-after")]
     Full,
     /// A cap leaves no credit to move it to targets that have room.
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -4,7 +4,7 @@
 //! Owns what the operators' caps were charged for the request. Relies on the routing
 //! of the snapshot, read anew for each try.
 
-use crate::decision::choice::{NoTarget, Query, SlowStartShare, choose};
+use crate::decision::choice::{NoTarget, choose};
 use crate::decision::routing::Routing;
 use crate::decision::target::{Target, TargetKey};
 use crate::model::config::WeightedService;
@@ -29,8 +29,6 @@
 struct Snapshot<'a> {
     routing: &'a Routing,
     settings: &'a Settings,
-    /// `None` while the view of the store is stale: cold targets get nothing then.
-    slow_start: Option<SlowStartShare<'a>>,
 }
 
 impl<'a, P: Platform> TargetChoice<'a, P> {
@@ -50,11 +48,7 @@
     pub fn choose(&self, tried: &[TargetKey], record: &mut AccessRecord) -> Result<Rc<Target>, Refusal> {
         let instance = self.request.instance;
         let settings = instance.settings.borrow().clone();
-        let slow_start = instance
-            .store_copy
-            .is_current()
-            .then_some(SlowStartShare { own: &settings.name, bounds: settings.slow_start });
-        let snapshot = Snapshot { routing: &instance.routing.borrow(), settings: &settings, slow_start };
+        let snapshot = Snapshot { routing: &instance.routing.borrow(), settings: &settings };
         let mut refusal = Refusal::NoTarget;
         for weighted in self.services() {
             let (chosen, policies) = self.of_service(&snapshot, weighted, tried);
@@ -93,16 +87,15 @@
         tried: &[TargetKey],
     ) -> (Result<Rc<Target>, NoTarget>, Vec<String>) {
         let active = self.active(snapshot, &weighted.service);
-        let query = Query {
-            route: self.request.route,
-            service: &weighted.service,
-            affinity: self.affinity,
-            region: &snapshot.settings.region,
-            slow_start: snapshot.slow_start,
-            active: active.as_ref(),
+        let settings = snapshot.settings;
+        let query = self.request.instance.query(
+            settings,
+            self.request.route,
+            &weighted.service,
+            self.affinity,
+            active.as_ref(),
             tried,
-            now: Instant::now(),
-        };
+        );
         let chosen = choose(snapshot.routing, self.request.config, &query);
         (chosen, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -22,10 +22,14 @@
 pub use store_copy::StoreCopy;
 
 use crate::decision::change::StateChange;
+use crate::decision::choice::{Query, SlowStartShare};
 use crate::decision::retry::{RetryBudget, budget, max_saved};
 use crate::decision::routing::Routing;
 use crate::decision::split::Splits;
+use crate::decision::target::TargetKey;
+use crate::model::config::Route;
 use crate::platform::{HeaderNames, Platform};
+use crate::policy::MatchedPolicies;
 use crate::settings::Settings;
 use crate::store::{Event, Listing};
 use crate::telemetry::log::Log;
@@ -88,6 +92,31 @@
         !self.lifecycle.is_stopping() && self.routing.borrow().config.is_some()
     }
 
+    /// What the choice of a target looks at. A request's tries and `why` both ask here, so
+    /// that the one explains the other. Targets in slow start get nothing while the view
+    /// is stale.
+    pub fn query<'a>(
+        &self,
+        settings: &'a Settings,
+        route: &'a Route,
+        service: &'a str,
+        affinity: u64,
+        active: Option<&'a MatchedPolicies<'a>>,
+        tried: &'a [TargetKey],
+    ) -> Query<'a> {
+        let share = SlowStartShare { own: &settings.name, bounds: settings.slow_start };
+        Query {
+            route,
+            service,
+            affinity,
+            region: &settings.region,
+            slow_start: self.store_copy.is_current().then_some(share),
+            active,
+            tried,
+            now: Instant::now(),
+        }
+    }
+
     /// Applies a list of the store's items; `source` is for the log.
     pub fn take_listing(&self, listing: Listing, source: &'static str) {
         let changes = self.store_copy.take_listing(listing);
--- a/src/telemetry/access_log.rs
+++ b/src/telemetry/access_log.rs
@@ -17,7 +17,7 @@
     pub route: Option<String>,
     /// The service chosen.
     pub service: Option<String>,
-    /// The target of the last try; the first choice of its object where none had capacity.
+    /// The target of the last try; the first choice for its affinity key where none had room.
     pub target: Option<String>,
     /// That target's hall.
     pub hall: Option<String>,
