--- a/src/decision/grace.rs
+++ b/src/decision/grace.rs
@@ -3,7 +3,7 @@
 //! registered again by then.
 //!
 //! **Inputs**
-//! - The end of the grace, from [`crate::store::health::StoreHealth::grace_until`], which
+//! - The end of the grace, from [`crate::state::StoreCopy::grace_until`], which
 //!   owns the three constants: `GRACE` (2.0 s after the store's return), `GRACE_WINDOW`
 //!   (registrations seen to be gone within 1.5 s of the return) and `GRACE_AFTER` (only where
 //!   the view was older than 3.0 s when the store returned, so that registrations can have
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -40,7 +40,14 @@
     Settings(#[from] SettingsError),
     /// An address cannot be listened on.
     #[error("listen.{field} = {address}: {source}; free the address or change it in the settings")]
-    Listen { field: &'static str, address: SocketAddr, source: std::io::Error },
+    Listen {
+        /// Name of the field under `listen`.
+        field: &'static str,
+        /// The address.
+        address: SocketAddr,
+        /// The cause.
+        source: std::io::Error,
+    },
     /// The system gave no runtime or signal handler.
     #[error("the system gave no runtime or signal handler: {0}; raise the process's limits")]
     System(#[from] std::io::Error),
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -2,14 +2,22 @@
 //!
 //! | folder | its job |
 //! |---|---|
-//! | [`instance`] | start, settings, what all tasks share, planned stop |
+//! | [`instance`] | start, listeners, planned stop |
 //! | [`proxy`] | the way of a request: from a caller's connection to a target and back |
+//! | [`directory`] | readiness, and which instances callers are to use |
+//! | [`operator`], [`command`] | the answers to operators, and the tool that asks |
+//! | [`sync`] | what keeps the copy of the store current: watch, relay tree, peers, registration |
+//! | [`state`] | what all tasks share, by owner |
 //! | [`decision`] | the rules: which target a request may go to, and what bounds that |
 //! | [`policy`] | the operators' labels, selectors and policies |
-//! | [`sync`] | the copy of the store: watch, relay tree, peers, membership |
-//! | [`operator`], [`command`] | the answers to operators, and the tool that asks |
-//! | [`model`], [`platform`] | decoded configuration and records; what a platform has to give |
+//! | [`store`], [`settings`] | the store as lockloft sees it; the settings file, checked |
 //! | [`net`], [`telemetry`] | connections; log and metrics |
+//! | [`model`], [`platform`], [`hash`] | decoded configuration and records; what a platform has to give; hashes that all instances compute alike |
+//!
+//! `docs/ARCHITECTURE.md` shows who relies on whom. `platform/` (a crate) holds the
+//! program `lockloft-entry`, `src/bin/` the tool `lockloft`.
+#![deny(missing_docs)]
+
 pub mod command;
 pub mod decision;
 pub mod directory;
--- a/src/operator/apply.rs
+++ b/src/operator/apply.rs
@@ -43,7 +43,14 @@
     #[error(
         "revision {known} by {by} is in force, not {expected}; remedy: read it with `lockloft show`, then apply again"
     )]
-    Conflict { expected: u64, known: u64, by: String },
+    Conflict {
+        /// The revision that the apply had to follow.
+        expected: u64,
+        /// The revision in force.
+        known: u64,
+        /// Who applied that one.
+        by: String,
+    },
     /// No call to the store succeeded in time. A write whose answer was lost may have
     /// taken place.
     #[error(
--- a/src/policy/error.rs
+++ b/src/policy/error.rs
@@ -24,22 +24,62 @@
 pub enum PolicyError {
     /// The text is not TOML of the documented shape.
     #[error("{file}:{line}: {text}; remedy: write only the fields that docs/POLICIES.md lists")]
-    Syntax { file: String, line: usize, text: String },
+    Syntax {
+        /// File name as given.
+        file: String,
+        /// Line, counted from 1.
+        line: usize,
+        /// What is wrong.
+        text: String,
+    },
     /// Two items of one kind have the same name.
     #[error("{place}: the name {name:?} is taken by another {kind}; remedy: give one of them another name")]
-    Duplicate { place: Place, kind: &'static str, name: String },
+    Duplicate {
+        /// Where it stands.
+        place: Place,
+        /// What the items are.
+        kind: &'static str,
+        /// The name.
+        name: String,
+    },
     /// A number is out of its range.
     #[error("{place}: {value} is out of range; remedy: give {range}")]
-    Range { place: Place, value: String, range: &'static str },
+    Range {
+        /// Where it stands.
+        place: Place,
+        /// The value as written.
+        value: String,
+        /// What may be given.
+        range: &'static str,
+    },
     /// A policy says nothing, or two things at once.
     #[error(
         "{place}: a policy says exactly one of allow, deny, drain, prefer, weight, limit, priority, or a cap alone; remedy: {remedy}"
     )]
-    Action { place: Place, remedy: &'static str },
+    Action {
+        /// Where it stands.
+        place: Place,
+        /// What to do.
+        remedy: &'static str,
+    },
     /// A field that makes no sense beside another.
     #[error("{place}: {text}; remedy: {remedy}")]
-    Mismatch { place: Place, text: &'static str, remedy: &'static str },
+    Mismatch {
+        /// Where it stands.
+        place: Place,
+        /// What is wrong.
+        text: &'static str,
+        /// What to do.
+        remedy: &'static str,
+    },
     /// More items than the system is built for.
     #[error("{place}: more than {most} {kind}; remedy: split the deployment, or see docs/CAPACITY.md")]
-    TooMany { place: Place, kind: &'static str, most: usize },
+    TooMany {
+        /// Where it stands.
+        place: Place,
+        /// What the items are.
+        kind: &'static str,
+        /// The most there may be.
+        most: usize,
+    },
 }
--- a/src/settings/error.rs
+++ b/src/settings/error.rs
@@ -8,13 +8,28 @@
 pub enum SettingsError {
     /// The file cannot be read.
     #[error("{path}: {source}; name a readable settings file")]
-    Unreadable { path: PathBuf, source: std::io::Error },
+    Unreadable {
+        /// The settings file.
+        path: PathBuf,
+        /// The cause.
+        source: std::io::Error,
+    },
     /// The file is not TOML of the right form.
     #[error("{path}: {problem}; correct the field, docs/SETTINGS.md lists all")]
-    Form { path: PathBuf, problem: String },
+    Form {
+        /// The settings file.
+        path: PathBuf,
+        /// What is wrong with its form.
+        problem: String,
+    },
     /// A field's value cannot be used.
     #[error("{path}: {source}")]
-    Value { path: PathBuf, source: ValueError },
+    Value {
+        /// The settings file.
+        path: PathBuf,
+        /// The cause.
+        source: ValueError,
+    },
 }
 
 /// Why the value of a field cannot be used.
--- a/src/sync/peers/change_set.rs
+++ b/src/sync/peers/change_set.rs
@@ -107,7 +107,7 @@
     /// Applies the changes to an instance's view; older ones change nothing.
     ///
     /// # Errors
-    /// [`ChangeError`] where a change cannot be decoded; none is then applied, but a
+    /// `ChangeError` where a change cannot be decoded; none is then applied, but a
     /// recovery of the store that the sender saw is recorded all the same.
     pub fn apply<P: Platform>(self, instance: &Instance<P>, source: &'static str) -> Result<(), ChangeError> {
         if let Some(age) = self.recovery_age_ms {
