--- a/src/decision/members.rs
+++ b/src/decision/members.rs
@@ -43,13 +43,8 @@
         self.changed_at
     }
 
-    /// Whether there are none.
-    pub fn is_empty(&self) -> bool {
-        self.by_name.is_empty()
-    }
-
     /// How many there are.
-    pub fn len(&self) -> usize {
+    pub fn count(&self) -> usize {
         self.by_name.len()
     }
 
--- a/src/decision/routing/mod.rs
+++ b/src/decision/routing/mod.rs
@@ -73,7 +73,7 @@
         for (service, targets) in self.targets.by_service() {
             let Some(service) = self.service(service) else { continue };
             for target in targets {
-                target.pool.share_connections(service.max_connections, self.members.len());
+                target.pool.share_connections(service.max_connections, self.members.count());
             }
         }
     }
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -13,7 +13,6 @@
 use crate::net::pool::Pool;
 use crate::policy::{Policies, PolicySet, TargetFacts};
 use std::cell::{Cell, RefCell};
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 use tokio::time::Instant;
@@ -43,8 +42,6 @@
     pub id: Rc<str>,
     /// Service name.
     pub service: Rc<str>,
-    /// Where it listens.
-    pub address: SocketAddr,
     /// Its hall.
     pub hall: Rc<str>,
     /// Its region.
@@ -74,7 +71,6 @@
         let target = Self {
             id: registration.id.clone(),
             service: registration.service.clone(),
-            address: registration.address,
             hall: registration.hall.clone(),
             region,
             version: registration.version.clone(),
--- a/src/operator/status.rs
+++ b/src/operator/status.rs
@@ -18,7 +18,7 @@
         view_age_ms: instance.store_copy.view_age().map(|age| age.as_millis() as u64),
         store_lost: instance.store_copy.is_lost(),
         stopping: instance.lifecycle.is_stopping(),
-        members: routing.members.len(),
+        members: routing.members.count(),
         targets: routing.targets().count(),
         active: instance.requests.in_flight(),
         evacuated: routing.evacuated().map(str::to_owned).collect(),
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -53,10 +53,10 @@
 
 pub use cap_charge::CapCharge;
 pub use document::{DocumentError, PolicyDocument};
-pub use error::{Place, PolicyError};
+pub use error::PolicyError;
 pub use facts::{RequestFacts, TargetFacts};
 pub use matched::MatchedPolicies;
 pub use policies::Policies;
-pub use set::{MAX_POLICIES, PolicySet};
+pub use set::PolicySet;
 pub use source::{Source, Sources};
 pub use verdict::{Order, PolicyVerdict};
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -169,7 +169,7 @@
     }
 
     fn members_changed(&self) {
-        let members = self.routing.borrow().members.len();
+        let members = self.routing.borrow().members.count();
         self.metrics.members.set(members as i64);
         let settings = self.settings();
         self.retries.borrow_mut().set_max_saved(max_saved(settings.retry_slack, members));
