--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -86,7 +86,7 @@
             grace: RefCell::default(),
             selecting: Cell::default(),
         };
-        target.begin_slow_start(registration.cold, now);
+        target.begin_slow_start(registration.slow_start, now);
         target
     }
 
@@ -98,7 +98,7 @@
         self.grace.borrow_mut().end();
         self.sequence.set(registration.sequence);
         self.state.set(registration.state);
-        self.begin_slow_start(registration.cold, now);
+        self.begin_slow_start(registration.slow_start, now);
         true
     }
 
--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -35,5 +35,5 @@
     /// Count of the target's writes of this record; a lower one is older.
     pub sequence: u64,
     /// What is left of its slow start, from the time of the write on.
-    pub cold: Duration,
+    pub slow_start: Duration,
 }
