--- a/src/decision/cap_moves.rs
+++ b/src/decision/cap_moves.rs
@@ -63,8 +63,8 @@
         self.default_target.map(|candidate| &*candidate.target.hall)
     }
 
-    /// Whether caps let the request go to a target; charges them for a move.
-    pub fn may_move_to(&self, target: &Target) -> bool {
+    /// Pays for a move to the target; true where none is needed.
+    pub fn pay_to_move_to(&self, target: &Target) -> bool {
         let (Some(caps), Some(hall)) = (self.caps, self.default_hall()) else { return true };
         *hall == *target.hall || caps.charge_caps()
     }
--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -145,7 +145,7 @@
         let preferred = self.ranking.preferred().ok_or(NoTarget::NoneUsable)?;
         let mut is_capped = false;
         for target in self.ranking.targets().filter(|target| self.has_room(target)) {
-            if self.cap_moves.may_move_to(target) {
+            if self.cap_moves.pay_to_move_to(target) {
                 return Ok(self.take(target));
             }
             is_capped = true;
--- a/src/decision/next_try.rs
+++ b/src/decision/next_try.rs
@@ -30,9 +30,9 @@
 /// Least time left, until the deadline, with which a request is sent: less than a
 /// round trip plus any work, so that nothing can come of it. No run set it.
 pub const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
-/// Tries without a connection after which another one is still made; the next ends
-/// the request. Each costs up to 0.4 s to connect. No run set it.
-pub const UNREACHABLE_TRIES: u32 = 2;
+/// Most tries without a connection; the last ends the request. Each costs up to 0.4 s
+/// to connect. No run set it.
+pub const MAX_UNREACHABLE_TRIES: u32 = 3;
 
 /// How a try that gave no answer to pass on ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -114,10 +114,10 @@
 /// What is done next with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// It is tried at a target; the retry budget pays for it if `paid`.
+    /// It is tried at a target; the retry budget pays for it if `costs_retry`.
     Try {
         /// Whether an earlier try reached a target.
-        paid: bool,
+        costs_retry: bool,
     },
     /// The caller is answered with this reason.
     Refuse(Reason),
@@ -145,8 +145,8 @@
         Some(TryOutcome::Lost) => limits.repeat == Repeat::Safe,
         Some(TryOutcome::Unreachable | TryOutcome::NotExecuted) | None => true,
     };
-    let has_tries = tries.sends < limits.max_attempts && tries.unreachable <= UNREACHABLE_TRIES;
-    if may_repeat && has_tries { Next::Try { paid: tries.sends > 0 } } else { Next::Refuse(tries.reason()) }
+    let has_tries = tries.sends < limits.max_attempts && tries.unreachable < MAX_UNREACHABLE_TRIES;
+    if may_repeat && has_tries { Next::Try { costs_retry: tries.sends > 0 } } else { Next::Refuse(tries.reason()) }
 }
 
 /// Whether a request with this much time left until its deadline is worth sending.
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -1,5 +1,5 @@
 //! Retry budget: each request of a caller earns a fixed part of one retry, and a
-//! second try is sent only where a whole retry has been saved up.
+//! further try is sent only where a whole retry has been saved up.
 //!
 //! **Inputs**
 //! - `ratio` and `slack`, the settings `bounds.retry_ratio` (retries for each request, no
@@ -9,11 +9,11 @@
 //!   bounded while the store is unreachable. An instance counts at least itself.
 //! - Requests and retries of this instance, counted at once.
 //!
-//! **Why.** When targets fail, every request of a caller asks for a second try. Without a
+//! **Why.** When targets fail, every request of a caller asks for a further try. Without a
 //! budget, targets in trouble receive a multiple of their normal load and stay in trouble.
 //!
 //! **Guards** the promise that all instances together send at most
-//! `ratio * requests + slack` second tries. Each instance keeps the bound by itself, with no
+//! `ratio * requests + slack` further tries. Each instance keeps the bound by itself, with no
 //! message: its savings are its equal part of the slack.
 //!
 //! **Test**: `second_tries_stay_within_ratio_and_savings` and
@@ -72,7 +72,7 @@
         self.saved = (self.saved + self.ratio).min(self.max_saved);
     }
 
-    /// Pays for one second try; false where less than a whole retry is saved.
+    /// Pays for one further try; false where less than a whole retry is saved.
     pub fn spend(&mut self) -> bool {
         if self.saved < 1.0 {
             return false;
--- a/src/decision/routing/apply.rs
+++ b/src/decision/routing/apply.rs
@@ -100,8 +100,8 @@
             TargetState::Draining => TargetChange::Draining,
         };
         let region = self.region_of(&registration.hall);
-        let is_later = self.targets.register(registration, region, now);
-        is_later.then(|| StateChange::Target { id: registration.id.clone(), state })
+        let is_taken = self.targets.register(registration, region, now);
+        is_taken.then(|| StateChange::Target { id: registration.id.clone(), state })
     }
 
     fn remove_record(
--- a/src/decision/split.rs
+++ b/src/decision/split.rs
@@ -32,6 +32,9 @@
 /// baseline (bsp config-weights 0.866, journal ecb92672, b650dab0, cd0168ce), so that these
 /// days do not exercise it.
 const MEMORY: f64 = 150.0;
+/// Counted requests from which the correction has its full size; with fewer it is smaller in
+/// proportion, since few counts say little. A quarter of `MEMORY`; no run set it.
+const FULL_CORRECTION: f64 = MEMORY / 4.0;
 /// Factor with which a counted deviation from the share is corrected (no unit).
 ///
 /// Evidence: no run set it. A trial at half on two days and at double on ten: no effect at
@@ -84,8 +87,7 @@
 fn corrected_weights(services: &[WeightedService], counted: &HashMap<Rc<str>, f64>) -> Vec<f64> {
     let total: f64 = services.iter().map(|weighted| weighted.weight).sum();
     let seen: f64 = services.iter().filter_map(|weighted| counted.get(&weighted.service)).sum();
-    // Few counts say little: the correction grows with them.
-    let trust = (seen / (MEMORY / 4.0)).min(1.0);
+    let trust = (seen / FULL_CORRECTION).min(1.0);
     let corrected = |weighted: &WeightedService| {
         let share = weighted.weight / total.max(f64::MIN_POSITIVE);
         let had = counted.get(&weighted.service).copied().unwrap_or(0.0) / seen.max(1.0);
--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -6,7 +6,7 @@
 //! 1. From the signal on, readiness fails and the registration is withdrawn.
 //! 2. Requests are served for the time that [`crate::decision::stop`] gives; later ones
 //!    are refused with 503 and a retry-after.
-//! 3. After `MIN_DURATION`, once no request arrived for `QUIET_TIME` and none is in
+//! 3. After `MIN_STOP_TIME`, once no request arrived for `QUIET_TIME` and none is in
 //!    flight, new requests are refused.
 //! 4. The process ends when the last request has ended, or `KILL_MARGIN` before the
 //!    platform kills it.
@@ -29,11 +29,11 @@
 /// process itself to exit. Evidence: no run set it; a stop was seen to end at 5.95 s
 /// of 6 s (1b9d349).
 const KILL_MARGIN: Duration = Duration::from_millis(150);
-/// Shortest time for which a stopping instance serves: callers keep a directory answer
+/// Shortest time before a quiet instance may end: callers keep a directory answer
 /// for 1 s and readiness is checked each second; two of those. Evidence: half and double
 /// on roll-term change the worth by 0.002 at most; the stop as a whole was measured in
 /// 1b9d349 and 88c20ce.
-const MIN_DURATION: Duration = Duration::from_millis(2_000);
+const MIN_STOP_TIME: Duration = Duration::from_millis(2_000);
 /// Time without a new request after which no more is expected: the lifetime of a
 /// directory answer. Evidence: half and double on roll-term change the worth by 0.005 at
 /// most; one quiet second without a second check lost a request (88c20ce).
@@ -61,7 +61,7 @@
     while Instant::now() < last {
         sleep(POLL_EVERY).await;
         let is_quiet = instance.requests.idle_time() > QUIET_TIME;
-        if instance.requests.in_flight() == 0 && is_quiet && signalled.elapsed() > MIN_DURATION {
+        if instance.requests.in_flight() == 0 && is_quiet && signalled.elapsed() > MIN_STOP_TIME {
             return;
         }
     }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -48,11 +48,11 @@
     /// [`Refusal`] where no target's answer can be passed on.
     pub async fn run(mut self, record: &mut AccessRecord) -> Result<Response<AnswerBody>, Refusal> {
         loop {
-            let paid = match next_try(&self.tries, self.request.route.into()) {
-                Next::Try { paid } => paid,
+            let costs_retry = match next_try(&self.tries, self.request.route.into()) {
+                Next::Try { costs_retry } => costs_retry,
                 Next::Refuse(reason) => return Err(reason.into()),
             };
-            let (target, request) = self.prepare(paid, record)?;
+            let (target, request) = self.prepare(costs_retry, record)?;
             self.tried.push(target.key);
             record.load = target.load(Instant::now());
             record.target = Some(target.clone());
@@ -73,7 +73,7 @@
     /// caller is answered, and whether the budget is charged.
     fn prepare(
         &mut self,
-        paid: bool,
+        costs_retry: bool,
         record: &mut AccessRecord,
     ) -> Result<(Rc<Target>, Request<RequestBody>), Refusal> {
         let chosen = self.choice.choose(&self.tried, record);
@@ -81,7 +81,7 @@
         if !has_time(self.request.deadline.saturating_duration_since(Instant::now())) {
             return Err(self.refusal(Obstacle::TooLate, Refusal::TooLate));
         }
-        if paid && !self.spend_retry() {
+        if costs_retry && !self.spend_retry() {
             return Err(self.refusal(Obstacle::OverBudget, Refusal::NoTarget));
         }
         let request = outgoing_request(self.request, &mut self.body, &target).map_err(|error| {
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -14,7 +14,7 @@
 /// Time without an answer, beyond that between two renewals, after which the store
 /// counts as lost: one call that used its whole timeout. Evidence: half and double on
 /// three days of store outages change the worth by 0.004 at most.
-const SILENCE: Duration = Duration::from_millis(700);
+const SILENCE_BEYOND_RENEWAL: Duration = Duration::from_millis(700);
 
 /// Age from which the view is stale: somewhat more than the time between two renewals of
 /// a lease, which confirm that a quiet watch is still in place, and less than the shortest
@@ -53,9 +53,9 @@
         }
     }
 
-    /// Whether the store has given no answer for some time.
+    /// Whether the store never answered, or not for 1.5 s.
     pub fn is_lost(&self) -> bool {
-        self.silence().is_none_or(|silence| silence > SILENCE + RENEW_EVERY)
+        self.silence().is_none_or(|silence| silence > SILENCE_BEYOND_RENEWAL + RENEW_EVERY)
     }
 
     /// Time since the store last answered.
--- a/tests/next_try.rs
+++ b/tests/next_try.rs
@@ -1,7 +1,7 @@
 //! The retry rule: every outcome, on every kind of route, at all counts.
 
 use lockloft::decision::next_try::{
-    MIN_TIME_LEFT, Next, Obstacle, Reason, Tries, TryLimits, TryOutcome, UNREACHABLE_TRIES, has_time, next_try,
+    MAX_UNREACHABLE_TRIES, MIN_TIME_LEFT, Next, Obstacle, Reason, Tries, TryLimits, TryOutcome, has_time, next_try,
     reason_despite,
 };
 use lockloft::model::config::Repeat;
@@ -10,8 +10,8 @@
 const OUTCOMES: [TryOutcome; 4] =
     [TryOutcome::Unreachable, TryOutcome::NotExecuted, TryOutcome::Lost, TryOutcome::TimedOut];
 const OBSTACLES: [Obstacle; 4] = [Obstacle::NoTarget, Obstacle::TooLate, Obstacle::OverBudget, Obstacle::NoRequest];
-const FREE: Next = Next::Try { paid: false };
-const PAID: Next = Next::Try { paid: true };
+const FREE: Next = Next::Try { costs_retry: false };
+const PAID: Next = Next::Try { costs_retry: true };
 
 fn after(outcomes: &[TryOutcome]) -> Tries {
     let mut tries = Tries::default();
@@ -97,7 +97,7 @@
     let (mut sends, mut unreachable, mut may_have_run) = (0, 0, false);
     let mut last = Reason::NotTried;
     let mut outcomes = outcomes.iter();
-    while sends < max_attempts && unreachable <= UNREACHABLE_TRIES {
+    while sends < max_attempts && unreachable < MAX_UNREACHABLE_TRIES {
         match outcomes.next()? {
             TryOutcome::Unreachable => {
                 unreachable += 1;
@@ -140,7 +140,7 @@
                 let (tries, next) = followed(&outcomes, TryLimits { repeat, max_attempts });
                 let expected = match naive(&outcomes, repeat, max_attempts) {
                     Some(reason) => Next::Refuse(reason),
-                    None => Next::Try { paid: tries.sends > 0 },
+                    None => Next::Try { costs_retry: tries.sends > 0 },
                 };
                 assert_eq!(next, expected, "{outcomes:?} {repeat:?} {max_attempts}");
             }
