--- a/src/policy/set.rs
+++ b/src/policy/set.rs
@@ -6,7 +6,7 @@
 pub const MAX_POLICIES: usize = u128::BITS as usize;
 
 /// A set of the policies of one document, by their positions in name order.
-/// Positions are below [`MAX_POLICIES`].
+/// Positions are below `MAX_POLICIES`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PolicySet(u128);
 
