--- a/src/decision/affinity.rs
+++ b/src/decision/affinity.rs
@@ -1,6 +1,6 @@
-//! Affinity: requests with the same affinity key go to the same two targets, which weighted
-//! rendezvous hashing picks in proportion to slots, targets of the instance's own region
-//! counting four times.
+//! Affinity: requests with the same affinity key go to the same two targets for each policy
+//! order, which weighted rendezvous hashing picks in proportion to slots, targets of the
+//! instance's own region counting four times.
 //!
 //! **Inputs**
 //! - Hash of the request's affinity key; of the request's id where the route or the request
@@ -30,9 +30,10 @@
 /// Factor on the weight of targets of the instance's own region. A larger one saves latency
 /// and bytes between regions, a smaller one spreads load over regions.
 ///
-/// Evidence: "Idle connections keep to the entry's part of what a target takes", mean worth of
-/// six days at 2, 4 and 8: bsp 0.794, 0.803, 0.799, hmfu 0.742, 0.754, 0.758 (journal
-/// 0684b45f, 5149caf0, 0892a3ac and d772fce7, 042e2950, 3086ced7).
+/// Evidence: commit ce4a1af (its title names idle connections; half and double of this weight
+/// were played in it too), mean worth of six days at 2, 4 and 8: bsp 0.794, 0.803, 0.799,
+/// hmfu 0.742, 0.754, 0.758 (journal 0684b45f, 5149caf0, 0892a3ac and d772fce7, 042e2950,
+/// 3086ced7).
 const OWN_REGION_WEIGHT: f64 = 4.0;
 /// Targets among which requests with the same key are spread, of those that policies put in
 /// the same order. One gives no second choice when it is full or fails; with more, objects
--- a/src/decision/cap_moves.rs
+++ b/src/decision/cap_moves.rs
@@ -6,9 +6,9 @@
 //!   view), and their credit in this instance ([`crate::policy::credit`]): each selected
 //!   request earns `cap` (0 to 1) of a move, each move costs 1, at most 1 is saved.
 //! - All targets of the service that route, deny and allow policies leave, also those that
-//!   are draining, drained, cold, full or ejected: the first of them by preference and draw is
-//!   the default target, and its hall the default hall. Weights do not count here: a weight
-//!   moves requests as well.
+//!   are draining, drained, cold, full or ejected: the first of them by lowest rank of the
+//!   prefer policies, then by draw, is the default target, its hall the default hall. Weights
+//!   do not count here: a weight moves requests as well.
 //!
 //! **Why.** Operators cap how much of the traffic may move at once, whatever causes the move:
 //! a drain, a weight, an ejection, a full target. The default hall depends on none of these,
--- a/src/decision/change.rs
+++ b/src/decision/change.rs
@@ -32,7 +32,7 @@
         /// What became of it.
         state: TargetChange,
     },
-    /// Another instance joined or left.
+    /// The record of an instance was written or removed.
     Member {
         /// Its name.
         name: String,
--- a/src/decision/choice.rs
+++ b/src/decision/choice.rs
@@ -9,8 +9,9 @@
 //! **Why.** Room comes after affinity, since a cached object is worth a short wait, and
 //! before caps, since a move must not be charged for a target that then has no room.
 //!
-//! **Guards** the promise that what `why` answers is what a request gets: both run
-//! `Choice`, and only the charge and the requests in flight differ.
+//! **Guards** the promise that `why` names the target a request gets: both run `Choice`, and
+//! only the charge and the requests in flight differ. A dry charge counts as paid, so `why`
+//! answers as if all caps had credit.
 //!
 //! **Constants**: none; those of each rule are in its module.
 //!
@@ -48,7 +49,8 @@
 pub enum Verdict {
     /// The request would go there.
     Chosen,
-    /// It would go there if the chosen one had no room.
+    /// Ranked and with room, but not chosen: another ranked target came first, or (never under
+    /// a dry charge) a cap allows no move there.
     Next,
     /// It has no room.
     Full,
@@ -81,7 +83,9 @@
 }
 
 /// What the choice makes of each target of the service: the ranked ones first, in their
-/// order. Nothing is sent, earned or spent where the query's charge is dry.
+/// order. Nothing is sent, and nothing earned or spent where `query.active` was made with
+/// [`CapCharge::dry`](crate::policy::CapCharge::dry). A target outside the ranking that was
+/// taken in the default hall is not marked; a dry charge takes none there.
 pub fn explain(routing: &Routing, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     let choice = Choice::new(routing, config, query);
     let chosen = choice.decide().ok().map(|target| target.id.clone());
--- a/src/decision/directory.rs
+++ b/src/decision/directory.rs
@@ -4,8 +4,8 @@
 //! **Inputs**
 //! - The caller's region, as it asks with it; empty where it does not say.
 //! - The members and their regions; as old as the view, which is not bounded while the store
-//!   is unreachable. A member leaves the view when its lease runs out, 2.6 s after its last
-//!   renewal.
+//!   is unreachable. A member leaves the view when its lease runs out, `LEASE` (2.6 s,
+//!   or the store's shortest lease if longer) after its last renewal.
 //! - Whether this instance takes requests now; exact. Its own record in the view is not
 //!   asked: a stopping instance is not named although its record is still there, and one that
 //!   has just become ready is named before.
@@ -39,7 +39,8 @@
 }
 
 /// Addresses of the instances for a caller in a region: the others in name order, then this
-/// one. Empty where no instance is known and this one takes no requests.
+/// one; beyond 64 the last are dropped, this instance first. Empty where no instance is known
+/// and this one takes no requests.
 pub fn instances_for(caller_region: &str, own: OwnInstance<'_>, members: &Members) -> Vec<SocketAddr> {
     let others = members.others(own.name).map(|member| (member.region.as_str(), member.callers));
     let all: Vec<(&str, SocketAddr)> = others.chain(own.is_ready.then_some((own.region, own.address))).collect();
--- a/src/decision/ejection.rs
+++ b/src/decision/ejection.rs
@@ -1,14 +1,15 @@
-//! Outlier ejection: a target that fails three times in a row is ejected for a time that
-//! doubles with each further ejection; after it, one request at a time is sent as a trial
-//! until one succeeds.
+//! Outlier ejection: the third failure in a row, and each one after it, sets a new ejection
+//! from then on, twice as long as the last, at most 4 s; after it, one request at a time is
+//! sent as a trial until one succeeds.
 //!
 //! **Inputs**
-//! - Failures that speak against the target (no connection, a broken exchange, an answer
-//!   that is not its own) and sound answers, as this instance has seen them. A sound answer
-//!   resets everything; failures without one count however old they are.
+//! - Failures that speak against the target (no connection, a broken exchange, an answer that
+//!   is not its own) and sound answers, as this instance has seen them. A sound answer resets
+//!   all but the mark that the target was replaced; failures without one count however old
+//!   they are.
 //! - Requests of this instance in flight at the target; exact.
 //! - A misdirected answer: another target listens at the address. This is final, since a new
-//!   life of a target has a new registration.
+//!   run of a target has a new registration.
 //!
 //! **Why.** The store lists a dead target until its lease runs out, some seconds. Requests
 //! sent there meanwhile are lost or cost a retry.
@@ -68,7 +69,8 @@
     }
 
     /// Notes a failure that speaks against the target; gives the length of the ejection
-    /// that it causes. A failed trial causes the next one at once.
+    /// that it causes. From the third in a row on each one causes the next, also that of a
+    /// failed trial or of a request in flight since before the ejection.
     pub fn record_failure(&mut self, now: Instant) -> Option<Duration> {
         self.failures += 1;
         let failed_trial = self.until.is_some_and(|until| now >= until);
@@ -82,7 +84,7 @@
         Some(length)
     }
 
-    /// Notes that another target answers at the address: this life is over.
+    /// Notes that another target answers at the address: this run is over.
     pub fn mark_replaced(&mut self) {
         self.is_replaced = true;
     }
--- a/src/decision/exclusion.rs
+++ b/src/decision/exclusion.rs
@@ -1,22 +1,24 @@
-//! Exclusion: a target gets no request while any of ten reasons holds; the first that holds,
-//! in the order of [`Exclusions::of`], is the one that `why` names.
+//! Exclusion: a target gets no request while any of eleven reasons holds (ten names: an expired
+//! target is shown as `draining`); the first that holds, in the order of the table, is the one
+//! that `why` names.
 //!
 //! **Inputs**
 //!
 //! | reason | input | how old it may be |
 //! |---|---|---|
-//! | draining, evacuated | the target's registration, its hall's evacuation | as the view; not bounded while the store is unreachable |
+//! | draining | the target's registration | as the view: current to 1.3 s while store or relay answers, older while they do not |
 //! | expired | the end of its grace ([`crate::decision::grace`]) | no age: a time |
 //! | region not allowed | the route's allowed regions, from the configuration in force | as the view |
+//! | evacuated | its hall's evacuation | as the view |
 //! | ejected | failures that this instance saw ([`crate::decision::ejection`]) | since the last success |
 //! | tried | targets that this request was sent to | exact |
 //! | denied, not allowed, drained | the operators' policies in force | as the view |
 //! | slow | latency and silence ([`crate::decision::latency`]); the median of the service, seconds | median 0.5 s |
 //! | cold | slow start ([`crate::decision::slow_start`]) | view below 1.3 s, members unchanged for 2 s |
 //!
-//! **Why.** What the platform and the operators forbid comes first, whatever the target's
-//! state; then what would lose the request or make it late. A cold target is asked for its
-//! share last, when nothing else keeps the request from it.
+//! **Why.** The registration, region and evacuation come first, then ejection and earlier
+//! tries, then policies and latency. Slow start is last, asked only when nothing else excludes
+//! the target. A target both ejected and denied shows as ejected.
 //!
 //! **Guards** the promises that draining, evacuated and forbidden targets get no new request,
 //! that a request goes to one target at most once, and those of the rules named above.
--- a/src/decision/latency.rs
+++ b/src/decision/latency.rs
@@ -3,11 +3,13 @@
 //! one request at a time and one a second until it is faster.
 //!
 //! **Inputs**
-//! - Time from sending to the answer, seconds, of this instance's requests; a request that
-//!   got no answer counts with the time waited. The average has no age limit: a slow target
-//!   is tried each second, so that it is measured anew.
-//! - Silence, seconds: time since the last answer, or since the first of the requests now
-//!   in flight was sent. Counts only while requests are in flight.
+//! - Time from sending to the sound answer, seconds, of this instance's requests; a request
+//!   that got no answer in time counts with the time waited, a broken exchange or a server
+//!   error does not count. The average has no age limit: a slow target is tried each second,
+//!   so that it is measured anew.
+//! - Silence, seconds: time since the last request ended with a sound answer or none in time,
+//!   or since the first now in flight was sent if later. Counts only while requests are in
+//!   flight.
 //! - Median of the averages of the service's targets, seconds; worked out every 0.5 s by the
 //!   instance's housekeeping. Infinite before the first answer, which makes no target slow.
 //! - The route's latency objective, from the configuration in force.
@@ -24,10 +26,11 @@
 //! `tests/rules.rs`.
 //!
 //! The mechanism was measured as a whole in "Slow targets are left alone, judged against
-//! their peers": hmfu inc-e30d 0.771 to 0.782, bsp trouble-2 0.764 to 0.773, hmfu trouble-2
-//! 0.774 to 0.778 (journal 14def1c6, f9b25a04). No run set the value of one constant; each
-//! names its trial at half and double on bsp srv-slow, hmfu srv-slow and hmfu trouble-2
-//! (0.733, 0.713 and 0.785 as they are; journal 3e30e56f, 59e798b4, 27fc348e).
+//! their peers" (title; ejected is another rule): hmfu inc-e30d 0.771 to 0.782, bsp trouble-2
+//! 0.764 to 0.773, hmfu trouble-2 0.774 to 0.778 (journal 14def1c6, f9b25a04). No run set the
+//! value of one constant; each names its trial at half and double on bsp srv-slow, hmfu
+//! srv-slow and hmfu trouble-2 (0.733, 0.713 and 0.785 as they are; journal 3e30e56f,
+//! 59e798b4, 27fc348e).
 
 use std::time::Duration;
 use tokio::time::Instant;
@@ -67,7 +70,8 @@
 pub struct Latency {
     /// Moving average, seconds; `None` before the first answer.
     average: Option<f64>,
-    /// The last answer, or the first of the requests now in flight.
+    /// End of the last request that counted, or the sending of the first now in flight if
+    /// later.
     silent_since: Option<Instant>,
     /// When the last request was sent.
     tried_at: Option<Instant>,
@@ -114,6 +118,8 @@
 }
 
 /// The median of some averages, seconds, the upper of the two middle ones; `None` of none.
+/// With one or two measured targets none is above it, so that, once it is worked out anew, only
+/// silence can make one slow.
 pub fn median(mut averages: Vec<f64>) -> Option<f64> {
     averages.sort_by(f64::total_cmp);
     averages.get(averages.len() / 2).copied()
--- a/src/decision/load.rs
+++ b/src/decision/load.rs
@@ -3,9 +3,9 @@
 //!
 //! **Inputs**
 //! - In flight: requests that this instance has sent and not finished; exact, no age.
-//! - [`LoadReport`]: requests running and waiting and slots, in a header of an answer of the
-//!   target; counts in full when it arrives, linearly less with its age, and not at all from
-//!   `REPORT_LIFE` (1.5 s) on.
+//! - [`LoadReport`]: requests running and waiting (its slots are read, not used), in a header
+//!   of an answer of the target; counts in full when it arrives, linearly less with its age,
+//!   and not at all from `REPORT_LIFE` (1.5 s) on.
 //!
 //! **Why.** An instance sees its own requests at once and those of the others only through
 //! the target. An old report says little: the requests in it have been answered since.
@@ -20,8 +20,8 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Age from which a target's report of its load no longer counts. A few service times: 0.15 s
-/// to 0.5 s on the first sites of the bench, 0.4 s to 1.5 s on the grown ones.
+/// Age from which a target's report of its load no longer counts. From one to ten service
+/// times: 0.15 s to 0.5 s on the first sites of the bench, 0.4 s to 1.5 s on the grown ones.
 ///
 /// Evidence: no run set it. A trial at half and double: bsp burst 0.811 (0.75 s), 0.826 (as
 /// is), 0.825 (3 s); bsp scale-1 0.802, 0.806, 0.807; hmfu scale-2 0.758, 0.764, 0.759:
--- a/src/decision/members.rs
+++ b/src/decision/members.rs
@@ -1,7 +1,8 @@
 //! The members: all instances that have registered in the store, this one among them.
 //!
-//! Owns the list, and the time of its last change. As old as the view; while the store is
-//! unreachable it stays as it was. Relies on nothing but the decoded records.
+//! Owns the list, and the time at which an instance last joined or left. As old as the view;
+//! while the store is unreachable it stays as it was. Relies on nothing but the decoded
+//! records.
 
 use crate::model::member::Member;
 use std::collections::BTreeMap;
@@ -68,7 +69,7 @@
         self.by_name.iter().filter(move |(name, _)| *name != own_name).map(|(_, member)| member)
     }
 
-    /// Addresses at which the other instances' peers listen.
+    /// Addresses where the other instances listen for their peers.
     pub fn peers(&self, own_name: &str) -> Vec<SocketAddr> {
         self.others(own_name).map(|member| member.peer).collect()
     }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,6 +1,6 @@
-//! The rules: which target a request may go to, and what bounds that. One module a rule;
-//! each begins with the rule in a sentence, its inputs with units and ages, the reason, the
-//! promise it guards, its constants with their evidence, and its test.
+//! The rules: which target a request may go to, and what bounds that. One module a rule; each
+//! module in the tables begins with the rule in a sentence, its inputs with units and ages,
+//! the reason, the promise it guards, its constants with their evidence, and its test.
 //!
 //! # The choice of a target
 //!
@@ -31,8 +31,17 @@
 //! | what is done after a try | [`next_try`] | told not run means not run; a request that may have run is not run again |
 //! | retry budget | [`retry`] | failing targets do not get a multiple of their load |
 //! | whom the directory names | [`directory`] | callers find an instance that takes requests |
+//! | later records replace earlier ones | [`routing`] | an instance never goes back to an older configuration |
 //! | what a stopping instance takes | [`stop`] | no request is lost to a planned stop |
 //!
+//! An input "as old as the view" is current to 1.3 s while store or relay answers, older while
+//! they do not.
+//!
+//! Evidence: `bsp` and `hmfu` are the first two sites of the bench, `grown` their larger
+//! forms; a day is one simulated run, also called a play, worth its score from 0 to 1; a hunt
+//! is a series of random days, an own day one of `bench/days`; ids of 8 digits are journal
+//! entries, of 7 commits. Titles quoted from commits call an instance an entry.
+//!
 //! State that the rules look at: [`routing`] (what the store says), made of [`targets`],
 //! [`members`] and [`change`]; [`target`], with one small state for each rule; [`query`],
 //! what is asked. Relies on [`crate::model`], [`crate::policy`], [`crate::hash`],
--- a/src/decision/next_try.rs
+++ b/src/decision/next_try.rs
@@ -1,9 +1,9 @@
 //! Whether a request is tried again, and what it is answered with if not.
 //!
-//! **Rule**: after a failed try a request is tried at another target if the failure
-//! proves that it did not run, or if its exchange broke and its route is safe to
-//! repeat, as long as the route's tries, the tries without a connection, the time and
-//! the retry budget last. A request that got no answer in time is never tried again.
+//! **Rule**: after a failed try a request is tried at another target if the failure proves
+//! that it did not run, or if its exchange broke and its route is safe to repeat, as long as
+//! the route's tries and the tries without a connection last; the caller checks time
+//! ([`has_time`]) and budget. A request that got no answer in time is never tried again.
 //!
 //! **Inputs**: the failed tries of this request alone ([`Tries`], counts); the route's
 //! [`Repeat`] and `max_attempts` (tries that reach a target) from the configuration
@@ -11,9 +11,10 @@
 //! try from being made ([`Obstacle`]). Nothing here has an age or is shared.
 //!
 //! **Why**: a target that is gone or full costs the caller nothing if another one takes
-//! the request in time. A try without a connection has sent nothing, so it neither
-//! counts towards `max_attempts` nor draws on the budget, but it costs up to the
-//! connect timeout ([`crate::net::pool`]), so these tries have a bound of their own.
+//! the request in time. A try without a connection has sent nothing, so it does not count
+//! towards `max_attempts`, but it costs up to the connect timeout ([`crate::net::pool`]),
+//! so these tries have a bound of their own. The caller pays the budget before a try where
+//! `costs_retry` says so, that is once an earlier try reached a target.
 //!
 //! **Guards**: a request whose route is not safe to repeat runs at most once; a caller
 //! is told "not run" (503) only if no target can have run it: once a try may have run,
--- a/src/decision/retry.rs
+++ b/src/decision/retry.rs
@@ -14,7 +14,9 @@
 //!
 //! **Guards** the promise that all instances together send at most
 //! `ratio * requests + slack` further tries. Each instance keeps the bound by itself, with no
-//! message: its savings are its equal part of the slack.
+//! message: its savings are its equal part of the slack. An instance saves at most
+//! `slack * 0.5 / members`; with more than `slack / 2` members that is below 1, and nobody
+//! retries.
 //!
 //! **Test**: `second_tries_stay_within_ratio_and_savings` and
 //! `members_share_the_slack_and_use_half_of_both_bounds` in `tests/logic.rs`.
--- a/src/decision/routing/apply.rs
+++ b/src/decision/routing/apply.rs
@@ -1,6 +1,7 @@
 //! Changes of the store applied to the routing state, one record at a time, in the order of
-//! the store. **Rule**: a later version of a record replaces an earlier one; an earlier one
-//! that arrives late, and a value that cannot be read, change nothing.
+//! the store. **Rule**: of configurations, policies and registrations, an earlier one changes
+//! nothing; evacuations and members follow the order of arrival. A value that cannot be read
+//! changes nothing.
 //!
 //! **Inputs**: the store's changes, as old as the way that they came by (watch, relay or
 //! peer); versions of the configuration, revisions of the policies, sequence numbers of
--- a/src/decision/routing/mod.rs
+++ b/src/decision/routing/mod.rs
@@ -3,8 +3,8 @@
 //! Owns the configuration in force, the operators' policies in force, the evacuated halls,
 //! the [`Targets`] and the [`Members`]. Changes of the store are applied in `apply.rs`.
 //!
-//! All of it is as old as the view of the store: normally below a second, not bounded while
-//! the store is unreachable. Requests are served on with what was last known.
+//! All of it is as old as the view of the store: stale from `MAX_VIEW_AGE` (1.3 s) on, then
+//! still used.
 
 mod apply;
 
--- a/src/decision/slow_start.rs
+++ b/src/decision/slow_start.rs
@@ -20,7 +20,7 @@
 //!
 //! **Guards** the promise that a cold target receives at most
 //! `rate * overage + slack` requests in any second from all instances together, also while
-//! their views of the members differ.
+//! the instances hold two different views of the members.
 //!
 //! **Test**: `a_cold_target_s_rate_holds_over_disagreeing_views` (property over two views) and
 //! `a_cold_target_gets_its_rate_once_the_members_are_steady` in `tests/choice.rs`;
@@ -43,15 +43,14 @@
 /// sensitive (journal d542bc74, fc5b51a7 on hmfu trouble-3). The property test sets the
 /// value.
 const VIEWS: f64 = 2.0;
-/// Time over which an instance keeps its own rate: a second, and 30 ms for different delays
-/// on the way.
+/// Time over which an instance's share is spaced: one second, plus 30 ms for uneven delays.
 ///
 /// Evidence: trial at half 0.820, 0.796, 0.693, at double 0.819, 0.800, 0.670: weakly
 /// sensitive (journal 2214bd48, 2591fe20 on hmfu trouble-3).
 const WINDOW: Duration = Duration::from_millis(1_030);
 /// Time for which the members must have stayed the same before a cold target gets anything:
-/// longer than another instance's view may lag behind (the longest wait for a call, 0.7 s,
-/// and `MAX_VIEW_AGE`, 1.3 s).
+/// equal to the lag that another instance's view may have, with no margin (the longest wait
+/// for a call, 0.7 s, and `MAX_VIEW_AGE`, 1.3 s).
 ///
 /// Evidence: trial at half and double within 0.001 of 0.819, 0.799, 0.683: not sensitive
 /// (journal 6c861ef4, f794a2ee on hmfu trouble-3).
@@ -68,7 +67,7 @@
 
 impl SlowStartBounds {
     /// Requests a second that the instances send to a cold target together, of the `rate`
-    /// that it bears.
+    /// that it bears; rounded down, so that below 1 request/s a cold target gets nothing.
     pub fn shared_rate(&self, rate: f64) -> u32 {
         let bound = rate * self.overage + self.slack;
         rate.min(bound / VIEWS).max(0.0) as u32
@@ -132,7 +131,8 @@
 
 /// The share of `shared` requests a second that the member `own` may send to the target with
 /// this hash; 0 for one that is not listed. Where there are more members than requests, the
-/// first in the target's own order of the members send one each.
+/// first in the target's own order of the members send one each. Rounded down: the remainder
+/// of a division goes unused.
 pub fn own_rate<'a>(shared: u32, target: u64, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
     let own_draw = draw(target, own);
     let (mut count, mut before, mut is_listed) = (0, 0, false);
--- a/src/decision/split.rs
+++ b/src/decision/split.rs
@@ -83,7 +83,8 @@
     }
 }
 
-/// The weights with each counted deviation added, never below 0; a weight of 0 stays.
+/// The shares, each corrected by `GAIN` times what it lacks (less while few requests are
+/// counted), never below 0; a share of 0 stays.
 fn corrected_weights(services: &[WeightedService], counted: &HashMap<Rc<str>, f64>) -> Vec<f64> {
     let total: f64 = services.iter().map(|weighted| weighted.weight).sum();
     let seen: f64 = services.iter().filter_map(|weighted| counted.get(&weighted.service)).sum();
--- a/src/decision/stop.rs
+++ b/src/decision/stop.rs
@@ -17,7 +17,7 @@
 use std::time::Duration;
 
 /// Share of `bounds.stop_s` in which requests are still served. One that arrives at half
-/// time has as long left as the longest timeout of a route on the sites. Evidence:
+/// time has half of `stop_s` less 0.15 s; route timeouts must be shorter. Evidence:
 /// 1b9d349 (requests lost before, none after); half and double change the worth by 0.001
 /// at most on roll-term.
 const SERVING_SHARE: f64 = 0.5;
--- a/src/decision/target.rs
+++ b/src/decision/target.rs
@@ -18,8 +18,8 @@
 use tokio::time::Instant;
 use xxhash_rust::xxh3::xxh3_64;
 
-/// Key of one life of a target: the hash of its identity. All instances compute the same
-/// one, for rendezvous; a request remembers by it where it was sent.
+/// Key of one run of the target's process: the hash of its identity. All instances compute
+/// the same one, for rendezvous; a request remembers by it where it was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TargetKey(u64);
 
@@ -35,10 +35,10 @@
     }
 }
 
-/// One life of a target, from its start to its end.
+/// One run of the target's process, from its start to its end.
 #[derive(Debug)]
 pub struct Target {
-    /// Identity of this life.
+    /// Identity of this run.
     pub id: Rc<str>,
     /// Service name.
     pub service: Rc<str>,
@@ -50,7 +50,7 @@
     pub version: Rc<str>,
     /// Requests it works on at once; at least 1.
     pub slots: u32,
-    /// Key of this life.
+    /// Key of this run.
     pub key: TargetKey,
     /// Connections to it.
     pub pool: Pool,
@@ -61,7 +61,7 @@
     ejection: RefCell<Ejection>,
     slow_start: RefCell<SlowStart>,
     grace: RefCell<Grace>,
-    /// The policies whose places select it, and the revision they belong to.
+    /// The policies whose target selectors match it, and the revision they belong to.
     selecting: Cell<Option<(u64, PolicySet)>>,
 }
 
@@ -90,7 +90,7 @@
         target
     }
 
-    /// Takes in another registration of the same life; false where it is older.
+    /// Takes in another registration of the same run; false where it is older.
     pub fn update(&self, registration: &TargetRegistration, now: Instant) -> bool {
         if registration.sequence < self.sequence.get() {
             return false;
@@ -123,7 +123,7 @@
         }
     }
 
-    /// The policies whose places select it, worked out once for each revision.
+    /// The policies whose target selectors match it, worked out once for each revision.
     pub fn selecting(&self, policies: &Policies) -> PolicySet {
         if let Some((revision, mask)) = self.selecting.get()
             && revision == policies.revision
@@ -156,7 +156,7 @@
         self.ejection.borrow_mut().record_failure(now)
     }
 
-    /// Notes that another target answers at its address: this life is over.
+    /// Notes that another target answers at its address: this run is over.
     pub fn mark_replaced(&self) {
         self.ejection.borrow_mut().mark_replaced();
         self.pool.clear();
--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -1,7 +1,8 @@
 //! The stop rule: what an instance does from SIGTERM until its process ends.
 //!
-//! A stopping instance is not ready, so the directory names others; it serves requests
-//! until callers stop sending them, and ends only when none is in flight.
+//! A stopping instance is not ready, so the directory names others. It serves requests until
+//! callers are quiet, for half of `stop_s` at most, and ends when none is in flight, or 0.15 s
+//! before the kill, which cuts off any that still run.
 //!
 //! 1. From the signal on, readiness fails and the registration is withdrawn.
 //! 2. Requests are served for the time that [`crate::decision::stop`] gives; later ones
@@ -13,8 +14,8 @@
 //!
 //! Inputs: `bounds.stop_s` in seconds, the time of the signal, the number of requests
 //! in flight and the time of the last one; all local, so of no age. Why: callers keep
-//! a directory answer for a while and go on sending. Guards: no request is cut off by a
-//! planned stop. Test: `planned_stop`.
+//! a directory answer for a while and go on sending. Guards: no request that ends in
+//! time is cut off by a planned stop. Test: `planned_stop`.
 //!
 //! Owns the times of the stop; the state is in [`crate::state`]. Relies on the callers'
 //! listener to count requests and on [`crate::proxy::request`] to refuse late ones.
@@ -30,13 +31,15 @@
 /// of 6 s (1b9d349).
 const KILL_MARGIN: Duration = Duration::from_millis(150);
 /// Shortest time before a quiet instance may end: callers keep a directory answer
-/// for 1 s and readiness is checked each second; two of those. Evidence: half and double
+/// for 1 s and readiness is checked each second: two readiness checks and directory
+/// lifetimes of 1 s each. Evidence: half and double
 /// on roll-term change the worth by 0.002 at most; the stop as a whole was measured in
 /// 1b9d349 and 88c20ce.
 const MIN_STOP_TIME: Duration = Duration::from_millis(2_000);
 /// Time without a new request after which no more is expected: the lifetime of a
 /// directory answer. Evidence: half and double on roll-term change the worth by 0.005 at
-/// most; one quiet second without a second check lost a request (88c20ce).
+/// most; a stop that ended after one quiet second, without looking again whether a request
+/// had arrived, lost one (88c20ce).
 const QUIET_TIME: Duration = Duration::from_millis(1_000);
 /// Time between checks whether the stop may end: short against [`KILL_MARGIN`] and
 /// [`QUIET_TIME`]. Evidence: no run set it.
--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -14,7 +14,7 @@
     Draining,
 }
 
-/// One registration. All but state, sequence and slow start are fixed for one life
+/// One registration. All but state, sequence and slow start are fixed for one run
 /// of the target.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRegistration {
--- a/src/policy/credit.rs
+++ b/src/policy/credit.rs
@@ -1,5 +1,6 @@
-//! The cap rule: a request is moved out of the hall of its default target only
-//! if every cap that selects it has credit for a whole move.
+//! Credit of caps: the account that pays for moves. A request is moved out of
+//! the hall of its default target only if every cap that selects it has credit
+//! for a whole move.
 //!
 //! **Inputs.** The caps that select the request: each a share of the selected
 //! requests, 0 to 1. Each cap's [`Credit`]: this instance's own count, in
@@ -8,7 +9,7 @@
 //! [`CapCharge`](super::CapCharge).
 //! What a move is, is decided by the caller: the target that would be sent to is
 //! in another hall than the default target, the one that the request would go to
-//! if no target had any trouble (`decision/choice.rs`).
+//! if no target had any trouble ([`crate::decision::cap_moves`]).
 //!
 //! **Rule.** A request earns `cap` for each cap that selects it when it is first
 //! decided on, and nothing for later tries. A move spends 1 of each cap, or of
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -1,4 +1,19 @@
-//! Whether the store is reachable, and how old the view of it is.
+//! Health of the store: it is lost while it never answered, or not for 1.5 s, and the view is
+//! current while it was proven so less than 1.3 s ago.
+//!
+//! **Inputs**
+//! - Times of the answers and failures of this instance's calls to the store; exact.
+//! - Times at which the view was proven current, by the store, or by a relay or peer with the
+//!   age of its own view.
+//! - Age of a recovery of the store that a peer saw, as the peer gives it.
+//!
+//! **Why.** One lost call is no outage, and a quiet watch looks like a broken one: answered
+//! renewals of the lease tell them apart.
+//!
+//! **Guards** the promises that a stale view is known as stale, and that grace is given only
+//! after an outage.
+//!
+//! **Evidence**: at each constant.
 //!
 //! Owns the times of the last answer and of the last proof that the view was current.
 //! Relies on the callers of the store to report each answer and failure, and on
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -1,4 +1,20 @@
-//! Keeps this instance's own key in the store, under a lease.
+//! Membership: a ready instance keeps its own key in the store under a lease, renews the lease
+//! each `RENEW_EVERY` (0.8 s), and writes the key again where the view still lacks it.
+//!
+//! **Inputs**
+//! - Whether the instance is ready or stops; local, exact.
+//! - The members; as old as the view: current to 1.3 s while store or relay answers, older
+//!   while they do not.
+//! - The store's shortest lease and the instance's name, addresses, hall and region, from the
+//!   settings at the time of the call.
+//!
+//! **Why.** A dead instance leaves the members when its lease expires, with no message. A key
+//! can be removed although its lease lives.
+//!
+//! **Guards** the promises that the members list the instances that take requests, and that a
+//! stopping one leaves at once, or with its lease where ending that fails.
+//!
+//! **Evidence**: at each constant, and in [`crate::store::lease`].
 //!
 //! Owns the lease. Relies on the view to see whether the key is still there.
 
@@ -13,9 +29,9 @@
 use std::time::Duration;
 use tokio::time::{Instant, sleep};
 
-/// Time within which a written key appears in the view, else it is written again: longer
-/// than the pause between watches and the lag of a relay (1.1 s). Evidence: no run set it;
-/// 88c20ce has a test of a key that was removed.
+/// Time within which a written key appears in the view, else it is written again: longer than
+/// the pause between watches (0.4 s) and a relay's wait (0.7 s) together. Evidence: no run
+/// set it; 88c20ce has a test of a key that was removed.
 const VISIBLE_WITHIN: Duration = Duration::from_millis(1_500);
 /// Time between checks whether the instance is ready to register: short against its start.
 /// Evidence: no run set it.
@@ -80,7 +96,7 @@
     }
 }
 
-/// Whether the key was removed although its lease was renewed.
+/// Whether the view still lacks the key `VISIBLE_WITHIN` after it was written.
 fn is_key_missing<P: Platform>(instance: &Instance<P>, registered: &Registered) -> bool {
     let name = &instance.settings.borrow().name;
     registered.written_at.elapsed() > VISIBLE_WITHIN && !instance.routing.borrow().members.contains_key(name)
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -4,6 +4,22 @@
 //! or has a stale view follows another for a while, and watches the store itself where
 //! there is none.
 //!
+//! **Inputs**
+//! - Names, halls and peer addresses of the members; as old as the view: current to 1.3 s
+//!   while store or relay answers, older while they do not.
+//! - Name and hall of this instance, from the settings.
+//! - Age of the relay's view, as its answer gives it; from `MAX_VIEW_AGE` (1.3 s) on the relay
+//!   is not followed.
+//! - Failures of relays that this instance saw, kept for `RETRY_AFTER` (5 s).
+//!
+//! **Why.** A watch by each instance multiplies the store's calls and bytes; a tree bounds
+//! what the busiest instance sends.
+//!
+//! **Guards** the promises that an instance's view stays current with a bounded load on store
+//! and relays, and that a relay with a stale view is not followed.
+//!
+//! **Evidence**: at each constant.
+//!
 //! Owns the connection to the relay and the relays that failed. Relies on the members in
 //! the view for the order, and on [`crate::sync::peers`] for the answers.
 
@@ -17,7 +33,8 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Most instances that one instance serves: bounds the bytes of the busiest one; a hall
+/// Instances that one serves while no relay has failed; after failures it may be more.
+/// Bounds the bytes of the busiest one; a hall
 /// of 17 needs three levels. Evidence: c904382 and bca8f81 measured a tree against none
 /// (busiest instance 3,467 to 1,895 kB/s on bsp at 300 machines); half and double change the
 /// worth of a grown day by 0.003 at most.
@@ -31,8 +48,7 @@
 /// a whole; the value was not varied.
 const RETRY_AFTER: Duration = Duration::from_secs(5);
 
-/// Positions of the relay of the instance at `position` of its hall, that one's
-/// relay, and so on up to the first.
+/// Positions of the instances above `position` in its hall's tree, nearest first.
 pub fn ancestors(position: usize) -> impl Iterator<Item = usize> {
     std::iter::successors(parent(position), |position| parent(*position))
 }
