--- a/src/decision/next_try.rs
+++ b/src/decision/next_try.rs
@@ -1,9 +1,9 @@
 //! Whether a request is tried again, and what it is answered with if not.
 //!
-//! **Rule**: after a failed try a request is tried at another target if the failure
-//! proves that it did not run, or if its exchange broke and its route is safe to
-//! repeat, as long as the route's tries, the tries without a connection, the time and
-//! the retry budget last. A request that got no answer in time is never tried again.
+//! **Rule**: after a failed try a request is tried at another target if the failure proves
+//! that it did not run, or if its exchange broke and its route is safe to repeat, as long as
+//! the route's tries and the tries without a connection last; the caller checks time
+//! ([`has_time`]) and budget. A request that got no answer in time is never tried again.
 //!
 //! **Inputs**: the failed tries of this request alone ([`Tries`], counts); the route's
 //! [`Repeat`] and `max_attempts` (tries that reach a target) from the configuration
@@ -11,9 +11,10 @@
 //! try from being made ([`Obstacle`]). Nothing here has an age or is shared.
 //!
 //! **Why**: a target that is gone or full costs the caller nothing if another one takes
-//! the request in time. A try without a connection has sent nothing, so it neither
-//! counts towards `max_attempts` nor draws on the budget, but it costs up to the
-//! connect timeout ([`crate::net::pool`]), so these tries have a bound of their own.
+//! the request in time. A try without a connection has sent nothing, so it does not count
+//! towards `max_attempts`, but it costs up to the connect timeout ([`crate::net::pool`]),
+//! so these tries have a bound of their own. The caller pays the budget before a try where
+//! `costs_retry` says so, that is once an earlier try reached a target.
 //!
 //! **Guards**: a request whose route is not safe to repeat runs at most once; a caller
 //! is told "not run" (503) only if no target can have run it: once a try may have run,
@@ -30,9 +31,9 @@
 /// Least time left, until the deadline, with which a request is sent: less than a
 /// round trip plus any work, so that nothing can come of it. No run set it.
 pub const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
-/// Tries without a connection after which another one is still made; the next ends
-/// the request. Each costs up to 0.4 s to connect. No run set it.
-pub const UNREACHABLE_TRIES: u32 = 2;
+/// Most tries without a connection; the last ends the request. Each costs up to 0.4 s
+/// to connect. No run set it.
+pub const MAX_UNREACHABLE_TRIES: u32 = 3;
 
 /// How a try that gave no answer to pass on ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -114,10 +115,10 @@
 /// What is done next with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Next {
-    /// It is tried at a target; the retry budget pays for it if `paid`.
+    /// It is tried at a target; the retry budget pays for it if `costs_retry`.
     Try {
         /// Whether an earlier try reached a target.
-        paid: bool,
+        costs_retry: bool,
     },
     /// The caller is answered with this reason.
     Refuse(Reason),
@@ -145,8 +146,8 @@
         Some(TryOutcome::Lost) => limits.repeat == Repeat::Safe,
         Some(TryOutcome::Unreachable | TryOutcome::NotExecuted) | None => true,
     };
-    let has_tries = tries.sends < limits.max_attempts && tries.unreachable <= UNREACHABLE_TRIES;
-    if may_repeat && has_tries { Next::Try { paid: tries.sends > 0 } } else { Next::Refuse(tries.reason()) }
+    let has_tries = tries.sends < limits.max_attempts && tries.unreachable < MAX_UNREACHABLE_TRIES;
+    if may_repeat && has_tries { Next::Try { costs_retry: tries.sends > 0 } } else { Next::Refuse(tries.reason()) }
 }
 
 /// Whether a request with this much time left until its deadline is worth sending.
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -1,4 +1,19 @@
-//! Whether the store is reachable, and how old the view of it is.
+//! Health of the store: it is lost while it never answered, or not for 1.5 s, and the view is
+//! current while it was proven so less than 1.3 s ago.
+//!
+//! **Inputs**
+//! - Times of the answers and failures of this instance's calls to the store; exact.
+//! - Times at which the view was proven current, by the store, or by a relay or peer with the
+//!   age of its own view.
+//! - Age of a recovery of the store that a peer saw, as the peer gives it.
+//!
+//! **Why.** One lost call is no outage, and a quiet watch looks like a broken one: answered
+//! renewals of the lease tell them apart.
+//!
+//! **Guards** the promises that a stale view is known as stale, and that grace is given only
+//! after an outage.
+//!
+//! **Evidence**: at each constant.
 //!
 //! Owns the times of the last answer and of the last proof that the view was current.
 //! Relies on the callers of the store to report each answer and failure, and on
@@ -14,7 +29,7 @@
 /// Time without an answer, beyond that between two renewals, after which the store
 /// counts as lost: one call that used its whole timeout. Evidence: half and double on
 /// three days of store outages change the worth by 0.004 at most.
-const SILENCE: Duration = Duration::from_millis(700);
+const SILENCE_BEYOND_RENEWAL: Duration = Duration::from_millis(700);
 
 /// Age from which the view is stale: somewhat more than the time between two renewals of
 /// a lease, which confirm that a quiet watch is still in place, and less than the shortest
@@ -53,9 +68,9 @@
         }
     }
 
-    /// Whether the store has given no answer for some time.
+    /// Whether the store never answered, or not for 1.5 s.
     pub fn is_lost(&self) -> bool {
-        self.silence().is_none_or(|silence| silence > SILENCE + RENEW_EVERY)
+        self.silence().is_none_or(|silence| silence > SILENCE_BEYOND_RENEWAL + RENEW_EVERY)
     }
 
     /// Time since the store last answered.
