--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -53,6 +53,8 @@
 
     fn limits(&self) -> ConnectionLimits {
         let routing = self.0.routing.borrow();
+        // Before the first configuration there are none to apply: the defaults bound the
+        // few callers that arrive, whose requests wait for it.
         let limits = routing.config.as_ref().map(|config| config.limits).unwrap_or_default();
         ConnectionLimits {
             head_bytes: limits.head_bytes,
