--- a/tests/next_try.rs
+++ b/tests/next_try.rs
@@ -1,4 +1,4 @@
-//! The retry rule: every outcome, on every kind of route, at all counts.
+//! The retry rule: every outcome of a try, on every kind of route, with all counts of tries.
 
 use lockloft::decision::failure::next_try::{
     MAX_UNREACHABLE_TRIES, MIN_TIME_LEFT, Next, Obstacle, Reason, Tries, TryLimits, TryOutcome, has_time, next_try,
@@ -10,8 +10,8 @@
 const OUTCOMES: [TryOutcome; 5] =
     [TryOutcome::Unreachable, TryOutcome::NotExecuted, TryOutcome::Shed, TryOutcome::Lost, TryOutcome::TimedOut];
 const OBSTACLES: [Obstacle; 4] = [Obstacle::NoTarget, Obstacle::TooLate, Obstacle::OverBudget, Obstacle::NoRequest];
-const FREE: Next = Next::Try { costs_retry: false };
-const PAID: Next = Next::Try { costs_retry: true };
+const UNCHARGED: Next = Next::Try { costs_retry: false };
+const CHARGED: Next = Next::Try { costs_retry: true };
 
 fn after(outcomes: &[TryOutcome]) -> Tries {
     let mut tries = Tries::default();
@@ -23,17 +23,17 @@
     next_try(&after(outcomes), TryLimits { repeat, max_attempts })
 }
 
-/// All rows of outcomes up to a length.
-fn rows(length: usize) -> Vec<Vec<TryOutcome>> {
+/// All sequences of outcomes up to a length.
+fn sequences(length: usize) -> Vec<Vec<TryOutcome>> {
     let mut all = vec![Vec::new()];
     let mut from = 0;
     for _ in 0..length {
         let to = all.len();
         for index in from..to {
             for outcome in OUTCOMES {
-                let mut row = all[index].clone();
-                row.push(outcome);
-                all.push(row);
+                let mut sequence = all[index].clone();
+                sequence.push(outcome);
+                all.push(sequence);
             }
         }
         from = to;
@@ -46,20 +46,20 @@
     use {Next::Refuse, TryOutcome::*};
     let table = [
         // outcome, repeat, max_attempts, next
-        (Unreachable, Repeat::Safe, 1, FREE),
-        (Unreachable, Repeat::Safe, 2, FREE),
-        (Unreachable, Repeat::Once, 1, FREE),
-        (Unreachable, Repeat::Once, 2, FREE),
+        (Unreachable, Repeat::Safe, 1, UNCHARGED),
+        (Unreachable, Repeat::Safe, 2, UNCHARGED),
+        (Unreachable, Repeat::Once, 1, UNCHARGED),
+        (Unreachable, Repeat::Once, 2, UNCHARGED),
         (NotExecuted, Repeat::Safe, 1, Refuse(Reason::NotExecuted)),
-        (NotExecuted, Repeat::Safe, 2, PAID),
+        (NotExecuted, Repeat::Safe, 2, CHARGED),
         (NotExecuted, Repeat::Once, 1, Refuse(Reason::NotExecuted)),
-        (NotExecuted, Repeat::Once, 2, PAID),
+        (NotExecuted, Repeat::Once, 2, CHARGED),
         (Shed, Repeat::Safe, 1, Refuse(Reason::Shed)),
-        (Shed, Repeat::Safe, 2, PAID),
+        (Shed, Repeat::Safe, 2, CHARGED),
         (Shed, Repeat::Once, 1, Refuse(Reason::Shed)),
-        (Shed, Repeat::Once, 2, PAID),
+        (Shed, Repeat::Once, 2, CHARGED),
         (Lost, Repeat::Safe, 1, Refuse(Reason::Lost)),
-        (Lost, Repeat::Safe, 2, PAID),
+        (Lost, Repeat::Safe, 2, CHARGED),
         (Lost, Repeat::Once, 1, Refuse(Reason::Lost)),
         (Lost, Repeat::Once, 2, Refuse(Reason::Lost)),
         (TimedOut, Repeat::Safe, 1, Refuse(Reason::TimedOut)),
@@ -76,16 +76,16 @@
 fn several_tries() {
     use {Next::Refuse, Repeat::*, TryOutcome::*};
     let table: [(&[TryOutcome], Repeat, u32, Next); 12] = [
-        (&[], Safe, 1, FREE),
-        (&[], Once, 1, FREE),
+        (&[], Safe, 1, UNCHARGED),
+        (&[], Once, 1, UNCHARGED),
         (&[], Safe, 0, Refuse(Reason::NotTried)),
-        (&[Unreachable, Unreachable], Once, 1, FREE),
+        (&[Unreachable, Unreachable], Once, 1, UNCHARGED),
         (&[Unreachable, Unreachable, Unreachable], Once, 3, Refuse(Reason::Unreachable)),
-        (&[NotExecuted, Unreachable], Once, 2, PAID),
+        (&[NotExecuted, Unreachable], Once, 2, CHARGED),
         (&[Unreachable, NotExecuted], Once, 1, Refuse(Reason::NotExecuted)),
         (&[NotExecuted, Lost], Once, 3, Refuse(Reason::Lost)),
-        (&[NotExecuted, Lost], Safe, 3, PAID),
-        // What failed after a try that may have run does not take that back.
+        (&[NotExecuted, Lost], Safe, 3, CHARGED),
+        // After a try that may have run the request, no later failure is reported as not run.
         (&[Lost, NotExecuted], Safe, 2, Refuse(Reason::Lost)),
         (&[Lost, Unreachable, Unreachable, Unreachable], Safe, 2, Refuse(Reason::Lost)),
         (&[Lost, TimedOut], Safe, 3, Refuse(Reason::TimedOut)),
@@ -95,9 +95,9 @@
     }
 }
 
-/// The rule as one plain loop over the outcomes of tries; `None` where another try
-/// would follow the last of them.
-fn naive(outcomes: &[TryOutcome], repeat: Repeat, max_attempts: u32) -> Option<Reason> {
+/// Reference implementation of the rule as a loop over the outcomes of tries; `None` if another
+/// try would follow the last of them.
+fn reference(outcomes: &[TryOutcome], repeat: Repeat, max_attempts: u32) -> Option<Reason> {
     let (mut sends, mut unreachable, mut may_have_run) = (0, 0, false);
     let mut last = Reason::NotTried;
     let mut outcomes = outcomes.iter();
@@ -128,8 +128,8 @@
     Some(if may_have_run { Reason::Lost } else { last })
 }
 
-/// Follows the rule over a row of outcomes for as long as it tries again.
-fn followed(outcomes: &[TryOutcome], limits: TryLimits) -> (Tries, Next) {
+/// Applies the rule to a sequence of outcomes for as long as it allows another try.
+fn apply_rule(outcomes: &[TryOutcome], limits: TryLimits) -> (Tries, Next) {
     let mut tries = Tries::default();
     for outcome in outcomes {
         if let Next::Refuse(_) = next_try(&tries, limits) {
@@ -141,12 +141,12 @@
 }
 
 #[test]
-fn every_row_of_outcomes_ends_as_in_a_plain_loop() {
-    for outcomes in rows(6) {
+fn every_sequence_of_outcomes_matches_the_reference() {
+    for outcomes in sequences(6) {
         for repeat in [Repeat::Safe, Repeat::Once] {
             for max_attempts in 0..4 {
-                let (tries, next) = followed(&outcomes, TryLimits { repeat, max_attempts });
-                let expected = match naive(&outcomes, repeat, max_attempts) {
+                let (tries, next) = apply_rule(&outcomes, TryLimits { repeat, max_attempts });
+                let expected = match reference(&outcomes, repeat, max_attempts) {
                     Some(reason) => Next::Refuse(reason),
                     None => Next::Try { costs_retry: tries.sends > 0 },
                 };
@@ -157,9 +157,9 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_runs_again_on_a_safe_route_alone() {
-    for outcomes in rows(5) {
-        let (tries, next) = followed(&outcomes, TryLimits { repeat: Repeat::Once, max_attempts: 9 });
+fn a_request_that_may_have_run_is_repeated_only_on_a_safe_route() {
+    for outcomes in sequences(5) {
+        let (tries, next) = apply_rule(&outcomes, TryLimits { repeat: Repeat::Once, max_attempts: 9 });
         if tries.may_have_run {
             assert!(matches!(next, Next::Refuse(Reason::Lost | Reason::TimedOut)), "{outcomes:?}: {next:?}");
         }
@@ -167,10 +167,10 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_never_answered_as_not_run() {
-    for outcomes in rows(6) {
+fn a_request_that_may_have_run_is_never_reported_as_not_run() {
+    for outcomes in sequences(6) {
         for repeat in [Repeat::Safe, Repeat::Once] {
-            let (tries, next) = followed(&outcomes, TryLimits { repeat, max_attempts: 3 });
+            let (tries, next) = apply_rule(&outcomes, TryLimits { repeat, max_attempts: 3 });
             if !tries.may_have_run {
                 continue;
             }
@@ -178,14 +178,14 @@
             if let Next::Refuse(reason) = next {
                 reasons.push(Some(reason));
             }
-            let is_open = |reason: &Option<Reason>| matches!(reason, Some(Reason::Lost | Reason::TimedOut));
-            assert!(reasons.iter().all(is_open), "{outcomes:?}: {reasons:?}");
+            let admits_run = |reason: &Option<Reason>| matches!(reason, Some(Reason::Lost | Reason::TimedOut));
+            assert!(reasons.iter().all(admits_run), "{outcomes:?}: {reasons:?}");
         }
     }
 }
 
 #[test]
-fn an_obstacle_leaves_the_last_failure_standing_but_for_the_time() {
+fn an_earlier_failure_takes_precedence_over_any_unmet_precondition_but_time() {
     use {Obstacle::*, TryOutcome::*};
     let table: [(&[TryOutcome], [Option<Reason>; 4]); 6] = [
         // failed tries; no target, too late, over budget, no request
@@ -204,13 +204,13 @@
 }
 
 #[test]
-fn a_request_is_sent_only_with_time_left() {
+fn a_request_is_sent_only_if_enough_time_is_left() {
     assert!(!has_time(Duration::ZERO));
     assert!(!has_time(MIN_TIME_LEFT));
     assert!(has_time(MIN_TIME_LEFT + Duration::from_nanos(1)));
 }
 
 #[test]
-fn outcomes_have_the_words_of_the_log() {
+fn outcomes_have_their_log_names() {
     assert_eq!(OUTCOMES.map(TryOutcome::as_str), ["unreachable", "not-executed", "shed", "lost", "silent"]);
 }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -1,5 +1,5 @@
 //! Strikes against requests, and quarantine: which requests are refused, for how long, and what
-//! instances tell each other of them.
+//! instances share about them through the store.
 
 use lockloft::clock::Instant;
 use lockloft::decision::failure::quarantine::{
@@ -11,6 +11,7 @@
 use proptest::prelude::*;
 use std::time::Duration;
 
+/// Name of the instance under test.
 const OWN: &str = "e-1";
 const OTHER: &str = "e-2";
 
@@ -23,8 +24,8 @@
     Strikes { strikes, by: by.to_owned() }
 }
 
-/// A quarantine in which the request has so many strikes, counted here one after the other.
-fn struck(fingerprint: Fingerprint, strikes: u32, now: Instant) -> Quarantine {
+/// A quarantine in which the request has `strikes` local strikes, counted one after the other.
+fn with_strikes(fingerprint: Fingerprint, strikes: u32, now: Instant) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for known in 0..strikes {
         assert_eq!(quarantine.record_end(fingerprint, known, now), Some(known + 1));
@@ -36,19 +37,19 @@
 fn a_request_is_refused_from_the_third_strike_on() {
     let (fingerprint, now) = (request(0), Instant::now());
     for strikes in 0..LIMIT {
-        assert_eq!(struck(fingerprint, strikes, now).admit(fingerprint, OWN, now), Ok(strikes));
+        assert_eq!(with_strikes(fingerprint, strikes, now).admit(fingerprint, OWN, now), Ok(strikes));
     }
-    let mut quarantine = struck(fingerprint, LIMIT, now);
+    let mut quarantine = with_strikes(fingerprint, LIMIT, now);
     assert_eq!(quarantine.admit(fingerprint, OWN, now), Err(Quarantined));
     assert_eq!(quarantine.admit(request(1), OWN, now), Ok(0));
 }
 
 #[test]
-fn targets_that_end_at_one_moment_make_one_strike() {
+fn targets_that_crash_at_the_same_moment_make_one_strike() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut quarantine = Quarantine::default();
     assert_eq!(quarantine.record_end(fingerprint, 0, now), Some(1));
-    // These tries had begun before the first strike was known.
+    // These tries began before the first strike was known.
     assert_eq!(quarantine.record_end(fingerprint, 0, now), None);
     assert_eq!(quarantine.record_end(fingerprint, 0, now), None);
     assert_eq!(quarantine.admit(fingerprint, OWN, now), Ok(1));
@@ -57,7 +58,7 @@
 #[test]
 fn an_answer_clears_the_request_for_all_instances() {
     let (fingerprint, now) = (request(0), Instant::now());
-    let mut quarantine = struck(fingerprint, 2, now);
+    let mut quarantine = with_strikes(fingerprint, 2, now);
     assert!(!quarantine.record_answer(fingerprint), "the store has no record of it");
     assert_eq!(quarantine.admit(fingerprint, OWN, now), Ok(0));
 
@@ -68,29 +69,29 @@
     assert_eq!(quarantine.apply(fingerprint, record(0, OWN), 8, now), Some(false));
     assert_eq!(quarantine.report(fingerprint, now), None);
     assert_eq!(quarantine.admit(fingerprint, OWN, now), Ok(0));
-    assert_eq!(quarantine.record_end(fingerprint, 0, now), Some(1), "it is counted anew");
+    assert_eq!(quarantine.record_end(fingerprint, 0, now), Some(1), "strikes start again at 1");
     assert_eq!(quarantine.report(fingerprint, now), Some(Report { strikes: 1, replaces: 8 }));
 }
 
 #[test]
-fn strikes_that_were_cleared_while_a_try_was_under_way_do_not_count_with_it() {
+fn strikes_that_are_cleared_during_a_try_do_not_count_towards_its_strike() {
     let (fingerprint, now) = (request(0), Instant::now());
-    let mut quarantine = struck(fingerprint, 2, now);
+    let mut quarantine = with_strikes(fingerprint, 2, now);
     let known = quarantine.admit(fingerprint, OWN, now).unwrap();
     quarantine.record_answer(fingerprint);
     assert_eq!(quarantine.record_end(fingerprint, known, now), Some(1));
 }
 
 #[test]
-fn a_record_without_strikes_clears_the_own_ones() {
+fn a_record_without_strikes_clears_local_strikes() {
     let (fingerprint, now) = (request(0), Instant::now());
-    let mut quarantine = struck(fingerprint, LIMIT, now);
+    let mut quarantine = with_strikes(fingerprint, LIMIT, now);
     quarantine.apply(fingerprint, record(0, OTHER), 7, now);
     assert_eq!(quarantine.admit(fingerprint, OWN, now), Ok(0));
 }
 
 #[test]
-fn a_later_record_counts_although_an_earlier_one_was_cleared() {
+fn a_later_record_counts_after_an_earlier_one_was_cleared() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut quarantine = Quarantine::default();
     quarantine.apply(fingerprint, record(1, OTHER), 7, now);
@@ -100,7 +101,7 @@
 }
 
 #[test]
-fn strikes_of_other_instances_count_with_own_ones() {
+fn strikes_of_other_instances_add_to_local_strikes() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut quarantine = Quarantine::default();
     assert_eq!(quarantine.apply(fingerprint, record(2, OTHER), 5, now), None);
@@ -114,7 +115,7 @@
 }
 
 #[test]
-fn a_record_whose_lease_an_outage_ended_counts_on_and_is_written_again_by_its_writer() {
+fn a_record_lost_in_an_outage_still_counts_and_is_rewritten_by_its_writer() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut writer = Quarantine::default();
     let mut other = Quarantine::default();
@@ -134,7 +135,7 @@
 }
 
 #[test]
-fn a_record_that_has_served_its_time_is_not_written_again() {
+fn a_record_that_expires_on_time_is_not_rewritten() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut quarantine = Quarantine::default();
     quarantine.apply(fingerprint, record(LIMIT, OWN), 5, now);
@@ -143,36 +144,37 @@
 }
 
 #[test]
-fn an_answer_after_the_record_is_gone_is_told_to_those_that_count_it_on() {
+fn an_answer_after_the_record_is_gone_is_still_reported() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut quarantine = Quarantine::default();
     quarantine.apply(fingerprint, record(2, OTHER), 5, now);
+    // Other instances still count the strikes of the lost record.
     quarantine.lapse(fingerprint, OWN, now);
     assert!(quarantine.record_answer(fingerprint));
     assert_eq!(quarantine.report(fingerprint, now), Some(Report { strikes: 0, replaces: 0 }));
 }
 
 #[test]
-fn strikes_are_forgotten_in_time() {
+fn strikes_expire() {
     let (fingerprint, now) = (request(0), Instant::now());
-    let mut quarantine = struck(fingerprint, 2, now);
+    let mut quarantine = with_strikes(fingerprint, 2, now);
     assert_eq!(quarantine.admit(fingerprint, OWN, now + STRIKES_COUNT - Duration::from_millis(1)), Ok(2));
     assert_eq!(quarantine.admit(fingerprint, OWN, now + STRIKES_COUNT), Ok(0));
-    let mut quarantine = struck(fingerprint, LIMIT, now);
+    let mut quarantine = with_strikes(fingerprint, LIMIT, now);
     assert_eq!(quarantine.admit(fingerprint, OWN, now + QUARANTINE), Ok(0));
 }
 
 #[test]
-fn one_trial_is_let_through_at_a_time_and_few_in_all() {
+fn one_probe_is_let_through_at_a_time_and_few_in_all() {
     let (fingerprint, mut now) = (request(0), Instant::now());
-    let mut quarantine = struck(fingerprint, LIMIT, now);
+    let mut quarantine = with_strikes(fingerprint, LIMIT, now);
     let mut wait = TRIAL_AFTER;
-    for trial in 0..MAX_TRIALS {
-        let strikes = LIMIT + trial;
+    for probe in 0..MAX_TRIALS {
+        let strikes = LIMIT + probe;
         assert_eq!(quarantine.admit(fingerprint, OWN, now + wait - Duration::from_millis(1)), Err(Quarantined));
         now += wait;
         assert_eq!(quarantine.admit(fingerprint, OWN, now), Ok(strikes));
-        assert_eq!(quarantine.admit(fingerprint, OWN, now), Err(Quarantined), "a second one at the same time");
+        assert_eq!(quarantine.admit(fingerprint, OWN, now), Err(Quarantined), "a second probe at the same time");
         assert_eq!(quarantine.record_end(fingerprint, strikes, now), Some(strikes + 1));
         wait *= 2;
     }
@@ -180,25 +182,25 @@
 }
 
 #[test]
-fn only_the_instance_that_counted_the_last_strike_makes_trials() {
+fn only_the_instance_that_counted_the_last_strike_sends_probes() {
     let (fingerprint, now) = (request(0), Instant::now());
-    let mut quarantine = struck(fingerprint, LIMIT, now);
+    let mut quarantine = with_strikes(fingerprint, LIMIT, now);
     quarantine.apply(fingerprint, record(LIMIT, OTHER), 7, now);
     assert_eq!(quarantine.admit(fingerprint, OWN, now + TRIAL_AFTER), Err(Quarantined));
-    // Also after it has started again and knows only the record.
+    // Also after a restart, when it knows only the record.
     let mut quarantine = Quarantine::default();
     quarantine.apply(fingerprint, record(LIMIT, OWN), 8, now);
     assert_eq!(quarantine.admit(fingerprint, OWN, now + TRIAL_AFTER), Ok(LIMIT));
 }
 
 #[test]
-fn memory_is_bounded_and_a_request_that_comes_on_is_not_displaced() {
+fn memory_is_bounded_and_a_request_that_keeps_arriving_is_not_evicted() {
     let (fingerprint, now) = (request(0), Instant::now());
-    let mut quarantine = struck(fingerprint, LIMIT, now);
+    let mut quarantine = with_strikes(fingerprint, LIMIT, now);
     for number in 1..20_000 {
         quarantine.record_end(request(number), 0, now);
         if number % 500 == 0 {
-            // Looked at as each refused attempt does.
+            // Each refused attempt looks the request up, which keeps it in the LRU cache.
             assert_eq!(quarantine.admit(fingerprint, OWN, now), Err(Quarantined), "{number}");
         }
     }
@@ -207,9 +209,9 @@
 }
 
 #[test]
-fn instances_share_no_new_request_beyond_the_bound_and_go_by_their_own() {
+fn instances_share_no_new_request_beyond_the_bound_and_rely_on_local_strikes() {
     let (fingerprint, now) = (request(0), Instant::now());
-    let mut quarantine = struck(fingerprint, LIMIT, now);
+    let mut quarantine = with_strikes(fingerprint, LIMIT, now);
     for number in 1..=500 {
         quarantine.apply(request(number), record(1, OTHER), number, now);
     }
@@ -220,44 +222,44 @@
     assert_eq!(quarantine.report(known, now), Some(Report { strikes: 2, replaces: 1 }));
 }
 
-/// What may happen at one of three instances that share a store.
+/// An event at one of three instances that share a store.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// A try begins; it ends its target later, at `End`.
+    /// A try begins; its target crashes later, at `Crash`.
     Begin,
-    /// The oldest try under way ends its target.
-    End,
-    /// What the instance has to report reaches the store.
+    /// The target of the oldest try in flight crashes.
+    Crash,
+    /// The instance's pending report reaches the store.
     Write,
-    /// The instance sees the store's record.
-    See,
+    /// The instance receives the store's record.
+    Receive,
 }
 
 fn step() -> impl Strategy<Value = (usize, Step)> {
-    (0..3usize, prop_oneof![Just(Step::Begin), Just(Step::End), Just(Step::Write), Just(Step::See)])
+    (0..3usize, prop_oneof![Just(Step::Begin), Just(Step::Crash), Just(Step::Write), Just(Step::Receive)])
 }
 
 proptest! {
-    /// Three instances, one request that ends every target: once an instance has seen the third
-    /// strike it sends no more, and no instance counts more strikes than targets ended.
+    /// Three instances, one request that crashes every target: an instance that knows of the third
+    /// strike sends no more, and no instance counts more strikes than targets crashed.
     #[test]
-    fn no_instance_sends_on_what_it_knows_to_end_targets(steps in prop::collection::vec(step(), 1..200)) {
+    fn no_instance_sends_a_request_that_it_knows_to_crash_targets(steps in prop::collection::vec(step(), 1..200)) {
         let (fingerprint, now) = (request(0), Instant::now());
         let mut instances = [OWN, OTHER, "e-3"].map(|name| (name, Quarantine::default(), Vec::<u32>::new()));
-        let (mut stored, mut ended) = (None::<(Strikes, u64)>, 0);
+        let (mut stored, mut crashed) = (None::<(Strikes, u64)>, 0);
         for (number, step) in steps {
-            let (name, quarantine, under_way) = &mut instances[number];
+            let (name, quarantine, in_flight) = &mut instances[number];
             match step {
                 Step::Begin => {
                     if let Ok(strikes) = quarantine.admit(fingerprint, name, now) {
                         prop_assert!(strikes < LIMIT);
-                        under_way.push(strikes);
+                        in_flight.push(strikes);
                     }
                 }
-                Step::End if !under_way.is_empty() => {
-                    ended += 1;
-                    if let Some(strikes) = quarantine.record_end(fingerprint, under_way.remove(0), now) {
-                        prop_assert!(strikes <= ended);
+                Step::Crash if !in_flight.is_empty() => {
+                    crashed += 1;
+                    if let Some(strikes) = quarantine.record_end(fingerprint, in_flight.remove(0), now) {
+                        prop_assert!(strikes <= crashed);
                     }
                 }
                 Step::Write => {
@@ -268,19 +270,19 @@
                         stored = Some((record(strikes, name), revision + 1));
                     }
                 }
-                Step::See => {
+                Step::Receive => {
                     if let Some((strikes, revision)) = &stored {
                         quarantine.apply(fingerprint, strikes.clone(), *revision, now);
                     }
                 }
-                Step::End => {}
+                Step::Crash => {}
             }
         }
     }
 }
 
-/// A quarantine that knows of first strikes of so many other requests, counted elsewhere.
-fn with_first_strikes(count: u64, now: Instant) -> Quarantine {
+/// A quarantine with shared first strikes of `count` other requests, counted by another instance.
+fn with_shared_first_strikes(count: u64, now: Instant) -> Quarantine {
     let mut quarantine = Quarantine::default();
     for number in 0..count {
         quarantine.apply(request(1_000 + number), record(1, OTHER), number + 1, now);
@@ -289,14 +291,14 @@
 }
 
 #[test]
-fn first_strikes_leave_room_for_a_request_that_goes_on_to_end_targets() {
+fn first_strikes_leave_room_for_a_request_that_goes_on_to_crash_targets() {
     let (fingerprint, now) = (request(0), Instant::now());
-    let mut quarantine = with_first_strikes(250, now);
+    let mut quarantine = with_shared_first_strikes(250, now);
     assert_eq!(quarantine.record_end(fingerprint, 0, now), Some(1));
     assert_eq!(quarantine.report(fingerprint, now), None);
     assert_eq!(quarantine.record_end(fingerprint, 1, now), Some(2));
     assert_eq!(quarantine.report(fingerprint, now), Some(Report { strikes: 2, replaces: 0 }));
-    let mut quarantine = with_first_strikes(249, now);
+    let mut quarantine = with_shared_first_strikes(249, now);
     quarantine.record_end(fingerprint, 0, now);
     assert_eq!(quarantine.report(fingerprint, now), Some(Report { strikes: 1, replaces: 0 }));
 }
@@ -311,11 +313,11 @@
     }
     let shared: Vec<bool> = (0..5).map(|number| quarantine.report(request(number), now).is_some()).collect();
     assert_eq!(shared, [true, true, false, false, false]);
-    // The request is sent on, and ends another one.
+    // The request is sent again and crashes another target: its second strike is shared.
     assert_eq!(quarantine.admit(request(4), OWN, now), Ok(1));
     assert_eq!(quarantine.record_end(request(4), 1, now), Some(2));
     assert_eq!(quarantine.report(request(4), now), Some(Report { strikes: 2, replaces: 0 }));
-    // One target that ends under several requests is lost alone.
+    // One target that crashes under several requests is not a loss of several targets.
     let mut quarantine = Quarantine::default();
     for number in 0..5 {
         quarantine.note_end(TargetKey::new("u-0"), now);
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -1,9 +1,9 @@
-//! Replay of a load against the rules under simulated time: no sockets, no processes.
+//! Discrete-event simulation of a load against the routing rules: no sockets, no processes.
 //!
-//! Instances with a routing each, targets with slots, a queue, a memory of keys and a share of
-//! requests that they shed, and callers who return once, when they were told to. Choice,
-//! retries, budget and times to return are the program's rules; what is simulated stands in
-//! this file. All randomness follows a seed.
+//! Simulates instances with a routing each; targets with slots, a queue, a cache of keys and a
+//! fraction of requests that they shed; and callers that retry once, after the time in Retry-After.
+//! Target choice, retries, retry budget and Retry-After come from the library; everything else is
+//! simulated in this file. All randomness follows a seed.
 
 use super::scene::{Scene, route};
 use lockloft::clock::Instant;
@@ -24,111 +24,115 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 use std::time::Duration;
 
-/// What is played.
+/// The simulated load, instances and targets.
 #[derive(Clone, Debug)]
 pub struct Load {
     /// Seed of arrivals, keys, work and shedding.
     pub seed: u64,
-    /// Instances, which callers choose by chance.
+    /// Number of instances; each attempt of a caller goes to a random one.
     pub instances: usize,
-    /// Affinity keys, equally likely.
+    /// Number of affinity keys, equally likely.
     pub keys: u64,
-    /// Requests a second.
+    /// Requests per second, with exponentially distributed gaps.
     pub rate: f64,
-    /// How long requests arrive.
+    /// How long requests arrive after the warm-up.
     pub length: Duration,
-    /// Time of the first arrivals that are not counted: every key is unknown then.
+    /// Time at the start whose arrivals are not counted, since no target has cached a key yet.
     pub warm_up: Duration,
-    /// Work on a key that the target knows; three times as much on another.
+    /// Mean work on a key that the target has cached; three times as long on another.
     pub work: Duration,
-    /// Time within which an answer is in time, from the caller's first attempt.
+    /// Latency objective, from the caller's first attempt.
     pub objective: Duration,
-    /// Keys that a target remembers.
-    pub memory: usize,
-    /// Share of its requests that each target sheds after the warm-up.
-    pub shed: f64,
-    /// Requests that wait at a target at most.
-    pub queue: usize,
-    /// How long after a target told an instance its load all others hear of it; `None` where they
-    /// do not.
-    pub heard_after: Option<Duration>,
-    /// Whether instances choose as they do where loads are shared.
-    pub limits_shared: bool,
+    /// Keys that a target caches, least recently used evicted first.
+    pub cached_keys: usize,
+    /// Fraction of its requests that each target sheds after the warm-up, 0 to 1.
+    pub shed_ratio: f64,
+    /// Longest queue of a target, requests.
+    pub max_queue: usize,
+    /// Time after which a load report to one instance reaches all instances; `None` if reports are
+    /// not shared.
+    pub report_delay: Option<Duration>,
+    /// Whether instances choose targets as they do when loads are shared.
+    pub has_shared_loads: bool,
 }
 
-/// What callers got, of the requests that count.
+/// Results of the requests after the warm-up.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     /// Answered within the objective.
     pub in_time: u32,
-    /// Answered later.
+    /// Answered after the objective.
     pub late: u32,
-    /// Refused twice.
+    /// Refused at the last attempt: without a Retry-After time, or again after it.
     pub refused: u32,
-    /// Tries at targets.
+    /// Requests sent to targets, including retries.
     pub sends: u32,
-    /// Most requests that waited at one target at once.
-    pub most_waiting: usize,
+    /// Longest queue at one target, requests.
+    pub longest_queue: usize,
 }
 
 impl Outcome {
-    /// Share of the requests that were answered in time.
-    pub fn share_in_time(&self) -> f64 {
+    /// Fraction of the requests that were answered within the objective.
+    pub fn in_time_ratio(&self) -> f64 {
         f64::from(self.in_time) / f64::from(self.in_time + self.late + self.refused)
     }
 }
 
-/// Work on an unknown key, as a multiple.
-const UNKNOWN: u32 = 3;
-/// Time between two looks at the median latencies, as in an instance.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// Work on a key that is not cached, as a multiple of the work on a cached one.
+const UNCACHED_FACTOR: u32 = 3;
+/// Time between updates of the median latencies, as in an instance.
+const MEDIAN_UPDATE_INTERVAL: Duration = Duration::from_millis(500);
 
-/// A caller's request.
+/// One attempt of a caller.
 #[derive(Clone, Copy, Debug)]
 struct Request {
     key: u64,
-    first: Duration,
-    is_return: bool,
+    /// When the caller made its first attempt.
+    first_attempt: Duration,
+    is_retry: bool,
 }
 
-struct Running {
+/// A request sent to a target, running or queued there.
+struct SentRequest {
     request: Request,
     instance: usize,
+    /// Whether the target is the second one of the affinity key.
     is_second: bool,
-    sent: Duration,
+    sent_at: Duration,
     in_flight: InFlight<Target>,
 }
 
 #[derive(Default)]
 struct SimTarget {
-    /// Known keys, the last used one at the end.
-    known: VecDeque<u64>,
+    /// Cached keys, the most recently used last.
+    cached: VecDeque<u64>,
     running: u32,
-    waiting: VecDeque<Running>,
+    queue: VecDeque<SentRequest>,
 }
 
 enum Event {
     Arrival(Request),
-    Sweep,
-    /// All instances hear the load that a target told one: requests, and when.
-    Heard(String, u32, Duration),
-    /// The run at this target ends.
-    End(String, Running),
+    MedianUpdate,
+    /// All instances receive a target's load report to one of them: requests, and the time of the
+    /// report.
+    LoadShared(String, u32, Duration),
+    /// The target finishes a request.
+    Finished(String, SentRequest),
 }
 
-/// Events by time, then in the order in which they were planned.
+/// Events by time, then in the order in which they were scheduled.
 #[derive(Default)]
-struct Agenda {
+struct EventQueue {
     order: BinaryHeap<Reverse<(Duration, u64)>>,
     events: BTreeMap<u64, Event>,
-    planned: u64,
+    scheduled: u64,
 }
 
-impl Agenda {
-    fn plan(&mut self, at: Duration, event: Event) {
-        self.planned += 1;
-        self.order.push(Reverse((at, self.planned)));
-        self.events.insert(self.planned, event);
+impl EventQueue {
+    fn schedule(&mut self, at: Duration, event: Event) {
+        self.scheduled += 1;
+        self.order.push(Reverse((at, self.scheduled)));
+        self.events.insert(self.scheduled, event);
     }
 
     fn next(&mut self) -> Option<(Duration, Event)> {
@@ -137,70 +141,73 @@
     }
 }
 
-/// Regions of the instances, in turn.
+/// Regions to which the instances are assigned in turn.
 const REGIONS: [&str; 2] = ["a", "b"];
 /// Slots of each target of a [`Scene`].
 const SLOTS: u32 = 4;
 
-/// Plays a load against the eight targets of a [`Scene`].
+/// Simulates a load against the eight targets of a [`Scene`].
 pub fn replay(load: &Load) -> Outcome {
     let instances = (0..load.instances).map(|_| (Scene::new(), budget(0.2, 100.0, load.instances))).collect();
     let route = Route { latency_objective: load.objective, ..route("r", "a", "/") };
     let random = StdRng::seed_from_u64(load.seed);
-    let mut world = World {
+    let mut simulation = Simulation {
         load,
         route,
         instances,
         random,
         targets: BTreeMap::new(),
-        agenda: Agenda::default(),
-        began: Instant::now(),
+        events: EventQueue::default(),
+        started_at: Instant::now(),
         outcome: Outcome::default(),
     };
-    world.plan_arrivals();
-    while let Some((at, event)) = world.agenda.next() {
+    simulation.schedule_arrivals();
+    while let Some((at, event)) = simulation.events.next() {
         match event {
-            Event::Arrival(request) => world.arrive(request, at),
-            Event::Sweep => world.instances.iter_mut().for_each(|(scene, _)| scene.routing.update_median_latencies()),
-            Event::End(target, running) => world.end(&target, running, at),
-            Event::Heard(target, requests, told) => world.hear(&target, requests, told),
+            Event::Arrival(request) => simulation.handle_arrival(request, at),
+            Event::MedianUpdate => {
+                simulation.instances.iter_mut().for_each(|(scene, _)| scene.routing.update_median_latencies())
+            }
+            Event::Finished(target, sent) => simulation.finish(&target, sent, at),
+            Event::LoadShared(target, requests, reported_at) => simulation.share_load(&target, requests, reported_at),
         }
     }
-    world.outcome
+    simulation.outcome
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     load: &'a Load,
     route: Route,
     instances: Vec<(Scene, RetryBudget)>,
     random: StdRng,
     targets: BTreeMap<String, SimTarget>,
-    agenda: Agenda,
-    began: Instant,
+    events: EventQueue,
+    started_at: Instant,
     outcome: Outcome,
 }
 
-impl World<'_> {
-    fn plan_arrivals(&mut self) {
+impl Simulation<'_> {
+    fn schedule_arrivals(&mut self) {
         let end = self.load.warm_up + self.load.length;
         let mut at = Duration::ZERO;
         while at < end {
             let key = self.random.random_range(0..self.load.keys);
-            self.agenda.plan(at, Event::Arrival(Request { key, first: at, is_return: false }));
+            self.events.schedule(at, Event::Arrival(Request { key, first_attempt: at, is_retry: false }));
             let gap = -self.random.random::<f64>().max(f64::MIN_POSITIVE).ln() / self.load.rate;
             at += Duration::from_secs_f64(gap);
         }
-        for number in 0..(end.as_millis() / SWEEP_EVERY.as_millis()) as u32 {
-            self.agenda.plan(SWEEP_EVERY * number, Event::Sweep);
+        for number in 0..(end.as_millis() / MEDIAN_UPDATE_INTERVAL.as_millis()) as u32 {
+            self.events.schedule(MEDIAN_UPDATE_INTERVAL * number, Event::MedianUpdate);
         }
     }
 
-    fn counts(&self, request: &Request) -> bool {
-        request.first >= self.load.warm_up
+    /// Whether the request counts in the outcome: its caller began after the warm-up.
+    fn is_measured(&self, request: &Request) -> bool {
+        request.first_attempt >= self.load.warm_up
     }
 
-    /// Tries a request as an instance does, until a target takes it or it is refused.
-    fn arrive(&mut self, request: Request, at: Duration) {
+    /// Tries a request as an instance does, until a target accepts it or it is refused.
+    fn handle_arrival(&mut self, request: Request, at: Duration) {
         let instance = self.random.random_range(0..self.instances.len());
         self.instances[instance].1.earn();
         let mut tries = Tries::default();
@@ -210,7 +217,7 @@
                 Next::Try { costs_retry } => costs_retry,
                 Next::Refuse(reason) => return self.refuse(request, reason.into(), instance, at),
             };
-            let now = self.began + at;
+            let now = self.started_at + at;
             let (scene, budget) = &mut self.instances[instance];
             let region = REGIONS[instance % REGIONS.len()];
             let affinity = request.key.wrapping_mul(0x9E37_79B9_7F4A_7C15);
@@ -221,7 +228,7 @@
                 affinity,
                 region,
                 slow_start: None,
-                has_shared_loads: self.load.limits_shared,
+                has_shared_loads: self.load.has_shared_loads,
                 active: None,
                 tried: &tried,
                 now,
@@ -230,27 +237,28 @@
             let chosen = match chosen {
                 Ok(chosen) => chosen,
                 Err(reason) => {
-                    let own = if matches!(reason, NoTarget::NoneUsable) { Refusal::NoTarget } else { Refusal::Full };
-                    let refusal = tries.last.map_or(own, |_| failed(&tries));
+                    let refusal =
+                        if matches!(reason, NoTarget::NoneUsable) { Refusal::NoTarget } else { Refusal::Full };
+                    let refusal = tries.last.map_or(refusal, |_| refusal_after(&tries));
                     return self.refuse(request, refusal, instance, at);
                 }
             };
             if costs_retry && !budget.spend(0.0) {
-                return self.refuse(request, failed(&tries), instance, at);
+                return self.refuse(request, refusal_after(&tries), instance, at);
             }
             let (id, key) = (chosen.target.id.to_string(), chosen.target.key);
-            let running = Running {
+            let sent = SentRequest {
                 request,
                 instance,
                 is_second: chosen.is_second,
-                sent: at,
+                sent_at: at,
                 in_flight: chosen.target.begin(now),
             };
             tried.push(key);
-            self.outcome.sends += u32::from(self.counts(&request));
-            let Some(refused) = self.offer(&id, running, at) else { return };
+            self.outcome.sends += u32::from(self.is_measured(&request));
+            let Some(rejected) = self.offer(&id, sent, at) else { return };
             let report = self.report(&id);
-            refused.in_flight.target().report(report, now);
+            rejected.in_flight.target().report(report, now);
             if has_free_slot(Some(report)) {
                 tries.record(TryOutcome::Shed);
                 tried.retain(|other| *other != key);
@@ -260,93 +268,97 @@
         }
     }
 
-    /// Offers a request to a target; given back where it is turned away.
-    fn offer(&mut self, id: &str, running: Running, at: Duration) -> Option<Running> {
-        let sheds = at >= self.load.warm_up && self.random.random::<f64>() < self.load.shed;
+    /// Sends a request to a target; returns it if the target rejects it.
+    fn offer(&mut self, id: &str, sent: SentRequest, at: Duration) -> Option<SentRequest> {
+        let sheds = at >= self.load.warm_up && self.random.random::<f64>() < self.load.shed_ratio;
         let target = self.targets.entry(id.to_owned()).or_default();
-        if sheds || target.running == SLOTS && target.waiting.len() >= self.load.queue {
-            return Some(running);
+        if sheds || target.running == SLOTS && target.queue.len() >= self.load.max_queue {
+            return Some(sent);
         }
         if target.running == SLOTS {
-            target.waiting.push_back(running);
-            self.outcome.most_waiting = self.outcome.most_waiting.max(target.waiting.len());
+            target.queue.push_back(sent);
+            self.outcome.longest_queue = self.outcome.longest_queue.max(target.queue.len());
         } else {
-            self.run(id, running, at);
+            self.start(id, sent, at);
         }
         None
     }
 
-    fn run(&mut self, id: &str, running: Running, at: Duration) {
+    /// Starts work on a request in a free slot.
+    fn start(&mut self, id: &str, sent: SentRequest, at: Duration) {
         let target = self.targets.entry(id.to_owned()).or_default();
         target.running += 1;
-        let is_known = target.known.contains(&running.request.key);
-        let times = if is_known { 1 } else { UNKNOWN };
-        let work = (self.load.work * times).mul_f64(self.random.random_range(0.8..1.2));
-        self.agenda.plan(at + work, Event::End(id.to_owned(), running));
+        let is_cached = target.cached.contains(&sent.request.key);
+        let factor = if is_cached { 1 } else { UNCACHED_FACTOR };
+        let work = (self.load.work * factor).mul_f64(self.random.random_range(0.8..1.2));
+        self.events.schedule(at + work, Event::Finished(id.to_owned(), sent));
     }
 
-    fn end(&mut self, id: &str, running: Running, at: Duration) {
+    /// Ends a request at its target, starts the next one in the queue and reports to the instance.
+    fn finish(&mut self, id: &str, sent: SentRequest, at: Duration) {
         let target = self.targets.entry(id.to_owned()).or_default();
         target.running -= 1;
-        let key = running.request.key;
-        target.known.retain(|known| *known != key);
-        target.known.push_back(key);
-        if target.known.len() > self.load.memory {
-            target.known.pop_front();
+        let key = sent.request.key;
+        target.cached.retain(|cached| *cached != key);
+        target.cached.push_back(key);
+        if target.cached.len() > self.load.cached_keys {
+            target.cached.pop_front();
         }
-        if let Some(next) = target.waiting.pop_front() {
-            self.run(id, next, at);
+        if let Some(next) = target.queue.pop_front() {
+            self.start(id, next, at);
         }
-        let (now, took) = (self.began + at, at - running.sent);
+        let (now, took) = (self.started_at + at, at - sent.sent_at);
         let report = self.report(id);
-        let served = running.in_flight.target().clone();
+        let served = sent.in_flight.target().clone();
         served.report(report, now);
-        if let Some(after) = self.load.heard_after {
-            self.agenda.plan(at + after, Event::Heard(id.to_owned(), report.running + report.waiting, at));
+        if let Some(delay) = self.load.report_delay {
+            self.events.schedule(at + delay, Event::LoadShared(id.to_owned(), report.running + report.waiting, at));
         }
         served.record_success(took, now);
-        if running.is_second {
-            self.instances[running.instance].0.routing.record_second("shop", took);
+        if sent.is_second {
+            self.instances[sent.instance].0.routing.record_second("shop", took);
         }
-        self.count(&running.request, at);
+        self.record_answered(&sent.request, at);
     }
 
-    fn hear(&mut self, id: &str, requests: u32, told: Duration) {
+    /// Passes a load report on to all instances.
+    fn share_load(&mut self, id: &str, requests: u32, reported_at: Duration) {
         for (scene, _) in &self.instances {
             let target = scene.routing.targets().find(|target| &*target.id == id);
-            target.into_iter().for_each(|target| target.hear_load(requests, self.began + told));
+            target.into_iter().for_each(|target| target.hear_load(requests, self.started_at + reported_at));
         }
     }
 
-    fn count(&mut self, request: &Request, at: Duration) {
-        if !self.counts(request) {
+    fn record_answered(&mut self, request: &Request, at: Duration) {
+        if !self.is_measured(request) {
             return;
         }
-        match at - request.first <= self.load.objective {
+        match at - request.first_attempt <= self.load.objective {
             true => self.outcome.in_time += 1,
             false => self.outcome.late += 1,
         }
     }
 
+    /// The load report in a target's response.
     fn report(&self, id: &str) -> LoadReport {
         let target = &self.targets[id];
-        LoadReport { running: target.running, waiting: target.waiting.len() as u32, slots: SLOTS, slowdown: None }
+        LoadReport { running: target.running, waiting: target.queue.len() as u32, slots: SLOTS, slowdown: None }
     }
 
-    /// Sends a caller away, who returns once when it was told to.
+    /// Refuses a request; the caller retries once after the time in Retry-After.
     fn refuse(&mut self, request: Request, refusal: Refusal, instance: usize, at: Duration) {
         let median = self.instances[instance].0.routing.median_latency("shop");
         let room_in = spread(until_room(median), self.random.random());
         let wait = refusal.retry_after(room_in);
-        match wait.filter(|_| !request.is_return) {
-            Some(wait) => self.agenda.plan(at + wait, Event::Arrival(Request { is_return: true, ..request })),
-            None => self.outcome.refused += u32::from(self.counts(&request)),
+        match wait.filter(|_| !request.is_retry) {
+            Some(wait) => self.events.schedule(at + wait, Event::Arrival(Request { is_retry: true, ..request })),
+            None => self.outcome.refused += u32::from(self.is_measured(&request)),
         }
     }
 }
 
-/// The refusal where tries failed and none is left.
-fn failed(tries: &Tries) -> Refusal {
+/// The refusal after failed tries when no further one is made.
+fn refusal_after(tries: &Tries) -> Refusal {
     let reason = match tries.last {
         Some(TryOutcome::Shed) => Reason::Shed,
         _ => Reason::NotExecuted,
--- a/tests/retry_budgets.rs
+++ b/tests/retry_budgets.rs
@@ -1,4 +1,4 @@
-//! Retry budgets of several services: the requests of one pay for no retry of another.
+//! Retry budgets of several services: requests to one service add nothing to the budget of another.
 
 use lockloft::decision::failure::retry::RetryBudgets;
 use proptest::prelude::*;
@@ -6,15 +6,16 @@
 use rand::{Rng, SeedableRng};
 use std::rc::Rc;
 
-/// Permitted retries for each request, and besides.
+/// Permitted retries for each request.
 const RATIO: f64 = 0.2;
+/// Permitted retries beyond the ratio.
 const SLACK: f64 = 20.0;
-/// A draw where whole retries are saved, and none is drawn.
-const WHOLE: f64 = 0.0;
+/// The random draw where the largest balance is a whole retry or more, which uses no draw.
+const UNUSED_DRAW: f64 = 0.0;
 
 proptest! {
-    /// Whatever fails in whatever order, the instances together stay within the bound of each
-    /// service, in any window of requests.
+    /// In any window of requests the instances together stay within the bound of each service,
+    /// whichever requests fail in whichever order.
     #[test]
     fn each_service_stays_within_its_own_bound(
         requests in prop::collection::vec((0usize..3, 0usize..4, any::<bool>()), 1..600),
@@ -23,37 +24,38 @@
         let services: [Rc<str>; 3] = ["one".into(), "two".into(), "three".into()];
         let mut instances: Vec<RetryBudgets> =
             (0..members).map(|_| RetryBudgets::new(RATIO, SLACK, members)).collect();
-        // What each service has spent beyond what it has earned, at most so far and least so far.
-        let mut balance = [0.0f64; 3];
-        let mut least = [0.0f64; 3];
+        // Retries of each service minus what its requests permit, and the lowest value so far.
+        let mut excess = [0.0f64; 3];
+        let mut lowest = [0.0f64; 3];
         for (service, instance, fails) in requests {
             let budgets = &mut instances[instance % members];
             budgets.earn(&services[service]);
-            balance[service] -= RATIO;
-            least[service] = least[service].min(balance[service]);
-            if fails && budgets.spend(&services[service], WHOLE) {
-                balance[service] += 1.0;
+            excess[service] -= RATIO;
+            lowest[service] = lowest[service].min(excess[service]);
+            if fails && budgets.spend(&services[service], UNUSED_DRAW) {
+                excess[service] += 1.0;
             }
-            prop_assert!(balance[service] - least[service] <= SLACK, "service {}", service);
+            prop_assert!(excess[service] - lowest[service] <= SLACK, "service {}", service);
         }
     }
 }
 
 #[test]
-fn a_large_service_pays_for_no_retry_of_a_small_one() {
+fn requests_to_a_large_service_permit_no_retries_of_a_small_one() {
     let mut budgets = RetryBudgets::new(RATIO, 64.0, 1);
     let (large, small) = (Rc::from("large"), Rc::from("small"));
     (0..1_000).for_each(|_| budgets.earn(&large));
     (0..10).for_each(|_| budgets.earn(&small));
-    assert_eq!((0..10).filter(|_| budgets.spend(&small, WHOLE)).count(), 1);
-    assert!(budgets.spend(&large, WHOLE));
+    assert_eq!((0..10).filter(|_| budgets.spend(&small, UNUSED_DRAW)).count(), 1);
+    assert!(budgets.spend(&large, UNUSED_DRAW));
 }
 
-/// Instances, their part of the slack of 64 below a whole retry, and the requests of each.
+/// Instances; each one's share of the slack of 64 is below a whole retry.
 const LARGE_FLEET: usize = 410;
+/// Requests that each instance receives before the failures.
 const REQUESTS_EACH: usize = 20;
 
-/// Retries that a fleet sends at once when every request fails after a calm time.
+/// Retries that a fleet sends at once when requests begin to fail after a time without failures.
 fn retries_of_a_large_fleet(random: &mut StdRng) -> usize {
     let service: Rc<str> = "one".into();
     let mut retries = 0;
@@ -61,7 +63,7 @@
         let mut budgets = RetryBudgets::new(RATIO, 64.0, LARGE_FLEET);
         (0..REQUESTS_EACH).for_each(|_| budgets.earn(&service));
         retries += usize::from(budgets.spend(&service, random.random()));
-        // What was saved is spent, whatever the draw.
+        // The balance is emptied whatever the draw.
         assert!(!budgets.spend(&service, random.random()));
     }
     retries
--- a/tests/shared_loads.rs
+++ b/tests/shared_loads.rs
@@ -104,18 +104,18 @@
         warm_up: Duration::from_secs(20),
         work: ms(150),
         objective: ms(450),
-        memory: 20,
-        shed: 0.0,
-        queue: 12,
-        heard_after,
-        limits_shared,
+        cached_keys: 20,
+        shed_ratio: 0.0,
+        max_queue: 12,
+        report_delay: heard_after,
+        has_shared_loads: limits_shared,
     })
 }
 
 #[test]
 fn more_callers_are_answered_in_time_where_loads_are_shared() {
     let mean = |heard_after, limits_shared| {
-        let shares = (0..5).map(|seed| busy(seed, heard_after, limits_shared).share_in_time());
+        let shares = (0..5).map(|seed| busy(seed, heard_after, limits_shared).in_time_ratio());
         shares.sum::<f64>() / 5.0
     };
     let own = mean(None, false);
--- a/tests/shedding_targets.rs
+++ b/tests/shedding_targets.rs
@@ -1,4 +1,5 @@
-//! A service whose targets reject a share of their requests at any load: what callers get.
+//! A service whose targets reject a fraction of their requests at any load: the share of requests
+//! that callers get answered in time.
 
 mod replay;
 mod scene;
@@ -8,7 +9,7 @@
 use replay::{Load, replay};
 use std::time::Duration;
 
-/// Half of the slots in use, and two requests in five rejected.
+/// A load that uses half of the slots, with two requests in five rejected.
 fn load(seed: u64) -> Load {
     let work = Duration::from_millis(350);
     Load {
@@ -20,11 +21,11 @@
         warm_up: Duration::from_secs(20),
         work,
         objective: Duration::from_millis(800),
-        memory: 21,
-        shed: 0.4,
-        queue: 12,
-        heard_after: None,
-        limits_shared: false,
+        cached_keys: 21,
+        shed_ratio: 0.4,
+        max_queue: 12,
+        report_delay: None,
+        has_shared_loads: false,
     }
 }
 
@@ -32,16 +33,16 @@
 fn callers_of_a_service_that_sheds_are_answered_in_time() {
     for seed in 0..5 {
         let outcome = replay(&load(seed));
-        println!("seed {seed}: {outcome:?}, {:.3} in time", outcome.share_in_time());
-        assert!(outcome.share_in_time() > 0.8, "seed {seed}: {outcome:?}");
+        println!("seed {seed}: {outcome:?}, {:.3} in time", outcome.in_time_ratio());
+        assert!(outcome.in_time_ratio() > 0.8, "seed {seed}: {outcome:?}");
     }
 }
 
 #[test]
-fn a_service_that_does_not_shed_is_served_as_before() {
+fn callers_of_a_service_that_does_not_shed_are_answered_in_time() {
     for seed in 0..5 {
-        let outcome = replay(&Load { shed: 0.0, ..load(seed) });
-        assert!(outcome.share_in_time() > 0.95, "seed {seed}: {outcome:?}");
+        let outcome = replay(&Load { shed_ratio: 0.0, ..load(seed) });
+        assert!(outcome.in_time_ratio() > 0.95, "seed {seed}: {outcome:?}");
     }
 }
 
@@ -51,6 +52,6 @@
     assert!(has_free_slot(report(3, 0, 4)));
     assert!(!has_free_slot(report(4, 0, 4)));
     assert!(!has_free_slot(report(4, 12, 4)));
-    assert!(!has_free_slot(report(3, 1, 4)), "a request waits");
-    assert!(!has_free_slot(None), "nothing says so");
+    assert!(!has_free_slot(report(3, 1, 4)), "a request is queued");
+    assert!(!has_free_slot(None), "without a report no slot counts as free");
 }
