--- a/src/decision/failure/quarantine/mod.rs
+++ b/src/decision/failure/quarantine/mod.rs
@@ -4,10 +4,10 @@
 //! **Rule.** A *strike* against the request's fingerprint is a try that got no answer because its
 //! connection ended, at a target that was in use and whose address refuses connections now, if the
 //! try began when all earlier strikes were known. Any response of a target clears the fingerprint.
-//! With [`LIMIT`] strikes the request is refused at once, at every instance. The instance that
-//! counted the last strike lets a single attempt through as a probe after [`TRIAL_AFTER`], and after
-//! twice the time with each further strike, [`MAX_TRIALS`] in all; strikes are dropped once
-//! none was added for [`QUARANTINE`].
+//! With [`QUARANTINE_THRESHOLD`] strikes the request is refused at once, at every instance. The
+//! instance that counted the last strike lets a single attempt through as a probe after
+//! [`FIRST_PROBE_DELAY`], and after twice the time with each further strike, [`MAX_PROBES`] in all;
+//! strikes are dropped once none was added for [`QUARANTINE_TTL`].
 //!
 //! **Inputs**
 //! - Crashes and responses seen by this instance's own tries; exact.
@@ -42,7 +42,7 @@
 
 mod strike;
 
-pub use strike::{LIMIT, MAX_TRIALS, QUARANTINE, STRIKES_COUNT, TRIAL_AFTER};
+pub use strike::{FIRST_PROBE_DELAY, MAX_PROBES, QUARANTINE_THRESHOLD, QUARANTINE_TTL, STRIKES_TTL};
 
 use crate::clock::Instant;
 use crate::decision::registry::target_key::TargetKey;
@@ -87,11 +87,11 @@
 /// The record that the store should hold of a request, so that all instances know as much of it as
 /// this one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Report {
+pub struct StrikeReport {
     /// Targets that crashed under the request; 0 if it was answered.
     pub strikes: u32,
     /// Revision of the record that this one replaces; 0 if there is none.
-    pub replaces: u64,
+    pub replaced_revision: u64,
 }
 
 impl Default for Quarantine {
@@ -109,13 +109,16 @@
         }
         let latest = StrikeCount { strikes: strikes.strikes, counted_at: now };
         let previous = self.shared.insert(fingerprint, SharedStrikes { latest, by: strikes.by, revision });
-        let (was, is) = (previous.is_some_and(|previous| previous.latest.strikes >= LIMIT), latest.strikes >= LIMIT);
+        let (was, is) = (
+            previous.is_some_and(|previous| previous.latest.strikes >= QUARANTINE_THRESHOLD),
+            latest.strikes >= QUARANTINE_THRESHOLD,
+        );
         (was != is).then_some(is)
     }
 
     /// Handles a record that is gone from the store. Returns true if it is gone so early that the
     /// instance named `own_name` has to write it again, because it counted the last strike.
-    pub fn lapse(&mut self, fingerprint: Fingerprint, own_name: &str, now: Instant) -> bool {
+    pub fn apply_expiry(&mut self, fingerprint: Fingerprint, own_name: &str, now: Instant) -> bool {
         let Some(shared) = self.shared.get_mut(&fingerprint) else { return false };
         shared.revision = 0;
         let is_early = now.saturating_duration_since(shared.latest.counted_at) < shared.latest.ttl() / 2;
@@ -123,24 +126,27 @@
     }
 
     /// Removes shared strikes that no longer count; returns the requests that were in quarantine.
-    pub fn sweep(&mut self, now: Instant) -> Vec<Fingerprint> {
+    pub fn remove_expired(&mut self, now: Instant) -> Vec<Fingerprint> {
         let expired: Vec<Fingerprint> =
             self.shared.iter().filter(|entry| entry.1.is_expired(now)).map(|entry| *entry.0).collect();
         let removed = expired
             .into_iter()
             .filter_map(|fingerprint| self.shared.remove(&fingerprint).map(|shared| (fingerprint, shared)));
-        removed.filter(|(_, shared)| shared.latest.strikes >= LIMIT).map(|(fingerprint, _)| fingerprint).collect()
+        removed
+            .filter(|(_, shared)| shared.latest.strikes >= QUARANTINE_THRESHOLD)
+            .map(|(fingerprint, _)| fingerprint)
+            .collect()
     }
 
     /// Checks whether a request may be sent now by the instance named `own_name`. Returns the
-    /// number of strikes known, which the caller passes to [`Self::record_end`] if the target
+    /// number of strikes known, which the caller passes to [`Self::record_strike`] if the target
     /// crashes.
     ///
     /// # Errors
     /// [`Quarantined`] if it may not be sent.
     pub fn admit(&mut self, fingerprint: Fingerprint, own_name: &str, now: Instant) -> Result<u32, Quarantined> {
         let Some(latest) = self.latest(fingerprint, now) else { return Ok(0) };
-        if latest.strikes < LIMIT || self.try_start_probe(fingerprint, latest, own_name, now) {
+        if latest.strikes < QUARANTINE_THRESHOLD || self.try_start_probe(fingerprint, latest, own_name, now) {
             Ok(latest.strikes)
         } else {
             Err(Quarantined)
@@ -148,11 +154,11 @@
     }
 
     /// Whether this attempt is the probe that is due, which is recorded then. The next one is due
-    /// [`TRIAL_AFTER`] later at the earliest, whatever its outcome.
+    /// [`FIRST_PROBE_DELAY`] later at the earliest, whatever its outcome.
     fn try_start_probe(&mut self, fingerprint: Fingerprint, latest: StrikeCount, own_name: &str, now: Instant) -> bool {
         let is_own = self.shared.get(&fingerprint).is_none_or(|shared| shared.by == own_name);
         let local = self.local.get_or_insert_mut(fingerprint, LocalStrikes::default);
-        let is_spaced = local.probed_at.is_none_or(|probed| now.saturating_duration_since(probed) >= TRIAL_AFTER);
+        let is_spaced = local.probed_at.is_none_or(|probed| now.saturating_duration_since(probed) >= FIRST_PROBE_DELAY);
         let is_due = is_own && is_spaced && latest.probe_due().is_some_and(|due| due <= now);
         if is_due {
             local.probed_at = Some(now);
@@ -161,7 +167,7 @@
     }
 
     /// Records that a target crashed under a request.
-    pub fn note_end(&mut self, target: TargetKey, now: Instant) {
+    pub fn record_crash(&mut self, target: TargetKey, now: Instant) {
         self.recent_crashes
             .retain(|(at, other)| now.saturating_duration_since(*at) < CORRELATION_WINDOW && *other != target);
         self.recent_crashes.push_back((now, target));
@@ -178,7 +184,7 @@
     /// Returns the number of strikes including this one; `None` if another strike was counted since
     /// the try began, whose target may have crashed at the same moment under the same attempts.
     /// Strikes that a response has cleared in the meantime do not count.
-    pub fn record_end(&mut self, fingerprint: Fingerprint, known: u32, now: Instant) -> Option<u32> {
+    pub fn record_strike(&mut self, fingerprint: Fingerprint, known: u32, now: Instant) -> Option<u32> {
         let current = self.latest(fingerprint, now).map_or(0, |latest| latest.strikes);
         if current > known {
             return None;
@@ -193,7 +199,7 @@
 
     /// Records a response of a target, which shows that the request does not crash targets. Returns
     /// whether that has to be reported to the other instances.
-    pub fn record_answer(&mut self, fingerprint: Fingerprint) -> bool {
+    pub fn record_response(&mut self, fingerprint: Fingerprint) -> bool {
         if self.local.is_empty() && self.shared.is_empty() {
             return false;
         }
@@ -209,25 +215,25 @@
 
     /// The record that is still to be written for a request; `None` if the store holds it already,
     /// or if the strikes are not shared (see the bounds in the [module documentation](self)).
-    pub fn report(&self, fingerprint: Fingerprint, now: Instant) -> Option<Report> {
+    pub fn pending_report(&self, fingerprint: Fingerprint, now: Instant) -> Option<StrikeReport> {
         let shared = self.shared.get(&fingerprint);
-        let replaces = shared.map_or(0, |shared| shared.revision);
+        let replaced_revision = shared.map_or(0, |shared| shared.revision);
         let stored = shared.filter(|shared| shared.revision > 0).map_or(0, |shared| shared.latest.strikes);
         let strikes = self.latest(fingerprint, now).map_or(0, |latest| latest.strikes);
         // Other instances may still count the strikes of a record that is gone.
         let is_cleared = strikes == 0 && shared.is_some_and(|shared| shared.latest.strikes > 0);
         let max_records = if strikes == 1 { MAX_SHARED_FIRST_STRIKES } else { MAX_SHARED_RECORDS };
-        let has_room = replaces > 0 || self.shared.len() < max_records;
+        let has_room = replaced_revision > 0 || self.shared.len() < max_records;
         let is_correlated = strikes == 1 && self.local.peek(&fingerprint).is_some_and(|local| local.is_correlated);
         if is_correlated {
             return None;
         }
-        (strikes > stored || is_cleared).then_some(Report { strikes, replaces }).filter(|_| has_room)
+        (strikes > stored || is_cleared).then_some(StrikeReport { strikes, replaced_revision }).filter(|_| has_room)
     }
 
     /// Number of requests in quarantine according to the store's records.
     pub fn count(&self) -> usize {
-        self.shared.values().filter(|shared| shared.latest.strikes >= LIMIT).count()
+        self.shared.values().filter(|shared| shared.latest.strikes >= QUARANTINE_THRESHOLD).count()
     }
 
     /// The latest strike that counts now, local or shared: the one with the most strikes.
@@ -245,6 +251,6 @@
 }
 
 /// Time from a strike to its report to the other instances, given the number of strikes with it.
-pub fn report_wait(strikes: u32) -> Duration {
+pub fn report_delay(strikes: u32) -> Duration {
     if strikes == 1 { FIRST_STRIKE_DELAY } else { Duration::ZERO }
 }
--- a/src/decision/failure/quarantine/strike.rs
+++ b/src/decision/failure/quarantine/strike.rs
@@ -10,17 +10,17 @@
 /// Number of strikes from which a request is refused. Two can occur by chance: a request that runs
 /// beside the one that crashes its target is tried again, often at the target at which that one is
 /// tried again too.
-pub const LIMIT: u32 = 3;
-/// How long strikes below [`LIMIT`] count: longer than a caller's pause between attempts. Also the
-/// lease time after which a key without further strikes leaves the store.
-pub const STRIKES_COUNT: Duration = Duration::from_secs(120);
+pub const QUARANTINE_THRESHOLD: u32 = 3;
+/// How long strikes below [`QUARANTINE_THRESHOLD`] count: longer than a caller's pause between
+/// attempts. Also the lease time after which a key without further strikes leaves the store.
+pub const STRIKES_TTL: Duration = Duration::from_secs(120);
 /// How long a quarantine lasts without a further strike: the longest lease of the store.
-pub const QUARANTINE: Duration = Duration::from_secs(600);
+pub const QUARANTINE_TTL: Duration = Duration::from_secs(600);
 /// Time until the first probe: a caller that was refused by mistake is served again after a minute,
 /// and a request that does crash targets costs one more target by then, not one each second.
-pub const TRIAL_AFTER: Duration = Duration::from_secs(60);
+pub const FIRST_PROBE_DELAY: Duration = Duration::from_secs(60);
 /// Most probes of one quarantine: each may crash a target.
-pub const MAX_TRIALS: u32 = 3;
+pub const MAX_PROBES: u32 = 3;
 
 /// What this instance observed of a request.
 #[derive(Debug, Default)]
@@ -65,7 +65,7 @@
 impl StrikeCount {
     /// How long the strikes count.
     pub fn ttl(self) -> Duration {
-        if self.strikes < LIMIT { STRIKES_COUNT } else { QUARANTINE }
+        if self.strikes < QUARANTINE_THRESHOLD { STRIKES_TTL } else { QUARANTINE_TTL }
     }
 
     /// Whether the strikes no longer count.
@@ -76,7 +76,7 @@
     /// When the request may be let through as a probe; `None` if it is not in quarantine or has
     /// used all its probes.
     pub fn probe_due(self) -> Option<Instant> {
-        let failed_probes = self.strikes.checked_sub(LIMIT)?;
-        (failed_probes < MAX_TRIALS).then(|| self.counted_at + TRIAL_AFTER * 2u32.pow(failed_probes))
+        let failed_probes = self.strikes.checked_sub(QUARANTINE_THRESHOLD)?;
+        (failed_probes < MAX_PROBES).then(|| self.counted_at + FIRST_PROBE_DELAY * 2u32.pow(failed_probes))
     }
 }
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -124,7 +124,7 @@
         if !state_changes.is_empty() {
             self.update_region_weights();
         }
-        let ended = self.quarantine.sweep(now).into_iter();
+        let ended = self.quarantine.remove_expired(now).into_iter();
         let ended = ended.map(|fingerprint| StateChange::Quarantine { fingerprint, on: false });
         state_changes.into_iter().chain(ended).collect()
     }
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -4,7 +4,7 @@
 //! request, 502 and 504 that one may have.
 
 use crate::decision::failure::next_try::Reason;
-use crate::decision::failure::quarantine::TRIAL_AFTER;
+use crate::decision::failure::quarantine::FIRST_PROBE_DELAY;
 use crate::proxy::answer_body::AnswerBody;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
@@ -161,7 +161,7 @@
             }
             Refusal::NoConfig | Refusal::NoTarget => Some(RETRY_AFTER_OUTAGE),
             Refusal::OverQuota | Refusal::Limited | Refusal::HeldAnswers => Some(room_in),
-            Refusal::Quarantined => Some(TRIAL_AFTER),
+            Refusal::Quarantined => Some(FIRST_PROBE_DELAY),
             Refusal::Stopping | Refusal::Shed | Refusal::KeyMoved | Refusal::StaleKeys | Refusal::StaleRoutes => {
                 Some(RETRY_AT_ONCE)
             }
--- a/src/proxy/strikes.rs
+++ b/src/proxy/strikes.rs
@@ -5,7 +5,7 @@
 //! the lines and the count of strikes; has them reported to the other instances.
 
 use crate::clock::Instant;
-use crate::decision::failure::quarantine::{Quarantined, report_wait};
+use crate::decision::failure::quarantine::{Quarantined, report_delay};
 use crate::decision::registry::target::Target;
 use crate::platform::Platform;
 use crate::proxy::caller_request::CallerRequest;
@@ -26,7 +26,7 @@
 /// A target answered: the request does not end targets.
 pub fn record_answer<P: Platform>(request: &CallerRequest<'_, P>) {
     let (instance, fingerprint) = (request.instance, request.fingerprint);
-    if instance.routing.borrow_mut().quarantine.record_answer(fingerprint) {
+    if instance.routing.borrow_mut().quarantine.record_response(fingerprint) {
         instance.strike_reports.add(fingerprint, Instant::now());
     }
 }
@@ -42,20 +42,20 @@
     let now = Instant::now();
     let counted = {
         let quarantine = &mut instance.routing.borrow_mut().quarantine;
-        quarantine.note_end(target.key, now);
-        quarantine.record_end(fingerprint, strikes, now)
+        quarantine.record_crash(target.key, now);
+        quarantine.record_strike(fingerprint, strikes, now)
     };
     let Some(strikes) = counted else { return };
     instance.metrics.strikes.inc();
     log_strike(request, target, strikes);
-    instance.strike_reports.add(fingerprint, now + report_wait(strikes));
+    instance.strike_reports.add(fingerprint, now + report_delay(strikes));
 }
 
 /// The request's tries are over without an answer: nothing may clear what they showed any more, so
 /// that the other instances hear of it now.
 pub fn report_unanswered<P: Platform>(request: &CallerRequest<'_, P>) {
     let (instance, fingerprint, now) = (request.instance, request.fingerprint, Instant::now());
-    if instance.routing.borrow().quarantine.report(fingerprint, now).is_some() {
+    if instance.routing.borrow().quarantine.pending_report(fingerprint, now).is_some() {
         instance.strike_reports.add(fingerprint, now);
     }
 }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -268,7 +268,7 @@
     /// The store has lost a record: with its lease in time, or early in an outage.
     fn strikes_lapsed(&self, fingerprint: Fingerprint) {
         let (settings, now) = (self.settings(), Instant::now());
-        if self.routing.borrow_mut().quarantine.lapse(fingerprint, &settings.name, now) {
+        if self.routing.borrow_mut().quarantine.apply_expiry(fingerprint, &settings.name, now) {
             self.strike_reports.add(fingerprint, now);
         }
     }
--- a/src/sync/strikes.rs
+++ b/src/sync/strikes.rs
@@ -17,7 +17,7 @@
 //! Owns the leases. Test: `standins/tests/ending_requests.rs`.
 
 use crate::clock::{Instant, sleep};
-use crate::decision::failure::quarantine::{LIMIT, QUARANTINE, Report, STRIKES_COUNT};
+use crate::decision::failure::quarantine::{QUARANTINE_THRESHOLD, QUARANTINE_TTL, STRIKES_TTL, StrikeReport};
 use crate::model::fingerprint::Fingerprint;
 use crate::model::strikes::Strikes;
 use crate::platform::Platform;
@@ -91,7 +91,7 @@
     /// # Errors
     /// [`Postponed`] where that has to be tried again.
     async fn report<P: Platform>(&mut self, instance: &Instance<P>, fingerprint: Fingerprint) -> Result<(), Postponed> {
-        let report = instance.routing.borrow().quarantine.report(fingerprint, Instant::now());
+        let report = instance.routing.borrow().quarantine.pending_report(fingerprint, Instant::now());
         let Some(report) = report else { return Ok(()) };
         if report.strikes == 1 {
             let members = instance.routing.borrow().members.count();
@@ -116,20 +116,20 @@
         &mut self,
         instance: &Instance<P>,
         fingerprint: Fingerprint,
-        report: Report,
+        report: StrikeReport,
     ) -> Result<(), StoreError> {
         let key = format!("{}{fingerprint}", P::strikes_prefix());
         let lease = self.lease(instance, report.strikes).await?;
         let value = Strikes { strikes: report.strikes, by: instance.settings().name.clone() }.value();
-        let put = instance.store.put_leased_if(&key, value, lease, report.replaces);
+        let put = instance.store.put_leased_if(&key, value, lease, report.replaced_revision);
         call(instance, "put_strikes", put).await
     }
 
     /// A lease that lasts as long as so many strikes count, granted lately.
     async fn lease<P: Platform>(&mut self, instance: &Instance<P>, strikes: u32) -> Result<LeaseId, StoreError> {
-        let (slot, ttl) = match strikes < LIMIT {
-            true => (&mut self.strikes_lease, STRIKES_COUNT),
-            false => (&mut self.quarantine_lease, QUARANTINE),
+        let (slot, ttl) = match strikes < QUARANTINE_THRESHOLD {
+            true => (&mut self.strikes_lease, STRIKES_TTL),
+            false => (&mut self.quarantine_lease, QUARANTINE_TTL),
         };
         let era = instance.store_copy.latest_era().get();
         let is_reusable = |granted: &Granted| granted.at.elapsed() < LEASE_REUSE && granted.lease.era == era;
