--- a/src/decision/failure/next_try.rs
+++ b/src/decision/failure/next_try.rs
@@ -6,10 +6,10 @@
 //! of tries and the limit of tries without a connection; the caller of this module checks time
 //! ([`has_time`]) and budget. A request that timed out is never tried again.
 //!
-//! **Inputs**: the failed tries of this request alone ([`Tries`], counts); the route's [`Repeat`]
-//! and `max_attempts` (tries that reach a target) from the configuration with which the request
-//! began; the time left until its deadline; what prevents the next try ([`Obstacle`]). No input
-//! has an age or is shared.
+//! **Inputs**: the failed tries of this request alone ([`FailedTries`], counts); the route's
+//! [`Repeat`] and `max_attempts` (tries that reach a target) from the configuration with which the
+//! request began; the time left until its deadline; what prevents the next try
+//! ([`UnmetPrecondition`]). No input has an age or is shared.
 //!
 //! **Why**: a target that is gone or full costs the caller nothing if another one takes the request
 //! in time. A try without a connection has sent nothing, so it does not count towards
@@ -19,8 +19,8 @@
 //!
 //! **Guards** these guarantees: a request whose route is not safe to repeat runs at most once; a
 //! caller is told "not run" (503) only if no target can have run the request, so that once a try
-//! may have run it the answer is [`Reason::Lost`] (502) or [`Reason::TimedOut`] (504), whatever
-//! fails afterwards; targets get no more tries than route and budget allow.
+//! may have run it the answer is [`FailureReason::Lost`] (502) or [`FailureReason::TimedOut`]
+//! (504), whatever fails afterwards; targets get no more tries than route and budget allow.
 //!
 //! The budget itself is [`crate::decision::failure::retry`]; the choice of the target is
 //! [`crate::decision::selection::choice`]. Test: `tests/next_try.rs`, every outcome with every
@@ -66,7 +66,7 @@
 
 /// The failed tries of one request.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct Tries {
+pub struct FailedTries {
     /// Tries that reached a target.
     pub sends: u32,
     /// Tries for which no connection could be made.
@@ -77,7 +77,7 @@
     pub last: Option<TryOutcome>,
 }
 
-impl Tries {
+impl FailedTries {
     /// Counts another failed try.
     pub fn record(&mut self, outcome: TryOutcome) {
         match outcome {
@@ -89,15 +89,15 @@
     }
 
     /// What the caller is told if no further try is made.
-    fn reason(&self) -> Reason {
+    fn reason(&self) -> FailureReason {
         match self.last {
-            Some(TryOutcome::TimedOut) => Reason::TimedOut,
-            _ if self.may_have_run => Reason::Lost,
-            Some(TryOutcome::Unreachable) => Reason::Unreachable,
-            Some(TryOutcome::NotExecuted) => Reason::NotExecuted,
-            Some(TryOutcome::Shed) => Reason::Shed,
-            Some(TryOutcome::Lost) => Reason::Lost,
-            None => Reason::NotTried,
+            Some(TryOutcome::TimedOut) => FailureReason::TimedOut,
+            _ if self.may_have_run => FailureReason::Lost,
+            Some(TryOutcome::Unreachable) => FailureReason::Unreachable,
+            Some(TryOutcome::NotExecuted) => FailureReason::NotExecuted,
+            Some(TryOutcome::Shed) => FailureReason::Shed,
+            Some(TryOutcome::Lost) => FailureReason::Lost,
+            None => FailureReason::NotTried,
         }
     }
 }
@@ -119,7 +119,7 @@
 
 /// What to do next with a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Next {
+pub enum TryDecision {
     /// Try it at a target.
     Try {
         /// Whether an earlier try reached a target, so that this one is charged to the retry
@@ -127,12 +127,12 @@
         costs_retry: bool,
     },
     /// Refuse it and tell the caller this reason.
-    Refuse(Reason),
+    Refuse(FailureReason),
 }
 
 /// Why a request got no response from a target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Reason {
+pub enum FailureReason {
     /// No try was made.
     NotTried,
     /// No connection could be made in the last try.
@@ -148,14 +148,18 @@
 }
 
 /// Decides what to do after these failed tries; without any, whether to make the first one.
-pub fn next_try(tries: &Tries, limits: TryLimits) -> Next {
+pub fn next_try(tries: &FailedTries, limits: TryLimits) -> TryDecision {
     let may_repeat = match tries.last {
         Some(TryOutcome::TimedOut) => false,
         Some(TryOutcome::Lost) => limits.repeat == Repeat::Safe,
         Some(TryOutcome::Unreachable | TryOutcome::NotExecuted | TryOutcome::Shed) | None => true,
     };
     let has_tries = tries.sends < limits.max_attempts && tries.unreachable < MAX_UNREACHABLE_TRIES;
-    if may_repeat && has_tries { Next::Try { costs_retry: tries.sends > 0 } } else { Next::Refuse(tries.reason()) }
+    if may_repeat && has_tries {
+        TryDecision::Try { costs_retry: tries.sends > 0 }
+    } else {
+        TryDecision::Refuse(tries.reason())
+    }
 }
 
 /// Whether a request with `left` until its deadline is still sent.
@@ -165,7 +169,7 @@
 
 /// Why a try that [`next_try`] allows cannot be made.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Obstacle {
+pub enum UnmetPrecondition {
     /// No target may take the request.
     NoTarget,
     /// Too little time is left until the deadline ([`has_time`]).
@@ -173,12 +177,12 @@
     /// The request is in quarantine ([`super::quarantine`]).
     Quarantined,
     /// The caller's API key no longer admits the request.
-    KeyLost,
+    InvalidKey,
     /// The retry budget is exhausted.
     OverBudget,
     /// There is no request to send: its body was consumed by an earlier try, or the target's id
     /// cannot be written into it.
-    NoRequest,
+    RequestUnavailable,
 }
 
 /// What the caller is told about earlier tries if the next one cannot be made; `None` if the unmet
@@ -186,11 +190,13 @@
 ///
 /// The failure of an earlier try takes precedence, except over lack of time: a request that cannot
 /// have run and has no time left is refused as too late.
-pub fn reason_despite(tries: &Tries, obstacle: Obstacle) -> Option<Reason> {
-    match obstacle {
-        Obstacle::TooLate => tries.may_have_run.then_some(Reason::Lost),
-        Obstacle::NoTarget | Obstacle::Quarantined | Obstacle::KeyLost | Obstacle::OverBudget | Obstacle::NoRequest => {
-            tries.last.map(|_| tries.reason())
-        }
+pub fn earlier_failure_reason(tries: &FailedTries, unmet: UnmetPrecondition) -> Option<FailureReason> {
+    match unmet {
+        UnmetPrecondition::TooLate => tries.may_have_run.then_some(FailureReason::Lost),
+        UnmetPrecondition::NoTarget
+        | UnmetPrecondition::Quarantined
+        | UnmetPrecondition::InvalidKey
+        | UnmetPrecondition::OverBudget
+        | UnmetPrecondition::RequestUnavailable => tries.last.map(|_| tries.reason()),
     }
 }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -6,7 +6,9 @@
 //! earns and spends the instance's retry budget.
 
 use crate::clock::Instant;
-use crate::decision::failure::next_try::{Next, Obstacle, Tries, TryOutcome, has_time, next_try, reason_despite};
+use crate::decision::failure::next_try::{
+    FailedTries, TryDecision, TryOutcome, UnmetPrecondition, earlier_failure_reason, has_time, next_try,
+};
 use crate::decision::registry::target::Target;
 use crate::decision::registry::target_key::TargetKey;
 use crate::decision::selection::choice::Chosen;
@@ -42,7 +44,7 @@
     choice: TargetChoice<'a, P>,
     body: IncomingBody,
     /// Failed tries.
-    tries: Tries,
+    tries: FailedTries,
     /// Targets that were tried.
     tried: Vec<TargetKey>,
 }
@@ -52,7 +54,7 @@
     pub fn new(request: &'a CallerRequest<'a, P>, body: IncomingBody) -> Self {
         let choice = TargetChoice::new(request);
         request.instance.retries.borrow_mut().earn(choice.service());
-        Self { request, choice, body, tries: Tries::default(), tried: Vec::new() }
+        Self { request, choice, body, tries: FailedTries::default(), tried: Vec::new() }
     }
 
     /// Tries the request at targets, and gives the answer of the first that has one.
@@ -71,8 +73,8 @@
     async fn try_targets(&mut self, record: &mut AccessRecord) -> Result<Response<AnswerBody>, Refusal> {
         loop {
             let costs_retry = match next_try(&self.tries, self.request.route.into()) {
-                Next::Try { costs_retry } => costs_retry,
-                Next::Refuse(reason) => return Err(reason.into()),
+                TryDecision::Try { costs_retry } => costs_retry,
+                TryDecision::Refuse(reason) => return Err(reason.into()),
             };
             let Prepared { chosen: Chosen { target, is_second }, request, strikes } =
                 self.prepare(costs_retry, record)?;
@@ -105,30 +107,31 @@
     /// A target and the request for it. The order of the checks decides what the
     /// caller is answered. The budget is charged last: what is paid for is sent.
     fn prepare(&mut self, costs_retry: bool, record: &mut AccessRecord) -> Result<Prepared, Refusal> {
-        self.request.check_key().map_err(|own| self.refusal(Obstacle::KeyLost, own))?;
-        let strikes = admit(self.request).map_err(|own| self.refusal(Obstacle::Quarantined, own))?;
+        self.request.check_key().map_err(|own| self.refusal(UnmetPrecondition::InvalidKey, own))?;
+        let strikes = admit(self.request).map_err(|own| self.refusal(UnmetPrecondition::Quarantined, own))?;
         // A streamed body that is gone with an earlier try is no error: the request's own
         // line gives the failure that stands.
-        let body = self.body.send().ok_or_else(|| self.refusal(Obstacle::NoRequest, Refusal::NoTarget))?;
+        let body =
+            self.body.send().ok_or_else(|| self.refusal(UnmetPrecondition::RequestUnavailable, Refusal::NoTarget))?;
         let chosen = self.choice.choose(&self.tried, record);
-        let chosen = chosen.map_err(|refusal| self.refusal(Obstacle::NoTarget, refusal))?;
+        let chosen = chosen.map_err(|refusal| self.refusal(UnmetPrecondition::NoTarget, refusal))?;
         if !has_time(self.request.deadline.saturating_duration_since(Instant::now())) {
-            return Err(self.refusal(Obstacle::TooLate, Refusal::TooLate));
+            return Err(self.refusal(UnmetPrecondition::TooLate, Refusal::TooLate));
         }
         let request = outgoing_request(self.request, body, &chosen.target).map_err(|error| {
             self.log_unnamed(&error, &chosen.target);
-            self.refusal(Obstacle::NoRequest, Refusal::NoTarget)
+            self.refusal(UnmetPrecondition::RequestUnavailable, Refusal::NoTarget)
         })?;
         if costs_retry && !self.spend_retry() {
-            return Err(self.refusal(Obstacle::OverBudget, Refusal::NoTarget));
+            return Err(self.refusal(UnmetPrecondition::OverBudget, Refusal::NoTarget));
         }
         Ok(Prepared { chosen, request, strikes })
     }
 
     /// The refusal where the next try cannot be made: that of an earlier failure, or
-    /// the obstacle's `own`.
-    fn refusal(&self, obstacle: Obstacle, own: Refusal) -> Refusal {
-        reason_despite(&self.tries, obstacle).map_or(own, Refusal::from)
+    /// the unmet precondition's `own`.
+    fn refusal(&self, unmet: UnmetPrecondition, own: Refusal) -> Refusal {
+        earlier_failure_reason(&self.tries, unmet).map_or(own, Refusal::from)
     }
 
     /// Pays for one more send; false where the budget does not reach.
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -3,7 +3,7 @@
 //! Owns the statuses, names and Retry-After times. A 503 means that no target ran the
 //! request, 502 and 504 that one may have.
 
-use crate::decision::failure::next_try::Reason;
+use crate::decision::failure::next_try::FailureReason;
 use crate::decision::failure::quarantine::FIRST_PROBE_DELAY;
 use crate::proxy::answer_body::AnswerBody;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
@@ -181,15 +181,15 @@
     }
 }
 
-impl From<Reason> for Refusal {
-    fn from(reason: Reason) -> Self {
+impl From<FailureReason> for Refusal {
+    fn from(reason: FailureReason) -> Self {
         match reason {
-            Reason::NotTried => Refusal::NoTarget,
-            Reason::Unreachable => Refusal::Unreachable,
-            Reason::NotExecuted => Refusal::TurnedAway,
-            Reason::Shed => Refusal::Shed,
-            Reason::Lost => Refusal::Lost,
-            Reason::TimedOut => Refusal::TimedOut,
+            FailureReason::NotTried => Refusal::NoTarget,
+            FailureReason::Unreachable => Refusal::Unreachable,
+            FailureReason::NotExecuted => Refusal::TurnedAway,
+            FailureReason::Shed => Refusal::Shed,
+            FailureReason::Lost => Refusal::Lost,
+            FailureReason::TimedOut => Refusal::TimedOut,
         }
     }
 }
--- a/tests/next_try.rs
+++ b/tests/next_try.rs
@@ -1,25 +1,30 @@
 //! The retry rule: every outcome of a try, on every kind of route, with all counts of tries.
 
 use lockloft::decision::failure::next_try::{
-    MAX_UNREACHABLE_TRIES, MIN_TIME_LEFT, Next, Obstacle, Reason, Tries, TryLimits, TryOutcome, has_time, next_try,
-    reason_despite,
+    FailedTries, FailureReason, MAX_UNREACHABLE_TRIES, MIN_TIME_LEFT, TryDecision, TryLimits, TryOutcome,
+    UnmetPrecondition, earlier_failure_reason, has_time, next_try,
 };
 use lockloft::model::config::Repeat;
 use std::time::Duration;
 
 const OUTCOMES: [TryOutcome; 5] =
     [TryOutcome::Unreachable, TryOutcome::NotExecuted, TryOutcome::Shed, TryOutcome::Lost, TryOutcome::TimedOut];
-const OBSTACLES: [Obstacle; 4] = [Obstacle::NoTarget, Obstacle::TooLate, Obstacle::OverBudget, Obstacle::NoRequest];
-const UNCHARGED: Next = Next::Try { costs_retry: false };
-const CHARGED: Next = Next::Try { costs_retry: true };
+const UNMET_PRECONDITIONS: [UnmetPrecondition; 4] = [
+    UnmetPrecondition::NoTarget,
+    UnmetPrecondition::TooLate,
+    UnmetPrecondition::OverBudget,
+    UnmetPrecondition::RequestUnavailable,
+];
+const UNCHARGED: TryDecision = TryDecision::Try { costs_retry: false };
+const CHARGED: TryDecision = TryDecision::Try { costs_retry: true };
 
-fn after(outcomes: &[TryOutcome]) -> Tries {
-    let mut tries = Tries::default();
+fn after(outcomes: &[TryOutcome]) -> FailedTries {
+    let mut tries = FailedTries::default();
     outcomes.iter().for_each(|outcome| tries.record(*outcome));
     tries
 }
 
-fn next(outcomes: &[TryOutcome], repeat: Repeat, max_attempts: u32) -> Next {
+fn next(outcomes: &[TryOutcome], repeat: Repeat, max_attempts: u32) -> TryDecision {
     next_try(&after(outcomes), TryLimits { repeat, max_attempts })
 }
 
@@ -43,29 +48,29 @@
 
 #[test]
 fn one_try_of_each_outcome() {
-    use {Next::Refuse, TryOutcome::*};
+    use {TryDecision::Refuse, TryOutcome::*};
     let table = [
         // outcome, repeat, max_attempts, next
         (Unreachable, Repeat::Safe, 1, UNCHARGED),
         (Unreachable, Repeat::Safe, 2, UNCHARGED),
         (Unreachable, Repeat::Once, 1, UNCHARGED),
         (Unreachable, Repeat::Once, 2, UNCHARGED),
-        (NotExecuted, Repeat::Safe, 1, Refuse(Reason::NotExecuted)),
+        (NotExecuted, Repeat::Safe, 1, Refuse(FailureReason::NotExecuted)),
         (NotExecuted, Repeat::Safe, 2, CHARGED),
-        (NotExecuted, Repeat::Once, 1, Refuse(Reason::NotExecuted)),
+        (NotExecuted, Repeat::Once, 1, Refuse(FailureReason::NotExecuted)),
         (NotExecuted, Repeat::Once, 2, CHARGED),
-        (Shed, Repeat::Safe, 1, Refuse(Reason::Shed)),
+        (Shed, Repeat::Safe, 1, Refuse(FailureReason::Shed)),
         (Shed, Repeat::Safe, 2, CHARGED),
-        (Shed, Repeat::Once, 1, Refuse(Reason::Shed)),
+        (Shed, Repeat::Once, 1, Refuse(FailureReason::Shed)),
         (Shed, Repeat::Once, 2, CHARGED),
-        (Lost, Repeat::Safe, 1, Refuse(Reason::Lost)),
+        (Lost, Repeat::Safe, 1, Refuse(FailureReason::Lost)),
         (Lost, Repeat::Safe, 2, CHARGED),
-        (Lost, Repeat::Once, 1, Refuse(Reason::Lost)),
-        (Lost, Repeat::Once, 2, Refuse(Reason::Lost)),
-        (TimedOut, Repeat::Safe, 1, Refuse(Reason::TimedOut)),
-        (TimedOut, Repeat::Safe, 2, Refuse(Reason::TimedOut)),
-        (TimedOut, Repeat::Once, 1, Refuse(Reason::TimedOut)),
-        (TimedOut, Repeat::Once, 2, Refuse(Reason::TimedOut)),
+        (Lost, Repeat::Once, 1, Refuse(FailureReason::Lost)),
+        (Lost, Repeat::Once, 2, Refuse(FailureReason::Lost)),
+        (TimedOut, Repeat::Safe, 1, Refuse(FailureReason::TimedOut)),
+        (TimedOut, Repeat::Safe, 2, Refuse(FailureReason::TimedOut)),
+        (TimedOut, Repeat::Once, 1, Refuse(FailureReason::TimedOut)),
+        (TimedOut, Repeat::Once, 2, Refuse(FailureReason::TimedOut)),
     ];
     for (outcome, repeat, max_attempts, expected) in table {
         assert_eq!(next(&[outcome], repeat, max_attempts), expected, "{outcome:?} {repeat:?} {max_attempts}");
@@ -74,21 +79,21 @@
 
 #[test]
 fn several_tries() {
-    use {Next::Refuse, Repeat::*, TryOutcome::*};
-    let table: [(&[TryOutcome], Repeat, u32, Next); 12] = [
+    use {Repeat::*, TryDecision::Refuse, TryOutcome::*};
+    let table: [(&[TryOutcome], Repeat, u32, TryDecision); 12] = [
         (&[], Safe, 1, UNCHARGED),
         (&[], Once, 1, UNCHARGED),
-        (&[], Safe, 0, Refuse(Reason::NotTried)),
+        (&[], Safe, 0, Refuse(FailureReason::NotTried)),
         (&[Unreachable, Unreachable], Once, 1, UNCHARGED),
-        (&[Unreachable, Unreachable, Unreachable], Once, 3, Refuse(Reason::Unreachable)),
+        (&[Unreachable, Unreachable, Unreachable], Once, 3, Refuse(FailureReason::Unreachable)),
         (&[NotExecuted, Unreachable], Once, 2, CHARGED),
-        (&[Unreachable, NotExecuted], Once, 1, Refuse(Reason::NotExecuted)),
-        (&[NotExecuted, Lost], Once, 3, Refuse(Reason::Lost)),
+        (&[Unreachable, NotExecuted], Once, 1, Refuse(FailureReason::NotExecuted)),
+        (&[NotExecuted, Lost], Once, 3, Refuse(FailureReason::Lost)),
         (&[NotExecuted, Lost], Safe, 3, CHARGED),
         // After a try that may have run the request, no later failure is reported as not run.
-        (&[Lost, NotExecuted], Safe, 2, Refuse(Reason::Lost)),
-        (&[Lost, Unreachable, Unreachable, Unreachable], Safe, 2, Refuse(Reason::Lost)),
-        (&[Lost, TimedOut], Safe, 3, Refuse(Reason::TimedOut)),
+        (&[Lost, NotExecuted], Safe, 2, Refuse(FailureReason::Lost)),
+        (&[Lost, Unreachable, Unreachable, Unreachable], Safe, 2, Refuse(FailureReason::Lost)),
+        (&[Lost, TimedOut], Safe, 3, Refuse(FailureReason::TimedOut)),
     ];
     for (outcomes, repeat, max_attempts, expected) in table {
         assert_eq!(next(outcomes, repeat, max_attempts), expected, "{outcomes:?} {repeat:?} {max_attempts}");
@@ -97,42 +102,42 @@
 
 /// Reference implementation of the rule as a loop over the outcomes of tries; `None` if another
 /// try would follow the last of them.
-fn reference(outcomes: &[TryOutcome], repeat: Repeat, max_attempts: u32) -> Option<Reason> {
+fn reference(outcomes: &[TryOutcome], repeat: Repeat, max_attempts: u32) -> Option<FailureReason> {
     let (mut sends, mut unreachable, mut may_have_run) = (0, 0, false);
-    let mut last = Reason::NotTried;
+    let mut last = FailureReason::NotTried;
     let mut outcomes = outcomes.iter();
     while sends < max_attempts && unreachable < MAX_UNREACHABLE_TRIES {
         match outcomes.next()? {
             TryOutcome::Unreachable => {
                 unreachable += 1;
-                last = Reason::Unreachable;
+                last = FailureReason::Unreachable;
             }
             TryOutcome::NotExecuted => {
                 sends += 1;
-                last = Reason::NotExecuted;
+                last = FailureReason::NotExecuted;
             }
             TryOutcome::Shed => {
                 sends += 1;
-                last = Reason::Shed;
+                last = FailureReason::Shed;
             }
             TryOutcome::Lost => {
                 sends += 1;
                 may_have_run = true;
                 if repeat == Repeat::Once {
-                    return Some(Reason::Lost);
+                    return Some(FailureReason::Lost);
                 }
             }
-            TryOutcome::TimedOut => return Some(Reason::TimedOut),
+            TryOutcome::TimedOut => return Some(FailureReason::TimedOut),
         }
     }
-    Some(if may_have_run { Reason::Lost } else { last })
+    Some(if may_have_run { FailureReason::Lost } else { last })
 }
 
 /// Applies the rule to a sequence of outcomes for as long as it allows another try.
-fn apply_rule(outcomes: &[TryOutcome], limits: TryLimits) -> (Tries, Next) {
-    let mut tries = Tries::default();
+fn apply_rule(outcomes: &[TryOutcome], limits: TryLimits) -> (FailedTries, TryDecision) {
+    let mut tries = FailedTries::default();
     for outcome in outcomes {
-        if let Next::Refuse(_) = next_try(&tries, limits) {
+        if let TryDecision::Refuse(_) = next_try(&tries, limits) {
             break;
         }
         tries.record(*outcome);
@@ -147,8 +152,8 @@
             for max_attempts in 0..4 {
                 let (tries, next) = apply_rule(&outcomes, TryLimits { repeat, max_attempts });
                 let expected = match reference(&outcomes, repeat, max_attempts) {
-                    Some(reason) => Next::Refuse(reason),
-                    None => Next::Try { costs_retry: tries.sends > 0 },
+                    Some(reason) => TryDecision::Refuse(reason),
+                    None => TryDecision::Try { costs_retry: tries.sends > 0 },
                 };
                 assert_eq!(next, expected, "{outcomes:?} {repeat:?} {max_attempts}");
             }
@@ -161,7 +166,10 @@
     for outcomes in sequences(5) {
         let (tries, next) = apply_rule(&outcomes, TryLimits { repeat: Repeat::Once, max_attempts: 9 });
         if tries.may_have_run {
-            assert!(matches!(next, Next::Refuse(Reason::Lost | Reason::TimedOut)), "{outcomes:?}: {next:?}");
+            assert!(
+                matches!(next, TryDecision::Refuse(FailureReason::Lost | FailureReason::TimedOut)),
+                "{outcomes:?}: {next:?}"
+            );
         }
     }
 }
@@ -174,11 +182,12 @@
             if !tries.may_have_run {
                 continue;
             }
-            let mut reasons = OBSTACLES.map(|obstacle| reason_despite(&tries, obstacle)).to_vec();
-            if let Next::Refuse(reason) = next {
+            let mut reasons = UNMET_PRECONDITIONS.map(|unmet| earlier_failure_reason(&tries, unmet)).to_vec();
+            if let TryDecision::Refuse(reason) = next {
                 reasons.push(Some(reason));
             }
-            let admits_run = |reason: &Option<Reason>| matches!(reason, Some(Reason::Lost | Reason::TimedOut));
+            let admits_run =
+                |reason: &Option<FailureReason>| matches!(reason, Some(FailureReason::Lost | FailureReason::TimedOut));
             assert!(reasons.iter().all(admits_run), "{outcomes:?}: {reasons:?}");
         }
     }
@@ -186,19 +195,36 @@
 
 #[test]
 fn an_earlier_failure_takes_precedence_over_any_unmet_precondition_but_time() {
-    use {Obstacle::*, TryOutcome::*};
-    let table: [(&[TryOutcome], [Option<Reason>; 4]); 6] = [
+    use {TryOutcome::*, UnmetPrecondition::*};
+    let table: [(&[TryOutcome], [Option<FailureReason>; 4]); 6] = [
         // failed tries; no target, too late, over budget, no request
         (&[], [None, None, None, None]),
-        (&[Unreachable], [Some(Reason::Unreachable), None, Some(Reason::Unreachable), Some(Reason::Unreachable)]),
-        (&[NotExecuted], [Some(Reason::NotExecuted), None, Some(Reason::NotExecuted), Some(Reason::NotExecuted)]),
-        (&[Lost], [Some(Reason::Lost); 4]),
-        (&[Lost, NotExecuted], [Some(Reason::Lost); 4]),
-        (&[Lost, Unreachable], [Some(Reason::Lost); 4]),
+        (
+            &[Unreachable],
+            [
+                Some(FailureReason::Unreachable),
+                None,
+                Some(FailureReason::Unreachable),
+                Some(FailureReason::Unreachable),
+            ],
+        ),
+        (
+            &[NotExecuted],
+            [
+                Some(FailureReason::NotExecuted),
+                None,
+                Some(FailureReason::NotExecuted),
+                Some(FailureReason::NotExecuted),
+            ],
+        ),
+        (&[Lost], [Some(FailureReason::Lost); 4]),
+        (&[Lost, NotExecuted], [Some(FailureReason::Lost); 4]),
+        (&[Lost, Unreachable], [Some(FailureReason::Lost); 4]),
     ];
     for (outcomes, expected) in table {
         let tries = after(outcomes);
-        let reasons = [NoTarget, TooLate, OverBudget, NoRequest].map(|obstacle| reason_despite(&tries, obstacle));
+        let reasons =
+            [NoTarget, TooLate, OverBudget, RequestUnavailable].map(|unmet| earlier_failure_reason(&tries, unmet));
         assert_eq!(reasons, expected, "{outcomes:?}");
     }
 }
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -9,7 +9,7 @@
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::in_flight::InFlight;
 use lockloft::decision::capacity::load_report::LoadReport;
-use lockloft::decision::failure::next_try::{Next, Reason, Tries, TryOutcome, next_try};
+use lockloft::decision::failure::next_try::{FailedTries, FailureReason, TryDecision, TryOutcome, next_try};
 use lockloft::decision::failure::retry::{RetryBudget, budget};
 use lockloft::decision::failure::shedding::has_free_slot;
 use lockloft::decision::refusal::retry_after::{spread, until_room};
@@ -210,12 +210,12 @@
     fn handle_arrival(&mut self, request: Request, at: Duration) {
         let instance = self.random.random_range(0..self.instances.len());
         self.instances[instance].1.earn();
-        let mut tries = Tries::default();
+        let mut tries = FailedTries::default();
         let mut tried: Vec<TargetKey> = Vec::new();
         loop {
             let costs_retry = match next_try(&tries, (&self.route).into()) {
-                Next::Try { costs_retry } => costs_retry,
-                Next::Refuse(reason) => return self.refuse(request, reason.into(), instance, at),
+                TryDecision::Try { costs_retry } => costs_retry,
+                TryDecision::Refuse(reason) => return self.refuse(request, reason.into(), instance, at),
             };
             let now = self.started_at + at;
             let (scene, budget) = &mut self.instances[instance];
@@ -358,10 +358,10 @@
 }
 
 /// The refusal after failed tries when no further one is made.
-fn refusal_after(tries: &Tries) -> Refusal {
+fn refusal_after(tries: &FailedTries) -> Refusal {
     let reason = match tries.last {
-        Some(TryOutcome::Shed) => Reason::Shed,
-        _ => Reason::NotExecuted,
+        Some(TryOutcome::Shed) => FailureReason::Shed,
+        _ => FailureReason::NotExecuted,
     };
     reason.into()
 }
