--- a/src/decision/failure/retry.rs
+++ b/src/decision/failure/retry.rs
@@ -62,16 +62,16 @@
     }
 
     /// Deposits for a request to the service.
-    pub fn earn(&mut self, service: &Rc<str>) {
+    pub fn deposit(&mut self, service: &Rc<str>) {
         let (ratio, slack, members) = (self.ratio, self.slack, self.members);
-        let new = || budget(ratio, slack, members);
-        self.by_service.entry(service.clone()).or_insert_with(new).earn();
+        let new = || member_budget(ratio, slack, members);
+        self.by_service.entry(service.clone()).or_insert_with(new).deposit();
     }
 
-    /// Withdraws one retry at the service; see [`RetryBudget::spend`]. False also if the service
+    /// Withdraws one retry at the service; see [`RetryBudget::withdraw`]. False also if the service
     /// had no request yet.
-    pub fn spend(&mut self, service: &str, draw: f64) -> bool {
-        self.by_service.get_mut(service).is_some_and(|budget| budget.spend(draw))
+    pub fn withdraw(&mut self, service: &str, draw: f64) -> bool {
+        self.by_service.get_mut(service).is_some_and(|budget| budget.withdraw(draw))
     }
 
     /// Removes the budgets of services for which `is_kept` is false.
@@ -92,12 +92,12 @@
 }
 
 /// Creates the budget of one of `members` instances under the permitted `ratio` and `slack`.
-pub fn budget(ratio: f64, slack: f64, members: usize) -> RetryBudget {
-    RetryBudget::new(ratio * RATIO_USED, max_saved(slack, members))
+pub fn member_budget(ratio: f64, slack: f64, members: usize) -> RetryBudget {
+    RetryBudget::new(ratio * RATIO_USED, max_balance(slack, members))
 }
 
 /// Largest balance of one of `members` instances, retries.
-pub fn max_saved(slack: f64, members: usize) -> f64 {
+pub fn max_balance(slack: f64, members: usize) -> f64 {
     slack * SLACK_USED / members.max(1) as f64
 }
 
@@ -118,18 +118,18 @@
     /// Changes the permitted ratio and slack, and the number of members that share them.
     pub fn set_bounds(&mut self, ratio: f64, slack: f64, members: usize) {
         self.ratio = ratio * RATIO_USED;
-        self.set_max_balance(max_saved(slack, members));
+        self.set_max_balance(max_balance(slack, members));
     }
 
     /// Deposits for one request.
-    pub fn earn(&mut self) {
+    pub fn deposit(&mut self) {
         self.balance = (self.balance + self.ratio).min(self.max_balance);
     }
 
     /// Withdraws one retry; false if the balance is below 1. Where the largest balance is itself
     /// below 1, empties the balance and returns true with that probability: if `draw`, uniformly
     /// random between 0 and 1, is below it.
-    pub fn spend(&mut self, draw: f64) -> bool {
+    pub fn withdraw(&mut self, draw: f64) -> bool {
         if self.max_balance < 1.0 {
             return draw < std::mem::take(&mut self.balance);
         }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -53,7 +53,7 @@
     /// A request that was not tried yet; it earns its part of the retry budget.
     pub fn new(request: &'a CallerRequest<'a, P>, body: IncomingBody) -> Self {
         let choice = TargetChoice::new(request);
-        request.instance.retries.borrow_mut().earn(choice.service());
+        request.instance.retries.borrow_mut().deposit(choice.service());
         Self { request, choice, body, tries: FailedTries::default(), tried: Vec::new() }
     }
 
@@ -137,7 +137,7 @@
     /// Pays for one more send; false where the budget does not reach.
     fn spend_retry(&self) -> bool {
         let instance = self.request.instance;
-        let paid = instance.retries.borrow_mut().spend(self.choice.service(), rand::random());
+        let paid = instance.retries.borrow_mut().withdraw(self.choice.service(), rand::random());
         let counter = if paid { &instance.metrics.retries } else { &instance.metrics.retries_denied };
         counter.inc();
         paid
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -3,7 +3,7 @@
 mod scene;
 
 use bytes::Bytes;
-use lockloft::decision::failure::retry::{RetryBudget, budget, max_saved};
+use lockloft::decision::failure::retry::{RetryBudget, max_balance, member_budget};
 use lockloft::decision::selection::split::Splits;
 use lockloft::model::config::{Route, WeightedService};
 use lockloft::store::view::StoreView;
@@ -138,9 +138,9 @@
         let mut budget = RetryBudget::new(0.1, 5.0);
         let (mut requests, mut tries) = (0u32, 0u32);
         for wants in asks {
-            budget.earn();
+            budget.deposit();
             requests += 1;
-            if wants && budget.spend(0.0) {
+            if wants && budget.withdraw(0.0) {
                 tries += 1;
             }
             prop_assert!(f64::from(tries) <= 0.1 * f64::from(requests) + 1e-6);
@@ -171,18 +171,18 @@
 #[test]
 fn members_share_half_of_the_slack_and_four_fifths_of_the_ratio() {
     for (slack, members, saved) in [(64.0, 1, 32.0), (64.0, 4, 8.0), (64.0, 0, 32.0), (0.0, 3, 0.0)] {
-        assert_eq!(max_saved(slack, members), saved, "slack {slack}, {members} members");
+        assert_eq!(max_balance(slack, members), saved, "slack {slack}, {members} members");
     }
-    let mut budget = budget(0.2, 64.0, 4);
+    let mut budget = member_budget(0.2, 64.0, 4);
     let retries = (0..1_000)
         .filter(|_| {
-            budget.earn();
-            budget.spend(0.0)
+            budget.deposit();
+            budget.withdraw(0.0)
         })
         .count();
     assert!((158..=160).contains(&retries), "{retries} retries for 1000 requests at four fifths of 0.2");
-    (0..1_000).for_each(|_| budget.earn());
-    assert_eq!((0..20).filter(|_| budget.spend(0.0)).count(), 8);
+    (0..1_000).for_each(|_| budget.deposit());
+    assert_eq!((0..20).filter(|_| budget.withdraw(0.0)).count(), 8);
 }
 
 #[test]
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -10,7 +10,7 @@
 use lockloft::decision::capacity::in_flight::InFlight;
 use lockloft::decision::capacity::load_report::LoadReport;
 use lockloft::decision::failure::next_try::{FailedTries, FailureReason, TryDecision, TryOutcome, next_try};
-use lockloft::decision::failure::retry::{RetryBudget, budget};
+use lockloft::decision::failure::retry::{RetryBudget, member_budget};
 use lockloft::decision::failure::shedding::has_free_slot;
 use lockloft::decision::refusal::retry_after::{spread, until_room};
 use lockloft::decision::registry::target::Target;
@@ -148,7 +148,7 @@
 
 /// Simulates a load against the eight targets of a [`Scene`].
 pub fn replay(load: &Load) -> Outcome {
-    let instances = (0..load.instances).map(|_| (Scene::new(), budget(0.2, 100.0, load.instances))).collect();
+    let instances = (0..load.instances).map(|_| (Scene::new(), member_budget(0.2, 100.0, load.instances))).collect();
     let route = Route { latency_objective: load.objective, ..route("r", "a", "/") };
     let random = StdRng::seed_from_u64(load.seed);
     let mut simulation = Simulation {
@@ -209,7 +209,7 @@
     /// Tries a request as an instance does, until a target accepts it or it is refused.
     fn handle_arrival(&mut self, request: Request, at: Duration) {
         let instance = self.random.random_range(0..self.instances.len());
-        self.instances[instance].1.earn();
+        self.instances[instance].1.deposit();
         let mut tries = FailedTries::default();
         let mut tried: Vec<TargetKey> = Vec::new();
         loop {
@@ -243,7 +243,7 @@
                     return self.refuse(request, refusal, instance, at);
                 }
             };
-            if costs_retry && !budget.spend(0.0) {
+            if costs_retry && !budget.withdraw(0.0) {
                 return self.refuse(request, refusal_after(&tries), instance, at);
             }
             let (id, key) = (chosen.target.id.to_string(), chosen.target.key);
--- a/tests/retry_budgets.rs
+++ b/tests/retry_budgets.rs
@@ -29,10 +29,10 @@
         let mut lowest = [0.0f64; 3];
         for (service, instance, fails) in requests {
             let budgets = &mut instances[instance % members];
-            budgets.earn(&services[service]);
+            budgets.deposit(&services[service]);
             excess[service] -= RATIO;
             lowest[service] = lowest[service].min(excess[service]);
-            if fails && budgets.spend(&services[service], UNUSED_DRAW) {
+            if fails && budgets.withdraw(&services[service], UNUSED_DRAW) {
                 excess[service] += 1.0;
             }
             prop_assert!(excess[service] - lowest[service] <= SLACK, "service {}", service);
@@ -44,10 +44,10 @@
 fn requests_to_a_large_service_permit_no_retries_of_a_small_one() {
     let mut budgets = RetryBudgets::new(RATIO, 64.0, 1);
     let (large, small) = (Rc::from("large"), Rc::from("small"));
-    (0..1_000).for_each(|_| budgets.earn(&large));
-    (0..10).for_each(|_| budgets.earn(&small));
-    assert_eq!((0..10).filter(|_| budgets.spend(&small, UNUSED_DRAW)).count(), 1);
-    assert!(budgets.spend(&large, UNUSED_DRAW));
+    (0..1_000).for_each(|_| budgets.deposit(&large));
+    (0..10).for_each(|_| budgets.deposit(&small));
+    assert_eq!((0..10).filter(|_| budgets.withdraw(&small, UNUSED_DRAW)).count(), 1);
+    assert!(budgets.withdraw(&large, UNUSED_DRAW));
 }
 
 /// Instances; each one's share of the slack of 64 is below a whole retry.
@@ -61,10 +61,10 @@
     let mut retries = 0;
     for _ in 0..LARGE_FLEET {
         let mut budgets = RetryBudgets::new(RATIO, 64.0, LARGE_FLEET);
-        (0..REQUESTS_EACH).for_each(|_| budgets.earn(&service));
-        retries += usize::from(budgets.spend(&service, random.random()));
+        (0..REQUESTS_EACH).for_each(|_| budgets.deposit(&service));
+        retries += usize::from(budgets.withdraw(&service, random.random()));
         // The balance is emptied whatever the draw.
-        assert!(!budgets.spend(&service, random.random()));
+        assert!(!budgets.withdraw(&service, random.random()));
     }
     retries
 }
