--- a/src/decision/failure/pause.rs
+++ b/src/decision/failure/pause.rs
@@ -35,7 +35,7 @@
 
 /// The pause that a response asks for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StatedPause {
+pub enum PauseSignal {
     /// No pause, or the response rejects no request.
     None,
     /// A pause of this length.
@@ -44,7 +44,7 @@
     Unreadable,
 }
 
-impl StatedPause {
+impl PauseSignal {
     /// Parses the values of the Retry-After header: exactly one decimal number of seconds.
     pub fn parse<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         match (values.next(), values.next()) {
@@ -74,36 +74,36 @@
 impl Pause {
     /// Applies the signal of a response that arrived now, and returns whether a pause begins.
     /// `draw` is uniformly random between 0 and 1 and sets the jitter.
-    pub fn state(&mut self, stated: StatedPause, draw: f64, now: Instant) -> bool {
-        let StatedPause::For(pause) = stated else { return false };
+    pub fn apply(&mut self, signal: PauseSignal, draw: f64, now: Instant) -> bool {
+        let PauseSignal::For(pause) = signal else { return false };
         if pause.is_zero() {
             return false;
         }
         let jitter = pause.mul_f64(JITTER_RATIO * draw).min(MAX_JITTER);
         let until = now + pause + jitter;
-        let begins = self.left(now).is_none();
+        let begins = self.remaining(now).is_none();
         self.until = self.until.max(Some(until));
         self.awaits_probe = true;
         begins
     }
 
     /// The remaining time of the pause; `None` once it is over.
-    pub fn left(&self, now: Instant) -> Option<Duration> {
-        let left = self.until?.saturating_duration_since(now);
-        (!left.is_zero()).then_some(left)
+    pub fn remaining(&self, now: Instant) -> Option<Duration> {
+        let remaining = self.until?.saturating_duration_since(now);
+        (!remaining.is_zero()).then_some(remaining)
     }
 
     /// Whether the target may get no request now, given `in_flight` requests of this instance
     /// there.
     pub fn excludes(&self, in_flight: u32, now: Instant) -> bool {
         let is_probing = self.awaits_probe && self.until.is_some_and(|until| now < until + MAX_PROBE_PERIOD);
-        self.left(now).is_some() || (is_probing && in_flight > 0)
+        self.remaining(now).is_some() || (is_probing && in_flight > 0)
     }
 
     /// Records a response that rejected no request. One that arrives during the pause belongs to a
     /// request sent before and does not end the probing.
-    pub fn record_answer(&mut self, now: Instant) {
-        if self.left(now).is_none() {
+    pub fn record_response(&mut self, now: Instant) {
+        if self.remaining(now).is_none() {
             self.awaits_probe = false;
         }
     }
--- a/src/decision/registry/statements.rs
+++ b/src/decision/registry/statements.rs
@@ -24,7 +24,7 @@
 
 use crate::clock::Instant;
 use crate::decision::capacity::rate_limit::{RateLimit, StatedLimit};
-use crate::decision::failure::pause::{Pause, StatedPause};
+use crate::decision::failure::pause::{Pause, PauseSignal};
 use std::time::Duration;
 
 /// What one answer says.
@@ -35,7 +35,7 @@
     /// Of its end.
     pub leaving: StatedLeaving,
     /// Of a time for which it wants no other request.
-    pub pause: StatedPause,
+    pub pause: PauseSignal,
     /// Whether it turns the request away.
     pub turns_away: bool,
 }
@@ -86,9 +86,9 @@
     pub fn take(&mut self, stated: Stated, draw: f64, sent: Instant, now: Instant) -> StatedChange {
         let leaves = stated.leaving == StatedLeaving::Leaves && self.leave();
         if !stated.turns_away {
-            self.pause.record_answer(now);
+            self.pause.record_response(now);
         }
-        let pause = self.pause.state(stated.pause, draw, now).then(|| self.pause.left(now)).flatten();
+        let pause = self.pause.apply(stated.pause, draw, now).then(|| self.pause.remaining(now)).flatten();
         StatedChange { limit: self.limit.state(stated.limit, sent, now), leaves, pause }
     }
 
--- a/src/decision/registry/target/said.rs
+++ b/src/decision/registry/target/said.rs
@@ -30,7 +30,7 @@
 
     /// What is left of the pause that it asked for; `None` where there is none.
     pub fn pause_left(&self, now: Instant) -> Option<Duration> {
-        self.statements.borrow().pause.left(now)
+        self.statements.borrow().pause.remaining(now)
     }
 
     /// Whether its pause leaves this instance no request now.
--- a/src/proxy/answer_check.rs
+++ b/src/proxy/answer_check.rs
@@ -6,7 +6,7 @@
 
 use crate::decision::capacity::load_report::{LoadReport, LoadReportError};
 use crate::decision::capacity::rate_limit::StatedLimit;
-use crate::decision::failure::pause::StatedPause;
+use crate::decision::failure::pause::PauseSignal;
 use crate::decision::registry::statements::{Stated, StatedLeaving};
 use crate::platform::HeaderNames;
 use hyper::header::{HeaderValue, RETRY_AFTER};
@@ -72,7 +72,7 @@
 pub fn stated<B>(names: &HeaderNames, response: &Response<B>) -> Stated {
     let values = |name| response.headers().get_all(name).iter().map(HeaderValue::as_bytes);
     let turns_away = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
-    let pause = if turns_away { StatedPause::parse(values(&RETRY_AFTER)) } else { StatedPause::None };
+    let pause = if turns_away { PauseSignal::parse(values(&RETRY_AFTER)) } else { PauseSignal::None };
     Stated {
         limit: StatedLimit::parse(values(&names.rate_limit)),
         leaving: StatedLeaving::parse(values(&names.leaving)),
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -8,7 +8,7 @@
 use crate::decision::capacity::in_flight::InFlight;
 use crate::decision::capacity::load_report::LoadReport;
 use crate::decision::capacity::rate_limit::StatedLimit;
-use crate::decision::failure::pause::StatedPause;
+use crate::decision::failure::pause::PauseSignal;
 use crate::decision::failure::shedding::has_free_slot;
 use crate::decision::registry::statements::StatedLeaving;
 use crate::decision::registry::target::Target;
@@ -105,7 +105,7 @@
         if stated.leaving == StatedLeaving::Unreadable {
             target.log_unreadable("leaving");
         }
-        if stated.pause == StatedPause::Unreadable {
+        if stated.pause == PauseSignal::Unreadable {
             target.log_unreadable("pause");
         }
         let change = target.take_statements(stated, rand::random(), self.started, Instant::now());
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -4,7 +4,7 @@
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::rate_limit::totals::{LimitTotals, MAX_TOLD, said, told_rate};
 use lockloft::decision::capacity::rate_limit::{LEAST_RATE, RateLimit, Said, StatedLimit};
-use lockloft::decision::failure::pause::StatedPause;
+use lockloft::decision::failure::pause::PauseSignal;
 use lockloft::decision::registry::members::Members;
 use lockloft::decision::registry::statements::{Stated, StatedLeaving};
 use lockloft::decision::registry::target::Target;
@@ -42,7 +42,7 @@
 }
 
 const NOTHING: Stated =
-    Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
+    Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: PauseSignal::None, turns_away: false };
 const NAMED: Option<ToldRate> = Some(ToldRate { rate: Some(6.0), age_ms: 0 });
 
 #[test]
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -2,14 +2,14 @@
 
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::rate_limit::StatedLimit;
-use lockloft::decision::failure::pause::{Pause, StatedPause};
+use lockloft::decision::failure::pause::{Pause, PauseSignal};
 use lockloft::decision::registry::statements::{Stated, StatedChange, StatedLeaving};
 use lockloft::decision::registry::targets::{Registered, Targets};
 use lockloft::model::registration::{StartTime, TargetRegistration, TargetState};
 use std::time::Duration;
 
 const NOTHING: Stated =
-    Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
+    Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: PauseSignal::None, turns_away: false };
 const LEAVES: Stated = Stated { leaving: StatedLeaving::Leaves, ..NOTHING };
 
 fn written(start: Option<u64>, sequence: u64) -> TargetRegistration {
@@ -108,52 +108,52 @@
     assert!(!targets.get("t").unwrap().is_leaving());
 }
 
-fn pause(values: &[&str]) -> StatedPause {
-    StatedPause::parse(values.iter().map(|value| value.as_bytes()))
+fn pause(values: &[&str]) -> PauseSignal {
+    PauseSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
-fn seconds(seconds: f64) -> StatedPause {
-    StatedPause::For(Duration::from_secs_f64(seconds))
+fn seconds(seconds: f64) -> PauseSignal {
+    PauseSignal::For(Duration::from_secs_f64(seconds))
 }
 
 #[test]
 fn a_pause_is_one_decimal_number_of_seconds() {
-    assert_eq!(pause(&[]), StatedPause::None);
+    assert_eq!(pause(&[]), PauseSignal::None);
     for (text, value) in [("3", 3.0), ("0.5", 0.5), (" 2 ", 2.0), ("0", 0.0)] {
         assert_eq!(pause(&[text]), seconds(value), "{text}");
     }
     let day = Duration::from_secs(86_400);
-    assert_eq!(pause(&["99999999999999999999999999"]), StatedPause::For(day), "as long as any");
+    assert_eq!(pause(&["99999999999999999999999999"]), PauseSignal::For(day), "as long as any");
     let date = "Thu, 03 Dec 2026 06:00:00 GMT";
     for text in ["", "-1", "nan", "inf", "3s", "1e2", date, &"9".repeat(40)] {
-        assert_eq!(pause(&[text]), StatedPause::Unreadable, "{text}");
+        assert_eq!(pause(&[text]), PauseSignal::Unreadable, "{text}");
     }
-    assert_eq!(pause(&["3", "3"]), StatedPause::Unreadable, "named twice");
+    assert_eq!(pause(&["3", "3"]), PauseSignal::Unreadable, "named twice");
 }
 
 #[test]
 fn the_latest_end_of_several_pauses_holds() {
     let (mut known, now) = (Pause::default(), Instant::now());
-    assert!(known.state(seconds(3.0), 0.0, now));
-    assert!(!known.state(seconds(1.0), 0.0, now + Duration::from_secs(1)), "a shorter one that comes later");
-    assert_eq!(known.left(now + Duration::from_secs(1)), Some(Duration::from_secs(2)));
-    assert!(!known.state(seconds(3.0), 0.0, now + Duration::from_secs(2)), "it goes on");
-    assert_eq!(known.left(now + Duration::from_secs(2)), Some(Duration::from_secs(3)));
-    assert!(!known.state(seconds(0.0), 0.0, now + Duration::from_secs(4)));
-    assert_eq!(known.left(now + Duration::from_secs(5)), None);
+    assert!(known.apply(seconds(3.0), 0.0, now));
+    assert!(!known.apply(seconds(1.0), 0.0, now + Duration::from_secs(1)), "a shorter one that comes later");
+    assert_eq!(known.remaining(now + Duration::from_secs(1)), Some(Duration::from_secs(2)));
+    assert!(!known.apply(seconds(3.0), 0.0, now + Duration::from_secs(2)), "it goes on");
+    assert_eq!(known.remaining(now + Duration::from_secs(2)), Some(Duration::from_secs(3)));
+    assert!(!known.apply(seconds(0.0), 0.0, now + Duration::from_secs(4)));
+    assert_eq!(known.remaining(now + Duration::from_secs(5)), None);
 }
 
 #[test]
 fn after_a_pause_one_request_at_a_time_is_sent_until_one_is_answered() {
     let (mut known, now) = (Pause::default(), Instant::now());
-    known.state(seconds(1.0), 0.0, now);
-    known.record_answer(now + Duration::from_millis(500));
+    known.apply(seconds(1.0), 0.0, now);
+    known.record_response(now + Duration::from_millis(500));
     let after = now + Duration::from_secs(1);
     assert!(known.excludes(0, after - Duration::from_millis(1)));
     assert!(!known.excludes(0, after));
     assert!(known.excludes(1, after), "an answer during the pause was under way");
     assert!(!known.excludes(1, after + Duration::from_secs(2)), "it may be an exchange of minutes");
-    known.record_answer(after + Duration::from_millis(200));
+    known.record_response(after + Duration::from_millis(200));
     assert!(!known.excludes(5, after + Duration::from_millis(200)));
 }
 
@@ -162,8 +162,8 @@
     let now = Instant::now();
     let ends = [0.0, 0.5, 0.999].map(|draw| {
         let mut known = Pause::default();
-        known.state(seconds(3.0), draw, now);
-        known.left(now).expect("it has begun")
+        known.apply(seconds(3.0), draw, now);
+        known.remaining(now).expect("it has begun")
     });
     assert!(ends[0] >= Duration::from_secs(3) && ends.is_sorted() && ends[2] > ends[0], "{ends:?}");
     assert!(ends[2] <= Duration::from_secs(4), "{ends:?}");
