--- a/src/decision/failure/ejection.rs
+++ b/src/decision/failure/ejection.rs
@@ -60,7 +60,7 @@
 
 impl Ejection {
     /// Records that a request is sent.
-    pub fn begin(&mut self) {
+    pub fn record_sent(&mut self) {
         self.probe_sent |= self.ejected_until.is_some();
     }
 
--- a/src/decision/failure/latency.rs
+++ b/src/decision/failure/latency.rs
@@ -60,7 +60,7 @@
 
 impl Latency {
     /// Records that a request is sent while `in_flight` others are there.
-    pub fn begin(&mut self, in_flight: u32, now: Instant) {
+    pub fn record_sent(&mut self, in_flight: u32, now: Instant) {
         if in_flight == 0 {
             self.silent_since = Some(now);
         }
@@ -93,7 +93,7 @@
     }
 
     /// Whether a slow target may be sent a request that measures its latency again.
-    pub fn may_try(&self, in_flight: u32, now: Instant) -> bool {
+    pub fn may_probe(&self, in_flight: u32, now: Instant) -> bool {
         in_flight == 0
             && self.last_sent_at.is_none_or(|sent| now.saturating_duration_since(sent) > self.probe_interval())
     }
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -182,10 +182,10 @@
 
     /// Counts a request in flight until the guard is dropped.
     pub fn begin(self: &Rc<Self>, now: Instant) -> InFlight<Self> {
-        self.latency.borrow_mut().begin(self.in_flight(), now);
+        self.latency.borrow_mut().record_sent(self.in_flight(), now);
         self.slow_start.borrow_mut().spend(now);
         self.spend_limit(now);
-        self.ejection.borrow_mut().begin();
+        self.ejection.borrow_mut().record_sent();
         self.load.borrow_mut().begin();
         InFlight::new(self.clone())
     }
@@ -230,7 +230,7 @@
 
     /// Whether a slow target may be sent a request to see whether it is faster.
     pub fn may_try_slow(&self, now: Instant) -> bool {
-        self.latency.borrow().may_try(self.in_flight(), now)
+        self.latency.borrow().may_probe(self.in_flight(), now)
     }
 
     /// Requests of this instance that are in flight.
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -153,7 +153,7 @@
                     assert_eq!(caused, length.map(ms), "at {at} of {events:?}");
                 }
                 Success => ejection.record_success(),
-                Send => ejection.begin(),
+                Send => ejection.record_sent(),
                 Replaced => ejection.mark_replaced(),
             }
             let found = (ejection.is_ejected(1, now), ejection.is_ejected(0, now));
@@ -178,7 +178,7 @@
     for (answer, silence, median, objective, expected) in table {
         let mut latency = Latency::default();
         latency.record(ms(answer), start);
-        latency.begin(0, start);
+        latency.record_sent(0, start);
         let (in_flight, now) = silence.map_or((0, start), |silence| (1, start + ms(silence)));
         let found = latency.is_slow(median, ms(objective), in_flight, now);
         assert_eq!(found, expected, "answer {answer}, silence {silence:?}, median {median}, objective {objective}");
@@ -190,10 +190,10 @@
 fn a_slow_target_is_tried_with_one_request_a_second() {
     let start = Instant::now();
     let mut latency = Latency::default();
-    assert!(latency.may_try(0, start));
-    latency.begin(0, start);
+    assert!(latency.may_probe(0, start));
+    latency.record_sent(0, start);
     for (in_flight, at, expected) in [(0, 900, false), (0, 1_000, false), (0, 1_001, true), (1, 5_000, false)] {
-        assert_eq!(latency.may_try(in_flight, start + ms(at)), expected, "{in_flight} in flight at {at} ms");
+        assert_eq!(latency.may_probe(in_flight, start + ms(at)), expected, "{in_flight} in flight at {at} ms");
     }
 }
 
@@ -203,9 +203,9 @@
     for (average, waits) in [(100, 1_000), (500, 3_000), (720, 4_320)] {
         let mut latency = Latency::default();
         latency.record(ms(average), start);
-        latency.begin(0, start);
+        latency.record_sent(0, start);
         for (at, expected) in [(waits - 1, false), (waits + 1, true)] {
-            assert_eq!(latency.may_try(0, start + ms(at)), expected, "average {average} ms, at {at} ms");
+            assert_eq!(latency.may_probe(0, start + ms(at)), expected, "average {average} ms, at {at} ms");
         }
     }
 }
