--- a/src/decision/registry/mod.rs
+++ b/src/decision/registry/mod.rs
@@ -7,7 +7,7 @@
 pub mod grace;
 pub mod members;
 pub mod routing;
-pub mod statements;
+pub mod signals;
 pub mod target;
 pub mod target_key;
 pub mod targets;
--- a/src/decision/registry/statements.rs
+++ b/src/decision/registry/signals.rs
@@ -29,76 +29,76 @@
 
 /// What one answer says.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Stated {
+pub struct ResponseSignals {
     /// Of its rate limit.
     pub limit: StatedLimit,
     /// Of its end.
-    pub leaving: StatedLeaving,
+    pub leaving: LeavingSignal,
     /// Of a time for which it wants no other request.
     pub pause: StatedPause,
     /// Whether it turns the request away.
-    pub turns_away: bool,
+    pub is_rejection: bool,
 }
 
 /// What an answer says of the target's end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StatedLeaving {
+pub enum LeavingSignal {
     /// Nothing.
     None,
     /// That it leaves.
-    Leaves,
+    Leaving,
     /// Something that cannot be read: it says nothing.
     Unreadable,
 }
 
-impl StatedLeaving {
+impl LeavingSignal {
     /// Reads the values of the header: `1`, also where it is named more than once.
     pub fn parse<'a>(values: impl Iterator<Item = &'a [u8]>) -> Self {
-        let word = |value: &[u8]| if value.trim_ascii() == b"1" { Self::Leaves } else { Self::Unreadable };
-        values.map(word).fold(Self::None, |one, other| if one == Self::Leaves { one } else { other })
+        let parse = |value: &[u8]| if value.trim_ascii() == b"1" { Self::Leaving } else { Self::Unreadable };
+        values.map(parse).fold(Self::None, |one, other| if one == Self::Leaving { one } else { other })
     }
 }
 
 /// What changed by an answer.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct StatedChange {
+pub struct SignalChange {
     /// The limit that holds from now on where it is another one, `None` in it for none.
     pub limit: Option<Option<f64>>,
     /// Whether it was not known before that it leaves.
-    pub leaves: bool,
+    pub began_leaving: bool,
     /// The pause that begins.
     pub pause: Option<Duration>,
 }
 
 /// What one start of a target has said of itself.
 #[derive(Debug, Default)]
-pub struct Statements {
+pub struct TargetSignals {
     /// Its rate limit.
     pub limit: RateLimit,
     /// Its pause.
     pub pause: Pause,
-    leaves: bool,
+    is_leaving: bool,
 }
 
-impl Statements {
+impl TargetSignals {
     /// Takes in what an answer says that arrived now, to a request sent at `sent`. `draw` is at
     /// random from 0 to 1.
-    pub fn take(&mut self, stated: Stated, draw: f64, sent: Instant, now: Instant) -> StatedChange {
-        let leaves = stated.leaving == StatedLeaving::Leaves && self.leave();
-        if !stated.turns_away {
+    pub fn apply(&mut self, signals: ResponseSignals, draw: f64, sent: Instant, now: Instant) -> SignalChange {
+        let began_leaving = signals.leaving == LeavingSignal::Leaving && self.mark_leaving();
+        if !signals.is_rejection {
             self.pause.record_answer(now);
         }
-        let pause = self.pause.state(stated.pause, draw, now).then(|| self.pause.left(now)).flatten();
-        StatedChange { limit: self.limit.state(stated.limit, sent, now), leaves, pause }
+        let pause = self.pause.state(signals.pause, draw, now).then(|| self.pause.left(now)).flatten();
+        SignalChange { limit: self.limit.state(signals.limit, sent, now), began_leaving, pause }
     }
 
     /// Notes that the target leaves; gives whether that was not known.
-    pub fn leave(&mut self) -> bool {
-        !std::mem::replace(&mut self.leaves, true)
+    pub fn mark_leaving(&mut self) -> bool {
+        !std::mem::replace(&mut self.is_leaving, true)
     }
 
     /// Whether it has said that it leaves.
     pub fn is_leaving(&self) -> bool {
-        self.leaves
+        self.is_leaving
     }
 }
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -3,9 +3,9 @@
 //! happens to a target and answers what the rules say.
 //!
 //! Owns no rule. Relies on [`Load`], [`Latency`], [`Ejection`], [`SlowStart`], [`Grace`] and
-//! [`Statements`].
+//! [`TargetSignals`].
 
-mod said;
+mod signals;
 
 use crate::clock::Instant;
 use crate::decision::capacity::in_flight::{Counter, InFlight};
@@ -15,7 +15,7 @@
 use crate::decision::failure::ejection::Ejection;
 use crate::decision::failure::latency::Latency;
 use crate::decision::registry::grace::Grace;
-use crate::decision::registry::statements::Statements;
+use crate::decision::registry::signals::TargetSignals;
 use crate::decision::registry::target_key::{TargetKey, start_key};
 use crate::model::rate_limits::StartKey;
 use crate::model::registration::{StartTime, TargetRegistration, TargetState, WriteOrder};
@@ -58,7 +58,7 @@
     slow_start: RefCell<SlowStart>,
     grace: RefCell<Grace>,
     /// What this start of it has said, also under an earlier record.
-    statements: Rc<RefCell<Statements>>,
+    signals: Rc<RefCell<TargetSignals>>,
     /// Whether it was logged that its answers say what cannot be read.
     was_unreadable: Cell<bool>,
     /// The policies whose target selectors match it, and the revision they belong to.
@@ -87,7 +87,7 @@
             ejection: RefCell::default(),
             slow_start: RefCell::default(),
             grace: RefCell::default(),
-            statements: Rc::default(),
+            signals: Rc::default(),
             was_unreadable: Cell::default(),
             selecting: Cell::default(),
         };
@@ -106,7 +106,7 @@
             target.load.replace(self.load.borrow().handed_over(now));
             target.latency.replace(self.latency.borrow().clone());
             target.ejection.replace(self.ejection.borrow().clone());
-            target.keep_statements(self.statements());
+            target.inherit_signals(self.signals());
         }
         target
     }
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -32,7 +32,7 @@
 use crate::clock::Instant;
 use crate::decision::capacity::second_target::SecondLatency;
 use crate::decision::failure::latency;
-use crate::decision::registry::statements::Statements;
+use crate::decision::registry::signals::TargetSignals;
 use crate::decision::registry::target::Target;
 use crate::model::rate_limits::StartKey;
 use crate::model::registration::{TargetRegistration, WriteOrder};
@@ -55,7 +55,7 @@
     at: Instant,
     start_key: StartKey,
     /// What that start has said of itself: it may only have lost its registration.
-    statements: Rc<RefCell<Statements>>,
+    signals: Rc<RefCell<TargetSignals>>,
 }
 
 /// What became of a registration.
@@ -124,7 +124,7 @@
         let mut target = Target::new(registration, region, now);
         let tombstone = self.tombstones.get(&registration.id);
         if let Some(tombstone) = tombstone.filter(|tombstone| tombstone.start_key == target.start_key) {
-            target.keep_statements(tombstone.statements.clone());
+            target.inherit_signals(tombstone.signals.clone());
         }
         target
     }
@@ -194,8 +194,8 @@
 
     fn replace_with_tombstone(&mut self, target: &Target, has_grace_expired: bool, now: Instant) {
         self.take_out(target);
-        let (order, start_key, statements) = (target.order(), target.start_key, target.statements());
-        let tombstone = Tombstone { order, has_grace_expired, at: now, start_key, statements };
+        let (order, start_key, signals) = (target.order(), target.start_key, target.signals());
+        let tombstone = Tombstone { order, has_grace_expired, at: now, start_key, signals };
         self.tombstones.insert(target.id.clone(), tombstone);
     }
 
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -8,7 +8,7 @@
 //! |---|---|---|
 //! | invalid | the entry at the target's key | as the view |
 //! | draining | the target's registration | as the view: current to 1.3 s while store or relay answers, older while they do not |
-//! | leaving | what the target said ([`crate::decision::registry::statements`]) | exact; from others 0.6 s |
+//! | leaving | what the target said ([`crate::decision::registry::signals`]) | exact; from others 0.6 s |
 //! | expired | the end of its grace ([`crate::decision::registry::grace`]) | no age: a time |
 //! | region not allowed | the allowed regions of the route and of the caller's tenant, from the configuration in force | as the view |
 //! | evacuated | its hall's evacuation | as the view |
--- a/src/proxy/answer_check.rs
+++ b/src/proxy/answer_check.rs
@@ -7,7 +7,7 @@
 use crate::decision::capacity::load_report::{LoadReport, LoadReportError};
 use crate::decision::capacity::rate_limit::StatedLimit;
 use crate::decision::failure::pause::StatedPause;
-use crate::decision::registry::statements::{Stated, StatedLeaving};
+use crate::decision::registry::signals::{LeavingSignal, ResponseSignals};
 use crate::platform::HeaderNames;
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{HeaderMap, Response, StatusCode};
@@ -69,14 +69,14 @@
 
 /// What the target says of itself with the answer. Only one that turns a request away says how long it
 /// wants no other.
-pub fn stated<B>(names: &HeaderNames, response: &Response<B>) -> Stated {
+pub fn stated<B>(names: &HeaderNames, response: &Response<B>) -> ResponseSignals {
     let values = |name| response.headers().get_all(name).iter().map(HeaderValue::as_bytes);
     let turns_away = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
     let pause = if turns_away { StatedPause::parse(values(&RETRY_AFTER)) } else { StatedPause::None };
-    Stated {
+    ResponseSignals {
         limit: StatedLimit::parse(values(&names.rate_limit)),
-        leaving: StatedLeaving::parse(values(&names.leaving)),
+        leaving: LeavingSignal::parse(values(&names.leaving)),
         pause,
-        turns_away,
+        is_rejection: turns_away,
     }
 }
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -10,7 +10,7 @@
 use crate::decision::capacity::rate_limit::StatedLimit;
 use crate::decision::failure::pause::StatedPause;
 use crate::decision::failure::shedding::has_free_slot;
-use crate::decision::registry::statements::StatedLeaving;
+use crate::decision::registry::signals::LeavingSignal;
 use crate::decision::registry::target::Target;
 use crate::net::headers::remove_hop_by_hop;
 use crate::net::keep_alive::KeepAlive;
@@ -102,13 +102,13 @@
         if stated.limit == StatedLimit::Unreadable {
             target.log_unreadable("rate limit");
         }
-        if stated.leaving == StatedLeaving::Unreadable {
+        if stated.leaving == LeavingSignal::Unreadable {
             target.log_unreadable("leaving");
         }
         if stated.pause == StatedPause::Unreadable {
             target.log_unreadable("pause");
         }
-        let change = target.take_statements(stated, rand::random(), self.started, Instant::now());
+        let change = target.apply_signals(stated, rand::random(), self.started, Instant::now());
         if let Some(rate) = change.limit {
             tracing::info!(event = "target_limit", id = &*target.id, hall = &*target.hall, rate);
         }
@@ -116,7 +116,7 @@
             let for_ms = pause.as_millis() as u64;
             tracing::info!(event = "target_paused", id = &*target.id, hall = &*target.hall, for_ms);
         }
-        if change.leaves {
+        if change.began_leaving {
             tracing::info!(event = "target_leaving", id = &*target.id, hall = &*target.hall);
         }
     }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -6,7 +6,7 @@
 use lockloft::decision::capacity::rate_limit::{LEAST_RATE, RateLimit, Said, StatedLimit};
 use lockloft::decision::failure::pause::StatedPause;
 use lockloft::decision::registry::members::Members;
-use lockloft::decision::registry::statements::{Stated, StatedLeaving};
+use lockloft::decision::registry::signals::{LeavingSignal, ResponseSignals};
 use lockloft::decision::registry::target::Target;
 use lockloft::decision::registry::target_key::start_key;
 use lockloft::model::member::{Capacity, Member};
@@ -41,8 +41,12 @@
     LimitReport { from: from.to_owned(), hall: hall.to_owned(), is_forwarded: false, targets }
 }
 
-const NOTHING: Stated =
-    Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
+const NOTHING: ResponseSignals = ResponseSignals {
+    limit: StatedLimit::None,
+    leaving: LeavingSignal::None,
+    pause: StatedPause::None,
+    is_rejection: false,
+};
 const NAMED: Option<ToldRate> = Some(ToldRate { rate: Some(6.0), age_ms: 0 });
 
 #[test]
@@ -224,7 +228,7 @@
     let now = Instant::now();
     let first = registration(Some(1), "127.0.0.1:1");
     let target = Target::new(&first, "a".into(), now);
-    target.take_statements(Stated { limit: StatedLimit::Rate(4.0), ..NOTHING }, 0.0, now, now);
+    target.apply_signals(ResponseSignals { limit: StatedLimit::Rate(4.0), ..NOTHING }, 0.0, now, now);
     let moved = target.succeeded_by(&registration(Some(1), "127.0.0.1:2"), "a".into(), now);
     assert_eq!(moved.rate_limit(now), None);
     let described_anew = TargetRegistration { slots: 9, ..first };
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -3,14 +3,18 @@
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::rate_limit::StatedLimit;
 use lockloft::decision::failure::pause::{Pause, StatedPause};
-use lockloft::decision::registry::statements::{Stated, StatedChange, StatedLeaving};
+use lockloft::decision::registry::signals::{LeavingSignal, ResponseSignals, SignalChange};
 use lockloft::decision::registry::targets::{Registered, Targets};
 use lockloft::model::registration::{StartTime, TargetRegistration, TargetState};
 use std::time::Duration;
 
-const NOTHING: Stated =
-    Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
-const LEAVES: Stated = Stated { leaving: StatedLeaving::Leaves, ..NOTHING };
+const NOTHING: ResponseSignals = ResponseSignals {
+    limit: StatedLimit::None,
+    leaving: LeavingSignal::None,
+    pause: StatedPause::None,
+    is_rejection: false,
+};
+const LEAVES: ResponseSignals = ResponseSignals { leaving: LeavingSignal::Leaving, ..NOTHING };
 
 fn written(start: Option<u64>, sequence: u64) -> TargetRegistration {
     TargetRegistration {
@@ -27,19 +31,19 @@
     }
 }
 
-fn parse(values: &[&str]) -> StatedLeaving {
-    StatedLeaving::parse(values.iter().map(|value| value.as_bytes()))
+fn parse(values: &[&str]) -> LeavingSignal {
+    LeavingSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
 #[test]
 fn a_target_leaves_that_says_one() {
-    assert_eq!(parse(&[]), StatedLeaving::None);
-    assert_eq!(parse(&["1"]), StatedLeaving::Leaves);
-    assert_eq!(parse(&[" 1 "]), StatedLeaving::Leaves);
-    assert_eq!(parse(&["1", "1"]), StatedLeaving::Leaves);
-    assert_eq!(parse(&["0", "1"]), StatedLeaving::Leaves, "one of them is clear");
+    assert_eq!(parse(&[]), LeavingSignal::None);
+    assert_eq!(parse(&["1"]), LeavingSignal::Leaving);
+    assert_eq!(parse(&[" 1 "]), LeavingSignal::Leaving);
+    assert_eq!(parse(&["1", "1"]), LeavingSignal::Leaving);
+    assert_eq!(parse(&["0", "1"]), LeavingSignal::Leaving, "one of them is clear");
     for text in ["0", "", "true", "-1", "11", "1.0"] {
-        assert_eq!(parse(&[text]), StatedLeaving::Unreadable, "{text}");
+        assert_eq!(parse(&[text]), LeavingSignal::Unreadable, "{text}");
     }
 }
 
@@ -48,8 +52,11 @@
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.register(registration, "a".into(), now);
     let target = targets.get("t").unwrap().clone();
-    assert_eq!(target.take_statements(LEAVES, 0.0, now, now), StatedChange { leaves: true, ..StatedChange::default() });
-    assert_eq!(target.take_statements(LEAVES, 0.0, now, now), StatedChange::default(), "it is known");
+    assert_eq!(
+        target.apply_signals(LEAVES, 0.0, now, now),
+        SignalChange { began_leaving: true, ..SignalChange::default() }
+    );
+    assert_eq!(target.apply_signals(LEAVES, 0.0, now, now), SignalChange::default(), "it is known");
     targets
 }
 
@@ -62,7 +69,7 @@
 fn neither_an_answer_without_it_nor_another_registration_takes_it_back() {
     let targets = left(&written(None, 1));
     let (target, now) = (targets.get("t").unwrap().clone(), Instant::now());
-    target.take_statements(NOTHING, 0.0, now, now);
+    target.apply_signals(NOTHING, 0.0, now, now);
     assert!(target.is_leaving());
     assert!(leaves_after(targets, &written(None, 2)));
     let described_anew = TargetRegistration { slots: 9, ..written(None, 2) };
@@ -87,7 +94,7 @@
     let earlier = targets.get("t").unwrap().clone();
     targets.remove(&earlier, now);
     targets.register(&written(None, 2), "a".into(), now);
-    earlier.take_statements(LEAVES, 0.0, now, now);
+    earlier.apply_signals(LEAVES, 0.0, now, now);
     assert!(targets.get("t").unwrap().is_leaving());
 }
 
@@ -104,7 +111,7 @@
     targets.register(&written(Some(1), 1), "a".into(), now);
     let earlier = targets.get("t").unwrap().clone();
     targets.register(&later, "a".into(), now);
-    earlier.take_statements(LEAVES, 0.0, now, now);
+    earlier.apply_signals(LEAVES, 0.0, now, now);
     assert!(!targets.get("t").unwrap().is_leaving());
 }
 
@@ -174,8 +181,8 @@
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.register(&written(Some(1), 1), "a".into(), now);
     let target = targets.get("t").unwrap().clone();
-    let asks = Stated { pause: seconds(3.0), turns_away: true, ..NOTHING };
-    let change = target.take_statements(asks, 0.0, now, now);
+    let asks = ResponseSignals { pause: seconds(3.0), is_rejection: true, ..NOTHING };
+    let change = target.apply_signals(asks, 0.0, now, now);
     assert_eq!(change.pause, Some(Duration::from_secs(3)));
     assert!(target.is_paused(now));
     targets.register(&written(Some(2), 1), "a".into(), now);
