--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -60,9 +60,9 @@
     /// What this start of it has said, also under an earlier record.
     signals: Rc<RefCell<TargetSignals>>,
     /// Whether it was logged that its answers say what cannot be read.
-    was_unreadable: Cell<bool>,
+    is_unreadable_logged: Cell<bool>,
     /// The policies whose target selectors match it, and the revision they belong to.
-    selecting: Cell<Option<(u64, PolicySet)>>,
+    matching_policies: Cell<Option<(u64, PolicySet)>>,
 }
 
 impl Target {
@@ -88,8 +88,8 @@
             slow_start: RefCell::default(),
             grace: RefCell::default(),
             signals: Rc::default(),
-            was_unreadable: Cell::default(),
-            selecting: Cell::default(),
+            is_unreadable_logged: Cell::default(),
+            matching_policies: Cell::default(),
         };
         target.begin_slow_start(registration.slow_start, now);
         target
@@ -98,7 +98,7 @@
     /// A target that takes the place of this one, whose id registered again with other data.
     /// It stays cold as long as this one. What this instance has seen of this one counts for
     /// the new one where that is at the same address, else it says nothing about it.
-    pub fn succeeded_by(&self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Self {
+    pub fn successor(&self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Self {
         let mut target = Self::new(registration, region, now);
         target.slow_start.replace(self.slow_start.borrow().clone());
         target.begin_slow_start(registration.slow_start, now);
@@ -113,7 +113,7 @@
 
     /// Whether the registration says the same of what is fixed here: all but state, sequence
     /// and slow start.
-    pub fn is_described_by(&self, registration: &TargetRegistration) -> bool {
+    pub fn matches(&self, registration: &TargetRegistration) -> bool {
         self.service == registration.service
             && self.pool.address() == registration.address
             && self.hall == registration.hall
@@ -169,22 +169,22 @@
     }
 
     /// The policies whose target selectors match it, worked out once for each revision.
-    pub fn selecting(&self, policies: &Policies) -> PolicySet {
-        if let Some((revision, mask)) = self.selecting.get()
+    pub fn matching_policies(&self, policies: &Policies) -> PolicySet {
+        if let Some((revision, mask)) = self.matching_policies.get()
             && revision == policies.revision
         {
             return mask;
         }
         let mask = policies.selecting(&self.facts());
-        self.selecting.set(Some((policies.revision, mask)));
+        self.matching_policies.set(Some((policies.revision, mask)));
         mask
     }
 
     /// Counts a request in flight until the guard is dropped.
-    pub fn begin(self: &Rc<Self>, now: Instant) -> InFlight<Self> {
+    pub fn begin_request(self: &Rc<Self>, now: Instant) -> InFlight<Self> {
         self.latency.borrow_mut().begin(self.in_flight(), now);
         self.slow_start.borrow_mut().spend(now);
-        self.spend_limit(now);
+        self.record_sent(now);
         self.ejection.borrow_mut().begin();
         self.load.borrow_mut().begin();
         InFlight::new(self.clone())
@@ -229,7 +229,7 @@
     }
 
     /// Whether a slow target may be sent a request to see whether it is faster.
-    pub fn may_try_slow(&self, now: Instant) -> bool {
+    pub fn may_probe_slow(&self, now: Instant) -> bool {
         self.latency.borrow().may_try(self.in_flight(), now)
     }
 
@@ -239,17 +239,17 @@
     }
 
     /// Takes in a report of load that came with an answer.
-    pub fn report(&self, report: LoadReport, now: Instant) {
+    pub fn record_load_report(&self, report: LoadReport, now: Instant) {
         self.load.borrow_mut().report(report, now);
     }
 
     /// Takes in a load that it told another instance at a time.
-    pub fn hear_load(&self, requests: u32, at: Instant) {
+    pub fn record_remote_load(&self, requests: u32, at: Instant) {
         self.load.borrow_mut().hear(requests, at);
     }
 
     /// Its last load that no other instance was told of yet: requests, and when it told it.
-    pub fn take_untold_load(&self) -> Option<(u32, Instant)> {
+    pub fn take_unreported_load(&self) -> Option<(u32, Instant)> {
         self.load.borrow_mut().take_untold()
     }
 
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -29,7 +29,7 @@
     }
 
     /// What is left of the pause that it asked for; `None` where there is none.
-    pub fn pause_left(&self, now: Instant) -> Option<Duration> {
+    pub fn pause_remaining(&self, now: Instant) -> Option<Duration> {
         self.signals.borrow().pause.left(now)
     }
 
@@ -44,13 +44,13 @@
     }
 
     /// Takes in that it leaves, as it said to another instance; gives whether that was not known.
-    pub fn hear_leaving(&self) -> bool {
+    pub fn mark_leaving(&self) -> bool {
         self.signals.borrow_mut().mark_leaving()
     }
 
     /// Takes in what it said of its rate limit to another instance; gives the limit that
     /// holds from now on where it is another one.
-    pub fn hear_limit(&self, said: Said, now: Instant) -> Option<Option<f64>> {
+    pub fn record_remote_limit(&self, said: Said, now: Instant) -> Option<Option<f64>> {
         self.signals.borrow_mut().limit.hear(said, now)
     }
 
@@ -60,12 +60,12 @@
     }
 
     /// Whether it said something of a limit lately, also that it has none any more.
-    pub fn has_limit_word(&self, now: Instant) -> bool {
+    pub fn has_recent_limit_signal(&self, now: Instant) -> bool {
         self.signals.borrow().limit.has_word(now)
     }
 
     /// What a head is told of its limit and of the demand for it.
-    pub fn tell_limit(&self, now: Instant) -> Option<(Option<Said>, f64)> {
+    pub fn take_limit_report(&self, now: Instant) -> Option<(Option<Said>, f64)> {
         self.signals.borrow_mut().limit.tell(now)
     }
 
@@ -80,26 +80,26 @@
     }
 
     /// Works out the equal part of its limit of the member `own` again.
-    pub fn update_limit_part<'a>(&self, own: &str, members: impl Iterator<Item = &'a str>, now: Instant) {
+    pub fn update_equal_limit_share<'a>(&self, own: &str, members: impl Iterator<Item = &'a str>, now: Instant) {
         self.signals.borrow_mut().limit.update_part(self.key.hash(), own, members, now);
     }
 
     /// Whether its limit leaves this instance no request now.
-    pub fn is_limit_used_up(&self, now: Instant) -> bool {
+    pub fn is_limit_exhausted(&self, now: Instant) -> bool {
         self.signals.borrow().limit.is_used_up(now)
     }
 
     /// Counts a request that its limit sends elsewhere.
-    pub fn offer_limited(&self, now: Instant) {
+    pub fn record_offered(&self, now: Instant) {
         self.signals.borrow_mut().limit.offer(now);
     }
 
     /// Whether a head should be told at once of what comes for it.
-    pub fn is_demand_unusual(&self, now: Instant) -> bool {
+    pub fn has_demand_surge(&self, now: Instant) -> bool {
         self.signals.borrow().limit.is_unusual(now)
     }
 
-    pub(super) fn spend_limit(&self, now: Instant) {
+    pub(super) fn record_sent(&self, now: Instant) {
         let mut signals = self.signals.borrow_mut();
         signals.limit.offer(now);
         signals.limit.spend(now);
@@ -107,7 +107,7 @@
 
     /// Logs that its answers say something of it that cannot be read; one line for each start.
     pub fn log_unreadable(&self, field: &str) {
-        if !self.was_unreadable.replace(true) {
+        if !self.is_unreadable_logged.replace(true) {
             tracing::warn!(event = "target_statement_unreadable", id = &*self.id, hall = &*self.hall, field);
         }
     }
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -154,7 +154,7 @@
         if registration.order() < known.order() {
             return Registered::Late;
         }
-        let is_same = registration.order() == known.order() || known.is_described_by(registration);
+        let is_same = registration.order() == known.order() || known.matches(registration);
         if registration.start != known.start {
             known.pool.clear();
             self.take_out(known);
@@ -163,7 +163,7 @@
             known.update(registration, now);
         } else {
             self.take_out(known);
-            self.add(known.succeeded_by(registration, region, now));
+            self.add(known.successor(registration, region, now));
         }
         Registered::Taken
     }
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -164,7 +164,7 @@
 
     fn add_paused(&mut self, target: &'a Rc<Target>) {
         // Where nothing is left a trial is under way.
-        let left = target.pause_left(self.query.now).unwrap_or_default();
+        let left = target.pause_remaining(self.query.now).unwrap_or_default();
         if self.paused.is_none_or(|(_, first)| left < first) {
             self.paused = Some((target, left));
         }
@@ -175,7 +175,7 @@
         let limited =
             self.limited.filter(|limited| self.ranking.preferred().is_none() || self.ranking.is_first(limited));
         if let Some(limited) = limited {
-            limited.target.offer_limited(self.query.now);
+            limited.target.record_offered(self.query.now);
         }
     }
 
@@ -274,7 +274,7 @@
     /// Takes a target; the policies that led to it are noted for the log.
     fn take(&self, target: &Rc<Target>) -> Chosen {
         if let Some(active) = self.query.active {
-            active.note_choice(target.selecting(active.document()));
+            active.note_choice(target.matching_policies(active.document()));
         }
         Chosen { target: target.clone(), is_second: !self.is_preferred(target) }
     }
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -112,7 +112,7 @@
     pub fn of(&self, target: &Target) -> Option<Exclusion> {
         let excluded = self.by_state(target).or_else(|| self.by_policy(target));
         let excluded = excluded.or_else(|| self.by_latency(target)).or_else(|| self.by_slow_start(target));
-        excluded.or_else(|| target.is_limit_used_up(self.query.now).then_some(Exclusion::Limited))
+        excluded.or_else(|| target.is_limit_exhausted(self.query.now).then_some(Exclusion::Limited))
     }
 
     fn by_state(&self, target: &Target) -> Option<Exclusion> {
@@ -152,7 +152,7 @@
 
     fn by_latency(&self, target: &Target) -> Option<Exclusion> {
         let (objective, now) = (self.query.route.latency_objective, self.query.now);
-        let is_excluded = target.is_slow(self.median, objective, now) && !target.may_try_slow(now);
+        let is_excluded = target.is_slow(self.median, objective, now) && !target.may_probe_slow(now);
         is_excluded.then_some(Exclusion::Slow)
     }
 
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -62,7 +62,7 @@
 
     /// What the operators' policies say of a target; `None` where none selects the request.
     pub fn policy_verdict(&self, target: &Target) -> Option<PolicyVerdict> {
-        self.active.map(|active| active.verdict(target.selecting(active.document())))
+        self.active.map(|active| active.verdict(target.matching_policies(active.document())))
     }
 
     /// The order that policies give a target; smaller goes first.
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -147,7 +147,7 @@
         };
         let (instance, started) = (self.request.instance, Instant::now());
         let had_limit = target.rate_limit(started).is_some();
-        let in_flight = target.begin(started);
+        let in_flight = target.begin_request(started);
         instance.follow_limit(target, had_limit);
         let exchange = Exchange {
             names: &instance.names,
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -76,7 +76,7 @@
         let checked = answer_check::check(self.names, self.request_id, &response);
         let report = self.load_report(&response);
         if let Some(report) = report.filter(|_| checked != Err(AnswerError::Foreign)) {
-            self.in_flight.target().report(report, Instant::now());
+            self.in_flight.target().record_load_report(report, Instant::now());
         }
         if !matches!(checked, Err(AnswerError::Foreign | AnswerError::Misdirected | AnswerError::Unsigned)) {
             self.take_statements(&response);
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -57,10 +57,11 @@
         let (now, settings, routing) = (Instant::now(), self.settings(), self.routing.borrow());
         let limited: Vec<&Rc<Target>> = routing.targets().filter(|target| target.rate_limit(now).is_some()).collect();
         for target in &limited {
-            target.update_limit_part(&settings.name, routing.members.names(), now);
+            target.update_equal_limit_share(&settings.name, routing.members.names(), now);
         }
         self.metrics.limited_targets.set(limited.len() as i64);
-        !limited.is_empty() || routing.targets().any(|target| target.has_limit_word(now) || target.is_leaving())
+        !limited.is_empty()
+            || routing.targets().any(|target| target.has_recent_limit_signal(now) || target.is_leaving())
     }
 
     /// What the head of the own hall is told.
@@ -68,7 +69,7 @@
         let (now, settings) = (Instant::now(), self.settings());
         let demand = |target: &Rc<Target>| {
             let leaves = target.is_leaving();
-            let (said, demand) = target.tell_limit(now).or(leaves.then_some((None, 0.0)))?;
+            let (said, demand) = target.take_limit_report(now).or(leaves.then_some((None, 0.0)))?;
             let told = said.and_then(|said| told_rate(said, now));
             Some(TargetDemand { target: target.start_key, told, demand: demand as f32, leaves })
         };
@@ -110,11 +111,11 @@
             answer.shares.iter().map(|share| (share.target, share)).collect();
         for target in self.routing.borrow().targets() {
             let Some(share) = by_target.get(&target.start_key) else { continue };
-            if share.leaves && target.hear_leaving() {
+            if share.leaves && target.mark_leaving() {
                 tracing::info!(event = "target_leaving", id = &*target.id, hall = &*target.hall, from = "instances");
             }
             if let Some(said) = share.told.and_then(|told| said(told, now))
-                && let Some(rate) = target.hear_limit(said, now)
+                && let Some(rate) = target.record_remote_limit(said, now)
             {
                 tracing::info!(
                     event = "target_limit",
@@ -134,7 +135,7 @@
     /// for it.
     pub fn follow_limit(&self, target: &Target, had_limit: bool) {
         let now = Instant::now();
-        if had_limit != target.rate_limit(now).is_some() || target.is_demand_unusual(now) {
+        if had_limit != target.rate_limit(now).is_some() || target.has_demand_surge(now) {
             self.rate_limits.report_now();
         }
     }
--- a/src/state/target_loads.rs
+++ b/src/state/target_loads.rs
@@ -39,7 +39,7 @@
     pub fn untold_loads(&self) -> Vec<TargetLoad> {
         let now = Instant::now();
         let untold = |target: &Rc<Target>| {
-            let (requests, at) = target.take_untold_load()?;
+            let (requests, at) = target.take_unreported_load()?;
             Some(TargetLoad::new(target.key.short(), requests, now.saturating_duration_since(at)))
         };
         self.routing.borrow().targets().filter_map(untold).collect()
@@ -53,7 +53,7 @@
         for target in self.routing.borrow().targets() {
             let Some(load) = by_target.get(&target.key.short()) else { continue };
             if let Some(at) = now.checked_sub(load.age()) {
-                target.hear_load(load.requests.into(), at);
+                target.record_remote_load(load.requests.into(), at);
             }
         }
     }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -82,7 +82,7 @@
         for (_, _, expected) in draws.iter().take(2) {
             let target = scene.choose(key, &[]).unwrap();
             prop_assert_eq!(&target.id, expected);
-            held.extend((0..2 * target.slots).map(|_| target.begin(scene.now)));
+            held.extend((0..2 * target.slots).map(|_| target.begin_request(scene.now)));
         }
         let full = matches!(scene.choose(key, &[]), Err(NoTarget::Full(preferred)) if preferred.id == draws[0].2);
         prop_assert!(full, "a third target was chosen");
@@ -119,12 +119,12 @@
     let first = scene.choose(7, &[]).unwrap();
     let mut held = Vec::new();
     while scene.choose(7, &[]).unwrap().id == first.id {
-        held.push(first.begin(scene.now));
+        held.push(first.begin_request(scene.now));
         assert!(held.len() <= 8, "more than twice the slots were sent");
     }
     assert_eq!(held.len(), 8);
     let second = scene.choose(7, &[]).unwrap();
-    held.extend((0..8).map(|_| second.begin(scene.now)));
+    held.extend((0..8).map(|_| second.begin_request(scene.now)));
     assert!(matches!(scene.choose(7, &[]).unwrap_err(), NoTarget::Full(preferred) if preferred.id == first.id));
     drop(held);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
@@ -134,7 +134,7 @@
 fn a_reported_load_counts_and_fades() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
-    first.report(LoadReport { running: 4, waiting: 6, slots: 4, slowdown: None }, scene.now);
+    first.record_load_report(LoadReport { running: 4, waiting: 6, slots: 4, slowdown: None }, scene.now);
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     scene.now += Duration::from_secs(2);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
@@ -149,7 +149,7 @@
     scene.config = config(vec![urgent.clone(), patient.clone()]);
     let mut held = Vec::new();
     while let Ok(target) = scene.choose_on(&patient, 7, &[]) {
-        held.push(target.begin(scene.now));
+        held.push(target.begin_request(scene.now));
     }
     assert!(scene.choose_on(&urgent, 7, &[]).is_ok());
 }
@@ -197,7 +197,7 @@
             now: scene.now,
         };
         if let Ok(chosen) = choose(&scene.routing, &scene.config, &query) {
-            chosen.target.begin(scene.now);
+            chosen.target.begin_request(scene.now);
             sent += 1;
         }
         scene.now += Duration::from_millis(10);
@@ -248,7 +248,7 @@
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     scene.now += Duration::from_millis(600);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
-    let trial = first.begin(scene.now);
+    let trial = first.begin_request(scene.now);
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     first.record_success(Duration::from_millis(50), scene.now);
     drop(trial);
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -139,7 +139,7 @@
             break;
         }
         assert_eq!(acted, ["p"]);
-        held.push(target.begin(scene.now));
+        held.push(target.begin_request(scene.now));
         assert!(held.len() <= 16, "two targets of four slots took more than twice their slots");
     }
 }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -229,10 +229,10 @@
     let first = registration(Some(1), "127.0.0.1:1");
     let target = Target::new(&first, "a".into(), now);
     target.apply_signals(ResponseSignals { limit: StatedLimit::Rate(4.0), ..NOTHING }, 0.0, now, now);
-    let moved = target.succeeded_by(&registration(Some(1), "127.0.0.1:2"), "a".into(), now);
+    let moved = target.successor(&registration(Some(1), "127.0.0.1:2"), "a".into(), now);
     assert_eq!(moved.rate_limit(now), None);
     let described_anew = TargetRegistration { slots: 9, ..first };
-    assert_eq!(target.succeeded_by(&described_anew, "a".into(), now).rate_limit(now), Some(4.0));
+    assert_eq!(target.successor(&described_anew, "a".into(), now).rate_limit(now), Some(4.0));
     assert_eq!(Target::new(&registration(Some(2), "127.0.0.1:1"), "a".into(), now).rate_limit(now), None);
 }
 
--- a/tests/region_moves.rs
+++ b/tests/region_moves.rs
@@ -265,7 +265,7 @@
     let (now, _) = replaced();
     for key in 0..400 {
         let first = now.choose(key, &[]).unwrap();
-        let held: Vec<_> = (0..2 * first.slots).map(|_| first.begin(now.now)).collect();
+        let held: Vec<_> = (0..2 * first.slots).map(|_| first.begin_request(now.now)).collect();
         let second = now.choose(key, &[]).unwrap();
         assert!(second.id != first.id && !["t0", "t1", "t2"].contains(&&*second.id));
         drop(held);
--- a/tests/registrations.rs
+++ b/tests/registrations.rs
@@ -40,7 +40,7 @@
     let now = Instant::now();
     let mut targets = with_ejected(now);
     let first = targets.get("t").unwrap().clone();
-    let in_flight = first.begin(now);
+    let in_flight = first.begin_request(now);
     let later = TargetRegistration { version: "2".into(), ..registration(2) };
     assert!(registered(&mut targets, &later, now));
     let second = targets.get("t").unwrap();
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -244,13 +244,13 @@
                 instance,
                 is_second: chosen.is_second,
                 sent: at,
-                in_flight: chosen.target.begin(now),
+                in_flight: chosen.target.begin_request(now),
             };
             tried.push(key);
             self.outcome.sends += u32::from(self.counts(&request));
             let Some(refused) = self.offer(&id, running, at) else { return };
             let report = self.report(&id);
-            refused.in_flight.target().report(report, now);
+            refused.in_flight.target().record_load_report(report, now);
             if has_free_slot(Some(report)) {
                 tries.record(TryOutcome::Shed);
                 tried.retain(|other| *other != key);
@@ -300,7 +300,7 @@
         let (now, took) = (self.began + at, at - running.sent);
         let report = self.report(id);
         let served = running.in_flight.target().clone();
-        served.report(report, now);
+        served.record_load_report(report, now);
         if let Some(after) = self.load.heard_after {
             self.agenda.plan(at + after, Event::Heard(id.to_owned(), report.running + report.waiting, at));
         }
@@ -314,7 +314,7 @@
     fn hear(&mut self, id: &str, requests: u32, told: Duration) {
         for (scene, _) in &self.instances {
             let target = scene.routing.targets().find(|target| &*target.id == id);
-            target.into_iter().for_each(|target| target.hear_load(requests, self.began + told));
+            target.into_iter().for_each(|target| target.record_remote_load(requests, self.began + told));
         }
     }
 
--- a/tests/restarted_targets.rs
+++ b/tests/restarted_targets.rs
@@ -54,8 +54,8 @@
     let cold = TargetRegistration { slow_start: Duration::from_secs(9), ..written(Some(1_000), 40) };
     let (mut targets, _) = after(&[cold]);
     let last = targets.get("t").unwrap().clone();
-    let in_flight = last.begin(now);
-    last.report(LoadReport::parse("4,9,4").unwrap(), now);
+    let in_flight = last.begin_request(now);
+    last.record_load_report(LoadReport::parse("4,9,4").unwrap(), now);
     last.record_latency(Duration::from_secs(5), now);
     last.mark_replaced();
     last.begin_grace(now);
--- a/tests/second_target.rs
+++ b/tests/second_target.rs
@@ -34,7 +34,7 @@
     let mut at_second = 0;
     while let Ok(target) = scene.choose(7, &[]) {
         at_second += usize::from(target.key != first.key);
-        held.push(target.begin(scene.now));
+        held.push(target.begin_request(scene.now));
         assert!(held.len() < 100, "no limit holds");
     }
     (first, at_second)
@@ -64,9 +64,9 @@
         if target.key != first.key {
             break target;
         }
-        std::mem::forget(target.begin(scene.now));
+        std::mem::forget(target.begin_request(scene.now));
     };
-    (0..3).for_each(|_| std::mem::forget(second.begin(scene.now)));
+    (0..3).for_each(|_| std::mem::forget(second.begin_request(scene.now)));
     assert!(matches!(scene.choose(7, &[]), Err(NoTarget::Full(preferred)) if preferred.key == first.key));
     // Where its first may not be used, the second is the preferred one and has all its room.
     assert_eq!(scene.choose(7, &[first.key]).unwrap().key, second.key);
--- a/tests/slow_start_changes.rs
+++ b/tests/slow_start_changes.rs
@@ -56,7 +56,7 @@
             now: scene.now,
         };
         if let Ok(chosen) = choose(&scene.routing, &scene.config, &query) {
-            chosen.target.begin(scene.now);
+            chosen.target.begin_request(scene.now);
             sent += 1;
         }
         scene.now += Duration::from_millis(5);
