--- a/src/decision/registry/change.rs
+++ b/src/decision/registry/change.rs
@@ -51,7 +51,7 @@
         on: bool,
     },
     /// The record of a request's strikes is gone from the store.
-    StrikesLapsed(Fingerprint),
+    StrikesExpired(Fingerprint),
     /// A value of the store was refused.
     Refused(RecordError),
 }
--- a/src/decision/registry/members.rs
+++ b/src/decision/registry/members.rs
@@ -16,37 +16,37 @@
     by_name: BTreeMap<String, Member>,
     changed_at: Instant,
     /// The most there were lately, and since when there are fewer.
-    most: usize,
-    fewer_since: Option<Instant>,
+    recent_max: usize,
+    below_max_since: Option<Instant>,
 }
 
 /// Time for which members that are gone count among the recent ones: they may have lost their keys
 /// and not be dead, and register again within a lease or two.
-const RECENT: Duration = Duration::from_secs(10);
+const RECENT_WINDOW: Duration = Duration::from_secs(10);
 
 impl Default for Members {
     fn default() -> Self {
-        Self { by_name: BTreeMap::new(), changed_at: Instant::now(), most: 0, fewer_since: None }
+        Self { by_name: BTreeMap::new(), changed_at: Instant::now(), recent_max: 0, below_max_since: None }
     }
 }
 
 impl Members {
     /// Adds a member or replaces its record.
     pub fn insert(&mut self, name: String, member: Member, now: Instant) {
-        self.forget_most(now);
+        self.expire_recent_max(now);
         if self.by_name.insert(name, member).is_none() {
             self.changed_at = now;
-            self.note_count(now);
+            self.update_recent_max(now);
         }
     }
 
     /// Removes a member; false where there was none.
     pub fn remove(&mut self, name: &str, now: Instant) -> bool {
-        self.forget_most(now);
+        self.expire_recent_max(now);
         let is_removed = self.by_name.remove(name).is_some();
         if is_removed {
             self.changed_at = now;
-            self.note_count(now);
+            self.update_recent_max(now);
         }
         is_removed
     }
@@ -57,27 +57,27 @@
     }
 
     /// Forgets that there were more, where that is long ago; before a change.
-    fn forget_most(&mut self, now: Instant) {
-        self.most = self.recent_count(now);
-        if self.most == self.by_name.len() {
-            self.fewer_since = None;
+    fn expire_recent_max(&mut self, now: Instant) {
+        self.recent_max = self.recent_count(now);
+        if self.recent_max == self.by_name.len() {
+            self.below_max_since = None;
         }
     }
 
     /// Notes whether there are fewer than lately; after a change.
-    fn note_count(&mut self, now: Instant) {
-        if self.by_name.len() < self.most {
-            self.fewer_since.get_or_insert(now);
+    fn update_recent_max(&mut self, now: Instant) {
+        if self.by_name.len() < self.recent_max {
+            self.below_max_since.get_or_insert(now);
         } else {
-            self.most = self.by_name.len();
-            self.fewer_since = None;
+            self.recent_max = self.by_name.len();
+            self.below_max_since = None;
         }
     }
 
     /// The most that there were in the last ten seconds.
     pub fn recent_count(&self, now: Instant) -> usize {
-        let is_over = self.fewer_since.is_some_and(|since| now.saturating_duration_since(since) >= RECENT);
-        if is_over { self.by_name.len() } else { self.by_name.len().max(self.most) }
+        let is_over = self.below_max_since.is_some_and(|since| now.saturating_duration_since(since) >= RECENT_WINDOW);
+        if is_over { self.by_name.len() } else { self.by_name.len().max(self.recent_max) }
     }
 
     /// How many there are.
@@ -106,7 +106,7 @@
     }
 
     /// Addresses where the other instances listen for their peers.
-    pub fn peers(&self, own_name: &str) -> Vec<SocketAddr> {
+    pub fn peer_addresses(&self, own_name: &str) -> Vec<SocketAddr> {
         self.others(own_name).map(|member| member.peer).collect()
     }
 }
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -29,7 +29,7 @@
 use crate::clock::Instant;
 use crate::decision::registry::change::{StateChange, TargetChange};
 use crate::decision::registry::target::Target;
-use crate::decision::registry::targets::Registered;
+use crate::decision::registry::targets::RegistrationOutcome;
 use crate::model::config::Config;
 use crate::model::record::{Record, RecordError, RemovedRecord};
 use crate::model::registration::{TargetRegistration, TargetState};
@@ -39,7 +39,7 @@
 use std::rc::Rc;
 
 /// What is wrong with a registration that names no start where earlier ones of its id did.
-const WITHOUT_START: &str = "it does not say when the target started, as earlier entries did";
+const MISSING_START: &str = "it does not say when the target started, as earlier entries did";
 
 fn target_change(target: &Target, state: TargetChange) -> StateChange {
     StateChange::Target { id: target.id.clone(), start: target.start, state }
@@ -54,7 +54,7 @@
         now: Instant,
         grace_until: Option<Instant>,
     ) -> Vec<StateChange> {
-        self.targets.sweep_tombstones(now);
+        self.targets.remove_old_tombstones(now);
         let mut state_changes = Vec::new();
         for change in changes {
             self.end_grace(|| P::decode_removal(change.key()));
@@ -64,7 +64,7 @@
                     Err(error) => state_changes.extend(self.refuse(P::decode_removal(&item.key), error, now)),
                 },
                 Event::Gone { key, revision } => state_changes.extend(match P::decode_removal(key) {
-                    RemovedRecord::Policies => self.keep_policies(key, *revision),
+                    RemovedRecord::Policies => self.retain_policies(key, *revision),
                     removed => self.remove_record(removed, now, grace_until),
                 }),
             }
@@ -99,12 +99,12 @@
 
     /// What an item that cannot be used leaves of the record that should be at its key.
     fn refuse(&mut self, record: RemovedRecord, error: RecordError, now: Instant) -> Vec<StateChange> {
-        let out_of_use = match record {
+        let change = match record {
             RemovedRecord::Target(id) => self.invalidate_target(&id),
             RemovedRecord::Member(_) | RemovedRecord::Strikes(_) => self.remove_record(record, now, None),
             RemovedRecord::Evacuation(_) | RemovedRecord::Policies | RemovedRecord::Unknown => None,
         };
-        out_of_use.into_iter().chain([StateChange::Refused(error)]).collect()
+        change.into_iter().chain([StateChange::Refused(error)]).collect()
     }
 
     fn invalidate_target(&self, id: &str) -> Option<StateChange> {
@@ -170,7 +170,7 @@
 
     /// Takes later policies in force, whole or not at all.
     fn apply_policies(&mut self, item: &Item, document: PolicyDocument) -> Option<StateChange> {
-        let is_first = self.policies_removed.is_some_and(|removed| item.revision > removed);
+        let is_first = self.policies_removed_at.is_some_and(|removed| item.revision > removed);
         if !is_first && self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
             return None;
         }
@@ -178,7 +178,7 @@
             Ok(policies) => self.policies = Some(Rc::new(policies)),
             Err(error) => return Some(StateChange::Refused(RecordError::new(&item.key, error))),
         }
-        self.policies_removed = None;
+        self.policies_removed_at = None;
         Some(StateChange::Policies { revision: document.revision, by: document.by })
     }
 
@@ -189,13 +189,13 @@
         };
         let region = self.region_of(&registration.hall);
         match self.targets.register(registration, region, now) {
-            Registered::Taken => {
+            RegistrationOutcome::Accepted => {
                 let TargetRegistration { id, start, .. } = registration;
                 vec![StateChange::Target { id: id.clone(), start: *start, state }]
             }
-            Registered::Late => Vec::new(),
-            Registered::WithoutStart => {
-                let error = RecordError::new(&item.key, WITHOUT_START).of_registration();
+            RegistrationOutcome::Stale => Vec::new(),
+            RegistrationOutcome::MissingStart => {
+                let error = RecordError::new(&item.key, MISSING_START).of_registration();
                 self.refuse(RemovedRecord::Target(registration.id.to_string()), error, now)
             }
         }
@@ -216,15 +216,15 @@
             RemovedRecord::Member(name) => {
                 self.members.remove(&name, now).then_some(StateChange::Member { name, present: false })
             }
-            RemovedRecord::Strikes(fingerprint) => Some(StateChange::StrikesLapsed(fingerprint)),
+            RemovedRecord::Strikes(fingerprint) => Some(StateChange::StrikesExpired(fingerprint)),
             RemovedRecord::Policies | RemovedRecord::Unknown => None,
         }
     }
 
     /// The policies in force outlast the removal of their key, which is logged.
-    fn keep_policies(&mut self, key: &str, at: u64) -> Option<StateChange> {
+    fn retain_policies(&mut self, key: &str, at: u64) -> Option<StateChange> {
         let revision = self.policies.as_ref()?.revision;
-        self.policies_removed = Some(at);
+        self.policies_removed_at = Some(at);
         let problem = format!("the key was removed, which ends no policies: revision {revision} stays in force");
         Some(StateChange::Refused(RecordError::new(key, problem)))
     }
--- a/src/decision/registry/routing/mod.rs
+++ b/src/decision/registry/routing/mod.rs
@@ -32,7 +32,7 @@
     /// The operators' policies in force; `None` where there are none.
     pub policies: Option<Rc<Policies>>,
     /// Revision of the store at which the key of those in force was removed, if it was.
-    policies_removed: Option<u64>,
+    policies_removed_at: Option<u64>,
     /// All instances, this one among them.
     pub members: Members,
     /// Requests under which targets ended.
@@ -53,7 +53,7 @@
         Self {
             config: None,
             policies: None,
-            policies_removed: None,
+            policies_removed_at: None,
             members: Members::default(),
             quarantine: Quarantine::default(),
             evacuated: HashSet::new(),
@@ -91,15 +91,15 @@
         self.targets.update_median_latencies();
     }
 
-    /// Limit of a request's second target, requests per slot, where its first has `most`.
-    pub fn second_load(&self, query: &Query<'_>, most: f64) -> f64 {
+    /// Limit of a request's second target, requests per slot, where its first has `max_load`.
+    pub fn second_target_max_load(&self, query: &Query<'_>, max_load: f64) -> f64 {
         let latency = self.targets.second_latency(query.service);
         let objective = query.route.latency_objective;
-        latency.map_or(most, |latency| latency.max_load(most, objective, self.median_latency(query.service)))
+        latency.map_or(max_load, |latency| latency.max_load(max_load, objective, self.median_latency(query.service)))
     }
 
     /// Notes that a second target of the service took this long, or gave no answer in it.
-    pub fn record_second(&self, service: &str, took: Duration) {
+    pub fn record_second_latency(&self, service: &str, took: Duration) {
         if let Some(latency) = self.targets.second_latency(service) {
             latency.record(took);
         }
@@ -116,7 +116,7 @@
     }
 
     /// Factor on the weight of targets of the instance's own region, for a request.
-    pub fn near_weight(&self, query: &Query<'_>) -> f64 {
+    pub fn own_region_weight(&self, query: &Query<'_>) -> f64 {
         self.region_weights.weight(query.service, query.region, |region| query.allows(region))
     }
 
@@ -165,8 +165,8 @@
     }
 
     /// Addresses at which peers listen, but for this instance's own.
-    pub fn peers(&self, own_name: &str) -> Vec<SocketAddr> {
-        self.members.peers(own_name)
+    pub fn peer_addresses(&self, own_name: &str) -> Vec<SocketAddr> {
+        self.members.peer_addresses(own_name)
     }
 
     fn service(&self, name: &str) -> Option<&Service> {
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -60,13 +60,13 @@
 
 /// What became of a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Registered {
+pub enum RegistrationOutcome {
     /// It counts.
-    Taken,
+    Accepted,
     /// It is earlier than what is known of the target, and changes nothing.
-    Late,
+    Stale,
     /// It names no start, as earlier ones of its id did.
-    WithoutStart,
+    MissingStart,
 }
 
 /// All targets.
@@ -103,24 +103,29 @@
     }
 
     /// Takes in a registration.
-    pub fn register(&mut self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Registered {
+    pub fn register(
+        &mut self,
+        registration: &TargetRegistration,
+        region: Rc<str>,
+        now: Instant,
+    ) -> RegistrationOutcome {
         let last = self.last_order(&registration.id);
         if registration.start.is_none() && last.is_some_and(|last| last.start.is_some()) {
-            return Registered::WithoutStart;
+            return RegistrationOutcome::MissingStart;
         }
         let known = self.by_id.get(&registration.id).cloned();
         match known {
-            Some(known) => self.register_again(&known, registration, region, now),
-            None if self.is_late(registration) => Registered::Late,
+            Some(known) => self.reregister(&known, registration, region, now),
+            None if self.is_stale(registration) => RegistrationOutcome::Stale,
             None => {
-                self.add(self.restored(registration, region, now));
-                Registered::Taken
+                self.insert(self.with_restored_signals(registration, region, now));
+                RegistrationOutcome::Accepted
             }
         }
     }
 
     /// A target that is registered again finds what this start of it had said.
-    fn restored(&self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Target {
+    fn with_restored_signals(&self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Target {
         let mut target = Target::new(registration, region, now);
         let tombstone = self.tombstones.get(&registration.id);
         if let Some(tombstone) = tombstone.filter(|tombstone| tombstone.start_key == target.start_key) {
@@ -137,45 +142,45 @@
 
     /// Whether a registration of a removed target is earlier than its removal. If the target was
     /// removed because its grace expired, a registration with the same order is not late.
-    fn is_late(&self, registration: &TargetRegistration) -> bool {
+    fn is_stale(&self, registration: &TargetRegistration) -> bool {
         self.tombstones.get(&registration.id).is_some_and(|tombstone| match tombstone.has_grace_expired {
             true => registration.order() < tombstone.order,
             false => registration.order() <= tombstone.order,
         })
     }
 
-    fn register_again(
+    fn reregister(
         &mut self,
         known: &Target,
         registration: &TargetRegistration,
         region: Rc<str>,
         now: Instant,
-    ) -> Registered {
+    ) -> RegistrationOutcome {
         if registration.order() < known.order() {
-            return Registered::Late;
+            return RegistrationOutcome::Stale;
         }
         let is_same = registration.order() == known.order() || known.matches(registration);
         if registration.start != known.start {
             known.pool.clear();
-            self.take_out(known);
-            self.add(Target::new(registration, region, now));
+            self.unlink(known);
+            self.insert(Target::new(registration, region, now));
         } else if is_same {
             known.update(registration, now);
         } else {
-            self.take_out(known);
-            self.add(known.successor(registration, region, now));
+            self.unlink(known);
+            self.insert(known.successor(registration, region, now));
         }
-        Registered::Taken
+        RegistrationOutcome::Accepted
     }
 
-    fn add(&mut self, target: Target) {
+    fn insert(&mut self, target: Target) {
         let target = Rc::new(target);
         self.by_id.insert(target.id.clone(), target.clone());
         self.second_latencies.entry(target.service.clone()).or_default();
         self.by_service.entry(target.service.clone()).or_default().push(target);
     }
 
-    fn take_out(&mut self, target: &Target) {
+    fn unlink(&mut self, target: &Target) {
         self.by_id.remove(&target.id);
         if let Some(list) = self.by_service.get_mut(&target.service) {
             list.retain(|other| other.id != target.id);
@@ -193,14 +198,14 @@
     }
 
     fn replace_with_tombstone(&mut self, target: &Target, has_grace_expired: bool, now: Instant) {
-        self.take_out(target);
+        self.unlink(target);
         let (order, start_key, signals) = (target.order(), target.start_key, target.signals());
         let tombstone = Tombstone { order, has_grace_expired, at: now, start_key, signals };
         self.tombstones.insert(target.id.clone(), tombstone);
     }
 
     /// Removes tombstones that are old.
-    pub fn sweep_tombstones(&mut self, now: Instant) {
+    pub fn remove_old_tombstones(&mut self, now: Instant) {
         self.tombstones.retain(|_, tombstone| now.saturating_duration_since(tombstone.at) < TOMBSTONE_TTL);
     }
 
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -119,8 +119,8 @@
             paused: None,
             max_load,
             longest_load: query.has_shared_loads.then(|| longest_load(rank)),
-            second_load: routing.second_load(query, max_load),
-            near_weight: routing.near_weight(query),
+            second_load: routing.second_target_max_load(query, max_load),
+            near_weight: routing.own_region_weight(query),
         };
         let mut replacement = Replacement::default();
         for target in routing.targets_of(query.service) {
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -168,7 +168,7 @@
     /// Notes how long a second target took to answer, or that it did not within the time.
     fn record_second(&self, target: &Target, sent: &Result<Response<AnswerBody>, TryError>, took: Duration) {
         if matches!(sent, Ok(_) | Err(TryError::TimedOut)) {
-            self.request.instance.routing.borrow().record_second(&target.service, took);
+            self.request.instance.routing.borrow().record_second_latency(&target.service, took);
         }
     }
 
--- a/src/state/change_log.rs
+++ b/src/state/change_log.rs
@@ -54,7 +54,7 @@
             StateChange::Quarantine { fingerprint, on } => {
                 tracing::warn!(event = "quarantine", %fingerprint, on, revision, source)
             }
-            StateChange::StrikesLapsed(fingerprint) => {
+            StateChange::StrikesExpired(fingerprint) => {
                 tracing::info!(event = "strikes_lapsed", %fingerprint, revision, source)
             }
             StateChange::Refused(error) => {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -239,7 +239,7 @@
                 StateChange::Member { .. } => have_members_changed = true,
                 StateChange::Refused(_) => self.metrics.values_refused.inc(),
                 StateChange::Quarantine { .. } => self.quarantine_changed(),
-                StateChange::StrikesLapsed(fingerprint) => self.strikes_lapsed(*fingerprint),
+                StateChange::StrikesExpired(fingerprint) => self.strikes_lapsed(*fingerprint),
                 StateChange::Policies { .. } | StateChange::Evacuation { .. } | StateChange::Target { .. } => {}
             }
         }
--- a/src/sync/peers/mod.rs
+++ b/src/sync/peers/mod.rs
@@ -95,7 +95,7 @@
 /// A random peer: a member of the view or a seed.
 fn pick<P: Platform>(instance: &Instance<P>) -> Option<SocketAddr> {
     let settings = instance.settings();
-    let mut peers = instance.routing.borrow().peers(&settings.name);
+    let mut peers = instance.routing.borrow().peer_addresses(&settings.name);
     peers.extend(settings.seeds.iter().filter(|seed| **seed != settings.listen.peers));
     peers.choose(&mut rand::rng()).copied()
 }
--- a/tests/registrations.rs
+++ b/tests/registrations.rs
@@ -1,7 +1,7 @@
 //! What a later registration under the same id changes, and what it leaves.
 
 use lockloft::clock::Instant;
-use lockloft::decision::registry::targets::{Registered, Targets};
+use lockloft::decision::registry::targets::{RegistrationOutcome, Targets};
 use lockloft::model::registration::{TargetRegistration, TargetState};
 use std::time::Duration;
 
@@ -21,7 +21,7 @@
 }
 
 fn registered(targets: &mut Targets, registration: &TargetRegistration, now: Instant) -> bool {
-    targets.register(registration, "a".into(), now) == Registered::Taken
+    targets.register(registration, "a".into(), now) == RegistrationOutcome::Accepted
 }
 
 /// Targets with one that is ejected.
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -306,7 +306,7 @@
         }
         served.record_success(took, now);
         if running.is_second {
-            self.instances[running.instance].0.routing.record_second("shop", took);
+            self.instances[running.instance].0.routing.record_second_latency("shop", took);
         }
         self.count(&running.request, at);
     }
--- a/tests/restarted_targets.rs
+++ b/tests/restarted_targets.rs
@@ -3,7 +3,7 @@
 
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::load_report::LoadReport;
-use lockloft::decision::registry::targets::{Registered, Targets};
+use lockloft::decision::registry::targets::{RegistrationOutcome, Targets};
 use lockloft::model::registration::{StartTime, TargetRegistration, TargetState};
 use proptest::prelude::*;
 use std::time::Duration;
@@ -24,7 +24,7 @@
 }
 
 /// Targets with these registrations of one, in the order of arrival, and what became of each.
-fn after(registrations: &[TargetRegistration]) -> (Targets, Vec<Registered>) {
+fn after(registrations: &[TargetRegistration]) -> (Targets, Vec<RegistrationOutcome>) {
     let mut targets = Targets::default();
     let now = Instant::now();
     let outcomes = registrations.iter().map(|one| targets.register(one, "a".into(), now)).collect();
@@ -34,7 +34,7 @@
 #[test]
 fn a_later_start_counts_with_a_lower_sequence() {
     let (targets, outcomes) = after(&[written(Some(1_000), 40), written(Some(2_000), 1)]);
-    assert_eq!(outcomes, [Registered::Taken, Registered::Taken]);
+    assert_eq!(outcomes, [RegistrationOutcome::Accepted, RegistrationOutcome::Accepted]);
     let target = targets.get("t").unwrap();
     assert_eq!((target.start, target.sequence()), (Some(StartTime(2_000)), 1));
     assert_eq!(targets.of_service("shop").len(), 1);
@@ -44,7 +44,7 @@
 fn a_late_write_of_an_earlier_start_changes_nothing() {
     let drain = TargetRegistration { state: TargetState::Draining, ..written(Some(1_000), 41) };
     let (targets, outcomes) = after(&[written(Some(1_000), 40), written(Some(2_000), 1), drain]);
-    assert_eq!(outcomes[2], Registered::Late);
+    assert_eq!(outcomes[2], RegistrationOutcome::Stale);
     assert!(targets.get("t").unwrap().is_ready());
 }
 
@@ -59,7 +59,7 @@
     last.record_latency(Duration::from_secs(5), now);
     last.mark_replaced();
     last.begin_grace(now);
-    assert_eq!(targets.register(&written(Some(2_000), 1), "a".into(), now), Registered::Taken);
+    assert_eq!(targets.register(&written(Some(2_000), 1), "a".into(), now), RegistrationOutcome::Accepted);
     let next = targets.get("t").unwrap();
     assert_eq!((next.load(now), next.average_latency()), (0.0, None));
     assert!(!next.is_ejected(now) && !next.is_in_slow_start(now) && !next.has_expired(now));
@@ -74,17 +74,20 @@
     let (mut targets, _) = after(&[written(Some(1_000), 40)]);
     let last = targets.get("t").unwrap().clone();
     targets.remove(&last, now);
-    assert_eq!(targets.register(&written(Some(1_000), 40), "a".into(), now), Registered::Late);
-    assert_eq!(targets.register(&written(Some(2_000), 1), "a".into(), now), Registered::Taken);
+    assert_eq!(targets.register(&written(Some(1_000), 40), "a".into(), now), RegistrationOutcome::Stale);
+    assert_eq!(targets.register(&written(Some(2_000), 1), "a".into(), now), RegistrationOutcome::Accepted);
     let next = targets.get("t").unwrap().clone();
     targets.remove(&next, now);
-    assert_eq!(targets.register(&written(Some(1_000), 99), "a".into(), now), Registered::Late);
+    assert_eq!(targets.register(&written(Some(1_000), 99), "a".into(), now), RegistrationOutcome::Stale);
 }
 
 #[test]
 fn an_id_that_has_named_a_start_must_go_on_naming_one() {
     let (_, outcomes) = after(&[written(None, 7), written(Some(1_000), 1), written(None, 8)]);
-    assert_eq!(outcomes, [Registered::Taken, Registered::Taken, Registered::WithoutStart]);
+    assert_eq!(
+        outcomes,
+        [RegistrationOutcome::Accepted, RegistrationOutcome::Accepted, RegistrationOutcome::MissingStart]
+    );
 }
 
 #[test]
@@ -94,9 +97,9 @@
     let target = targets.get("t").unwrap().clone();
     target.record_latency(Duration::from_secs(1), now);
     assert!(target.invalidate() && !target.invalidate() && !target.is_ready());
-    assert_eq!(targets.register(&written(Some(1_000), 3), "a".into(), now), Registered::Late);
+    assert_eq!(targets.register(&written(Some(1_000), 3), "a".into(), now), RegistrationOutcome::Stale);
     assert!(!target.is_ready(), "a late write does not bring it back");
-    assert_eq!(targets.register(&written(Some(1_000), 5), "a".into(), now), Registered::Taken);
+    assert_eq!(targets.register(&written(Some(1_000), 5), "a".into(), now), RegistrationOutcome::Accepted);
     assert!(target.is_ready());
     assert_eq!(target.average_latency(), Some(1.0));
 }
--- a/tests/second_target.rs
+++ b/tests/second_target.rs
@@ -22,7 +22,7 @@
     }
     scene.routing.update_median_latencies();
     for _ in 0..100 {
-        second.into_iter().for_each(|took| scene.routing.record_second("shop", took));
+        second.into_iter().for_each(|took| scene.routing.record_second_latency("shop", took));
     }
     scene
 }
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -4,7 +4,7 @@
 use lockloft::decision::capacity::rate_limit::StatedLimit;
 use lockloft::decision::failure::pause::{Pause, StatedPause};
 use lockloft::decision::registry::signals::{LeavingSignal, ResponseSignals, SignalChange};
-use lockloft::decision::registry::targets::{Registered, Targets};
+use lockloft::decision::registry::targets::{RegistrationOutcome, Targets};
 use lockloft::model::registration::{StartTime, TargetRegistration, TargetState};
 use std::time::Duration;
 
@@ -61,7 +61,7 @@
 }
 
 fn leaves_after(mut targets: Targets, registration: &TargetRegistration) -> bool {
-    assert_eq!(targets.register(registration, "a".into(), Instant::now()), Registered::Taken);
+    assert_eq!(targets.register(registration, "a".into(), Instant::now()), RegistrationOutcome::Accepted);
     targets.get("t").unwrap().is_leaving()
 }
 
