--- a/src/decision/registry/change.rs
+++ b/src/decision/registry/change.rs
@@ -1,78 +1,79 @@
-//! Changes of the routing state, for the log and for the tasks that depend on them.
+//! Changes of the routing state, for the log and for the state that depends on them.
 //!
-//! Owns no state: [`crate::decision::registry::routing::Routing`] reports what a change of the store
-//! meant.
+//! Owns no state: [`crate::decision::registry::routing::Routing`] reports the effect of each change
+//! of the store.
 
 use crate::model::fingerprint::Fingerprint;
 use crate::model::record::RecordError;
 use crate::model::registration::StartTime;
 use std::rc::Rc;
 
-/// A change of what this instance routes by.
+/// A change of the routing state of this instance.
 #[derive(Debug)]
 pub enum StateChange {
     /// A later configuration is in force; its version.
     Config(u64),
     /// Later policies of the operators are in force.
     Policies {
-        /// Their revision.
+        /// Revision of the policy document.
         revision: u64,
-        /// Who applied them.
+        /// The operator who applied it, as the document states.
         by: String,
     },
-    /// A hall is evacuated, or no longer.
+    /// An evacuation of a hall began or ended.
     Evacuation {
         /// The hall.
         hall: String,
-        /// Whether it is evacuated now.
+        /// True if the hall is now evacuated.
         on: bool,
     },
-    /// A target registered, changed its registration or lost it.
+    /// A target's registration was written, removed or found invalid.
     Target {
-        /// Its identity.
+        /// The target's identity.
         id: Rc<str>,
-        /// When its start began, where its registration says so.
+        /// When the target's process started; `None` if its registration does not say.
         start: Option<StartTime>,
-        /// What became of it.
+        /// The target's new state.
         state: TargetChange,
     },
     /// The record of an instance was written or removed.
     Member {
-        /// Its name.
+        /// The instance's name.
         name: String,
-        /// Whether it is a member now.
+        /// True if the instance is now a member.
         present: bool,
     },
-    /// A request under which targets ended is refused from now on, or no longer.
+    /// The quarantine of a request that crashed targets began or ended.
     Quarantine {
-        /// The request.
+        /// The request's fingerprint.
         fingerprint: Fingerprint,
-        /// Whether it is refused now.
+        /// True if the request is now refused.
         on: bool,
     },
-    /// The record of a request's strikes is gone from the store.
+    /// The store no longer has the record of this request's strikes.
     StrikesExpired(Fingerprint),
     /// A value of the store was refused.
     Refused(RecordError),
 }
 
-/// What became of a target.
+/// The new state of a target after a change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetChange {
-    /// Its registration says that it takes requests.
+    /// Its registration says that it accepts requests.
     Ready,
-    /// Its registration says that it drains.
+    /// Its registration says that it is draining.
     Draining,
     /// Its registration expired, and it is kept for the grace.
     InGrace,
-    /// The entry at its key names no target that could be used.
+    /// The value at its key is not a usable registration.
     Invalid,
     /// It was removed.
     Removed,
 }
 
 impl TargetChange {
-    /// Its name in log lines, as operators know it: the names stay when the code's change.
+    /// The state's name in log lines. Operators rely on these names, so they stay the same when
+    /// variants are renamed.
     pub fn as_str(self) -> &'static str {
         match self {
             TargetChange::Ready => "ready",
--- a/src/decision/registry/grace.rs
+++ b/src/decision/registry/grace.rs
@@ -1,21 +1,21 @@
-//! Registration grace: a target whose registration expired while the store was unreachable
-//! is kept for a short time after the store's return, and is gone only if it has not
-//! registered again by then.
+//! Registration grace: a target whose registration expired while the store was unreachable is kept
+//! for a short time after the store's return, and is removed only if it has not registered again by
+//! then.
 //!
 //! **Inputs**
 //! - The end of the grace, a time, from [`crate::store::grace`], which owns `GRACE` (2.0 s
-//!   after the store's return), `DETECTION_WINDOW` (registrations seen to be gone within 1.5 s
-//!   of the return) and `MIN_VIEW_AGE` (only where the view was older than 3.0 s when the store
+//!   after the store's return), `DETECTION_WINDOW` (only registrations found missing within 1.5 s
+//!   of the return) and `MIN_VIEW_AGE` (only if the view was older than 3.0 s when the store
 //!   returned, so that registrations can have expired unseen).
-//! - The registration's state before it went: one that was draining gets no grace.
+//! - The state in the last registration: a target that was draining gets no grace.
 //! - A later registration of the same target, which ends the grace.
 //!
-//! **Why.** While the store is unreachable, targets that are alive cannot renew their
-//! leases. When it returns they all seem to be gone, and register again within some two
-//! seconds. Without grace the instance would have no target for that time.
+//! **Why.** While the store is unreachable, live targets cannot renew their leases. When the store
+//! returns, all of them are missing from it, and register again within about two seconds. Without
+//! the grace, the instance would have no target during that time.
 //!
-//! **Guards** two promises: requests are served on while the store is unreachable, and a target that
-//! is really gone gets none once its time for draining is over (2 s after the acknowledgement
+//! **Guards** two promises: requests are served while the store is unreachable, and a target that
+//! has really stopped receives none once its time for draining is over (2 s after the acknowledgement
 //! on the strictest site, which bounds `GRACE` from above).
 //!
 //! **Test**: `a_target_whose_registration_expired_while_the_store_was_unreachable_is_kept_for_the_grace` and the
@@ -23,25 +23,24 @@
 
 use crate::clock::Instant;
 
-/// Whether a target is kept although its registration is gone.
+/// The grace of one target: until when it is kept although its registration is missing.
 #[derive(Debug, Default)]
 pub struct Grace {
     until: Option<Instant>,
 }
 
 impl Grace {
-    /// Begins the grace of a registration that is gone; one that runs already is not
-    /// lengthened.
+    /// Starts the grace of a missing registration; one that is already running is not extended.
     pub fn begin(&mut self, until: Instant) {
         self.until = self.until.or(Some(until));
     }
 
-    /// Lengthens a grace that runs to `until`, where that is later; begins none.
+    /// Extends a running grace to `until` if that is later; does not start one.
     pub fn extend(&mut self, until: Instant) {
         self.until = self.until.map(|current| current.max(until));
     }
 
-    /// Ends the grace: the target is registered again.
+    /// Ends the grace, because the target's key was written again.
     pub fn end(&mut self) {
         self.until = None;
     }
--- a/src/decision/registry/members.rs
+++ b/src/decision/registry/members.rs
@@ -1,8 +1,7 @@
-//! The members: all instances that have registered in the store, this one among them.
+//! The members: all instances registered in the store, including this one.
 //!
 //! Owns the list, and the time at which an instance last joined or left. As old as the view;
-//! while the store is unreachable it stays as it was. Relies on nothing but the decoded
-//! records.
+//! unchanged while the store is unreachable. Relies only on decoded records.
 
 use crate::clock::Instant;
 use crate::model::member::Member;
@@ -15,13 +14,14 @@
 pub struct Members {
     by_name: BTreeMap<String, Member>,
     changed_at: Instant,
-    /// The most there were lately, and since when there are fewer.
+    /// Largest recent member count.
     recent_max: usize,
+    /// Since when there have been fewer members than `recent_max`; `None` if there are not.
     below_max_since: Option<Instant>,
 }
 
-/// Time for which members that are gone count among the recent ones: they may have lost their keys
-/// and not be dead, and register again within a lease or two.
+/// How long removed members count as recent: they may have lost their keys without having stopped,
+/// and register again within one or two leases.
 const RECENT_WINDOW: Duration = Duration::from_secs(10);
 
 impl Default for Members {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Removes a member; false where there was none.
+    /// Removes a member; false if it was not one.
     pub fn remove(&mut self, name: &str, now: Instant) -> bool {
         self.expire_recent_max(now);
         let is_removed = self.by_name.remove(name).is_some();
@@ -56,7 +56,7 @@
         self.changed_at
     }
 
-    /// Forgets that there were more, where that is long ago; before a change.
+    /// Lowers `recent_max` to the current count if it is no longer recent. Called before each change.
     fn expire_recent_max(&mut self, now: Instant) {
         self.recent_max = self.recent_count(now);
         if self.recent_max == self.by_name.len() {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Notes whether there are fewer than lately; after a change.
+    /// Compares the new count with `recent_max`. Called after each change.
     fn update_recent_max(&mut self, now: Instant) {
         if self.by_name.len() < self.recent_max {
             self.below_max_since.get_or_insert(now);
@@ -74,18 +74,18 @@
         }
     }
 
-    /// The most that there were in the last ten seconds.
+    /// Largest member count of the last ten seconds.
     pub fn recent_count(&self, now: Instant) -> usize {
         let is_over = self.below_max_since.is_some_and(|since| now.saturating_duration_since(since) >= RECENT_WINDOW);
         if is_over { self.by_name.len() } else { self.by_name.len().max(self.recent_max) }
     }
 
-    /// How many there are.
+    /// Current member count, including this instance if it is registered.
     pub fn count(&self) -> usize {
         self.by_name.len()
     }
 
-    /// Whether there is a member of this name.
+    /// Whether an instance of this name is a member.
     pub fn contains_key(&self, name: &str) -> bool {
         self.by_name.contains_key(name)
     }
@@ -100,12 +100,12 @@
         self.by_name.keys().map(String::as_str)
     }
 
-    /// All members but the one of this name, in name order.
+    /// All members except the one named `own_name`, in name order.
     pub fn others(&self, own_name: &str) -> impl Iterator<Item = &Member> {
         self.by_name.iter().filter(move |(name, _)| *name != own_name).map(|(_, member)| member)
     }
 
-    /// Addresses where the other instances listen for their peers.
+    /// Addresses at which the other instances listen for peers.
     pub fn peer_addresses(&self, own_name: &str) -> Vec<SocketAddr> {
         self.others(own_name).map(|member| member.peer).collect()
     }
--- a/src/decision/registry/mod.rs
+++ b/src/decision/registry/mod.rs
@@ -1,7 +1,8 @@
-//! Who is there: targets, instances and configuration as the store describes them, and what is
-//! known of each target.
+//! Targets, instances and configuration as the store describes them, and what is known about each
+//! target.
 //!
-//! Owns the state of each target, which the other rules look at. The tables of [`crate::decision`] say what each rule promises.
+//! Owns the state of each target, which the other rules read. The tables of [`crate::decision`] list
+//! what each rule promises.
 
 pub mod change;
 pub mod grace;
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -1,29 +1,29 @@
-//! Changes of the store applied to the routing state, one record at a time, in the order of
-//! the store. **Rule**: of configurations, policies and registrations, an earlier one changes
-//! nothing; evacuations and members follow the order of arrival. A configuration or policies
-//! that cannot be read change nothing; a registration that cannot be read names nothing, and
-//! takes the target or instance at its key out of use. Policies whose key is removed stay in force, and the next document comes
-//! into force whatever its revision: revisions may begin anew.
+//! Applies changes of the store to the routing state, one record at a time, in the order of the store.
+//! **Rule**: an earlier version of the configuration, the policies or a registration is ignored;
+//! evacuations and members are applied in the order of arrival. An unreadable configuration or policy
+//! document changes nothing; an unreadable registration excludes the target or instance at its key.
+//! If the key of the policies is removed, they stay in force, and the next document takes effect
+//! whatever its revision, since revisions may start again.
 //!
 //! The first list of a later era also lacks records that were written after the snapshot from which
-//! the store was restored ([`crate::store::era`]). Members, evacuations and ready targets that it lacks
-//! are therefore kept for a grace, within which they can be written again.
+//! the store was restored ([`crate::store::era`]). Members, evacuations and ready targets missing
+//! from it are therefore kept for a grace, within which they can be written again.
 //!
-//! **Inputs**: the store's changes, as old as the way that they came by (watch, relay or
-//! peer); versions of the configuration, revisions of the policies, sequence numbers of
-//! registrations; the end of the grace ([`crate::decision::registry::grace`]) where the store has just
-//! returned.
+//! **Inputs**: changes of the store, as old as the way that they arrived by (watch, relay or peer);
+//! versions of the configuration, revisions of the policies, sequence numbers of registrations; the
+//! end of the grace ([`crate::decision::registry::grace`]) if the store has just returned.
 //!
-//! **Why.** Changes can arrive twice and out of order when an instance changes between the
-//! store, its relay and peers. Operators' mistakes must not stop the requests.
+//! **Why.** Changes can arrive twice and out of order when an instance switches between the store,
+//! its relay and peers. A mistake of an operator must not interrupt requests.
 //!
-//! **Guards** the promises that an instance never goes back to an older configuration, and
-//! that the last good value stays in force after a refused one.
+//! **Guards** the promises that an instance never returns to an older configuration, and that the
+//! last valid value stays in force after a refused one.
 //!
 //! **Constants**: none.
 //!
-//! **Test**: `tests/broken_registrations.rs`; `an_earlier_registration_or_configuration_that_arrives_late_changes_nothing` in
-//! `tests/choice.rs`; `tests/policies.rs` for policies.
+//! **Test**: `platform/tests/broken_registrations.rs`;
+//! `an_earlier_registration_or_configuration_that_arrives_late_changes_nothing` in `tests/choice.rs`;
+//! `tests/policies.rs` and `tests/removed_policies.rs` for policies.
 
 use super::Routing;
 use crate::clock::Instant;
@@ -38,16 +38,16 @@
 use crate::store::{Event, Item};
 use std::rc::Rc;
 
-/// What is wrong with a registration that names no start where earlier ones of its id did.
-const MISSING_START: &str = "it does not say when the target started, as earlier entries did";
+/// Error of a registration without a start time, if an earlier one of the same id had one.
+const MISSING_START: &str = "the start time is missing, although earlier registrations of the target have one";
 
 fn target_change(target: &Target, state: TargetChange) -> StateChange {
     StateChange::Target { id: target.id.clone(), start: target.start, state }
 }
 
 impl Routing {
-    /// Applies changes of the store. A target whose registration is among the removed ones is
-    /// kept until `grace_until` where that is given.
+    /// Applies changes of the store. If `grace_until` is given, ready targets whose registrations were
+    /// removed are kept until then.
     pub fn apply<P: Platform>(
         &mut self,
         changes: &[Event],
@@ -74,8 +74,8 @@
     }
 
     /// Applies the first list of a later era of the store. Members, evacuations and ready targets
-    /// that it lacks are removed at `grace_until` unless they have been written again. Each grace that
-    /// runs is lengthened to `grace_until`.
+    /// missing from it are removed at `grace_until` unless they have been written again. A grace that
+    /// is already running is extended to `grace_until`.
     pub fn begin_era<P: Platform>(
         &mut self,
         changes: &[Event],
@@ -88,8 +88,8 @@
             is_gone && matches!(removed(), RemovedRecord::Member(_) | RemovedRecord::Evacuation(_))
         };
         let (kept, others): (Vec<&Event>, Vec<&Event>) = changes.iter().partition(is_kept);
-        // The list names no removal of records that an earlier list lacked: without this their grace
-        // would end before they can be written again.
+        // Records that were missing from an earlier list already are not among the changes. Without the
+        // extension, their grace would end before they can be written again.
         self.in_grace.iter_mut().for_each(|(_, until)| *until = grace_until.max(*until));
         self.targets.iter().for_each(|target| target.extend_grace(grace_until));
         self.in_grace.extend(kept.into_iter().map(|event| (P::decode_removal(event.key()), grace_until)));
@@ -97,7 +97,8 @@
         self.apply::<P>(&others, now, Some(grace_until))
     }
 
-    /// What an item that cannot be used leaves of the record that should be at its key.
+    /// Refuses an unusable value. The target at its key is excluded, a member is removed, strikes count as
+    /// expired, and anything else stays as it is.
     fn refuse(&mut self, record: RemovedRecord, error: RecordError, now: Instant) -> Vec<StateChange> {
         let change = match record {
             RemovedRecord::Target(id) => self.invalidate_target(&id),
@@ -112,8 +113,8 @@
         target.invalidate().then(|| target_change(target, TargetChange::Invalid))
     }
 
-    /// Removes targets, members and evacuations whose grace is over and that were not written again,
-    /// and strikes that count no longer.
+    /// Removes targets, members and evacuations whose grace has expired without a new write, and
+    /// strikes that no longer count.
     pub fn remove_expired(&mut self, now: Instant) -> Vec<StateChange> {
         let expired = self.targets.expired(now);
         let removed_targets = expired.iter().map(|target| self.remove_expired_target(target, now));
@@ -129,7 +130,7 @@
         state_changes.into_iter().chain(ended).collect()
     }
 
-    /// Ends the grace of a member or an evacuation whose key was written or removed.
+    /// Ends the grace of a member or evacuation whose key was written or removed.
     fn end_grace(&mut self, record: impl FnOnce() -> RemovedRecord) {
         if !self.in_grace.is_empty() {
             let changed = record();
@@ -168,7 +169,7 @@
         Some(StateChange::Config(version))
     }
 
-    /// Takes later policies in force, whole or not at all.
+    /// Puts later policies in force, all of them or none.
     fn apply_policies(&mut self, item: &Item, document: PolicyDocument) -> Option<StateChange> {
         let is_first = self.policies_removed_at.is_some_and(|removed| item.revision > removed);
         if !is_first && self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
@@ -221,11 +222,11 @@
         }
     }
 
-    /// The policies in force outlast the removal of their key, which is logged.
+    /// Keeps the policies in force after the removal of their key, and reports the removal as refused.
     fn retain_policies(&mut self, key: &str, at: u64) -> Option<StateChange> {
         let revision = self.policies.as_ref()?.revision;
         self.policies_removed_at = Some(at);
-        let problem = format!("the key was removed, which ends no policies: revision {revision} stays in force");
+        let problem = format!("the key was removed, but the policies of revision {revision} stay in force");
         Some(StateChange::Refused(RecordError::new(key, problem)))
     }
 
@@ -249,8 +250,8 @@
         target_change(target, TargetChange::Removed)
     }
 
-    /// Ends an evacuation. The hall's targets may have become cold meanwhile, and no
-    /// registration says so in time: they start slowly.
+    /// Ends an evacuation. The hall's targets may have become cold during it, which no registration
+    /// reports in time, so they begin a slow start.
     fn end_evacuation(&mut self, hall: String, now: Instant) -> Option<StateChange> {
         if !self.evacuated.remove(hall.as_str()) {
             return None;
--- a/src/decision/registry/routing/mod.rs
+++ b/src/decision/registry/routing/mod.rs
@@ -1,10 +1,10 @@
-//! The routing state: everything that the store says and the choice of a target looks at.
+//! The routing state: all contents of the store that the choice of a target depends on.
 //!
-//! Owns the configuration in force, the operators' policies in force, the evacuated halls,
+//! Owns the configuration and the operators' policies in force, the evacuated halls, the quarantine,
 //! the [`Targets`] and the [`Members`]. Changes of the store are applied in `apply.rs`.
 //!
-//! All of it is as old as the view of the store: stale from `MAX_VIEW_AGE` (1.3 s) on, then
-//! still used.
+//! All of it is as old as the view of the store. From `MAX_VIEW_AGE` (1.3 s) on it is stale, but still
+//! used.
 
 mod apply;
 
@@ -27,28 +27,28 @@
 /// The routing state of an instance.
 #[derive(Debug)]
 pub struct Routing {
-    /// The configuration in force; `None` before the first.
+    /// The configuration in force; `None` until the first one has arrived.
     pub config: Option<Rc<Config>>,
-    /// The operators' policies in force; `None` where there are none.
+    /// The operators' policies in force; `None` if there are none.
     pub policies: Option<Rc<Policies>>,
-    /// Revision of the store at which the key of those in force was removed, if it was.
+    /// Revision of the store at which the key of the policies in force was removed, if it was.
     policies_removed_at: Option<u64>,
-    /// All instances, this one among them.
+    /// All registered instances, including this one.
     pub members: Members,
-    /// Requests under which targets ended.
+    /// Requests that crashed targets, with their strikes.
     pub quarantine: Quarantine,
     evacuated: HashSet<Rc<str>>,
-    /// Members and evacuations that the restored store lacks, each with the end of its grace.
+    /// Members and evacuations missing from a restored store, each with the end of its grace.
     in_grace: Vec<(RemovedRecord, Instant)>,
     targets: Targets,
     /// Region of each hall, from the settings.
     regions: HashMap<Rc<str>, Rc<str>>,
-    /// Renewed after each change.
+    /// Recomputed after each change of targets, members or evacuations.
     region_weights: RegionWeights,
 }
 
 impl Routing {
-    /// An empty routing state; `regions` gives the region of each hall.
+    /// An empty routing state; `regions` maps each hall to its region.
     pub fn new(regions: HashMap<Rc<str>, Rc<str>>) -> Self {
         Self {
             config: None,
@@ -64,48 +64,50 @@
         }
     }
 
-    /// The targets of a service.
+    /// The targets of a service; empty if there are none.
     pub fn targets_of(&self, service: &str) -> &[Rc<Target>] {
         self.targets.of_service(service)
     }
 
-    /// All targets.
+    /// All targets, in no particular order.
     pub fn targets(&self) -> impl Iterator<Item = &Rc<Target>> {
         self.targets.iter()
     }
 
-    /// Whether the target is in use: registered, and not leaving.
+    /// Whether this record of the target is current, its registration ready, and it is not leaving.
     pub fn is_in_use(&self, target: &Rc<Target>) -> bool {
         let registered = self.targets.get(&target.id);
         registered.is_some_and(|known| Rc::ptr_eq(known, target)) && target.is_ready() && !target.is_leaving()
     }
 
-    /// Median of the average latencies of the service's targets, seconds; infinite before
-    /// the first answer.
+    /// Median of the average latencies of the service's targets, seconds; infinite before the first
+    /// response.
     pub fn median_latency(&self, service: &str) -> f64 {
         self.targets.median_latency(service)
     }
 
-    /// Works out the median latencies again.
+    /// Recomputes the median latencies.
     pub fn update_median_latencies(&mut self) {
         self.targets.update_median_latencies();
     }
 
-    /// Limit of a request's second target, requests per slot, where its first has `max_load`.
+    /// Load limit of a request's second target, requests per slot, where that of its first is `max_load`.
     pub fn second_target_max_load(&self, query: &Query<'_>, max_load: f64) -> f64 {
         let latency = self.targets.second_latency(query.service);
         let objective = query.route.latency_objective;
         latency.map_or(max_load, |latency| latency.max_load(max_load, objective, self.median_latency(query.service)))
     }
 
-    /// Notes that a second target of the service took this long, or gave no answer in it.
+    /// Records the latency of a request at a second target of the service, or the time after which no
+    /// response had arrived.
     pub fn record_second_latency(&self, service: &str, took: Duration) {
         if let Some(latency) = self.targets.second_latency(service) {
             latency.record(took);
         }
     }
 
-    /// Bounds idle connections to targets by what these take from all instances.
+    /// Bounds the idle connections to each target by this instance's share of the connections that the
+    /// target accepts from all instances.
     pub fn share_connections(&self) {
         for (service, targets) in self.targets.by_service() {
             let Some(service) = self.service(service) else { continue };
@@ -115,7 +117,7 @@
         }
     }
 
-    /// Factor on the weight of targets of the instance's own region, for a request.
+    /// Factor on the weight of targets in the instance's own region, for a request.
     pub fn own_region_weight(&self, query: &Query<'_>) -> f64 {
         self.region_weights.weight(query.service, query.region, |region| query.allows(region))
     }
@@ -126,7 +128,7 @@
         self.region_weights = RegionWeights::new(slots.collect(), regions);
     }
 
-    /// Slots by region of the targets that are ready and in no evacuated hall.
+    /// Slots, by region, of the targets that are ready and not in an evacuated hall.
     fn region_slots(&self, targets: &[Rc<Target>]) -> RegionSlots {
         let mut slots = RegionSlots::new();
         for target in targets.iter().filter(|target| target.is_ready() && !self.is_evacuated(&target.hall)) {
@@ -135,23 +137,23 @@
         slots
     }
 
-    /// Whether the hall is evacuated, so that its targets get nothing.
+    /// Whether the hall is evacuated, so that its targets receive no requests.
     pub fn is_evacuated(&self, hall: &str) -> bool {
         self.evacuated.contains(hall)
     }
 
-    /// The evacuated halls.
+    /// Names of the evacuated halls, in no particular order.
     pub fn evacuated(&self) -> impl Iterator<Item = &str> {
         self.evacuated.iter().map(|hall| &**hall)
     }
 
-    /// The region of a hall; the hall's own name where the settings do not list it.
+    /// The region of a hall; the hall's own name if the settings do not list the hall.
     pub fn region_of(&self, hall: &Rc<str>) -> Rc<str> {
         self.regions.get(hall).unwrap_or(hall).clone()
     }
 
-    /// Whether this instance may send a cold target a request now, of the rate that all
-    /// instances share.
+    /// Whether this instance may send a cold target a request now, within its share of the target's
+    /// slow-start rate.
     pub fn may_send_in_slow_start(&self, target: &Target, share: SlowStartShare<'_>, now: Instant) -> bool {
         let service = self.service(&target.service);
         let shared = service.map_or(0, |service| share.bounds.shared_rate(service.slow_start_rate));
@@ -159,12 +161,12 @@
         target.may_send_in_slow_start(self.members.changed_at(), shared, rate, now)
     }
 
-    /// Revision of the operators' policies in force; 0 where there are none.
+    /// Revision of the operators' policies in force; 0 if there are none.
     pub fn policies_revision(&self) -> u64 {
         self.policies.as_ref().map_or(0, |policies| policies.revision)
     }
 
-    /// Addresses at which peers listen, but for this instance's own.
+    /// Addresses at which the other instances listen for peers.
     pub fn peer_addresses(&self, own_name: &str) -> Vec<SocketAddr> {
         self.members.peer_addresses(own_name)
     }
--- a/src/decision/registry/signals.rs
+++ b/src/decision/registry/signals.rs
@@ -1,24 +1,26 @@
-//! What a target says of itself in its answers: its rate limit, that it leaves, that it wants a pause.
+//! Signals that a target sends about itself in response headers: its rate limit, that it is leaving,
+//! and a requested pause.
 //!
-//! **Rule.** A statement holds for the start of the target that made it, at its address: another one
-//! inherits nothing, and an answer that comes late speaks of the start that was asked. It outlasts the
-//! registration: one that is gone for a while and comes back finds what that start had said, for as
-//! long as a tombstone is kept.
+//! **Rule.** A signal applies to the start of the target that sent it, at its address: another start or
+//! address inherits nothing, and a late response applies to the start that the request was sent to.
+//! Signals outlive the registration: if it disappears and comes back, the same start keeps its signals,
+//! for as long as a tombstone is kept.
 //!
-//! | statement | whom it binds | until when |
+//! | signal | applies to | until |
 //! |---|---|---|
-//! | rate limit ([`crate::decision::capacity::rate_limit`]) | all instances together; told through heads | answers do not name it any more, or 10 s without word |
-//! | that it leaves | each instance that heard it, from the target or through heads | the end of that start, whatever it or its registration says later |
-//! | pause ([`crate::decision::failure::pause`]) | the instance that was turned away | the time that it named |
+//! | rate limit ([`crate::decision::capacity::rate_limit`]) | all instances together; distributed through heads | responses no longer contain it, or 10 s pass without a new value |
+//! | leaving | each instance that learned of it, from the target or through heads | the end of that start, whatever the target or its registration says later |
+//! | pause ([`crate::decision::failure::pause`]) | the instance whose request was rejected | the requested time is over |
 //!
-//! **Inputs**: headers of the target's own answers, of any status, as they arrive. What cannot be read
-//! counts as not said.
+//! **Inputs**: headers of the target's own responses, with any status, as they arrive. An unreadable
+//! value counts as absent.
 //!
-//! **Why.** The store may be silent while a target leaves, and its registration says nothing of what the
-//! target has room for.
+//! **Why.** The store may be unreachable while a target is leaving, and a registration does not say how
+//! many requests the target can serve.
+//!
+//! **Guards** the promises that a target which is leaving, or has requested a pause, receives no new
+//! request.
 //!
-//! **Guards** the promises that a target which said that it leaves, or that it wants none for a time,
-//! gets no new request.
 //! **Test**: `tests/statements.rs`, `standins/tests/leaving_statements.rs`,
 //! `standins/tests/pauses.rs`.
 
@@ -27,50 +29,50 @@
 use crate::decision::failure::pause::{Pause, StatedPause};
 use std::time::Duration;
 
-/// What one answer says.
+/// Signals in one response.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseSignals {
-    /// Of its rate limit.
+    /// Rate limit of the target, over all instances.
     pub limit: StatedLimit,
-    /// Of its end.
+    /// Whether the target is leaving.
     pub leaving: LeavingSignal,
-    /// Of a time for which it wants no other request.
+    /// Time during which the target wants no further requests from this instance.
     pub pause: StatedPause,
-    /// Whether it turns the request away.
+    /// Whether the response rejects the request, with status 429 or 503.
     pub is_rejection: bool,
 }
 
-/// What an answer says of the target's end.
+/// The leaving header of one response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum LeavingSignal {
-    /// Nothing.
+    /// The header is absent.
     None,
-    /// That it leaves.
+    /// The target is leaving.
     Leaving,
-    /// Something that cannot be read: it says nothing.
+    /// No value is readable; counts as absent.
     Unreadable,
 }
 
 impl LeavingSignal {
-    /// Reads the values of the header: `1`, also where it is named more than once.
+    /// Parses the values of the header. The target is leaving if at least one of them is `1`.
     pub fn parse<'a>(values: impl Iterator<Item = &'a [u8]>) -> Self {
         let parse = |value: &[u8]| if value.trim_ascii() == b"1" { Self::Leaving } else { Self::Unreadable };
         values.map(parse).fold(Self::None, |one, other| if one == Self::Leaving { one } else { other })
     }
 }
 
-/// What changed by an answer.
+/// What the signals of one response changed.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct SignalChange {
-    /// The limit that holds from now on where it is another one, `None` in it for none.
+    /// The new limit, requests per second, if it changed; `Some(None)` if there is none any more.
     pub limit: Option<Option<f64>>,
-    /// Whether it was not known before that it leaves.
+    /// Whether the response is the first sign that the target is leaving.
     pub began_leaving: bool,
-    /// The pause that begins.
+    /// The time left of a pause that begins now.
     pub pause: Option<Duration>,
 }
 
-/// What one start of a target has said of itself.
+/// The signals received from one start of a target.
 #[derive(Debug, Default)]
 pub struct TargetSignals {
     /// Its rate limit.
@@ -81,8 +83,8 @@
 }
 
 impl TargetSignals {
-    /// Takes in what an answer says that arrived now, to a request sent at `sent`. `draw` is at
-    /// random from 0 to 1.
+    /// Applies the signals of a response that arrived now, to a request sent at `sent`. `draw` is a
+    /// random number from 0 to 1.
     pub fn apply(&mut self, signals: ResponseSignals, draw: f64, sent: Instant, now: Instant) -> SignalChange {
         let began_leaving = signals.leaving == LeavingSignal::Leaving && self.mark_leaving();
         if !signals.is_rejection {
@@ -92,12 +94,12 @@
         SignalChange { limit: self.limit.state(signals.limit, sent, now), began_leaving, pause }
     }
 
-    /// Notes that the target leaves; gives whether that was not known.
+    /// Records that the target is leaving; returns whether this was not known before.
     pub fn mark_leaving(&mut self) -> bool {
         !std::mem::replace(&mut self.is_leaving, true)
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether the target has announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -1,6 +1,6 @@
-//! A target as this instance sees it: the data of its registration, and one small state for
-//! each rule that judges it. The rules are in their own modules; this one passes on what
-//! happens to a target and answers what the rules say.
+//! A target as this instance sees it: the data of its registration, and a small state for each rule
+//! that applies to it. The rules are in their own modules; this one forwards events to them and
+//! returns their results.
 //!
 //! Owns no rule. Relies on [`Load`], [`Latency`], [`Ejection`], [`SlowStart`], [`Grace`] and
 //! [`TargetSignals`].
@@ -25,31 +25,31 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// One run of the target's process, as its registration describes it.
+/// One start of a target, with the data of its registration.
 #[derive(Debug)]
 pub struct Target {
-    /// Its identity, also that of its other starts.
+    /// Its identity, the same for all of its starts.
     pub id: Rc<str>,
-    /// When this start began, where its registration says so.
+    /// When its process started; `None` if its registration does not say.
     pub start: Option<StartTime>,
-    /// Service name.
+    /// Name of the service it belongs to.
     pub service: Rc<str>,
-    /// Its hall.
+    /// Name of its hall.
     pub hall: Rc<str>,
-    /// Its region.
+    /// Name of its region, from the settings.
     pub region: Rc<str>,
     /// Version of its software.
     pub version: Rc<str>,
-    /// Requests it works on at once; at least 1.
+    /// Number of requests it executes concurrently; at least 1.
     pub slots: u32,
-    /// Key of its identity.
+    /// Hash of its identity.
     pub key: TargetKey,
-    /// Key of this start of it.
+    /// Hash of its identity, start and address.
     pub start_key: StartKey,
-    /// Connections to it.
+    /// Pool of connections to it.
     pub pool: Pool,
     state: Cell<TargetState>,
-    /// Whether the last entry at its key names no target that could be used.
+    /// Whether the latest value at its key is not a usable registration.
     is_invalid: Cell<bool>,
     sequence: Cell<u64>,
     load: RefCell<Load>,
@@ -57,16 +57,16 @@
     ejection: RefCell<Ejection>,
     slow_start: RefCell<SlowStart>,
     grace: RefCell<Grace>,
-    /// What this start of it has said, also under an earlier record.
+    /// Signals of this start, shared with earlier records of it.
     signals: Rc<RefCell<TargetSignals>>,
-    /// Whether it was logged that its answers say what cannot be read.
+    /// Whether an unreadable field of its responses was logged.
     is_unreadable_logged: Cell<bool>,
     /// The policies whose target selectors match it, and the revision they belong to.
     matching_policies: Cell<Option<(u64, PolicySet)>>,
 }
 
 impl Target {
-    /// A target whose first registration arrived now.
+    /// A target whose first registration arrives at `now`.
     pub fn new(registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Self {
         let target = Self {
             id: registration.id.clone(),
@@ -95,9 +95,9 @@
         target
     }
 
-    /// A target that takes the place of this one, whose id registered again with other data.
-    /// It stays cold as long as this one. What this instance has seen of this one counts for
-    /// the new one where that is at the same address, else it says nothing about it.
+    /// The record that replaces this one after a registration of the same start with other data.
+    /// It stays cold at least as long as this one. It inherits the load, latency, ejection and
+    /// signals only at the same address: they do not apply to another one.
     pub fn successor(&self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Self {
         let mut target = Self::new(registration, region, now);
         target.slow_start.replace(self.slow_start.borrow().clone());
@@ -111,8 +111,8 @@
         target
     }
 
-    /// Whether the registration says the same of what is fixed here: all but state, sequence
-    /// and slow start.
+    /// Whether the registration agrees with this record in all fields but state, sequence and slow
+    /// start, which [`Self::update`] can change.
     pub fn matches(&self, registration: &TargetRegistration) -> bool {
         self.service == registration.service
             && self.pool.address() == registration.address
@@ -121,7 +121,7 @@
             && self.slots == registration.slots.max(1)
     }
 
-    /// Takes in state, sequence and slow start of another registration.
+    /// Applies the state, sequence and slow start of a further registration.
     pub fn update(&self, registration: &TargetRegistration, now: Instant) {
         self.grace.borrow_mut().end();
         self.sequence.set(registration.sequence);
@@ -130,34 +130,34 @@
         self.begin_slow_start(registration.slow_start, now);
     }
 
-    /// Sequence number of the last registration taken in.
+    /// Sequence number of the last accepted registration.
     pub fn sequence(&self) -> u64 {
         self.sequence.get()
     }
 
-    /// Place of the last registration taken in.
+    /// Write order of the last accepted registration.
     pub fn order(&self) -> WriteOrder {
         WriteOrder { start: self.start, sequence: self.sequence() }
     }
 
-    /// Whether its registration says that it takes requests.
+    /// Whether its registration is valid and says that it accepts requests.
     pub fn is_ready(&self) -> bool {
         self.state.get() == TargetState::Ready && !self.is_invalid()
     }
 
-    /// Takes it out of use until its next good registration; false where it was out already.
-    /// The entry that does so is there, so no grace runs on.
+    /// Excludes it until its next valid registration; false if it was already excluded. Ends its
+    /// grace, which is only for keys that are missing.
     pub fn invalidate(&self) -> bool {
         self.grace.borrow_mut().end();
         !self.is_invalid.replace(true)
     }
 
-    /// Whether the last entry at its key names no target that could be used.
+    /// Whether the latest value at its key is not a usable registration.
     pub fn is_invalid(&self) -> bool {
         self.is_invalid.get()
     }
 
-    /// What its labels come from.
+    /// The attributes that its policy labels are read from.
     pub fn facts(&self) -> TargetFacts<'_> {
         TargetFacts {
             id: &self.id,
@@ -168,7 +168,7 @@
         }
     }
 
-    /// The policies whose target selectors match it, worked out once for each revision.
+    /// The policies whose target selectors match it, computed once per revision.
     pub fn matching_policies(&self, policies: &Policies) -> PolicySet {
         if let Some((revision, mask)) = self.matching_policies.get()
             && revision == policies.revision
@@ -180,7 +180,7 @@
         mask
     }
 
-    /// Counts a request in flight until the guard is dropped.
+    /// Counts a request as in flight until the returned guard is dropped.
     pub fn begin_request(self: &Rc<Self>, now: Instant) -> InFlight<Self> {
         self.latency.borrow_mut().begin(self.in_flight(), now);
         self.slow_start.borrow_mut().spend(now);
@@ -190,85 +190,88 @@
         InFlight::new(self.clone())
     }
 
-    /// Notes a sound answer after `took`.
+    /// Records a valid response that took `took`.
     pub fn record_success(&self, took: Duration, now: Instant) {
         self.ejection.borrow_mut().record_success();
         self.record_latency(took, now);
     }
 
-    /// Notes that a request sent at `sent` has failed, which speaks against the target; gives
-    /// the length of the ejection that it causes.
+    /// Records a failure of the target on a request sent at `sent`; returns the length of the
+    /// ejection that it causes, if any.
     pub fn record_failure(&self, sent: Instant, now: Instant) -> Option<Duration> {
         self.ejection.borrow_mut().record_failure(sent, now)
     }
 
-    /// Notes that another target answers at its address: this run is over.
+    /// Records that another target answers at its address: this start has ended.
     pub fn mark_replaced(&self) {
         self.ejection.borrow_mut().mark_replaced();
         self.pool.clear();
     }
 
-    /// Whether it gets no request now because of failures.
+    /// Whether it is ejected because of failures.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejection.borrow().is_ejected(self.in_flight(), now)
     }
 
-    /// Notes that an answer took `took`, or that none had come after it.
+    /// Records the latency of a response, or the time after which none had arrived.
     pub fn record_latency(&self, took: Duration, now: Instant) {
         self.latency.borrow_mut().record(took, now);
     }
 
-    /// Moving average of the times of its answers, seconds; `None` before the first.
+    /// Moving average of its latency, seconds; `None` before the first response.
     pub fn average_latency(&self) -> Option<f64> {
         self.latency.borrow().average()
     }
 
-    /// Whether it is slow against `median`, seconds, and `objective`.
+    /// Whether it is slow compared with the `median` of its service, seconds, and `objective`.
     pub fn is_slow(&self, median: f64, objective: Duration, now: Instant) -> bool {
         self.latency.borrow().is_slow(median, objective, self.in_flight(), now)
     }
 
-    /// Whether a slow target may be sent a request to see whether it is faster.
+    /// Whether it may be sent a probe while it is slow, to measure it again.
     pub fn may_probe_slow(&self, now: Instant) -> bool {
         self.latency.borrow().may_try(self.in_flight(), now)
     }
 
-    /// Requests of this instance that are in flight.
+    /// Number of requests of this instance in flight.
     pub fn in_flight(&self) -> u32 {
         self.load.borrow().in_flight()
     }
 
-    /// Takes in a report of load that came with an answer.
+    /// Records a load report that arrived in a response.
     pub fn record_load_report(&self, report: LoadReport, now: Instant) {
         self.load.borrow_mut().report(report, now);
     }
 
-    /// Takes in a load that it told another instance at a time.
+    /// Records a load that it reported to another instance at `at`.
     pub fn record_remote_load(&self, requests: u32, at: Instant) {
         self.load.borrow_mut().hear(requests, at);
     }
 
-    /// Its last load that no other instance was told of yet: requests, and when it told it.
+    /// Its last load report, if it has not been passed on to other instances yet: the number of
+    /// requests, and when it arrived.
     pub fn take_unreported_load(&self) -> Option<(u32, Instant)> {
         self.load.borrow_mut().take_untold()
     }
 
-    /// Requests that are probably running or waiting there.
+    /// Estimated number of requests running or waiting there.
     pub fn load(&self, now: Instant) -> f64 {
         self.load.borrow().at(now)
     }
 
-    /// Makes it cold for `remaining` from now on; never shortens.
+    /// Makes it cold for `remaining` from `now`; never shortens its slow start.
     pub fn begin_slow_start(&self, remaining: Duration, now: Instant) {
         self.slow_start.borrow_mut().begin(remaining, now);
     }
 
-    /// Whether it is cold.
+    /// Whether it is cold, in slow start.
     pub fn is_in_slow_start(&self, now: Instant) -> bool {
         self.slow_start.borrow().is_active(now)
     }
 
-    /// Whether this instance may send it a request while it is cold.
+    /// Whether this instance may send it a request while it is cold. `members_at` is when the members
+    /// last changed, `shared` the rate of all instances together, requests per second, and `own_rate`
+    /// gives this instance's part of it.
     pub fn may_send_in_slow_start(
         &self,
         members_at: Instant,
@@ -279,12 +282,12 @@
         self.slow_start.borrow_mut().may_send(members_at, shared, own_rate, now)
     }
 
-    /// Keeps it until a time although its registration is gone.
+    /// Keeps it until `until` although its registration is missing.
     pub fn begin_grace(&self, until: Instant) {
         self.grace.borrow_mut().begin(until);
     }
 
-    /// Lengthens its grace to `until`, where one runs that ends earlier.
+    /// Extends a running grace to `until` if that is later.
     pub fn extend_grace(&self, until: Instant) {
         self.grace.borrow_mut().extend(until);
     }
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -1,6 +1,6 @@
-//! What a target has said of itself, for whoever asks the target.
+//! Access to the signals that a target has sent about itself.
 //!
-//! Owns nothing: the signals are shared by all records of one start of the target. Relies on
+//! Owns no state: the signals are shared by all records of one start of the target. Relies on
 //! [`TargetSignals`].
 
 use super::Target;
@@ -12,100 +12,103 @@
 use std::time::Duration;
 
 impl Target {
-    /// What it has said of itself.
+    /// Its signals, shared with the other records of the same start.
     pub fn signals(&self) -> Rc<RefCell<TargetSignals>> {
         self.signals.clone()
     }
 
-    /// Goes on with what an earlier record of the same start has heard.
+    /// Shares the signals of an earlier record of the same start.
     pub fn inherit_signals(&mut self, signals: Rc<RefCell<TargetSignals>>) {
         self.signals = signals;
     }
 
-    /// Takes in what an answer to a request sent at `sent` says.
-    /// `draw` is at random from 0 to 1.
+    /// Applies the signals in the response to a request that was sent at `sent`. `draw` is a random
+    /// number from 0 to 1.
     pub fn apply_signals(&self, signals: ResponseSignals, draw: f64, sent: Instant, now: Instant) -> SignalChange {
         self.signals.borrow_mut().apply(signals, draw, sent, now)
     }
 
-    /// What is left of the pause that it asked for; `None` where there is none.
+    /// Remaining time of the pause that it requested; `None` if there is none.
     pub fn pause_remaining(&self, now: Instant) -> Option<Duration> {
         self.signals.borrow().pause.left(now)
     }
 
-    /// Whether its pause leaves this instance no request now.
+    /// Whether its pause forbids this instance to send it a request now.
     pub fn is_paused(&self, now: Instant) -> bool {
         self.signals.borrow().pause.excludes(self.in_flight(), now)
     }
 
-    /// Whether it has said that it leaves.
+    /// Whether it has announced that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.signals.borrow().is_leaving()
     }
 
-    /// Takes in that it leaves, as it said to another instance; gives whether that was not known.
+    /// Records that it is leaving, as it told another instance; returns whether this was not known
+    /// before.
     pub fn mark_leaving(&self) -> bool {
         self.signals.borrow_mut().mark_leaving()
     }
 
-    /// Takes in what it said of its rate limit to another instance; gives the limit that
-    /// holds from now on where it is another one.
+    /// Records a rate limit that it sent to another instance; returns the limit in force from now on
+    /// if it changed.
     pub fn record_remote_limit(&self, said: Said, now: Instant) -> Option<Option<f64>> {
         self.signals.borrow_mut().limit.hear(said, now)
     }
 
-    /// Requests a second that it takes of all instances; `None` where it has no limit.
+    /// Its rate limit over all instances, requests per second; `None` if it has none.
     pub fn rate_limit(&self, now: Instant) -> Option<f64> {
         self.signals.borrow().limit.rate(now)
     }
 
-    /// Whether it said something of a limit lately, also that it has none any more.
+    /// Whether it recently sent a rate limit, or the information that it no longer has one.
     pub fn has_recent_limit_signal(&self, now: Instant) -> bool {
         self.signals.borrow().limit.has_word(now)
     }
 
-    /// What a head is told of its limit and of the demand for it.
+    /// Its limit and the demand for it, requests per second, for the next report to a head.
     pub fn take_limit_report(&self, now: Instant) -> Option<(Option<Said>, f64)> {
         self.signals.borrow_mut().limit.tell(now)
     }
 
-    /// Takes the share of its requests that a head answered.
+    /// Sets the share of its requests, 0 to 1, that a head allows to be sent. `draw` is a random
+    /// number from 0 to 1.
     pub fn set_limit_share(&self, pass: f64, draw: f64, now: Instant) {
         self.signals.borrow_mut().limit.set_share(pass, draw, now);
     }
 
-    /// Share of its requests that may be sent; `None` where no head answered lately.
+    /// Share of its requests that may be sent, 0 to 1; `None` if no head answered recently.
     pub fn limit_share(&self, now: Instant) -> Option<f64> {
         self.signals.borrow().limit.pass(now)
     }
 
-    /// Works out the equal part of its limit of the member `own` again.
+    /// Recomputes the equal share of its limit for the member `own`.
     pub fn update_equal_limit_share<'a>(&self, own: &str, members: impl Iterator<Item = &'a str>, now: Instant) {
         self.signals.borrow_mut().limit.update_part(self.key.hash(), own, members, now);
     }
 
-    /// Whether its limit leaves this instance no request now.
+    /// Whether its rate limit forbids this instance to send it a request now.
     pub fn is_limit_exhausted(&self, now: Instant) -> bool {
         self.signals.borrow().limit.is_used_up(now)
     }
 
-    /// Counts a request that its limit sends elsewhere.
+    /// Counts a request whose first choice it is, but that its rate limit diverts to another target.
     pub fn record_offered(&self, now: Instant) {
         self.signals.borrow_mut().limit.offer(now);
     }
 
-    /// Whether a head should be told at once of what comes for it.
+    /// Whether demand has risen so much since the last report that a head should be told at once.
     pub fn has_demand_surge(&self, now: Instant) -> bool {
         self.signals.borrow().limit.is_unusual(now)
     }
 
+    /// Counts a request that is sent against its rate limit.
     pub(super) fn record_sent(&self, now: Instant) {
         let mut signals = self.signals.borrow_mut();
         signals.limit.offer(now);
         signals.limit.spend(now);
     }
 
-    /// Logs that its answers say something of it that cannot be read; one line for each start.
+    /// Logs that a field of its responses is unreadable, once per record of the target.
     pub fn log_unreadable(&self, field: &str) {
         if !self.is_unreadable_logged.replace(true) {
             tracing::warn!(event = "target_statement_unreadable", id = &*self.id, hall = &*self.hall, field);
--- a/src/decision/registry/target_key.rs
+++ b/src/decision/registry/target_key.rs
@@ -1,6 +1,6 @@
-//! The key of a target: a small number in place of its identity, alike in all instances.
+//! Keys of targets: hashes that replace the identity of a target, the same at all instances.
 //!
-//! Owns nothing. Relies on the form of keys in messages alone.
+//! Owns no state. Relies only on the types that keys have in messages.
 
 use crate::model::rate_limits::StartKey;
 use crate::model::registration::StartTime;
@@ -8,8 +8,8 @@
 use std::net::SocketAddr;
 use xxhash_rust::xxh3::{xxh3_64, xxh3_64_with_seed};
 
-/// Key of one run of the target's process: the hash of its identity. All instances compute
-/// the same one, for rendezvous; a request remembers by it where it was sent.
+/// Hash of a target's identity; the same for all starts of the target. All instances compute the
+/// same value, for rendezvous hashing; a request records by it which targets it was sent to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TargetKey(u64);
 
@@ -19,20 +19,20 @@
         Self(xxh3_64(id.as_bytes()))
     }
 
-    /// The key in messages that name many targets.
+    /// The first four bytes of the key, for messages that list many targets.
     pub fn short(self) -> ShortKey {
         let [one, two, three, four, ..] = self.0.to_be_bytes();
         ShortKey([one, two, three, four])
     }
 
-    /// The hash.
+    /// The full 64-bit hash.
     pub fn hash(self) -> u64 {
         self.0
     }
 }
 
-/// The key in messages of one start of a target at one address: what it says of itself holds for
-/// no other start, nor for what is at another address.
+/// Key, in messages, of one start of a target at one address: the target's signals apply neither to
+/// another start nor to a process at another address.
 pub fn start_key(id: &str, start: Option<StartTime>, address: SocketAddr) -> StartKey {
     let of_start = xxh3_64_with_seed(id.as_bytes(), start.map_or(0, |start| start.0));
     StartKey(xxh3_64_with_seed(address.to_string().as_bytes(), of_start).to_be_bytes())
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -1,29 +1,29 @@
-//! The targets: all that are registered, by identity and by service, and tombstones of those
-//! that were removed. **Rule**: of an id, the registration of the latest start counts, and of
-//! that start the one with the highest sequence number, for all that it says.
+//! The targets: all that are registered, by identity and by service, and tombstones of those that
+//! were removed. **Rule**: for each id, the registration of the latest start counts, and within that
+//! start the one with the highest sequence number, for all of its fields.
 //!
-//! - A later start begins anew: nothing that was observed of an earlier one says anything about
-//!   it, and connections to that one are closed.
-//! - Other data of the same start make a new record in the place of the old one. A registration
-//!   with the same number changes state and slow start alone, and an earlier one nothing.
-//! - A target that was removed is added again only by a later registration than its last one; after an
-//!   expired grace, also by the same one.
-//! - Where an id has named a start, a registration without one lacks a field: it names no target
-//!   that could be used. An id that never named one goes by sequence alone.
-//! - A registration that cannot be used takes its target out of use until the next good one,
-//!   which must not be earlier than the last good one. What was observed of it stays.
+//! - A later start resets all state: nothing observed of an earlier start applies to it, and
+//!   connections to the earlier one are closed.
+//! - A registration of the same start with other data creates a new record that replaces the old one.
+//!   One with the same sequence number changes only state and slow start, and an earlier one nothing.
+//! - A removed target is added again only by a registration later than its last one; after an expired
+//!   grace, also by the same one.
+//! - Once an id has registered with a start time, a registration without one is invalid. An id that
+//!   never had one is ordered by sequence alone.
+//! - An invalid registration excludes its target until the next valid one, which must not be earlier
+//!   than the last valid one. What was observed of the target is kept.
 //!
-//! **Inputs**: registrations and their removal, as old as the view; starts, as the targets'
-//! clocks give them, compared for one id only; sequence numbers, which a target raises with
-//! each write of its registration; tombstones, at most `TOMBSTONE_TTL` (120 s) old.
+//! **Inputs**: registrations and their removal, as old as the view; start times from the targets'
+//! clocks, compared only within one id; sequence numbers, which a target raises with each write of
+//! its registration; tombstones, at most `TOMBSTONE_TTL` (120 s) old.
 //!
-//! **Why.** A write of a registration may reach the store late, after its removal or after the
-//! target has started again, and others may write to its key. A target that has started again
-//! counts from the beginning, and knows nothing that the last start knew.
+//! **Why.** A write of a registration may reach the store late, after the removal or after the
+//! target has restarted, and others may write to its key. A restarted target counts its sequence from
+//! the beginning, and knows nothing that the last start knew.
 //!
-//! **Guards** the promise that a target which is gone gets no more requests, that a request
-//! goes to the service, hall and address that were registered last, and that a target which
-//! started again is used as soon as its registration is seen.
+//! **Guards** the promises that a target which is gone receives no more requests, that a request goes
+//! to the service, hall and address that were registered last, and that a restarted target is used as
+//! soon as its registration is seen.
 //!
 //! **Test**: `tests/registrations.rs`, `tests/restarted_targets.rs`;
 //! `a_registration_written_late_does_not_add_a_removed_target` in `tests/choice.rs`;
@@ -41,68 +41,69 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a tombstone is kept. Longer than any late write can take: leases run out within
-/// some 5 s; bounded, so that memory is.
+/// How long a tombstone is kept. Longer than any late write can take, since leases expire within
+/// about 5 s; limited to bound memory.
 const TOMBSTONE_TTL: Duration = Duration::from_secs(120);
 
-/// What is kept of a removed target.
+/// What is remembered of a removed target.
 #[derive(Debug)]
 struct Tombstone {
-    /// Of its last registration.
+    /// Write order of its last accepted registration.
     order: WriteOrder,
-    /// Whether the target's grace expired: it may then register again with the same order.
+    /// Whether its grace expired: it may then register again with the same order.
     has_grace_expired: bool,
     at: Instant,
     start_key: StartKey,
-    /// What that start has said of itself: it may only have lost its registration.
+    /// Signals of that start, which may have lost only its registration and still be running.
     signals: Rc<RefCell<TargetSignals>>,
 }
 
-/// What became of a registration.
+/// What happened to a registration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RegistrationOutcome {
-    /// It counts.
+    /// It is in effect.
     Accepted,
-    /// It is earlier than what is known of the target, and changes nothing.
+    /// It is ignored: earlier than the last accepted one of its id or, if the target was removed other
+    /// than by an expired grace, the same one.
     Stale,
-    /// It names no start, as earlier ones of its id did.
+    /// It has no start time, although an earlier one of its id had.
     MissingStart,
 }
 
-/// All targets.
+/// All registered targets, and tombstones of removed ones.
 #[derive(Debug, Default)]
 pub struct Targets {
     by_id: HashMap<Rc<str>, Rc<Target>>,
     by_service: HashMap<Rc<str>, Vec<Rc<Target>>>,
     tombstones: HashMap<Rc<str>, Tombstone>,
-    /// Median latency by service, seconds.
+    /// Median of the targets' average latencies by service, seconds.
     medians: HashMap<Rc<str>, f64>,
-    /// Latency of second targets by service.
+    /// Latency of requests at second targets, by service.
     second_latencies: HashMap<Rc<str>, SecondLatency>,
 }
 
 impl Targets {
-    /// The targets of a service.
+    /// The targets of a service; empty if there are none.
     pub fn of_service(&self, service: &str) -> &[Rc<Target>] {
         self.by_service.get(service).map_or(&[], Vec::as_slice)
     }
 
-    /// All services that have or had a target, with their targets.
+    /// All services that have or had a target, with their current targets.
     pub fn by_service(&self) -> impl Iterator<Item = (&Rc<str>, &Vec<Rc<Target>>)> {
         self.by_service.iter()
     }
 
-    /// All targets.
+    /// All targets, in no particular order.
     pub fn iter(&self) -> impl Iterator<Item = &Rc<Target>> {
         self.by_id.values()
     }
 
-    /// The target of an identity.
+    /// The target with this identity.
     pub fn get(&self, id: &str) -> Option<&Rc<Target>> {
         self.by_id.get(id)
     }
 
-    /// Takes in a registration.
+    /// Applies a registration that arrives at `now`. `region` is the region of its hall.
     pub fn register(
         &mut self,
         registration: &TargetRegistration,
@@ -124,7 +125,7 @@
         }
     }
 
-    /// A target that is registered again finds what this start of it had said.
+    /// A new record, with the signals of the same start from its tombstone if there is one.
     fn with_restored_signals(&self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Target {
         let mut target = Target::new(registration, region, now);
         let tombstone = self.tombstones.get(&registration.id);
@@ -134,14 +135,14 @@
         target
     }
 
-    /// Place of the last registration that counted of an id, also of a removed target.
+    /// Write order of the last accepted registration of an id, including a removed target's.
     fn last_order(&self, id: &str) -> Option<WriteOrder> {
         let known = self.by_id.get(id).map(|target| target.order());
         known.or_else(|| self.tombstones.get(id).map(|tombstone| tombstone.order))
     }
 
-    /// Whether a registration of a removed target is earlier than its removal. If the target was
-    /// removed because its grace expired, a registration with the same order is not late.
+    /// Whether a registration of a removed target is no later than the last one before its removal.
+    /// If the target was removed because its grace expired, one with the same order is not stale.
     fn is_stale(&self, registration: &TargetRegistration) -> bool {
         self.tombstones.get(&registration.id).is_some_and(|tombstone| match tombstone.has_grace_expired {
             true => registration.order() < tombstone.order,
@@ -149,6 +150,7 @@
         })
     }
 
+    /// Applies a registration of a known target.
     fn reregister(
         &mut self,
         known: &Target,
@@ -180,6 +182,7 @@
         self.by_service.entry(target.service.clone()).or_default().push(target);
     }
 
+    /// Removes a target from both indexes, without a tombstone.
     fn unlink(&mut self, target: &Target) {
         self.by_id.remove(&target.id);
         if let Some(list) = self.by_service.get_mut(&target.service) {
@@ -187,12 +190,13 @@
         }
     }
 
-    /// Removes a target and leaves a tombstone.
+    /// Removes a target and leaves a tombstone for it.
     pub fn remove(&mut self, target: &Target, now: Instant) {
         self.replace_with_tombstone(target, false, now);
     }
 
-    /// Removes a target whose grace expired, and leaves a tombstone.
+    /// Removes a target whose grace expired, and leaves a tombstone that accepts the same registration
+    /// again.
     pub fn remove_expired(&mut self, target: &Target, now: Instant) {
         self.replace_with_tombstone(target, true, now);
     }
@@ -204,28 +208,28 @@
         self.tombstones.insert(target.id.clone(), tombstone);
     }
 
-    /// Removes tombstones that are old.
+    /// Removes tombstones older than `TOMBSTONE_TTL`.
     pub fn remove_old_tombstones(&mut self, now: Instant) {
         self.tombstones.retain(|_, tombstone| now.saturating_duration_since(tombstone.at) < TOMBSTONE_TTL);
     }
 
-    /// Targets whose grace is over and that have not registered again.
+    /// Targets whose grace has expired without a new registration.
     pub fn expired(&self, now: Instant) -> Vec<Rc<Target>> {
         self.by_id.values().filter(|target| target.has_expired(now)).cloned().collect()
     }
 
-    /// Median of the average latencies of the service's targets, seconds; infinite before
-    /// the first answer.
+    /// Median of the average latencies of the service's targets, seconds; infinite before the first
+    /// response.
     pub fn median_latency(&self, service: &str) -> f64 {
         self.medians.get(service).copied().unwrap_or(f64::INFINITY)
     }
 
-    /// How long second targets of the service take; `None` where it never had a target.
+    /// Latency of requests at second targets of the service; `None` if it never had a target.
     pub fn second_latency(&self, service: &str) -> Option<&SecondLatency> {
         self.second_latencies.get(service)
     }
 
-    /// Works out the medians again; a service without any answer keeps its last one.
+    /// Recomputes the medians; a service whose targets have not responded yet keeps its last one.
     pub fn update_median_latencies(&mut self) {
         for (service, targets) in &self.by_service {
             let averages = targets.iter().filter_map(|target| target.average_latency()).collect();
