--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -1,4 +1,5 @@
-//! Rules of `src/decision/`, each by itself: tables of inputs and results, and naive versions.
+//! Rules of `src/decision/`, each in isolation: tables of inputs and expected results, and
+//! comparisons with simple reference implementations.
 
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::admission::{has_room, max_load};
@@ -20,7 +21,7 @@
 }
 
 #[test]
-fn a_report_of_more_requests_than_can_be_counted_is_a_full_target() {
+fn a_report_beyond_the_range_of_the_count_is_a_full_target() {
     let mut load = Load::default();
     let now = Instant::now();
     load.report(LoadReport { running: u32::MAX, waiting: 1, slots: 1, slowdown: None }, now);
@@ -29,7 +30,7 @@
 
 #[test]
 fn load_is_what_is_in_flight_and_the_fading_rest_of_the_report() {
-    // In flight; running and waiting as reported; age of the report, ms; load.
+    // Requests in flight; reported running and waiting; age of the report, ms; expected load.
     let table = [
         (0, None, 0, 0.0),
         (3, None, 0, 3.0),
@@ -49,7 +50,10 @@
             load.report(LoadReport { running, waiting, slots: 4, slowdown: None }, start);
         }
         let found = load.at(start + ms(age));
-        assert!((found - expected).abs() < 1e-9, "{found} for {in_flight}, {reported:?} of {age} ms");
+        assert!(
+            (found - expected).abs() < 1e-9,
+            "load {found}: {in_flight} in flight, report {reported:?}, {age} ms old"
+        );
     }
 }
 
@@ -58,7 +62,7 @@
     for (rank, expected) in [(0, 2.0), (1, 1.65), (2, 1.3), (3, 1.3), (50, 1.3)] {
         assert!((max_load(rank) - expected).abs() < 1e-9, "rank {rank}: {}", max_load(rank));
     }
-    // Load, slots, rank, whether one more request is taken.
+    // Load; slots; rank; whether another request is admitted.
     let table = [
         (0.0, 1, 0, true),
         (1.0, 1, 0, true),
@@ -79,9 +83,9 @@
 
 #[derive(Clone, Copy, Debug)]
 enum Event {
-    /// A failure of a request sent just before, and the ejection that it causes, ms.
+    /// Failure of a request sent at the same time, with the length of the ejection it causes, ms.
     Failure(Option<u64>),
-    /// A failure of a request sent at that time, ms, and the ejection that it causes, ms.
+    /// Failure of a request sent at the first time, ms, with the length of the ejection it causes, ms.
     LateFailure(u64, Option<u64>),
     Success,
     Send,
@@ -91,8 +95,7 @@
 #[test]
 fn ejection_follows_failures_in_a_row() {
     use Event::{Failure, LateFailure, Replaced, Send, Success};
-    // Time in ms, what happens, whether the target is ejected after it with one request
-    // and with none in flight.
+    // Time, ms; event; whether the target is then ejected with one request in flight, and with none.
     let sequences: [&[(u64, Event, bool, bool)]; 6] = [
         &[
             (0, Failure(None), false, false),
@@ -116,7 +119,7 @@
             (12_001, Success, false, false),
             (12_002, Failure(None), false, false),
         ],
-        // A failure of a request sent during an ejection lengthens it and counts as another one.
+        // A failure of a request sent during an ejection extends it and counts as another ejection.
         &[
             (0, Failure(None), false, false),
             (0, Failure(None), false, false),
@@ -124,7 +127,7 @@
             (100, Failure(Some(1_000)), true, true),
             (600, Send, true, true),
         ],
-        // A request sent before an ejection says nothing new, also where it fails after its end.
+        // A failure of a request sent before an ejection does not count, even if it occurs after its end.
         &[
             (10, Failure(None), false, false),
             (10, Failure(None), false, false),
@@ -164,7 +167,8 @@
 
 #[test]
 fn a_slow_target_is_judged_by_median_and_objective() {
-    // Answer, ms; silence with a request in flight, ms; median, s; objective, ms; slow.
+    // Latency, ms; time without a response to a request in flight, ms; median, s; objective, ms; whether
+    // the target is slow.
     let table = [
         (900, None, 0.25, 300, true),
         (700, None, 0.25, 300, false),
@@ -182,7 +186,7 @@
         let (in_flight, now) = silence.map_or((0, start), |silence| (1, start + ms(silence)));
         let found = latency.is_slow(median, ms(objective), in_flight, now);
         assert_eq!(found, expected, "answer {answer}, silence {silence:?}, median {median}, objective {objective}");
-        assert!(!latency.is_slow(median, ms(objective), 0, now) || silence.is_none(), "silence without a request");
+        assert!(!latency.is_slow(median, ms(objective), 0, now) || silence.is_none(), "silence with none in flight");
     }
 }
 
@@ -236,7 +240,7 @@
         }
     }
 
-    /// Whatever share an instance has, no second has more requests than that.
+    /// With any share, no second contains more requests than that.
     #[test]
     fn slow_start_spaces_an_instance_s_share(rate in 0u32..40, steps in prop::collection::vec(0u64..200, 1..200)) {
         let start = Instant::now();
@@ -253,13 +257,13 @@
         }
         for first in &sent {
             let within = sent.iter().filter(|at| *at >= first && **at < *first + Duration::from_secs(1)).count();
-            prop_assert!(within <= rate as usize, "{} in a second at a rate of {}", within, rate);
+            prop_assert!(within <= rate as usize, "{} requests within a second at a rate of {}", within, rate);
         }
     }
 }
 
 proptest! {
-    /// The directory names the instances that a naive filter finds, whatever the members.
+    /// For any members, the directory lists the instances that a simple filter finds.
     #[test]
     fn the_directory_names_the_nearest_instances_that_there_are(
         regions in prop::collection::vec(prop::sample::select(vec!["a", "b", "c"]), 0..80),
@@ -288,7 +292,7 @@
         let nearest = [caller, own_region].into_iter().find(|wanted| known.iter().any(|(region, _)| region == wanted));
         let wanted = known.iter().filter(|(region, _)| nearest.is_none_or(|nearest| nearest == *region));
         let expected: Vec<SocketAddr> = wanted.map(|(_, address)| *address).take(64).collect();
-        prop_assert_eq!(instances_for(caller, own, &members, 1e4, || panic!("all are alike")), expected);
+        prop_assert_eq!(instances_for(caller, own, &members, 1e4, || panic!("all instances have the same capacity")), expected);
     }
 }
 
@@ -303,7 +307,7 @@
     assert!(slow_start.is_active(start + ms(2_999)) && !slow_start.is_active(start + ms(3_000)));
     assert!(!slow_start.may_send(start, 9, |_| 5, start + ms(1_999)));
     assert!(slow_start.may_send(start, 9, |_| 5, start + ms(2_000)));
-    // The share is worked out again only where the members or the shared rate have changed.
+    // The share is recomputed only if the members or the shared rate have changed.
     assert!(slow_start.may_send(start, 9, |_| 0, start + ms(2_100)));
     assert!(!slow_start.may_send(start + ms(50), 9, |_| 0, start + ms(2_100)));
     assert!(slow_start.may_send(start + ms(50), 8, |_| 5, start + ms(2_100)));
@@ -314,12 +318,12 @@
 #[test]
 fn requests_are_taken_in_the_first_half_of_a_stop_and_while_they_end_in_time() {
     let stop = ms(6_000);
-    // Time since the stop began, ms; whether a request is served that has 30 s.
+    // Time since the stop began, ms; whether a request with a deadline of 30 s is accepted.
     let table = [(None, true), (Some(0), true), (Some(2_999), true), (Some(3_000), false), (Some(6_000), false)];
     for (since, expected) in table {
         assert_eq!(takes_requests(since.map(ms), stop, ms(30_000)), expected, "{since:?}");
     }
-    // One that has 800 ms is served until 300 ms before the kill.
+    // One with a deadline of 800 ms is accepted until 300 ms before the instance is killed.
     for (since, expected) in [(3_000, true), (4_900, true), (4_901, false), (6_000, false), (7_000, false)] {
         assert_eq!(takes_requests(Some(ms(since)), stop, ms(800)), expected, "{since}");
     }
