--- /dev/null
+++ b/src/decision/registry/target/signals.rs
@@ -0,0 +1,117 @@
+//! Access to the signals that a target has sent about itself.
+//!
+//! Owns no state: the signals are shared by all records of one start of the target. Relies on
+//! [`TargetSignals`].
+
+use super::Target;
+use crate::clock::Instant;
+use crate::decision::capacity::rate_limit::Said;
+use crate::decision::registry::signals::{ResponseSignals, SignalChange, TargetSignals};
+use std::cell::RefCell;
+use std::rc::Rc;
+use std::time::Duration;
+
+impl Target {
+    /// Its signals, shared with the other records of the same start.
+    pub fn signals(&self) -> Rc<RefCell<TargetSignals>> {
+        self.signals.clone()
+    }
+
+    /// Shares the signals of an earlier record of the same start.
+    pub fn inherit_signals(&mut self, signals: Rc<RefCell<TargetSignals>>) {
+        self.signals = signals;
+    }
+
+    /// Applies the signals in the response to a request that was sent at `sent`. `draw` is a random
+    /// number from 0 to 1.
+    pub fn apply_signals(&self, signals: ResponseSignals, draw: f64, sent: Instant, now: Instant) -> SignalChange {
+        self.signals.borrow_mut().apply(signals, draw, sent, now)
+    }
+
+    /// Remaining time of the pause that it requested; `None` if there is none.
+    pub fn pause_remaining(&self, now: Instant) -> Option<Duration> {
+        self.signals.borrow().pause.remaining(now)
+    }
+
+    /// Whether its pause forbids this instance to send it a request now.
+    pub fn is_paused(&self, now: Instant) -> bool {
+        self.signals.borrow().pause.excludes(self.in_flight(), now)
+    }
+
+    /// Whether it has announced that it is leaving.
+    pub fn is_leaving(&self) -> bool {
+        self.signals.borrow().is_leaving()
+    }
+
+    /// Records that it is leaving, as it told another instance; returns whether this was not known
+    /// before.
+    pub fn mark_leaving(&self) -> bool {
+        self.signals.borrow_mut().mark_leaving()
+    }
+
+    /// Records a rate limit that it sent to another instance; returns the limit in force from now on
+    /// if it changed.
+    pub fn record_remote_limit(&self, said: Said, now: Instant) -> Option<Option<f64>> {
+        self.signals.borrow_mut().limit.hear(said, now)
+    }
+
+    /// Its rate limit over all instances, requests per second; `None` if it has none.
+    pub fn rate_limit(&self, now: Instant) -> Option<f64> {
+        self.signals.borrow().limit.rate(now)
+    }
+
+    /// Whether it recently sent a rate limit, or the information that it no longer has one.
+    pub fn has_recent_limit_signal(&self, now: Instant) -> bool {
+        self.signals.borrow().limit.has_word(now)
+    }
+
+    /// Its limit and the demand for it, requests per second, for the next report to a head.
+    pub fn take_limit_report(&self, now: Instant) -> Option<(Option<Said>, f64)> {
+        self.signals.borrow_mut().limit.tell(now)
+    }
+
+    /// Sets the share of its requests, 0 to 1, that a head allows to be sent. `draw` is a random
+    /// number from 0 to 1.
+    pub fn set_limit_share(&self, pass: f64, draw: f64, now: Instant) {
+        self.signals.borrow_mut().limit.set_share(pass, draw, now);
+    }
+
+    /// Share of its requests that may be sent, 0 to 1; `None` if no head answered recently.
+    pub fn limit_share(&self, now: Instant) -> Option<f64> {
+        self.signals.borrow().limit.pass(now)
+    }
+
+    /// Recomputes the equal share of its limit for the member `own`.
+    pub fn update_equal_limit_share<'a>(&self, own: &str, members: impl Iterator<Item = &'a str>, now: Instant) {
+        self.signals.borrow_mut().limit.update_part(self.key.hash(), own, members, now);
+    }
+
+    /// Whether its rate limit forbids this instance to send it a request now.
+    pub fn is_limit_exhausted(&self, now: Instant) -> bool {
+        self.signals.borrow().limit.is_used_up(now)
+    }
+
+    /// Counts a request whose first choice it is, but that its rate limit diverts to another target.
+    pub fn record_offered(&self, now: Instant) {
+        self.signals.borrow_mut().limit.offer(now);
+    }
+
+    /// Whether demand has risen so much since the last report that a head should be told at once.
+    pub fn has_demand_surge(&self, now: Instant) -> bool {
+        self.signals.borrow().limit.is_unusual(now)
+    }
+
+    /// Counts a request that is sent against its rate limit.
+    pub(super) fn record_sent(&self, now: Instant) {
+        let mut signals = self.signals.borrow_mut();
+        signals.limit.offer(now);
+        signals.limit.spend(now);
+    }
+
+    /// Logs that a field of its responses is unreadable, once per record of the target.
+    pub fn log_unreadable(&self, field: &str) {
+        if !self.is_unreadable_logged.replace(true) {
+            tracing::warn!(event = "target_statement_unreadable", id = &*self.id, hall = &*self.hall, field);
+        }
+    }
+}
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -150,7 +150,7 @@
         };
         let (instance, started) = (self.request.instance, Instant::now());
         let had_limit = target.rate_limit(started).is_some();
-        let in_flight = target.begin(started);
+        let in_flight = target.begin_request(started);
         instance.follow_limit(target, had_limit);
         let exchange = Exchange {
             names: &instance.names,
@@ -171,7 +171,7 @@
     /// Notes how long a second target took to answer, or that it did not within the time.
     fn record_second(&self, target: &Target, sent: &Result<Response<AnswerBody>, TryError>, took: Duration) {
         if matches!(sent, Ok(_) | Err(TryError::TimedOut)) {
-            self.request.instance.routing.borrow().record_second(&target.service, took);
+            self.request.instance.routing.borrow().record_second_latency(&target.service, took);
         }
     }
 
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -252,13 +252,13 @@
                 instance,
                 is_second: chosen.is_second,
                 sent_at: at,
-                in_flight: chosen.target.begin(now),
+                in_flight: chosen.target.begin_request(now),
             };
             tried.push(key);
             self.outcome.sends += u32::from(self.is_measured(&request));
             let Some(rejected) = self.offer(&id, sent, at) else { return };
             let report = self.report(&id);
-            rejected.in_flight.target().report(report, now);
+            rejected.in_flight.target().record_load_report(report, now);
             if has_free_slot(Some(report)) {
                 tries.record(TryOutcome::Shed);
                 tried.retain(|other| *other != key);
@@ -310,13 +310,13 @@
         let (now, took) = (self.started_at + at, at - sent.sent_at);
         let report = self.report(id);
         let served = sent.in_flight.target().clone();
-        served.report(report, now);
+        served.record_load_report(report, now);
         if let Some(delay) = self.load.report_delay {
             self.events.schedule(at + delay, Event::LoadShared(id.to_owned(), report.running + report.waiting, at));
         }
         served.record_success(took, now);
         if sent.is_second {
-            self.instances[sent.instance].0.routing.record_second("shop", took);
+            self.instances[sent.instance].0.routing.record_second_latency("shop", took);
         }
         self.record_answered(&sent.request, at);
     }
@@ -325,7 +325,7 @@
     fn share_load(&mut self, id: &str, requests: u32, reported_at: Duration) {
         for (scene, _) in &self.instances {
             let target = scene.routing.targets().find(|target| &*target.id == id);
-            target.into_iter().for_each(|target| target.hear_load(requests, self.started_at + reported_at));
+            target.into_iter().for_each(|target| target.record_remote_load(requests, self.started_at + reported_at));
         }
     }
 
