--- a/src/decision/capacity/in_flight.rs
+++ b/src/decision/capacity/in_flight.rs
@@ -1,28 +1,29 @@
-//! A request in flight: counted until the guard is dropped, however the request ends.
+//! Guard of a request in flight: the request is counted until the guard is dropped, however it
+//! ends.
 //!
-//! Owns its place in the count. Relies on what it is counted at to take it back.
+//! The counter is incremented before the guard is created; dropping the guard decrements it.
 
 use std::rc::Rc;
 
-/// Counts requests in flight.
+/// Counts requests in flight; implemented by what requests are sent to.
 pub trait Counter {
-    /// Counts out a request whose guard is dropped.
+    /// Removes a request from the count; called when its guard is dropped.
     fn count_out(&self);
 }
 
-/// A request in flight, counted at `C`.
+/// Guard of a request in flight that is counted at `C`.
 #[derive(Debug)]
 pub struct InFlight<C: Counter> {
     counter: Rc<C>,
 }
 
 impl<C: Counter> InFlight<C> {
-    /// The guard of a request that is counted in.
+    /// Creates the guard of a request that `counter` already includes.
     pub(in crate::decision) fn new(counter: Rc<C>) -> Self {
         Self { counter }
     }
 
-    /// Where it is counted.
+    /// The target that counts the request.
     pub fn target(&self) -> &Rc<C> {
         &self.counter
     }
--- a/src/decision/capacity/load_report.rs
+++ b/src/decision/capacity/load_report.rs
@@ -1,74 +1,75 @@
-//! What a target reports of its load with an answer: requests running, requests waiting, slots and,
-//! where it names it, how long work takes there now.
+//! Load report that a target sends in a response header: requests running, requests waiting,
+//! slots and, optionally, its current slowdown.
 //!
-//! Owns the form alone. A report that cannot be read is ignored, for a reason that is counted; its
+//! This module only parses the header. An unreadable report is ignored and counted by reason; the
 //! target stays in use. **Test**: `tests/load_reports.rs`.
 
 use std::num::{NonZeroU16, NonZeroU32};
 use thiserror::Error;
 
-/// Largest number of requests or slots that is believed: more than a machine has descriptors.
-const MOST_REQUESTS: u32 = 1 << 20;
+/// Largest number of requests or slots that is accepted: more than a machine has file descriptors.
+const MAX_REQUESTS: u32 = 1 << 20;
 
-/// How long work takes at a target, in hundredths of its usual time.
+/// How long work takes at a target now, in percent of its usual time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slowdown(NonZeroU16);
 
 impl Slowdown {
-    /// Work takes its usual time.
-    pub const USUAL: Self = Self(NonZeroU16::new(100).expect("it is not 0"));
+    /// No slowdown: work takes its usual time.
+    pub const USUAL: Self = Self(NonZeroU16::new(100).expect("100 is not 0"));
 
-    /// A slowdown in hundredths; `None` for 0.
+    /// Creates a slowdown from percent of the usual time; `None` for 0.
     pub fn from_percent(percent: u16) -> Option<Self> {
         NonZeroU16::new(percent).map(Self)
     }
 
-    /// In hundredths.
+    /// Percent of the usual time, at least 1.
     pub fn percent(self) -> u16 {
         self.0.get()
     }
 
-    /// As a factor on the usual time of work.
+    /// Factor on the usual time of work, 1.0 for no slowdown.
     pub fn factor(self) -> f64 {
         f64::from(self.percent()) / 100.0
     }
 }
 
-/// A target's report of its load.
+/// Load that a target reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct LoadReport {
-    /// Requests running.
+    /// Requests that occupy a slot.
     pub running: u32,
-    /// Requests waiting.
+    /// Requests queued for a slot.
     pub waiting: u32,
-    /// Slots.
+    /// Requests that the target can run concurrently, at least 1.
     pub slots: u32,
-    /// How long work takes there; `None` where the target does not say. Checked, and not used yet.
+    /// How long work takes there; `None` if the target does not report it. It is validated but not
+    /// used yet.
     pub slowdown: Option<Slowdown>,
 }
 
 /// Why a load report is ignored.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum LoadReportError {
-    /// It is not text.
-    #[error("the load report is not text; the target must send figures")]
+    /// The header value is not visible ASCII text.
+    #[error("the load report is not text; the target must send comma-separated numbers")]
     NoText,
-    /// It has neither three nor four figures.
-    #[error("the load report has {0} figures; the target must send running, waiting, slots and, if it knows, slowdown")]
+    /// It has neither three nor four fields; holds their number.
+    #[error("the load report has {0} fields; the target must send running,waiting,slots with an optional slowdown")]
     Count(usize),
-    /// One of the first three figures is no number that is believed.
-    #[error("figure {0} of the load report is no whole number up to {MOST_REQUESTS}; the target must correct it")]
+    /// One of the first three fields is not an accepted number; holds its position, from 1.
+    #[error("field {0} of the load report is not a whole number from 0 to {MAX_REQUESTS}")]
     Figure(usize),
-    /// It names no slots.
-    #[error("the load report names no slots; the target must name those that it has")]
+    /// The number of slots is 0.
+    #[error("the load report has 0 slots; the target must report at least 1")]
     NoSlots,
-    /// The slowdown is no number above 0 that is believed.
-    #[error("the slowdown of the load report is not between 1 and 65535 hundredths; the target must correct it")]
+    /// The slowdown is not a number in the accepted range.
+    #[error("the slowdown of the load report is not a number from 1 to 65535 percent")]
     Slowdown,
 }
 
 impl LoadReportError {
-    /// Its name in metrics.
+    /// Reason of the ignored report, as metrics name it.
     pub fn as_str(self) -> &'static str {
         match self {
             Self::NoText => "no-text",
@@ -81,34 +82,35 @@
 }
 
 impl LoadReport {
-    /// Reads `running,waiting,slots` or `running,waiting,slots,slowdown`.
+    /// Parses `running,waiting,slots` or `running,waiting,slots,slowdown`.
     ///
     /// # Errors
-    /// [`LoadReportError`]; the report is ignored then.
+    /// [`LoadReportError`] if the text has another form or a number is out of range. The caller
+    /// ignores the report.
     pub fn parse(text: &str) -> Result<Self, LoadReportError> {
-        let figures: Vec<&str> = text.split(',').map(str::trim).collect();
-        let (requests, slowdown) = match figures[..] {
+        let fields: Vec<&str> = text.split(',').map(str::trim).collect();
+        let (counts, slowdown) = match fields[..] {
             [running, waiting, slots] => ([running, waiting, slots], None),
             [running, waiting, slots, slowdown] => ([running, waiting, slots], Some(slowdown)),
-            _ => return Err(LoadReportError::Count(figures.len())),
+            _ => return Err(LoadReportError::Count(fields.len())),
         };
-        let figure = |position: usize| number(requests[position]).ok_or(LoadReportError::Figure(position + 1));
-        let (running, waiting, slots) = (figure(0)?, figure(1)?, figure(2)?);
+        let count = |position: usize| parse_count(counts[position]).ok_or(LoadReportError::Figure(position + 1));
+        let (running, waiting, slots) = (count(0)?, count(1)?, count(2)?);
         let slots = NonZeroU32::new(slots).ok_or(LoadReportError::NoSlots)?.get();
-        let slowdown = slowdown.map(read_slowdown).transpose()?;
+        let slowdown = slowdown.map(parse_slowdown).transpose()?;
         Ok(Self { running, waiting, slots, slowdown })
     }
 }
 
-fn number(text: &str) -> Option<u32> {
-    text.parse().ok().filter(|number| *number <= MOST_REQUESTS)
+fn parse_count(text: &str) -> Option<u32> {
+    text.parse().ok().filter(|count| *count <= MAX_REQUESTS)
 }
 
-/// A slowdown, to the nearest hundredth: targets may send a fraction.
-fn read_slowdown(text: &str) -> Result<Slowdown, LoadReportError> {
+/// Parses a slowdown and rounds it to whole percent, since targets may send a fraction.
+fn parse_slowdown(text: &str) -> Result<Slowdown, LoadReportError> {
     let percent: f64 = text.parse().map_err(|_| LoadReportError::Slowdown)?;
-    let is_believed = percent.is_finite() && (1.0..=f64::from(u16::MAX)).contains(&percent);
-    if !is_believed {
+    let is_in_range = percent.is_finite() && (1.0..=f64::from(u16::MAX)).contains(&percent);
+    if !is_in_range {
         return Err(LoadReportError::Slowdown);
     }
     Slowdown::from_percent(percent.round() as u16).ok_or(LoadReportError::Slowdown)
--- a/src/decision/capacity/mod.rs
+++ b/src/decision/capacity/mod.rs
@@ -1,7 +1,8 @@
-//! How much a target is given: its load, the limits by priority, the share of targets in slow
-//! start.
+//! Capacity of targets: their load, the admission limits by priority, rate limits, and the rate
+//! that targets in slow start get.
 //!
-//! Owns counts and reports of load. The tables of [`crate::decision`] say what each rule promises.
+//! Owns the counts of requests in flight and the load reports. The tables of [`crate::decision`]
+//! list the promise of each rule.
 
 pub mod admission;
 pub mod in_flight;
--- a/src/decision/capacity/rate_limit/demand.rs
+++ b/src/decision/capacity/rate_limit/demand.rs
@@ -1,15 +1,15 @@
-//! Requests a second, as a moving average.
+//! Rate of requests for a target, as an exponential moving average.
 //!
-//! Owns one number. **Test**: `tests/rate_limits.rs`.
+//! **Test**: `tests/rate_limits.rs`.
 
 use crate::clock::Instant;
 use std::time::Duration;
 
-/// Time over which requests are averaged: above the time between two reports, below the operators'
-/// window.
-const AVERAGED_OVER: Duration = Duration::from_millis(500);
+/// Time constant of the average: longer than the time between two reports, shorter than the
+/// operators' window.
+const TIME_CONSTANT: Duration = Duration::from_millis(500);
 
-/// Requests a second on average, recent ones with more weight.
+/// Average requests a second; recent requests weigh more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     rate: f64,
@@ -17,15 +17,15 @@
 }
 
 impl Demand {
-    /// Counts a request.
-    pub fn add(&mut self, now: Instant) {
-        self.rate = self.rate(now) + 1.0 / AVERAGED_OVER.as_secs_f64();
+    /// Records a request.
+    pub fn record(&mut self, now: Instant) {
+        self.rate = self.rate(now) + 1.0 / TIME_CONSTANT.as_secs_f64();
         self.at = Some(now);
     }
 
-    /// Requests a second.
+    /// Average rate at `now`, requests a second; decays while no request comes.
     pub fn rate(&self, now: Instant) -> f64 {
-        let passed = self.at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
-        self.rate * (-passed.as_secs_f64() / AVERAGED_OVER.as_secs_f64()).exp()
+        let elapsed = self.at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
+        self.rate * (-elapsed.as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp()
     }
 }
--- /dev/null
+++ b/src/decision/capacity/rate_limit/known_limit.rs
@@ -0,0 +1,104 @@
+//! The known rate limit of a target: the latest that it announced to this instance or to another
+//! one.
+//!
+//! A limit learned from other instances is never reported on by this one. Each hop would make it
+//! seem younger by its transit time, so that instances would keep it alive among each other forever.
+//!
+//! **Test**: `tests/rate_limits.rs`.
+
+use super::StatedLimit;
+use crate::clock::Instant;
+use std::time::Duration;
+
+/// Age from which an announcement of a target counts no longer: a target that gets no requests
+/// cannot announce that its limit is gone.
+pub const LIMIT_LIFE: Duration = Duration::from_secs(10);
+
+/// A limit that a target announced, and when.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Said {
+    /// Requests a second; `None` if the target announced no limit.
+    pub rate: Option<f64>,
+    /// When the response that announced it arrived.
+    pub at: Instant,
+}
+
+/// The latest announcements of one target about its limit.
+#[derive(Debug, Default)]
+pub struct KnownLimit {
+    /// Announced to this instance.
+    own: Option<Said>,
+    /// Announced to another instance.
+    remote: Option<Said>,
+    /// When the target was last found to have no limit any more.
+    lifted_at: Option<Instant>,
+}
+
+impl KnownLimit {
+    /// Applies the signal of a response that arrived `now`, to a request sent at `sent`. Returns the
+    /// new limit if it changed; the inner `None` means no limit.
+    pub fn state(&mut self, signal: StatedLimit, sent: Instant, now: Instant) -> Option<Option<f64>> {
+        let rate = match signal {
+            StatedLimit::None => None,
+            StatedLimit::Rate(rate) => Some(rate),
+            StatedLimit::Unreadable => return None,
+        };
+        let before = self.rate(now);
+        let is_lower = rate.is_some_and(|rate| before.is_none_or(|before| rate < before));
+        // A response to a request sent before the latest announcement may predate that: it can only
+        // lower or confirm the limit.
+        let is_later = self.latest(now).is_none_or(|latest| latest.at <= sent);
+        if is_lower || is_later || rate == before {
+            self.own = Some(Said { rate, at: now });
+        }
+        self.change_from(before, now)
+    }
+
+    /// Records a limit that the target announced to another instance. Returns a change as
+    /// [`Self::state`] does.
+    pub fn hear(&mut self, remote: Said, now: Instant) -> Option<Option<f64>> {
+        let before = self.rate(now);
+        if self.remote.is_none_or(|known| known.at < remote.at) {
+            self.remote = Some(remote);
+        }
+        self.change_from(before, now)
+    }
+
+    /// The target's limit, requests a second; `None` if it has none.
+    pub fn rate(&self, now: Instant) -> Option<f64> {
+        self.latest(now)?.rate
+    }
+
+    /// Whether a limit is known, or was lifted less than `LIMIT_LIFE` ago.
+    pub fn has_word(&self, now: Instant) -> bool {
+        let is_lifted = self.lifted_at.is_some_and(|at| now.saturating_duration_since(at) < LIMIT_LIFE);
+        self.rate(now).is_some() || is_lifted
+    }
+
+    /// The limit that the target last announced to this instance, if that is recent.
+    pub fn own(&self, now: Instant) -> Option<Said> {
+        self.own.filter(|own| own.counts(now))
+    }
+
+    /// The limit that the target last announced to any instance, if that is recent.
+    pub fn latest(&self, now: Instant) -> Option<Said> {
+        let later = |one: Said, other: Said| if other.at > one.at { other } else { one };
+        let latest = [self.own, self.remote].into_iter().flatten().reduce(later)?;
+        latest.counts(now).then_some(latest)
+    }
+
+    fn change_from(&mut self, before: Option<f64>, now: Instant) -> Option<Option<f64>> {
+        let rate = self.rate(now);
+        if rate.is_none() && before.is_some() {
+            self.lifted_at = Some(now);
+        }
+        (rate != before).then_some(rate)
+    }
+}
+
+impl Said {
+    /// Whether it is recent enough to apply.
+    pub fn counts(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) < LIMIT_LIFE
+    }
+}
--- a/src/decision/capacity/second_target.rs
+++ b/src/decision/capacity/second_target.rs
@@ -1,59 +1,61 @@
-//! Second targets: a key's second target takes a request only while it can be expected to
-//! answer within the objective, by how long second targets of the service lately took.
+//! Second targets: a key's second target takes a request only while it is expected to respond
+//! within the latency objective, judged by the recent latency of the service's second targets.
 //!
 //! **Inputs**
-//! - Latency of answers of second targets, a moving average by service, seconds, of this
-//!   instance's own requests; no age limit, since a free slot is always used.
+//! - Latency of second targets, seconds: a moving average per service over this instance's own
+//!   requests. It has no age limit, since a free slot is always used and measured.
 //! - Median latency of the service's targets, seconds; 0.5 s old at most.
 //! - The route's latency objective, from the configuration in force.
 //!
-//! **Why.** The second target of a key has often not cached its object, and works some three
-//! times as long on it. Where that is so for most, each request that the first has no room
-//! for takes the place of three, at a target that is full next; and where targets cache few
-//! objects, the second copies drive out the first ones. The service then stays slow after
-//! what filled it has gone. Where second targets answer soon, because the objects are cached
-//! there too or the work on others is short, they share the load as ever.
+//! **Why.** The second target of a key has often not cached the key's object and then works about
+//! three times as long on it. If that holds for most keys, each request that overflows from its
+//! first target takes the capacity of three at a target that fills up next. If targets cache few
+//! objects, the second copies also evict the first ones, and the service stays slow after the
+//! overload has ended. If second targets respond fast, because they have the objects cached too or
+//! uncached work is short, they take overflow up to the ordinary limit.
 //!
-//! **Guards** the promise that answers come within their objective where targets can give
-//! them; it never allows more than the rank's own limit ([`crate::decision::capacity::admission`]).
+//! **Guards** the promise that responses arrive within their objective if the targets can achieve it.
+//! The limit is never above that of the rank ([`crate::decision::capacity::admission`]).
 //!
 //! **Test**: `tests/second_target.rs`.
 
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Weight of a new time in the average (no unit): some ten answers dominate.
-const WEIGHT: f64 = 0.1;
-/// Least limit, requests per slot: a target with a slot to spare takes one request more, so
-/// that second targets are measured on and keys find a second target in the end.
-const LEAST_LOAD: f64 = 0.8;
+/// Weight of a new latency in the moving average (no unit): about the last ten responses dominate.
+const SMOOTHING_FACTOR: f64 = 0.1;
+/// Lower bound of the limit, requests per slot. A target with a free slot takes one more request,
+/// so that second targets continue to be measured and keys eventually get a second target.
+const MIN_LOAD: f64 = 0.8;
 
-/// How long answers of second targets of one service take.
+/// Latency of the second targets of one service.
 #[derive(Debug, Default)]
 pub struct SecondLatency {
-    /// Moving average, seconds; `None` before the first answer.
+    /// Moving average, seconds; `None` before the first response.
     average: Cell<Option<f64>>,
 }
 
 impl SecondLatency {
-    /// Notes that a second target took this long, or gave no answer in it.
-    pub fn record(&self, took: Duration) {
-        let took = took.as_secs_f64();
-        let average = self.average.get().unwrap_or(took);
-        self.average.set(Some(average + WEIGHT * (took - average)));
+    /// Records that a second target responded after `elapsed`, or had not responded by then.
+    pub fn record(&self, elapsed: Duration) {
+        let latency = elapsed.as_secs_f64();
+        let average = self.average.get().unwrap_or(latency);
+        self.average.set(Some(average + SMOOTHING_FACTOR * (latency - average)));
     }
 
-    /// The moving average, seconds; `None` before the first answer.
+    /// Moving average of the latency, seconds; `None` before the first response.
     pub fn average(&self) -> Option<f64> {
         self.average.get()
     }
 
-    /// Limit for a second target, requests per slot, where a first one has `most`: each
-    /// request above one a slot waits for about a `median`, seconds, and the time that the
-    /// objective leaves bears so many.
-    pub fn max_load(&self, most: f64, objective: Duration, median: f64) -> f64 {
-        let Some(average) = self.average.get().filter(|_| median.is_finite() && median > 0.0) else { return most };
-        let waiting = (objective.as_secs_f64() - average) / median;
-        (1.0 + waiting).max(LEAST_LOAD).min(most)
+    /// Load limit for a second target, requests per slot, at most `first_limit`, the limit for a
+    /// first target. Each request above one per slot waits for about `median` seconds; the limit
+    /// allows as many as fit into the time that the objective leaves.
+    pub fn max_load(&self, first_limit: f64, objective: Duration, median: f64) -> f64 {
+        let Some(average) = self.average.get().filter(|_| median.is_finite() && median > 0.0) else {
+            return first_limit;
+        };
+        let queued = (objective.as_secs_f64() - average) / median;
+        (1.0 + queued).max(MIN_LOAD).min(first_limit)
     }
 }
--- a/src/decision/capacity/shared_loads.rs
+++ b/src/decision/capacity/shared_loads.rs
@@ -1,20 +1,22 @@
-//! Loads of targets that other instances were told, by the head of a hall.
+//! Loads of targets that the head of a hall distributes to other instances.
 //!
-//! **Inputs**: loads as targets told them in answers to any instance, with their ages: some 0.1 to
-//! 0.5 s when they are used.
+//! **Inputs**: loads that targets reported in responses to any instance, with their ages: about 0.1
+//! to 0.5 s when they are used.
 //!
-//! **Why.** The more instances share targets, the longer ago each one's own traffic was answered
-//! there: at 75 instances and 225 targets an instance sends to one and the same target each 2.4 s in
-//! the middle, and a load that old says nothing. All of them together hear of a target several
-//! times a second.
+//! **Why.** The more instances share targets, the older the load that each one knows from its own
+//! traffic: with 75 instances and 225 targets, an instance sends to the same target every 2.4 s on
+//! average, and a load that old says nothing. All instances together get a report of each target
+//! several times a second.
 //!
-//! Shared loads alone send more requests to second targets, which have not cached their object, and
-//! away; a higher limit alone fills targets whose load is not known. With both, a request waits at
-//! its first target where that is sooner. [`super::admission`] has the limit.
+//! Shared loads without the higher limit of [`super::admission`] move more requests to second
+//! targets, which have not cached the object, and cause more refusals. The higher limit without
+//! shared loads overfills targets whose load is not known. With both, a request waits at its first
+//! target if that is faster.
 //!
-//! Owns the last load of each target, and what is told, worked out anew each `TOLD_FOR` (0.1 s): the
-//! same for all who ask, so that an answer costs the same however many targets there are. It names
-//! `MOST_TOLD` (128) targets at most, the fullest first. **Test**: `tests/shared_loads.rs`.
+//! Owns the latest load of each target, and a snapshot of the loads to send, which is recomputed
+//! every `MAX_SNAPSHOT_AGE` (0.1 s). All who ask get the same snapshot, so that the cost of an
+//! answer does not depend on the number of targets. It contains at most `MAX_TARGETS_PER_MESSAGE`
+//! (128) targets, the most loaded ones. **Test**: `tests/shared_loads.rs`.
 
 use crate::clock::Instant;
 use crate::model::usage::{ShortKey, TargetLoad};
@@ -22,96 +24,96 @@
 use std::collections::HashMap;
 use std::time::Duration;
 
-/// Targets in one message: some 0.8 kB, 4 kB a second for an instance.
-const MOST_TOLD: usize = 128;
-/// Age from which a load is not told on.
-const MAX_AGE: Duration = Duration::from_secs(1);
-/// Time for which the same is told: half of that between two reports. What a head works out does
-/// not grow with targets times the instances that ask.
-const TOLD_FOR: Duration = Duration::from_millis(100);
+/// Targets in one message at most: about 0.8 kB, 4 kB a second for an instance.
+const MAX_TARGETS_PER_MESSAGE: usize = 128;
+/// Age from which a load is dropped.
+const MAX_LOAD_AGE: Duration = Duration::from_secs(1);
+/// Age from which a snapshot is recomputed: half the time between two reports. It keeps a head's
+/// work from growing with the number of targets times the number of instances that ask.
+const MAX_SNAPSHOT_AGE: Duration = Duration::from_millis(100);
 
-/// The load of a target, as it was told.
+/// The latest known load of a target.
 #[derive(Clone, Copy, Debug)]
-struct Heard {
+struct KnownLoad {
     target: ShortKey,
     requests: u8,
     at: Instant,
-    /// Whether an instance of the own hall told it.
-    is_own: bool,
+    /// Whether an instance of the own hall reported it.
+    is_own_hall: bool,
 }
 
-impl Heard {
-    fn told_at(&self, now: Instant) -> TargetLoad {
+impl KnownLoad {
+    fn target_load(&self, now: Instant) -> TargetLoad {
         TargetLoad::new(self.target, self.requests.into(), now.saturating_duration_since(self.at))
     }
 }
 
-/// What is told, and when it was worked out.
+/// Loads to send, and when they were selected.
 #[derive(Debug, Default)]
-struct Told {
-    loads: Vec<Heard>,
+struct Snapshot {
+    loads: Vec<KnownLoad>,
     at: Option<Instant>,
 }
 
-/// The last load of each target that an instance was told of.
+/// The latest load of each target that was reported to an instance as the head of a hall.
 #[derive(Debug, Default)]
 pub struct SharedLoads {
-    heard: HashMap<ShortKey, Heard>,
-    to_instances: Told,
-    to_halls: Told,
+    latest: HashMap<ShortKey, KnownLoad>,
+    for_instances: Snapshot,
+    for_halls: Snapshot,
 }
 
 impl SharedLoads {
-    /// Takes loads from an instance of the own hall, or another hall's head.
-    pub fn take(&mut self, loads: &[TargetLoad], is_own: bool, now: Instant) {
+    /// Records loads from an instance of the own hall (`is_own_hall`) or from another hall's head.
+    pub fn take(&mut self, loads: &[TargetLoad], is_own_hall: bool, now: Instant) {
         for load in loads {
             let Some(at) = now.checked_sub(load.age()) else { continue };
-            let known = self.heard.get(&load.target);
+            let known = self.latest.get(&load.target);
             if known.is_none_or(|known| known.at < at) {
-                let heard = Heard { target: load.target, requests: load.requests, at, is_own };
-                self.heard.insert(load.target, heard);
+                let latest = KnownLoad { target: load.target, requests: load.requests, at, is_own_hall };
+                self.latest.insert(load.target, latest);
             }
         }
     }
 
-    /// What instances of the own hall are told.
+    /// Loads to send to instances of the own hall: those of all halls.
     pub fn tell(&mut self, now: Instant) -> Vec<TargetLoad> {
-        if self.to_instances.is_over(now) {
-            self.forget_old(now);
-            self.to_instances = Told::new(self.heard.values().copied(), now);
+        if self.for_instances.is_expired(now) {
+            self.remove_expired(now);
+            self.for_instances = Snapshot::new(self.latest.values().copied(), now);
         }
-        self.to_instances.loads_at(now)
+        self.for_instances.target_loads(now)
     }
 
-    /// What other halls are told: the own hall's loads.
+    /// Loads to send to the heads of other halls: those that the own hall's instances reported.
     pub fn tell_halls(&mut self, now: Instant) -> Vec<TargetLoad> {
-        if self.to_halls.is_over(now) {
-            self.forget_old(now);
-            self.to_halls = Told::new(self.heard.values().copied().filter(|heard| heard.is_own), now);
+        if self.for_halls.is_expired(now) {
+            self.remove_expired(now);
+            self.for_halls = Snapshot::new(self.latest.values().copied().filter(|load| load.is_own_hall), now);
         }
-        self.to_halls.loads_at(now)
+        self.for_halls.target_loads(now)
     }
 
-    fn forget_old(&mut self, now: Instant) {
-        self.heard.retain(|_, heard| now.saturating_duration_since(heard.at) < MAX_AGE);
+    fn remove_expired(&mut self, now: Instant) {
+        self.latest.retain(|_, load| now.saturating_duration_since(load.at) < MAX_LOAD_AGE);
     }
 }
 
-impl Told {
-    fn new(heard: impl Iterator<Item = Heard>, now: Instant) -> Self {
-        let mut loads: Vec<Heard> = heard.collect();
-        if loads.len() > MOST_TOLD {
-            loads.select_nth_unstable_by_key(MOST_TOLD, |heard| Reverse(heard.requests));
-            loads.truncate(MOST_TOLD);
+impl Snapshot {
+    fn new(latest: impl Iterator<Item = KnownLoad>, now: Instant) -> Self {
+        let mut loads: Vec<KnownLoad> = latest.collect();
+        if loads.len() > MAX_TARGETS_PER_MESSAGE {
+            loads.select_nth_unstable_by_key(MAX_TARGETS_PER_MESSAGE, |load| Reverse(load.requests));
+            loads.truncate(MAX_TARGETS_PER_MESSAGE);
         }
         Self { loads, at: Some(now) }
     }
 
-    fn is_over(&self, now: Instant) -> bool {
-        self.at.is_none_or(|at| now.saturating_duration_since(at) >= TOLD_FOR)
+    fn is_expired(&self, now: Instant) -> bool {
+        self.at.is_none_or(|at| now.saturating_duration_since(at) >= MAX_SNAPSHOT_AGE)
     }
 
-    fn loads_at(&self, now: Instant) -> Vec<TargetLoad> {
-        self.loads.iter().map(|heard| heard.told_at(now)).collect()
+    fn target_loads(&self, now: Instant) -> Vec<TargetLoad> {
+        self.loads.iter().map(|load| load.target_load(now)).collect()
     }
 }
