--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet and one target with a limit, without sockets: requests come at random, answers and
-//! messages take their time on the way.
+//! Simulation of a fleet and one target with a rate limit, without sockets: requests arrive at
+//! random; responses and messages are delayed.
 
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::rate_limit::totals::{LimitTotals, said, told_rate};
@@ -14,94 +14,100 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-/// Time between looks.
+/// Time step of the simulation.
 const STEP: Duration = Duration::from_millis(10);
-/// Time from a request to its answer.
-const ANSWER_TIME: Duration = Duration::from_millis(150);
-/// Time of a message between two instances.
-const WAY_TIME: Duration = Duration::from_millis(12);
-/// The operators' window.
+/// Time from a request to its response.
+const RESPONSE_TIME: Duration = Duration::from_millis(150);
+/// Delay of a message between two instances.
+const NETWORK_DELAY: Duration = Duration::from_millis(12);
+/// Window of the operators' bound.
 const WINDOW: Duration = Duration::from_secs(4);
-/// Time after a limit is named from which it binds.
-const BINDS_AFTER: Duration = Duration::from_secs(3);
-/// Time after which an instance that passed on such an answer counts.
-const HEARD_AFTER: Duration = Duration::from_millis(500);
-/// Share of the requests that come in at the region of the target, which has a third of the halls.
-const NEAR: f64 = 0.85;
-/// Time within which instances that know no limit ask.
-const ASKED_WITHIN: Duration = Duration::from_secs(1);
-/// Instances from which those that know no limit ask each second.
-const ASKS_FROM: usize = 32;
+/// Time after a limit is announced from which the bound applies.
+const ENFORCED_AFTER: Duration = Duration::from_secs(3);
+/// Time after an instance passed on a response with a limit from which its requests count against
+/// the bound.
+const PROPAGATION_TIME: Duration = Duration::from_millis(500);
+/// Share of the requests that arrive in the region of the target, which has a third of the halls.
+const NEAR_RATIO: f64 = 0.85;
+/// Time within which each instance that knows no limit asks its head.
+const POLL_INTERVAL: Duration = Duration::from_secs(1);
+/// Fleet size from which instances that know no limit ask their head every second.
+const MIN_POLLING_INSTANCES: usize = 32;
 const TARGET: StartKey = StartKey([7; 8]);
 
-/// How instances keep a limit.
+/// How instances keep the limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
-    /// By their equal parts alone.
-    Parts,
-    /// Each lowers what it sends when the target turns it away, and raises it otherwise.
+pub enum Mode {
+    /// Only by their equal shares.
+    EqualShares,
+    /// Each lowers its rate when the target rejects a request, and raises it otherwise.
     Feedback,
-    /// By what the heads of halls answer.
+    /// By the shares that the heads of halls answer.
     Heads,
 }
 
-/// What came of a play.
+/// Result of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Most requests in a window that count: of instances that had passed on the limit.
-    pub most: f64,
-    /// Most requests in a window of those that any instance sent a second after the limit was named.
-    pub most_sent: f64,
-    /// The operators' bound on it.
+    /// Maximum number of requests in a window, of instances that had passed on the limit at
+    /// least `PROPAGATION_TIME` before.
+    pub max_known: f64,
+    /// Maximum number of requests in a window, of all instances, from a second after the limit was
+    /// announced.
+    pub max_sent: f64,
+    /// The operators' bound on both.
     pub allowed: f64,
-    /// Part of the limit that was used once it bound.
+    /// Used part of the limit while the bound applied.
     pub used: f64,
-    /// Bytes a second of messages an instance, both ways.
+    /// Bytes of messages a second and instance, both directions.
     pub bytes: f64,
 }
 
 struct Instance {
     limit: RateLimit,
     hall: usize,
-    /// Requests a second that it sends by itself, for [`Way::Feedback`].
+    /// Requests a second that it allows itself, for [`Mode::Feedback`].
     rate: f64,
-    saved: f64,
-    /// When it passed on an answer that named a limit.
-    told: Option<Instant>,
+    /// Accumulated credit, 0 to 1 request, for [`Mode::Feedback`].
+    credit: f64,
+    /// When it first passed on a response with a limit.
+    passed_on_at: Option<Instant>,
 }
 
 struct Answer {
     instance: usize,
     sent: Instant,
     due: Instant,
-    is_turned_away: bool,
+    is_rejected: bool,
 }
 
 pub struct Fleet {
-    way: Way,
+    mode: Mode,
     instances: Vec<Instance>,
     heads: Vec<LimitTotals>,
     members: Members,
     demand: f64,
-    named: Option<f64>,
-    named_at: Instant,
+    announced_limit: Option<f64>,
+    announced_at: Instant,
     now: Instant,
     step: u64,
     random: StdRng,
     answers: VecDeque<Answer>,
-    /// Reports and answers to them on the way, each with when it arrives and at which head.
+    /// Reports in transit, each with its arrival time, its sender and the hall of its receiver.
     reports: VecDeque<(Instant, usize, usize, LimitReport)>,
+    /// Answers to reports in transit, each with its arrival time and its receiver.
     shares: VecDeque<(Instant, usize, LimitAnswer)>,
-    /// What was sent: when, and whether its instance had passed on the limit before.
+    /// Sent requests: when, and whether the instance had passed on the limit at least
+    /// `PROPAGATION_TIME` before.
     sent: Vec<(Instant, bool)>,
-    /// When the target took requests of the last second.
-    taken: VecDeque<Instant>,
+    /// When the target accepted requests, in the last window.
+    accepted: VecDeque<Instant>,
     bytes: usize,
-    is_cut: Vec<bool>,
+    is_partitioned: Vec<bool>,
 }
 
 impl Fleet {
-    pub fn new(way: Way, count: usize, halls: usize, demand: f64, seed: u64) -> Self {
+    pub fn new(mode: Mode, count: usize, halls: usize, demand: f64, seed: u64) -> Self {
         let now = Instant::now();
         let mut members = Members::default();
         for number in 0..count {
@@ -115,17 +121,17 @@
             limit: RateLimit::default(),
             hall: number % halls,
             rate: f64::MAX,
-            saved: 0.0,
-            told: None,
+            credit: 0.0,
+            passed_on_at: None,
         };
         Self {
-            way,
+            mode,
             instances: (0..count).map(instance).collect(),
             heads: (0..halls).map(|_| LimitTotals::default()).collect(),
             members,
             demand,
-            named: None,
-            named_at: now,
+            announced_limit: None,
+            announced_at: now,
             now,
             step: 0,
             random: StdRng::seed_from_u64(seed),
@@ -133,59 +139,60 @@
             reports: VecDeque::new(),
             shares: VecDeque::new(),
             sent: Vec::new(),
-            taken: VecDeque::new(),
+            accepted: VecDeque::new(),
             bytes: 0,
-            is_cut: vec![false; halls],
+            is_partitioned: vec![false; halls],
         }
     }
 
-    /// The target names another limit from now on, or none.
-    pub fn name(&mut self, limit: Option<f64>) {
-        self.named = limit;
-        self.named_at = self.now;
+    /// Sets the limit that the target announces from now on; `None` for no limit.
+    pub fn set_limit(&mut self, limit: Option<f64>) {
+        self.announced_limit = limit;
+        self.announced_at = self.now;
     }
 
     pub fn set_demand(&mut self, demand: f64) {
         self.demand = demand;
     }
 
-    /// No message comes into or out of the hall from now on.
-    pub fn cut_off(&mut self, hall: usize) {
-        self.is_cut[hall] = true;
+    /// Stops all messages between this hall and the others from now on.
+    pub fn partition(&mut self, hall: usize) {
+        self.is_partitioned[hall] = true;
     }
 
     pub fn run(&mut self, seconds: f64) {
         self.run_until(seconds, |_| false);
     }
 
-    /// Runs until it holds of the limit at all instances, `seconds` at most; gives how long that took.
-    pub fn run_until(&mut self, seconds: f64, holds: impl Fn(Option<f64>) -> bool) -> f64 {
-        let begun = self.now;
-        while self.now - begun < Duration::from_secs_f64(seconds) {
+    /// Runs until `condition` is true of the limit at each instance, at most `seconds`. Returns the
+    /// time that passed, seconds.
+    pub fn run_until(&mut self, seconds: f64, condition: impl Fn(Option<f64>) -> bool) -> f64 {
+        let started = self.now;
+        while self.now - started < Duration::from_secs_f64(seconds) {
             self.advance();
-            if self.instances.iter().all(|instance| holds(instance.limit.rate(self.now))) {
+            if self.instances.iter().all(|instance| condition(instance.limit.rate(self.now))) {
                 break;
             }
         }
-        (self.now - begun).as_secs_f64()
+        (self.now - started).as_secs_f64()
     }
 
     pub fn outcome(&self, limit: f64) -> Outcome {
-        let bound = self.named_at + BINDS_AFTER;
-        let heard = self.named_at + ASKED_WITHIN;
-        let most_of = |is_counted: &dyn Fn(&(Instant, bool)) -> bool| {
+        let enforced_from = self.announced_at + ENFORCED_AFTER;
+        let known_from = self.announced_at + POLL_INTERVAL;
+        let max_in_window = |is_counted: &dyn Fn(&(Instant, bool)) -> bool| {
             let times: Vec<Instant> = self.sent.iter().filter(|sent| is_counted(sent)).map(|(at, _)| *at).collect();
             let within = |first: usize| times[first..].partition_point(|at| *at < times[first] + WINDOW);
-            let ends = |first: &usize| times[*first] + WINDOW >= bound;
-            (0..times.len()).filter(ends).map(within).max().unwrap_or(0) as f64
+            let is_enforced = |first: &usize| times[*first] + WINDOW >= enforced_from;
+            (0..times.len()).filter(is_enforced).map(within).max().unwrap_or(0) as f64
         };
-        let after = self.sent.iter().filter(|(at, _)| *at >= bound).count() as f64;
-        let lasted = self.now.saturating_duration_since(bound).as_secs_f64();
+        let sent = self.sent.iter().filter(|(at, _)| *at >= enforced_from).count() as f64;
+        let elapsed = self.now.saturating_duration_since(enforced_from).as_secs_f64();
         Outcome {
-            most: most_of(&|(_, counts)| *counts),
-            most_sent: most_of(&|(at, _)| *at >= heard),
+            max_known: max_in_window(&|(_, counts)| *counts),
+            max_sent: max_in_window(&|(at, _)| *at >= known_from),
             allowed: 1.5 * limit * WINDOW.as_secs_f64() + 5.0,
-            used: after / (lasted * limit),
+            used: sent / (elapsed * limit),
             bytes: self.bytes as f64 / self.step as f64 / STEP.as_secs_f64() / self.instances.len() as f64,
         }
     }
@@ -193,25 +200,25 @@
     fn advance(&mut self) {
         self.now += STEP;
         self.step += 1;
-        self.take_answers();
+        self.receive_answers();
         self.send_requests();
-        if self.way == Way::Heads {
+        if self.mode == Mode::Heads {
             self.deliver();
             self.report();
             self.forward();
         }
     }
 
-    fn take_answers(&mut self) {
+    fn receive_answers(&mut self) {
         while self.answers.front().is_some_and(|answer| answer.due <= self.now) {
             let answer = self.answers.pop_front().unwrap();
-            let stated = self.named.map_or(StatedLimit::None, StatedLimit::Rate);
+            let signal = self.announced_limit.map_or(StatedLimit::None, StatedLimit::Rate);
             let instance = &mut self.instances[answer.instance];
-            instance.limit.state(stated, answer.sent, self.now);
-            if self.named.is_some() {
-                instance.told.get_or_insert(self.now);
+            instance.limit.state(signal, answer.sent, self.now);
+            if self.announced_limit.is_some() {
+                instance.passed_on_at.get_or_insert(self.now);
             }
-            match answer.is_turned_away {
+            match answer.is_rejected {
                 true => instance.rate = instance.rate.min(self.demand) * 0.7,
                 false => instance.rate += 0.05,
             }
@@ -219,7 +226,7 @@
     }
 
     fn send_requests(&mut self) {
-        // A request comes in each of a hundred parts of the step with the same probability.
+        // The step has a hundred parts; in each a request arrives with the same probability.
         let probability = self.demand * STEP.as_secs_f64() / 100.0;
         for _ in 0..100 {
             if self.random.random::<f64>() < probability {
@@ -228,52 +235,52 @@
         }
         let step = STEP.as_secs_f64();
         self.instances.iter_mut().for_each(|instance| {
-            instance.saved = (instance.saved + instance.rate.min(1e3) * step).min(1.0);
+            instance.credit = (instance.credit + instance.rate.min(1e3) * step).min(1.0);
         });
     }
 
     fn request(&mut self) {
         let halls = self.heads.len();
         let near = halls.div_ceil(3);
-        let is_near = self.random.random::<f64>() < NEAR;
+        let is_near = self.random.random::<f64>() < NEAR_RATIO;
         let number = loop {
             let number = self.random.random_range(0..self.instances.len());
             if (number % halls < near) == is_near {
                 break number;
             }
         };
-        let (now, way) = (self.now, self.way);
+        let (now, mode) = (self.now, self.mode);
         let own = name(number);
         let instance = &mut self.instances[number];
-        if way == Way::Parts || instance.limit.pass(now).is_none() {
+        if mode == Mode::EqualShares || instance.limit.pass(now).is_none() {
             instance.limit.update_part(1, &own, self.members.names(), now);
         }
-        let is_held = match way {
-            Way::Feedback => instance.told.is_some() && instance.saved < 1.0,
-            Way::Parts | Way::Heads => instance.limit.is_used_up(now),
+        let is_held = match mode {
+            Mode::Feedback => instance.passed_on_at.is_some() && instance.credit < 1.0,
+            Mode::EqualShares | Mode::Heads => instance.limit.is_used_up(now),
         };
         instance.limit.offer(now);
         if is_held {
             return;
         }
         instance.limit.spend(now);
-        instance.saved = (instance.saved - 1.0).max(0.0);
-        let counts = instance.told.is_some_and(|told| now - told >= HEARD_AFTER);
+        instance.credit = (instance.credit - 1.0).max(0.0);
+        let counts = instance.passed_on_at.is_some_and(|at| now - at >= PROPAGATION_TIME);
         self.sent.push((now, counts));
-        let is_turned_away = self.turns_away();
-        self.answers.push_back(Answer { instance: number, sent: now, due: now + ANSWER_TIME, is_turned_away });
+        let is_rejected = self.rejects_request();
+        self.answers.push_back(Answer { instance: number, sent: now, due: now + RESPONSE_TIME, is_rejected });
     }
 
-    /// Whether the target turns a request away now that arrives beyond its limit.
-    fn turns_away(&mut self) -> bool {
+    /// Whether the target rejects a request that arrives now, since it exceeds the limit.
+    fn rejects_request(&mut self) -> bool {
         let now = self.now;
-        while self.taken.front().is_some_and(|at| now - *at > WINDOW) {
-            self.taken.pop_front();
+        while self.accepted.front().is_some_and(|at| now - *at > WINDOW) {
+            self.accepted.pop_front();
         }
-        let most = self.named.map_or(f64::MAX, |limit| limit * WINDOW.as_secs_f64());
-        let is_full = self.taken.len() as f64 >= most;
+        let max_requests = self.announced_limit.map_or(f64::MAX, |limit| limit * WINDOW.as_secs_f64());
+        let is_full = self.accepted.len() as f64 >= max_requests;
         if !is_full {
-            self.taken.push_back(now);
+            self.accepted.push_back(now);
         }
         is_full
     }
@@ -287,10 +294,10 @@
             }
             let now = self.now;
             let hall = self.instances[number].hall;
-            let asks = self.instances.len() >= ASKS_FROM && (self.step + number as u64).is_multiple_of(100);
+            let asks = self.instances.len() >= MIN_POLLING_INSTANCES && (self.step + number as u64).is_multiple_of(100);
             let targets = match self.instances[number].limit.tell(now) {
                 Some((own, demand)) => {
-                    let told = own.and_then(|said| told_rate(said, now));
+                    let told = own.and_then(|limit| told_rate(limit, now));
                     vec![TargetDemand { target: TARGET, told, demand: demand as f32, leaves: false }]
                 }
                 None if asks => Vec::new(),
@@ -298,7 +305,7 @@
             };
             let report = LimitReport { from: name(number), hall: hall_name(hall), is_forwarded: false, targets };
             self.bytes += encode(&report).len();
-            self.reports.push_back((now + WAY_TIME, number, hall, report));
+            self.reports.push_back((now + NETWORK_DELAY, number, hall, report));
         }
     }
 
@@ -306,14 +313,14 @@
         let every = FORWARD_EVERY.as_millis() as u64 / STEP.as_millis() as u64;
         for hall in 0..self.heads.len() {
             let is_due = (self.step + 7 * hall as u64).is_multiple_of(every);
-            if !is_due || !self.heads[hall].forwards(self.now) || self.is_cut[hall] {
+            if !is_due || !self.heads[hall].forwards(self.now) || self.is_partitioned[hall] {
                 continue;
             }
             let targets = self.heads[hall].forward(self.now);
             let report = LimitReport { from: name(hall), hall: hall_name(hall), is_forwarded: true, targets };
-            for other in (0..self.heads.len()).filter(|other| *other != hall && !self.is_cut[*other]) {
+            for other in (0..self.heads.len()).filter(|other| *other != hall && !self.is_partitioned[*other]) {
                 self.bytes += encode(&report).len();
-                self.reports.push_back((self.now + WAY_TIME, usize::MAX, other, report.clone()));
+                self.reports.push_back((self.now + NETWORK_DELAY, usize::MAX, other, report.clone()));
                 let from = hall_name(other);
                 self.heads[hall].hear_hall(&from, self.now);
             }
@@ -329,15 +336,15 @@
                 let shares = self.heads[hall].shares(&report.targets, &self.members, &own, self.now);
                 let answer = LimitAnswer { shares };
                 self.bytes += encode(&answer).len();
-                self.shares.push_back((self.now + WAY_TIME, from, answer));
+                self.shares.push_back((self.now + NETWORK_DELAY, from, answer));
             }
         }
         while self.shares.front().is_some_and(|(due, ..)| *due <= self.now) {
             let (_, number, answer) = self.shares.pop_front().unwrap();
             for share in &answer.shares {
                 let limit = &mut self.instances[number].limit;
-                if let Some(said) = share.told.and_then(|told| said(told, self.now)) {
-                    limit.hear(said, self.now);
+                if let Some(remote) = share.told.and_then(|told| said(told, self.now)) {
+                    limit.hear(remote, self.now);
                 }
                 limit.set_share(share.pass.into(), self.random.random(), self.now);
             }
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -1,4 +1,4 @@
-//! Load reports of targets: what is read, and what is ignored for which reason.
+//! Parsing of targets' load reports: accepted forms, and the reason for which others are ignored.
 
 use lockloft::decision::capacity::load_report::{LoadReport, LoadReportError, Slowdown};
 use proptest::prelude::*;
@@ -8,7 +8,7 @@
 }
 
 #[test]
-fn a_load_report_has_three_figures_or_four() {
+fn a_load_report_has_three_or_four_fields() {
     assert_eq!(LoadReport::parse("3, 0,8"), report(3, 0, 8, None));
     assert_eq!(LoadReport::parse("3,0,8,100"), report(3, 0, 8, Some(100)));
     assert_eq!(LoadReport::parse(" 3 , 2 , 8 , 250 "), report(3, 2, 8, Some(250)));
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_broken_load_report_is_ignored_for_its_reason() {
+fn an_invalid_load_report_is_rejected_with_a_reason() {
     use LoadReportError::{Count, Figure, NoSlots, Slowdown};
     let table = [
         ("", Count(1)),
@@ -43,7 +43,7 @@
 
 proptest! {
     #[test]
-    fn no_text_is_read_as_more_than_a_target_can_hold(text in "[-0-9a-z., ]{0,30}") {
+    fn accepted_load_reports_are_within_bounds(text in "[-0-9a-z., ]{0,30}") {
         if let Ok(report) = LoadReport::parse(&text) {
             prop_assert!(report.slots > 0);
             prop_assert!(report.running <= 1 << 20 && report.waiting <= 1 << 20 && report.slots <= 1 << 20);
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -1,5 +1,5 @@
-//! Rate limits that targets name: their values, how long they hold and for what, the parts of
-//! instances.
+//! Rate limits that targets announce: parsing, which announcement applies and for how long, and the
+//! shares of instances.
 
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::rate_limit::totals::{LimitTotals, MAX_TOLD, said, told_rate};
@@ -41,7 +41,7 @@
     LimitReport { from: from.to_owned(), hall: hall.to_owned(), is_forwarded: false, targets }
 }
 
-const NOTHING: Stated =
+const NO_SIGNALS: Stated =
     Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
 const NAMED: Option<ToldRate> = Some(ToldRate { rate: Some(6.0), age_ms: 0 });
 
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_changes_nothing() {
+fn an_unreadable_limit_changes_nothing() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
     assert_eq!(limit.state(StatedLimit::Rate(4.0), now, now), Some(Some(4.0)));
     assert_eq!(limit.state(StatedLimit::Unreadable, now + ms(1), now + ms(2)), None);
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn an_answer_that_was_under_way_lowers_a_limit_but_neither_raises_nor_lifts_it() {
+fn a_response_to_an_earlier_request_lowers_a_limit_but_neither_raises_nor_lifts_it() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
     let (before, named, after) = (now, now + ms(50), now + ms(60));
     assert_eq!(limit.state(StatedLimit::Rate(4.0), before, named), Some(Some(4.0)));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_target_that_says_nothing_for_ten_seconds_has_no_limit() {
+fn a_limit_expires_ten_seconds_after_its_last_announcement() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
     limit.state(StatedLimit::Rate(4.0), now, now);
     assert_eq!(limit.rate(now + ms(9_900)), Some(4.0));
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn what_others_were_told_counts_where_it_is_later_and_is_not_told_on() {
+fn a_remote_limit_applies_if_it_is_later_and_is_not_reported_on() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
     limit.state(StatedLimit::Rate(4.0), now, now);
     assert_eq!(limit.hear(Said { rate: Some(9.0), at: now - ms(10) }, now + ms(5)), None);
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn another_start_or_address_has_another_key() {
+fn the_start_key_depends_on_id_start_and_address() {
     let address = "127.0.0.1:80".parse().unwrap();
     let key = start_key("u", Some(StartTime(1)), address);
     assert_ne!(key, start_key("u", Some(StartTime(2)), address));
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn of_many_instances_with_a_share_so_many_requests_are_sent() {
+fn instances_together_send_their_share_of_the_requests() {
     let now = Instant::now();
     let mut sent = 0;
     for number in 0..100 {
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn equal_parts_are_whole_requests_of_few_instances() {
+fn equal_shares_together_stay_within_the_limit_and_allow_a_request() {
     let now = Instant::now();
     for (count, rate) in [(1, 4.0), (12, 4.5), (75, 4.5), (295, 0.0), (12, 40.0)] {
         let members = members(count, 6);
@@ -138,7 +138,7 @@
     }
 }
 
-/// What an instance sends by its equal part in 4 s, with requests all the time.
+/// Requests that an instance sends in 4 s by its equal share, with a request always waiting.
 fn sent_in_window(rate: f64, number: usize, members: &Members, now: Instant) -> usize {
     let mut limit = RateLimit::default();
     limit.state(StatedLimit::Rate(rate), now, now);
@@ -155,14 +155,14 @@
 }
 
 #[test]
-fn a_head_answers_the_limit_over_all_demands() {
+fn a_head_answers_with_the_limit_divided_by_the_total_demand() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(4, 2));
     totals.take(&report("e-0", "h-0", 10.0, NAMED), "h-0", now);
     totals.take(&report("e-2", "h-0", 5.0, None), "h-0", now);
     totals.take(&LimitReport { is_forwarded: true, ..report("e-1", "h-1", 15.0, None) }, "h-0", now);
     let shares = totals.shares(&[], &members, "h-0", now);
     assert!((shares[0].pass - 0.2).abs() < 0.001, "{shares:?}");
-    // The same demand told again is no more than it was.
+    // A repeated report replaces the previous one and adds no demand.
     totals.take(&report("e-0", "h-0", 10.0, NAMED), "h-0", now + ms(200));
     totals.take(&report("e-0", "h-0", 10.0, NAMED), "h-0", now + ms(200));
     let shares = totals.shares(&[], &members, "h-0", now + ms(200));
@@ -170,18 +170,18 @@
 }
 
 #[test]
-fn a_hall_that_is_not_heard_from_keeps_its_part_of_the_limit() {
+fn an_unreachable_hall_keeps_its_part_of_the_limit() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(6, 3));
     totals.take(&report("e-0", "h-0", 12.0, NAMED), "h-0", now);
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 6.0 / 3.0 / 12.0).abs() < 0.001);
     totals.hear_hall("h-1", now);
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 6.0 * 2.0 / 3.0 / 12.0).abs() < 0.001);
     let shares = totals.shares(&[], &members, "h-0", now + ms(1_000));
-    assert_eq!(shares[0].pass, 1.0, "no demand is known");
+    assert_eq!(shares[0].pass, 1.0, "the reported demand has expired");
 }
 
 #[test]
-fn a_target_that_takes_nothing_is_sent_the_least() {
+fn a_target_with_limit_zero_gets_the_minimum_rate() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
     let nothing = Some(ToldRate { rate: Some(0.0), age_ms: 0 });
     totals.take(&report("e-0", "h-0", 10.0, nothing), "h-0", now);
@@ -190,7 +190,7 @@
 }
 
 #[test]
-fn nonsense_in_a_message_changes_no_share_and_fills_no_memory() {
+fn invalid_or_oversized_reports_change_no_share_and_are_bounded() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
     totals.take(&report("e-0", "h-0", 12.0, NAMED), "h-0", now);
     for demand in [f32::NAN, f32::INFINITY, -5.0] {
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn what_was_said_too_long_ago_is_not_told() {
+fn an_expired_limit_is_not_converted_for_or_from_messages() {
     let now = Instant::now() + ms(60_000);
     assert!(told_rate(Said { rate: Some(1.0), at: now - ms(9_000) }, now).is_some());
     assert!(told_rate(Said { rate: Some(1.0), at: now - ms(11_000) }, now).is_none());
@@ -220,15 +220,15 @@
 }
 
 #[test]
-fn a_later_start_or_another_address_inherits_no_limit_and_the_same_one_keeps_it() {
+fn a_limit_is_inherited_only_by_the_same_start_at_the_same_address() {
     let now = Instant::now();
     let first = registration(Some(1), "127.0.0.1:1");
     let target = Target::new(&first, "a".into(), now);
-    target.take_statements(Stated { limit: StatedLimit::Rate(4.0), ..NOTHING }, 0.0, now, now);
+    target.take_statements(Stated { limit: StatedLimit::Rate(4.0), ..NO_SIGNALS }, 0.0, now, now);
     let moved = target.succeeded_by(&registration(Some(1), "127.0.0.1:2"), "a".into(), now);
     assert_eq!(moved.rate_limit(now), None);
-    let described_anew = TargetRegistration { slots: 9, ..first };
-    assert_eq!(target.succeeded_by(&described_anew, "a".into(), now).rate_limit(now), Some(4.0));
+    let with_more_slots = TargetRegistration { slots: 9, ..first };
+    assert_eq!(target.succeeded_by(&with_more_slots, "a".into(), now).rate_limit(now), Some(4.0));
     assert_eq!(Target::new(&registration(Some(2), "127.0.0.1:1"), "a".into(), now).rate_limit(now), None);
 }
 
@@ -247,14 +247,14 @@
     }
 }
 
-/// Two heads told each other that a target leaves, each what the other had told it, so that it was never
-/// forgotten: targets that are gone would fill the messages in which limits are told.
+/// Guards against two heads that forward each other's reports of a leaving target: each would keep
+/// the report alive for the other, and targets that are gone would fill the messages.
 #[test]
-fn heads_forget_a_target_that_left_once_no_instance_tells_of_it() {
+fn heads_drop_a_leaving_target_once_no_instance_reports_it() {
     let (mut one, mut other, now) = (LimitTotals::default(), LimitTotals::default(), Instant::now());
-    let mut told = report("e-0", "h-0", 0.0, None);
-    told.targets[0].leaves = true;
-    one.take(&told, "h-0", now);
+    let mut leaving = report("e-0", "h-0", 0.0, None);
+    leaving.targets[0].leaves = true;
+    one.take(&leaving, "h-0", now);
     for step in 1..100 {
         let at = now + ms(100 * step);
         let forwarded =
@@ -262,5 +262,5 @@
         other.take(&forwarded("h-0", one.forward(at)), "h-1", at);
         one.take(&forwarded("h-1", other.forward(at)), "h-0", at);
     }
-    assert!(one.forward(now + ms(10_000)).is_empty(), "it was told ten seconds ago");
+    assert!(one.forward(now + ms(10_000)).is_empty(), "it was reported ten seconds ago");
 }
--- a/tests/second_target.rs
+++ b/tests/second_target.rs
@@ -1,4 +1,4 @@
-//! What second targets take, by how long they lately took to answer.
+//! Load limit of second targets, depending on their recent latency.
 
 mod scene;
 
@@ -14,20 +14,21 @@
     Duration::from_millis(ms)
 }
 
-/// A scene whose targets answer in 100 ms, and whose second targets lately took `second`.
-fn scene(second: Option<Duration>) -> Scene {
+/// A scene whose targets respond in 100 ms, and whose second targets recently took `second_latency`.
+fn scene(second_latency: Option<Duration>) -> Scene {
     let mut scene = Scene::new();
     for target in scene.routing.targets() {
         target.record_latency(ms(100), scene.now);
     }
     scene.routing.update_median_latencies();
     for _ in 0..100 {
-        second.into_iter().for_each(|took| scene.routing.record_second("shop", took));
+        second_latency.into_iter().for_each(|latency| scene.routing.record_second("shop", latency));
     }
     scene
 }
 
-/// Requests that fill the first target of key 7, and those that the second takes then.
+/// Sends requests for key 7 until none is accepted. Returns the key's first target, and the number of
+/// requests that its second target took.
 fn fill(scene: &Scene) -> (Rc<Target>, usize) {
     let first = scene.choose(7, &[]).unwrap();
     let mut held = Vec::new();
@@ -41,22 +42,23 @@
 }
 
 #[test]
-fn a_second_target_takes_as_much_as_a_first_while_nothing_is_known_or_it_answers_soon() {
-    // The objective is 300 ms: two requests for each of four slots.
+fn a_second_target_has_the_ordinary_limit_if_its_latency_is_unknown_or_low() {
+    // The objective is 300 ms; the ordinary limit is two requests for each of four slots.
     assert_eq!(fill(&scene(None)).1, 8);
     assert_eq!(fill(&scene(Some(ms(150)))).1, 8);
 }
 
 #[test]
-fn a_second_target_takes_less_the_longer_second_targets_take() {
-    // 50 ms are left of the objective, half of an answer's time: 1.5 requests a slot.
+fn a_second_target_has_a_lower_limit_the_higher_the_latency() {
+    // The objective leaves 50 ms, half of the median latency: 1.5 requests per slot.
     assert_eq!(fill(&scene(Some(ms(250)))).1, 6);
-    // Answers come late whatever waits: a free slot is used, so that it is seen when that ends.
+    // Responses are late even without a queue. A free slot is still used, so that an improvement is
+    // measured.
     assert_eq!(fill(&scene(Some(ms(900)))).1, 3);
 }
 
 #[test]
-fn a_request_that_the_second_target_does_not_take_is_refused_for_its_first() {
+fn a_request_without_room_at_either_target_is_refused_as_full_at_its_first() {
     let scene = scene(Some(ms(900)));
     let first = scene.choose(7, &[]).unwrap();
     let second = loop {
@@ -68,28 +70,29 @@
     };
     (0..3).for_each(|_| std::mem::forget(second.begin(scene.now)));
     assert!(matches!(scene.choose(7, &[]), Err(NoTarget::Full(preferred)) if preferred.key == first.key));
-    // Where its first may not be used, the second is the preferred one and has all its room.
+    // Without its first target, the second is the preferred one and has the ordinary limit.
     assert_eq!(scene.choose(7, &[first.key]).unwrap().key, second.key);
 }
 
 proptest! {
-    /// No more than the first's limit, and never less than a free slot bears.
+    /// The limit is at most that of a first target, and at least what one free slot allows.
     #[test]
-    fn the_limit_stays_between_a_free_slot_and_the_first_s(
-        times in prop::collection::vec(0u64..10_000, 0..50),
+    fn the_limit_is_at_least_0_8_and_at_most_that_of_a_first_target(
+        latencies in prop::collection::vec(0u64..10_000, 0..50),
         objective in 0u64..5_000,
         median in prop_oneof![Just(f64::INFINITY), Just(0.0), 0.001f64..5.0],
-        most in 1.0f64..3.0,
+        first_limit in 1.0f64..3.0,
     ) {
         let latency = SecondLatency::default();
-        times.iter().for_each(|took| latency.record(ms(*took)));
-        let limit = latency.max_load(most, ms(objective), median);
-        prop_assert!((0.8..=most).contains(&limit));
+        latencies.iter().for_each(|elapsed| latency.record(ms(*elapsed)));
+        let limit = latency.max_load(first_limit, ms(objective), median);
+        prop_assert!((0.8..=first_limit).contains(&limit));
     }
 
-    /// Later answers outweigh earlier ones, so that the rule lets go once targets answer soon.
+    /// Recent latencies outweigh earlier ones, so that the limit rises again once second targets are
+    /// faster.
     #[test]
-    fn the_average_forgets(before in 0u64..10_000, after in 1u64..200) {
+    fn the_average_follows_recent_latencies(before in 0u64..10_000, after in 1u64..200) {
         let latency = SecondLatency::default();
         (0..100).for_each(|_| latency.record(ms(before)));
         (0..100).for_each(|_| latency.record(ms(after)));
--- a/tests/shared_loads.rs
+++ b/tests/shared_loads.rs
@@ -1,5 +1,5 @@
-//! Loads of targets that instances share: who is told what, and what callers get by it under a load
-//! that the targets just bear.
+//! Loads of targets that instances share: which loads are sent to whom, and how many more callers
+//! are answered in time by them when targets are near their capacity.
 
 mod replay;
 mod scene;
@@ -20,67 +20,67 @@
     TargetLoad::new(ShortKey([target, 0, 0, 0]), requests, age)
 }
 
-/// The targets that are told, with their requests.
-fn told(loads: Vec<TargetLoad>) -> Vec<(u8, u8)> {
-    let mut told: Vec<(u8, u8)> = loads.iter().map(|load| (load.target.0[0], load.requests)).collect();
-    told.sort_unstable();
-    told
+/// The targets of a message with their requests, sorted.
+fn sorted(loads: Vec<TargetLoad>) -> Vec<(u8, u8)> {
+    let mut sorted: Vec<(u8, u8)> = loads.iter().map(|load| (load.target.0[0], load.requests)).collect();
+    sorted.sort_unstable();
+    sorted
 }
 
 #[test]
-fn instances_are_told_the_latest_load_of_each_target() {
+fn instances_get_the_latest_load_of_each_target() {
     let now = Instant::now();
     let mut shared = SharedLoads::default();
     shared.take(&[load(1, 5, ms(100)), load(2, 1, ms(0))], true, now);
-    assert_eq!(told(shared.tell(now)), [(1, 5), (2, 1)]);
+    assert_eq!(sorted(shared.tell(now)), [(1, 5), (2, 1)]);
     let next = now + ms(100);
     shared.take(&[load(1, 9, ms(400)), load(2, 4, ms(0))], true, next);
-    assert_eq!(told(shared.tell(next)), [(1, 5), (2, 4)]);
+    assert_eq!(sorted(shared.tell(next)), [(1, 5), (2, 4)]);
 }
 
 #[test]
-fn the_same_is_told_for_a_while_with_ages_that_grow() {
+fn a_snapshot_is_reused_for_100_ms_with_growing_ages() {
     let now = Instant::now();
     let mut shared = SharedLoads::default();
     shared.take(&[load(1, 5, ms(0))], true, now);
     let first = shared.tell(now);
     shared.take(&[load(1, 6, ms(0))], true, now + ms(50));
     let second = shared.tell(now + ms(50));
-    assert_eq!((told(first.clone()), told(second.clone())), (vec![(1, 5)], vec![(1, 5)]));
+    assert_eq!((sorted(first.clone()), sorted(second.clone())), (vec![(1, 5)], vec![(1, 5)]));
     assert!(second[0].age() >= first[0].age() + ms(50));
-    assert_eq!(told(shared.tell(now + ms(100))), [(1, 6)]);
+    assert_eq!(sorted(shared.tell(now + ms(100))), [(1, 6)]);
 }
 
 #[test]
-fn other_halls_are_told_the_own_hall_s_loads_alone() {
+fn other_halls_get_only_the_own_hall_s_loads() {
     let now = Instant::now();
     let mut shared = SharedLoads::default();
     shared.take(&[load(1, 5, ms(0))], true, now);
     shared.take(&[load(2, 6, ms(0))], false, now);
-    assert_eq!(told(shared.tell_halls(now)), [(1, 5)]);
-    assert_eq!(told(shared.tell(now)), [(1, 5), (2, 6)]);
+    assert_eq!(sorted(shared.tell_halls(now)), [(1, 5)]);
+    assert_eq!(sorted(shared.tell(now)), [(1, 5), (2, 6)]);
 }
 
 #[test]
-fn a_message_names_the_fullest_targets_and_none_that_told_long_ago() {
+fn a_message_contains_the_most_loaded_targets_and_no_expired_load() {
     let now = Instant::now();
     let mut shared = SharedLoads::default();
     let many: Vec<TargetLoad> = (0..200).map(|target| load(target, target.into(), ms(0))).collect();
     shared.take(&many, true, now);
-    let named = told(shared.tell(now));
+    let named = sorted(shared.tell(now));
     assert_eq!((named.len(), named[0]), (128, (72, 72)));
     assert!(shared.tell(now + ms(1_100)).is_empty());
 }
 
 #[test]
-fn an_age_is_never_told_too_short() {
+fn an_age_in_a_message_is_never_too_low() {
     for age in [0, 9, 10, 11, 995, 5_000] {
         assert!(load(1, 1, ms(age)).age() >= ms(age.min(2_550)), "{age}");
     }
 }
 
 #[test]
-fn the_latest_report_counts_whoever_had_it() {
+fn the_latest_report_counts_whichever_instance_received_it() {
     let now = Instant::now();
     let mut state = TargetLoadState::default();
     state.report(LoadReport { running: 3, waiting: 1, slots: 3, slowdown: None }, now);
@@ -92,9 +92,9 @@
     assert_eq!((state.at(now + ms(50)), state.take_untold()), (9.0, None));
 }
 
-/// What callers get of a load that eight targets of four slots just bear: they are used to some 85 in
-/// 100, and remember the keys that are theirs and second copies.
-fn busy(seed: u64, heard_after: Option<Duration>, limits_shared: bool) -> Outcome {
+/// Outcome for callers of a load near the capacity of eight targets with four slots each: a
+/// utilization of about 85 %, and caches with room for a target's own keys and second copies.
+fn replay_near_capacity(seed: u64, heard_after: Option<Duration>, limits_shared: bool) -> Outcome {
     replay(&Load {
         seed,
         instances: 60,
@@ -115,7 +115,7 @@
 #[test]
 fn more_callers_are_answered_in_time_where_loads_are_shared() {
     let mean = |heard_after, limits_shared| {
-        let shares = (0..5).map(|seed| busy(seed, heard_after, limits_shared).share_in_time());
+        let shares = (0..5).map(|seed| replay_near_capacity(seed, heard_after, limits_shared).share_in_time());
         shares.sum::<f64>() / 5.0
     };
     let own = mean(None, false);
--- a/tests/slow_start_changes.rs
+++ b/tests/slow_start_changes.rs
@@ -1,4 +1,4 @@
-//! Slow start while the rate or the operators' bound changes and the members do not.
+//! Slow start when the rate or the operators' bound changes while the members stay the same.
 
 mod scene;
 
@@ -8,10 +8,10 @@
 use scene::{Scene, config_with_rate, route};
 use std::time::Duration;
 
-/// The settings' bound at first.
+/// The operators' bound at the start of the test.
 const BOUNDS: SlowStartBounds = SlowStartBounds { overage: 1.5, slack: 5.0 };
 
-/// A scene in which only the cold `t0` takes requests, and one member, steady.
+/// A scene with the cold target `t0` only, and one member, unchanged for long enough.
 fn cold_scene(rate: u32) -> Scene {
     let mut scene = Scene::new();
     scene.remove_all();
@@ -30,15 +30,15 @@
     scene
 }
 
-/// Puts a configuration with another rate in force.
+/// Applies a configuration with another slow start rate.
 fn put_rate(scene: &mut Scene, version: u64, rate: u32) {
     let mut config = config_with_rate(f64::from(rate));
     config.version = version;
     scene.routing.config = Some(config.into());
 }
 
-/// What the member sends the cold target in ten seconds of a steady load.
-fn sent(scene: &mut Scene, bounds: SlowStartBounds) -> usize {
+/// Sends requests for ten seconds; returns how many the cold target got.
+fn send_for_ten_seconds(scene: &mut Scene, bounds: SlowStartBounds) -> usize {
     let end = scene.now + Duration::from_secs(10);
     let mut sent = 0;
     while scene.now < end {
@@ -65,17 +65,17 @@
 }
 
 #[test]
-fn another_rate_or_bound_counts_at_once_though_the_members_stay() {
+fn a_changed_rate_or_bound_applies_at_once_with_unchanged_members() {
     let mut scene = cold_scene(4);
-    let at_first = sent(&mut scene, BOUNDS);
+    let at_first = send_for_ten_seconds(&mut scene, BOUNDS);
     assert!((36..=40).contains(&at_first), "{at_first} in ten seconds at 4 a second");
     put_rate(&mut scene, 2, 8);
-    let faster = sent(&mut scene, BOUNDS);
+    let faster = send_for_ten_seconds(&mut scene, BOUNDS);
     assert!((72..=80).contains(&faster), "{faster} in ten seconds at 8 a second");
     put_rate(&mut scene, 3, 2);
-    let slower = sent(&mut scene, BOUNDS);
+    let slower = send_for_ten_seconds(&mut scene, BOUNDS);
     assert!((18..=20).contains(&slower), "{slower} in ten seconds at 2 a second");
-    // The bound halved for two views is now below the rate: one a second.
-    let bounded = sent(&mut scene, SlowStartBounds { overage: 1.0, slack: 0.0 });
+    // Half the bound, for two views of the members, is now below the rate: one request a second.
+    let bounded = send_for_ten_seconds(&mut scene, SlowStartBounds { overage: 1.0, slack: 0.0 });
     assert!((9..=10).contains(&bounded), "{bounded} in ten seconds at 1 a second");
 }
