--- a/src/decision/capacity/admission.rs
+++ b/src/decision/capacity/admission.rs
@@ -43,7 +43,7 @@
 
 /// Load limit up to which a request queues at its key's first target when the second has no room
 /// and loads are shared, requests per slot; rank 0 is the most urgent.
-pub fn longest_load(rank: usize) -> f64 {
+pub fn max_queued_load(rank: usize) -> f64 {
     limit_for_rank(MAX_QUEUED_LOAD, rank)
 }
 
--- a/src/decision/capacity/in_flight.rs
+++ b/src/decision/capacity/in_flight.rs
@@ -6,18 +6,18 @@
 use std::rc::Rc;
 
 /// Counts requests in flight; implemented by what requests are sent to.
-pub trait Counter {
+pub trait InFlightCounter {
     /// Removes a request from the count; called when its guard is dropped.
-    fn count_out(&self);
+    fn end_request(&self);
 }
 
 /// Guard of a request in flight that is counted at `C`.
 #[derive(Debug)]
-pub struct InFlight<C: Counter> {
+pub struct InFlight<C: InFlightCounter> {
     counter: Rc<C>,
 }
 
-impl<C: Counter> InFlight<C> {
+impl<C: InFlightCounter> InFlight<C> {
     /// Creates the guard of a request that `counter` already includes.
     pub(in crate::decision) fn new(counter: Rc<C>) -> Self {
         Self { counter }
@@ -29,8 +29,8 @@
     }
 }
 
-impl<C: Counter> Drop for InFlight<C> {
+impl<C: InFlightCounter> Drop for InFlight<C> {
     fn drop(&mut self) {
-        self.counter.count_out();
+        self.counter.end_request();
     }
 }
--- a/src/decision/capacity/load.rs
+++ b/src/decision/capacity/load.rs
@@ -44,12 +44,12 @@
 
 impl Load {
     /// Adds a request of this instance to those in flight.
-    pub fn begin(&mut self) {
+    pub fn begin_request(&mut self) {
         self.in_flight += 1;
     }
 
     /// Removes a request of this instance from those in flight.
-    pub fn end(&mut self) {
+    pub fn end_request(&mut self) {
         self.in_flight -= 1;
     }
 
@@ -60,7 +60,7 @@
 
     /// Records a report of the target that arrived `now`. This instance's own requests in flight
     /// are subtracted, since they are counted exactly.
-    pub fn report(&mut self, report: LoadReport, now: Instant) {
+    pub fn record_report(&mut self, report: LoadReport, now: Instant) {
         let total = report.running.saturating_add(report.waiting);
         let requests = total.saturating_sub(self.in_flight);
         self.reported = Some(ReportedLoad { requests, at: now, is_unreported: true });
@@ -68,7 +68,7 @@
 
     /// Records that the target reported `total` requests to another instance at `at`, unless a
     /// later report is known.
-    pub fn hear(&mut self, total: u32, at: Instant) {
+    pub fn record_remote(&mut self, total: u32, at: Instant) {
         if self.reported.is_none_or(|reported| reported.at < at) {
             let requests = total.saturating_sub(self.in_flight);
             self.reported = Some(ReportedLoad { requests, at, is_unreported: false });
@@ -77,7 +77,7 @@
 
     /// Takes the last report that was not yet sent to other instances: the target's requests, and
     /// when the report arrived.
-    pub fn take_untold(&mut self) -> Option<(u32, Instant)> {
+    pub fn take_unreported(&mut self) -> Option<(u32, Instant)> {
         let reported = self.reported.as_mut().filter(|reported| reported.is_unreported)?;
         reported.is_unreported = false;
         Some((reported.requests + self.in_flight, reported.at))
@@ -85,13 +85,13 @@
 
     /// The load for a new record of the same target. The requests in flight under this record count
     /// there like a report, since their end is still counted here.
-    pub fn handed_over(&self, now: Instant) -> Self {
-        let requests = self.at(now).round() as u32;
+    pub fn for_successor(&self, now: Instant) -> Self {
+        let requests = self.estimate(now).round() as u32;
         Self { in_flight: 0, reported: Some(ReportedLoad { requests, at: now, is_unreported: false }) }
     }
 
     /// Estimated number of requests running or waiting at the target.
-    pub fn at(&self, now: Instant) -> f64 {
+    pub fn estimate(&self, now: Instant) -> f64 {
         let reported = self.reported.map_or(0.0, |reported| {
             let age = now.saturating_duration_since(reported.at).as_secs_f64() / MAX_REPORT_AGE.as_secs_f64();
             f64::from(reported.requests) * (1.0 - age).max(0.0)
--- a/src/decision/capacity/load_report.rs
+++ b/src/decision/capacity/load_report.rs
@@ -53,30 +53,30 @@
 pub enum LoadReportError {
     /// The header value is not visible ASCII text.
     #[error("the load report is not text; the target must send comma-separated numbers")]
-    NoText,
+    NotText,
     /// It has neither three nor four fields; holds their number.
     #[error("the load report has {0} fields; the target must send running,waiting,slots with an optional slowdown")]
-    Count(usize),
+    FieldCount(usize),
     /// One of the first three fields is not an accepted number; holds its position, from 1.
     #[error("field {0} of the load report is not a whole number from 0 to {MAX_REQUESTS}")]
-    Figure(usize),
+    InvalidField(usize),
     /// The number of slots is 0.
     #[error("the load report has 0 slots; the target must report at least 1")]
     NoSlots,
     /// The slowdown is not a number in the accepted range.
     #[error("the slowdown of the load report is not a number from 1 to 65535 percent")]
-    Slowdown,
+    InvalidSlowdown,
 }
 
 impl LoadReportError {
     /// Reason of the ignored report, as metrics name it.
     pub fn as_str(self) -> &'static str {
         match self {
-            Self::NoText => "no-text",
-            Self::Count(_) => "count",
-            Self::Figure(_) => "figure",
+            Self::NotText => "no-text",
+            Self::FieldCount(_) => "count",
+            Self::InvalidField(_) => "figure",
             Self::NoSlots => "no-slots",
-            Self::Slowdown => "slowdown",
+            Self::InvalidSlowdown => "slowdown",
         }
     }
 }
@@ -92,9 +92,9 @@
         let (counts, slowdown) = match fields[..] {
             [running, waiting, slots] => ([running, waiting, slots], None),
             [running, waiting, slots, slowdown] => ([running, waiting, slots], Some(slowdown)),
-            _ => return Err(LoadReportError::Count(fields.len())),
+            _ => return Err(LoadReportError::FieldCount(fields.len())),
         };
-        let count = |position: usize| parse_count(counts[position]).ok_or(LoadReportError::Figure(position + 1));
+        let count = |position: usize| parse_count(counts[position]).ok_or(LoadReportError::InvalidField(position + 1));
         let (running, waiting, slots) = (count(0)?, count(1)?, count(2)?);
         let slots = NonZeroU32::new(slots).ok_or(LoadReportError::NoSlots)?.get();
         let slowdown = slowdown.map(parse_slowdown).transpose()?;
@@ -108,10 +108,10 @@
 
 /// Parses a slowdown and rounds it to whole percent, since targets may send a fraction.
 fn parse_slowdown(text: &str) -> Result<Slowdown, LoadReportError> {
-    let percent: f64 = text.parse().map_err(|_| LoadReportError::Slowdown)?;
+    let percent: f64 = text.parse().map_err(|_| LoadReportError::InvalidSlowdown)?;
     let is_in_range = percent.is_finite() && (1.0..=f64::from(u16::MAX)).contains(&percent);
     if !is_in_range {
-        return Err(LoadReportError::Slowdown);
+        return Err(LoadReportError::InvalidSlowdown);
     }
-    Slowdown::from_percent(percent.round() as u16).ok_or(LoadReportError::Slowdown)
+    Slowdown::from_percent(percent.round() as u16).ok_or(LoadReportError::InvalidSlowdown)
 }
--- a/src/decision/capacity/second_target.rs
+++ b/src/decision/capacity/second_target.rs
@@ -30,12 +30,12 @@
 
 /// Latency of the second targets of one service.
 #[derive(Debug, Default)]
-pub struct SecondLatency {
+pub struct SecondTargetLatency {
     /// Moving average, seconds; `None` before the first response.
     average: Cell<Option<f64>>,
 }
 
-impl SecondLatency {
+impl SecondTargetLatency {
     /// Records that a second target responded after `elapsed`, or had not responded by then.
     pub fn record(&self, elapsed: Duration) {
         let latency = elapsed.as_secs_f64();
--- a/src/decision/capacity/shared_loads.rs
+++ b/src/decision/capacity/shared_loads.rs
@@ -65,7 +65,7 @@
 
 impl SharedLoads {
     /// Records loads from an instance of the own hall (`is_own_hall`) or from another hall's head.
-    pub fn take(&mut self, loads: &[TargetLoad], is_own_hall: bool, now: Instant) {
+    pub fn record(&mut self, loads: &[TargetLoad], is_own_hall: bool, now: Instant) {
         for load in loads {
             let Some(at) = now.checked_sub(load.age()) else { continue };
             let known = self.latest.get(&load.target);
@@ -77,7 +77,7 @@
     }
 
     /// Loads to send to instances of the own hall: those of all halls.
-    pub fn tell(&mut self, now: Instant) -> Vec<TargetLoad> {
+    pub fn loads_for_instances(&mut self, now: Instant) -> Vec<TargetLoad> {
         if self.for_instances.is_expired(now) {
             self.remove_expired(now);
             self.for_instances = Snapshot::new(self.latest.values().copied(), now);
@@ -86,7 +86,7 @@
     }
 
     /// Loads to send to the heads of other halls: those that the own hall's instances reported.
-    pub fn tell_halls(&mut self, now: Instant) -> Vec<TargetLoad> {
+    pub fn loads_for_halls(&mut self, now: Instant) -> Vec<TargetLoad> {
         if self.for_halls.is_expired(now) {
             self.remove_expired(now);
             self.for_halls = Snapshot::new(self.latest.values().copied().filter(|load| load.is_own_hall), now);
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -8,7 +8,7 @@
 mod said;
 
 use crate::clock::Instant;
-use crate::decision::capacity::in_flight::{Counter, InFlight};
+use crate::decision::capacity::in_flight::{InFlight, InFlightCounter};
 use crate::decision::capacity::load::Load;
 use crate::decision::capacity::load_report::LoadReport;
 use crate::decision::capacity::slow_start::SlowStart;
@@ -103,7 +103,7 @@
         target.slow_start.replace(self.slow_start.borrow().clone());
         target.begin_slow_start(registration.slow_start, now);
         if registration.address == self.pool.address() {
-            target.load.replace(self.load.borrow().handed_over(now));
+            target.load.replace(self.load.borrow().for_successor(now));
             target.latency.replace(self.latency.borrow().clone());
             target.ejection.replace(self.ejection.borrow().clone());
             target.keep_statements(self.statements());
@@ -186,7 +186,7 @@
         self.slow_start.borrow_mut().spend(now);
         self.spend_limit(now);
         self.ejection.borrow_mut().begin();
-        self.load.borrow_mut().begin();
+        self.load.borrow_mut().begin_request();
         InFlight::new(self.clone())
     }
 
@@ -240,22 +240,22 @@
 
     /// Takes in a report of load that came with an answer.
     pub fn report(&self, report: LoadReport, now: Instant) {
-        self.load.borrow_mut().report(report, now);
+        self.load.borrow_mut().record_report(report, now);
     }
 
     /// Takes in a load that it told another instance at a time.
     pub fn hear_load(&self, requests: u32, at: Instant) {
-        self.load.borrow_mut().hear(requests, at);
+        self.load.borrow_mut().record_remote(requests, at);
     }
 
     /// Its last load that no other instance was told of yet: requests, and when it told it.
     pub fn take_untold_load(&self) -> Option<(u32, Instant)> {
-        self.load.borrow_mut().take_untold()
+        self.load.borrow_mut().take_unreported()
     }
 
     /// Requests that are probably running or waiting there.
     pub fn load(&self, now: Instant) -> f64 {
-        self.load.borrow().at(now)
+        self.load.borrow().estimate(now)
     }
 
     /// Makes it cold for `remaining` from now on; never shortens.
@@ -295,8 +295,8 @@
     }
 }
 
-impl Counter for Target {
-    fn count_out(&self) {
-        self.load.borrow_mut().end();
+impl InFlightCounter for Target {
+    fn end_request(&self) {
+        self.load.borrow_mut().end_request();
     }
 }
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -30,7 +30,7 @@
 //! `standins/tests/registered_again.rs`, `standins/tests/restarted_targets.rs`.
 
 use crate::clock::Instant;
-use crate::decision::capacity::second_target::SecondLatency;
+use crate::decision::capacity::second_target::SecondTargetLatency;
 use crate::decision::failure::latency;
 use crate::decision::registry::statements::Statements;
 use crate::decision::registry::target::Target;
@@ -78,7 +78,7 @@
     /// Median latency by service, seconds.
     medians: HashMap<Rc<str>, f64>,
     /// Latency of second targets by service.
-    second_latencies: HashMap<Rc<str>, SecondLatency>,
+    second_latencies: HashMap<Rc<str>, SecondTargetLatency>,
 }
 
 impl Targets {
@@ -216,7 +216,7 @@
     }
 
     /// How long second targets of the service take; `None` where it never had a target.
-    pub fn second_latency(&self, service: &str) -> Option<&SecondLatency> {
+    pub fn second_latency(&self, service: &str) -> Option<&SecondTargetLatency> {
         self.second_latencies.get(service)
     }
 
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -19,7 +19,7 @@
 //! **Test**: `tests/choice.rs`, `tests/policies.rs`, and `the_choice_agrees_with_a_naive_one`
 //! in `tests/naive_choice.rs`.
 
-use crate::decision::capacity::admission::{has_room, longest_load, max_load};
+use crate::decision::capacity::admission::{has_room, max_load, max_queued_load};
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target::Target;
 use crate::decision::selection::affinity::{Candidate, Ranking, draw};
@@ -118,7 +118,7 @@
             limited: None,
             paused: None,
             max_load,
-            longest_load: query.has_shared_loads.then(|| longest_load(rank)),
+            longest_load: query.has_shared_loads.then(|| max_queued_load(rank)),
             second_load: routing.second_load(query, max_load),
             near_weight: routing.near_weight(query),
         };
--- a/src/proxy/answer_check.rs
+++ b/src/proxy/answer_check.rs
@@ -63,7 +63,7 @@
 /// [`LoadReportError`] where it cannot be read.
 pub fn load_report(names: &HeaderNames, headers: &HeaderMap) -> Result<Option<LoadReport>, LoadReportError> {
     let Some(value) = headers.get(&names.load) else { return Ok(None) };
-    let text = value.to_str().map_err(|_| LoadReportError::NoText)?;
+    let text = value.to_str().map_err(|_| LoadReportError::NotText)?;
     LoadReport::parse(text).map(Some)
 }
 
--- a/src/state/target_loads.rs
+++ b/src/state/target_loads.rs
@@ -62,12 +62,12 @@
     pub fn exchange_loads(&self, report: &UsageReport) -> Vec<TargetLoad> {
         let (mut known, now) = (self.target_loads.known.borrow_mut(), Instant::now());
         let is_own = *report.hall == *self.settings().hall;
-        known.take(&report.loads, is_own, now);
-        if report.is_forwarded { Vec::new() } else { known.tell(now) }
+        known.record(&report.loads, is_own, now);
+        if report.is_forwarded { Vec::new() } else { known.loads_for_instances(now) }
     }
 
     /// Loads of the own hall that other halls are told.
     pub fn loads_for_halls(&self) -> Vec<TargetLoad> {
-        self.target_loads.known.borrow_mut().tell_halls(Instant::now())
+        self.target_loads.known.borrow_mut().loads_for_halls(Instant::now())
     }
 }
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -17,24 +17,24 @@
 
 #[test]
 fn an_invalid_load_report_is_rejected_with_a_reason() {
-    use LoadReportError::{Count, Figure, NoSlots, Slowdown};
+    use LoadReportError::{FieldCount, InvalidField, InvalidSlowdown, NoSlots};
     let table = [
-        ("", Count(1)),
-        ("3,0", Count(2)),
-        ("3,0,8,100,1", Count(5)),
-        ("a,0,8", Figure(1)),
-        ("-1,0,8", Figure(1)),
-        ("3,1.5,8", Figure(2)),
-        ("3,0,99999999", Figure(3)),
-        ("3,0,99999999999999999999", Figure(3)),
+        ("", FieldCount(1)),
+        ("3,0", FieldCount(2)),
+        ("3,0,8,100,1", FieldCount(5)),
+        ("a,0,8", InvalidField(1)),
+        ("-1,0,8", InvalidField(1)),
+        ("3,1.5,8", InvalidField(2)),
+        ("3,0,99999999", InvalidField(3)),
+        ("3,0,99999999999999999999", InvalidField(3)),
         ("3,0,0", NoSlots),
-        ("3,0,8,0", Slowdown),
-        ("3,0,8,-100", Slowdown),
-        ("3,0,8,nan", Slowdown),
-        ("3,0,8,inf", Slowdown),
-        ("3,0,8,1e9", Slowdown),
-        ("3,0,8,fast", Slowdown),
-        ("3,0,8,", Slowdown),
+        ("3,0,8,0", InvalidSlowdown),
+        ("3,0,8,-100", InvalidSlowdown),
+        ("3,0,8,nan", InvalidSlowdown),
+        ("3,0,8,inf", InvalidSlowdown),
+        ("3,0,8,1e9", InvalidSlowdown),
+        ("3,0,8,fast", InvalidSlowdown),
+        ("3,0,8,", InvalidSlowdown),
     ];
     for (text, reason) in table {
         assert_eq!(LoadReport::parse(text), Err(reason), "{text}");
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -23,8 +23,8 @@
 fn a_report_of_more_requests_than_can_be_counted_is_a_full_target() {
     let mut load = Load::default();
     let now = Instant::now();
-    load.report(LoadReport { running: u32::MAX, waiting: 1, slots: 1, slowdown: None }, now);
-    assert!((load.at(now) - f64::from(u32::MAX)).abs() < 1e-9);
+    load.record_report(LoadReport { running: u32::MAX, waiting: 1, slots: 1, slowdown: None }, now);
+    assert!((load.estimate(now) - f64::from(u32::MAX)).abs() < 1e-9);
 }
 
 #[test]
@@ -44,11 +44,11 @@
     let start = Instant::now();
     for (in_flight, reported, age, expected) in table {
         let mut load = Load::default();
-        (0..in_flight).for_each(|_| load.begin());
+        (0..in_flight).for_each(|_| load.begin_request());
         if let Some((running, waiting)) = reported {
-            load.report(LoadReport { running, waiting, slots: 4, slowdown: None }, start);
+            load.record_report(LoadReport { running, waiting, slots: 4, slowdown: None }, start);
         }
-        let found = load.at(start + ms(age));
+        let found = load.estimate(start + ms(age));
         assert!((found - expected).abs() < 1e-9, "{found} for {in_flight}, {reported:?} of {age} ms");
     }
 }
--- a/tests/second_target.rs
+++ b/tests/second_target.rs
@@ -2,7 +2,7 @@
 
 mod scene;
 
-use lockloft::decision::capacity::second_target::SecondLatency;
+use lockloft::decision::capacity::second_target::SecondTargetLatency;
 use lockloft::decision::registry::target::Target;
 use lockloft::decision::selection::choice::NoTarget;
 use proptest::prelude::*;
@@ -83,7 +83,7 @@
         median in prop_oneof![Just(f64::INFINITY), Just(0.0), 0.001f64..5.0],
         first_limit in 1.0f64..3.0,
     ) {
-        let latency = SecondLatency::default();
+        let latency = SecondTargetLatency::default();
         latencies.iter().for_each(|elapsed| latency.record(ms(*elapsed)));
         let limit = latency.max_load(first_limit, ms(objective), median);
         prop_assert!((0.8..=first_limit).contains(&limit));
@@ -93,7 +93,7 @@
     /// faster.
     #[test]
     fn the_average_follows_recent_latencies(before in 0u64..10_000, after in 1u64..200) {
-        let latency = SecondLatency::default();
+        let latency = SecondTargetLatency::default();
         (0..100).for_each(|_| latency.record(ms(before)));
         (0..100).for_each(|_| latency.record(ms(after)));
         let average = latency.average().unwrap();
--- a/tests/shared_loads.rs
+++ b/tests/shared_loads.rs
@@ -31,34 +31,34 @@
 fn instances_get_the_latest_load_of_each_target() {
     let now = Instant::now();
     let mut shared = SharedLoads::default();
-    shared.take(&[load(1, 5, ms(100)), load(2, 1, ms(0))], true, now);
-    assert_eq!(sorted(shared.tell(now)), [(1, 5), (2, 1)]);
+    shared.record(&[load(1, 5, ms(100)), load(2, 1, ms(0))], true, now);
+    assert_eq!(sorted(shared.loads_for_instances(now)), [(1, 5), (2, 1)]);
     let next = now + ms(100);
-    shared.take(&[load(1, 9, ms(400)), load(2, 4, ms(0))], true, next);
-    assert_eq!(sorted(shared.tell(next)), [(1, 5), (2, 4)]);
+    shared.record(&[load(1, 9, ms(400)), load(2, 4, ms(0))], true, next);
+    assert_eq!(sorted(shared.loads_for_instances(next)), [(1, 5), (2, 4)]);
 }
 
 #[test]
 fn a_snapshot_is_reused_for_100_ms_with_growing_ages() {
     let now = Instant::now();
     let mut shared = SharedLoads::default();
-    shared.take(&[load(1, 5, ms(0))], true, now);
-    let first = shared.tell(now);
-    shared.take(&[load(1, 6, ms(0))], true, now + ms(50));
-    let second = shared.tell(now + ms(50));
+    shared.record(&[load(1, 5, ms(0))], true, now);
+    let first = shared.loads_for_instances(now);
+    shared.record(&[load(1, 6, ms(0))], true, now + ms(50));
+    let second = shared.loads_for_instances(now + ms(50));
     assert_eq!((sorted(first.clone()), sorted(second.clone())), (vec![(1, 5)], vec![(1, 5)]));
     assert!(second[0].age() >= first[0].age() + ms(50));
-    assert_eq!(sorted(shared.tell(now + ms(100))), [(1, 6)]);
+    assert_eq!(sorted(shared.loads_for_instances(now + ms(100))), [(1, 6)]);
 }
 
 #[test]
 fn other_halls_get_only_the_own_hall_s_loads() {
     let now = Instant::now();
     let mut shared = SharedLoads::default();
-    shared.take(&[load(1, 5, ms(0))], true, now);
-    shared.take(&[load(2, 6, ms(0))], false, now);
-    assert_eq!(sorted(shared.tell_halls(now)), [(1, 5)]);
-    assert_eq!(sorted(shared.tell(now)), [(1, 5), (2, 6)]);
+    shared.record(&[load(1, 5, ms(0))], true, now);
+    shared.record(&[load(2, 6, ms(0))], false, now);
+    assert_eq!(sorted(shared.loads_for_halls(now)), [(1, 5)]);
+    assert_eq!(sorted(shared.loads_for_instances(now)), [(1, 5), (2, 6)]);
 }
 
 #[test]
@@ -66,10 +66,10 @@
     let now = Instant::now();
     let mut shared = SharedLoads::default();
     let many: Vec<TargetLoad> = (0..200).map(|target| load(target, target.into(), ms(0))).collect();
-    shared.take(&many, true, now);
-    let named = sorted(shared.tell(now));
+    shared.record(&many, true, now);
+    let named = sorted(shared.loads_for_instances(now));
     assert_eq!((named.len(), named[0]), (128, (72, 72)));
-    assert!(shared.tell(now + ms(1_100)).is_empty());
+    assert!(shared.loads_for_instances(now + ms(1_100)).is_empty());
 }
 
 #[test]
@@ -83,13 +83,13 @@
 fn the_latest_report_counts_whichever_instance_received_it() {
     let now = Instant::now();
     let mut state = TargetLoadState::default();
-    state.report(LoadReport { running: 3, waiting: 1, slots: 3, slowdown: None }, now);
-    assert_eq!(state.take_untold(), Some((4, now)));
-    assert_eq!(state.take_untold(), None);
-    state.hear(0, now.checked_sub(ms(50)).unwrap());
-    assert_eq!(state.at(now), 4.0);
-    state.hear(9, now + ms(50));
-    assert_eq!((state.at(now + ms(50)), state.take_untold()), (9.0, None));
+    state.record_report(LoadReport { running: 3, waiting: 1, slots: 3, slowdown: None }, now);
+    assert_eq!(state.take_unreported(), Some((4, now)));
+    assert_eq!(state.take_unreported(), None);
+    state.record_remote(0, now.checked_sub(ms(50)).unwrap());
+    assert_eq!(state.estimate(now), 4.0);
+    state.record_remote(9, now + ms(50));
+    assert_eq!((state.estimate(now + ms(50)), state.take_unreported()), (9.0, None));
 }
 
 /// Outcome for callers of a load near the capacity of eight targets with four slots each: a
