--- a/src/decision/capacity/rate_limit/equal_share.rs
+++ b/src/decision/capacity/rate_limit/equal_share.rs
@@ -12,7 +12,7 @@
 
 use super::LEAST_RATE;
 use crate::clock::Instant;
-use crate::decision::capacity::slow_start::own_rate;
+use crate::decision::capacity::slow_start::member_share;
 use std::time::Duration;
 
 /// Window of the operators' bound.
@@ -47,7 +47,7 @@
 impl EqualShare {
     /// Recomputes the share of the member `own` in a limit of `rate` requests a second.
     pub fn update<'a>(&mut self, rate: f64, target: u64, own: &str, members: impl Iterator<Item = &'a str>) {
-        self.count = own_rate(shared_count(rate), target, own, members);
+        self.count = member_share(shared_count(rate), target, own, members);
     }
 
     /// Whether a request may be sent now.
--- a/src/decision/capacity/slow_start.rs
+++ b/src/decision/capacity/slow_start.rs
@@ -114,9 +114,9 @@
     }
 
     /// Records that a request is sent; while the target is cold, the next one has to wait.
-    pub fn spend(&mut self, now: Instant) {
+    pub fn record_sent(&mut self, now: Instant) {
         if self.is_active(now) {
-            self.next_at = Some(now + spacing(self.rate));
+            self.next_at = Some(now + request_interval(self.rate));
         }
     }
 }
@@ -125,7 +125,7 @@
 /// is not among the members. If there are more members than requests, the first `total` in the
 /// target's rendezvous order get one each. Otherwise the share is rounded down, and the remainder of
 /// the division stays unused.
-pub fn own_rate<'a>(total: u32, target: u64, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
+pub fn member_share<'a>(total: u32, target: u64, own: &str, members: impl Iterator<Item = &'a str>) -> u32 {
     let own_score = rendezvous_score(target, own);
     let (mut count, mut position, mut is_member) = (0, 0, false);
     for name in members {
@@ -141,7 +141,7 @@
 }
 
 /// Time between two requests of an instance at `rate`, requests a second.
-pub fn spacing(rate: u32) -> Duration {
+pub fn request_interval(rate: u32) -> Duration {
     WINDOW / rate.max(1)
 }
 
--- a/src/decision/registry/routing/mod.rs
+++ b/src/decision/registry/routing/mod.rs
@@ -9,7 +9,7 @@
 mod apply;
 
 use crate::clock::Instant;
-use crate::decision::capacity::slow_start::{SlowStartShare, own_rate};
+use crate::decision::capacity::slow_start::{SlowStartShare, member_share};
 use crate::decision::failure::quarantine::Quarantine;
 use crate::decision::registry::members::Members;
 use crate::decision::registry::target::Target;
@@ -155,7 +155,7 @@
     pub fn may_send_in_slow_start(&self, target: &Target, share: SlowStartShare<'_>, now: Instant) -> bool {
         let service = self.service(&target.service);
         let shared = service.map_or(0, |service| share.bounds.shared_rate(service.slow_start_rate));
-        let rate = |shared| own_rate(shared, target.key.hash(), share.own, self.members.names());
+        let rate = |shared| member_share(shared, target.key.hash(), share.own, self.members.names());
         target.may_send_in_slow_start(self.members.changed_at(), shared, rate, now)
     }
 
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -183,7 +183,7 @@
     /// Counts a request in flight until the guard is dropped.
     pub fn begin(self: &Rc<Self>, now: Instant) -> InFlight<Self> {
         self.latency.borrow_mut().begin(self.in_flight(), now);
-        self.slow_start.borrow_mut().spend(now);
+        self.slow_start.borrow_mut().record_sent(now);
         self.spend_limit(now);
         self.ejection.borrow_mut().begin();
         self.load.borrow_mut().begin_request();
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -3,7 +3,7 @@
 mod scene;
 
 use lockloft::decision::capacity::load_report::LoadReport;
-use lockloft::decision::capacity::slow_start::{SlowStartBounds, own_rate};
+use lockloft::decision::capacity::slow_start::{SlowStartBounds, member_share};
 use lockloft::decision::selection::affinity::draw;
 use lockloft::decision::selection::choice::{NoTarget, Query, SlowStartShare, choose};
 use lockloft::decision::selection::region_weight::weight;
@@ -20,7 +20,7 @@
 
 /// What all members of a view send a cold target in a second.
 fn rate_of_view(shared: u32, target: u64, view: &[String]) -> u32 {
-    view.iter().map(|own| own_rate(shared, target, own, view.iter().map(String::as_str))).sum()
+    view.iter().map(|own| member_share(shared, target, own, view.iter().map(String::as_str))).sum()
 }
 
 proptest! {
@@ -43,7 +43,7 @@
         prop_assert!(f64::from(first + second) <= rate * overage + slack);
         prop_assert!(f64::from(first) <= rate);
         prop_assert!(first >= shared / 2, "{} of {} are used", first, shared);
-        prop_assert_eq!(own_rate(shared, target, "not listed", one.iter().map(String::as_str)), 0);
+        prop_assert_eq!(member_share(shared, target, "not listed", one.iter().map(String::as_str)), 0);
     }
 }
 
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -4,7 +4,7 @@
 use lockloft::decision::capacity::admission::{has_room, max_load};
 use lockloft::decision::capacity::load::Load;
 use lockloft::decision::capacity::load_report::LoadReport;
-use lockloft::decision::capacity::slow_start::{SlowStart, spacing};
+use lockloft::decision::capacity::slow_start::{SlowStart, request_interval};
 use lockloft::decision::failure::ejection::Ejection;
 use lockloft::decision::failure::latency::{Latency, median};
 use lockloft::decision::refusal::stop::takes_requests;
@@ -247,7 +247,7 @@
         for step in steps {
             now += ms(step);
             if slow_start.may_send(start, rate, |shared| shared, now) {
-                slow_start.spend(now);
+                slow_start.record_sent(now);
                 sent.push(now);
             }
         }
@@ -307,8 +307,8 @@
     assert!(slow_start.may_send(start, 9, |_| 0, start + ms(2_100)));
     assert!(!slow_start.may_send(start + ms(50), 9, |_| 0, start + ms(2_100)));
     assert!(slow_start.may_send(start + ms(50), 8, |_| 5, start + ms(2_100)));
-    assert_eq!(spacing(10), ms(103));
-    assert_eq!(spacing(0), ms(1_030));
+    assert_eq!(request_interval(10), ms(103));
+    assert_eq!(request_interval(0), ms(1_030));
 }
 
 #[test]
