--- a/src/decision/capacity/rate_limit/equal_share.rs
+++ b/src/decision/capacity/rate_limit/equal_share.rs
@@ -10,7 +10,7 @@
 //! **Guards** the operators' bound in each window, even if instances have two different lists of
 //! members. **Test**: `tests/rate_limits.rs`, `tests/rate_limit_replay.rs`.
 
-use super::LEAST_RATE;
+use super::MIN_RATE;
 use crate::clock::Instant;
 use crate::decision::capacity::slow_start::member_share;
 use std::time::Duration;
@@ -30,7 +30,7 @@
 /// Requests in a window that all instances together send by their equal shares; at least 1.
 pub fn shared_count(rate: f64) -> u32 {
     let window = WINDOW.as_secs_f64();
-    let limit = rate.max(LEAST_RATE) * window;
+    let limit = rate.max(MIN_RATE) * window;
     let bound = (OVERAGE * rate * window + SLACK) / CONCURRENT_VIEWS;
     limit.min(bound).max(1.0) as u32
 }
--- a/src/decision/capacity/rate_limit/known_limit.rs
+++ b/src/decision/capacity/rate_limit/known_limit.rs
@@ -6,17 +6,17 @@
 //!
 //! **Test**: `tests/rate_limits.rs`.
 
-use super::StatedLimit;
+use super::LimitSignal;
 use crate::clock::Instant;
 use std::time::Duration;
 
 /// Age from which an announcement of a target counts no longer: a target that gets no requests
 /// cannot announce that its limit is gone.
-pub const LIMIT_LIFE: Duration = Duration::from_secs(10);
+pub const MAX_LIMIT_AGE: Duration = Duration::from_secs(10);
 
 /// A limit that a target announced, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Said {
+pub struct AnnouncedLimit {
     /// Requests a second; `None` if the target announced no limit.
     pub rate: Option<f64>,
     /// When the response that announced it arrived.
@@ -27,9 +27,9 @@
 #[derive(Debug, Default)]
 pub struct KnownLimit {
     /// Announced to this instance.
-    own: Option<Said>,
+    own: Option<AnnouncedLimit>,
     /// Announced to another instance.
-    remote: Option<Said>,
+    remote: Option<AnnouncedLimit>,
     /// When the target was last found to have no limit any more.
     lifted_at: Option<Instant>,
 }
@@ -37,11 +37,11 @@
 impl KnownLimit {
     /// Applies the signal of a response that arrived `now`, to a request sent at `sent`. Returns the
     /// new limit if it changed; the inner `None` means no limit.
-    pub fn state(&mut self, signal: StatedLimit, sent: Instant, now: Instant) -> Option<Option<f64>> {
+    pub fn apply(&mut self, signal: LimitSignal, sent: Instant, now: Instant) -> Option<Option<f64>> {
         let rate = match signal {
-            StatedLimit::None => None,
-            StatedLimit::Rate(rate) => Some(rate),
-            StatedLimit::Unreadable => return None,
+            LimitSignal::None => None,
+            LimitSignal::Rate(rate) => Some(rate),
+            LimitSignal::Unreadable => return None,
         };
         let before = self.rate(now);
         let is_lower = rate.is_some_and(|rate| before.is_none_or(|before| rate < before));
@@ -49,14 +49,14 @@
         // lower or confirm the limit.
         let is_later = self.latest(now).is_none_or(|latest| latest.at <= sent);
         if is_lower || is_later || rate == before {
-            self.own = Some(Said { rate, at: now });
+            self.own = Some(AnnouncedLimit { rate, at: now });
         }
         self.change_from(before, now)
     }
 
     /// Records a limit that the target announced to another instance. Returns a change as
-    /// [`Self::state`] does.
-    pub fn hear(&mut self, remote: Said, now: Instant) -> Option<Option<f64>> {
+    /// [`Self::apply`] does.
+    pub fn record_remote(&mut self, remote: AnnouncedLimit, now: Instant) -> Option<Option<f64>> {
         let before = self.rate(now);
         if self.remote.is_none_or(|known| known.at < remote.at) {
             self.remote = Some(remote);
@@ -69,22 +69,22 @@
         self.latest(now)?.rate
     }
 
-    /// Whether a limit is known, or was lifted less than `LIMIT_LIFE` ago.
-    pub fn has_word(&self, now: Instant) -> bool {
-        let is_lifted = self.lifted_at.is_some_and(|at| now.saturating_duration_since(at) < LIMIT_LIFE);
+    /// Whether a limit is known, or was lifted less than `MAX_LIMIT_AGE` ago.
+    pub fn has_recent_signal(&self, now: Instant) -> bool {
+        let is_lifted = self.lifted_at.is_some_and(|at| now.saturating_duration_since(at) < MAX_LIMIT_AGE);
         self.rate(now).is_some() || is_lifted
     }
 
     /// The limit that the target last announced to this instance, if that is recent.
-    pub fn own(&self, now: Instant) -> Option<Said> {
-        self.own.filter(|own| own.counts(now))
+    pub fn own(&self, now: Instant) -> Option<AnnouncedLimit> {
+        self.own.filter(|own| own.is_current(now))
     }
 
     /// The limit that the target last announced to any instance, if that is recent.
-    pub fn latest(&self, now: Instant) -> Option<Said> {
-        let later = |one: Said, other: Said| if other.at > one.at { other } else { one };
+    pub fn latest(&self, now: Instant) -> Option<AnnouncedLimit> {
+        let later = |one: AnnouncedLimit, other: AnnouncedLimit| if other.at > one.at { other } else { one };
         let latest = [self.own, self.remote].into_iter().flatten().reduce(later)?;
-        latest.counts(now).then_some(latest)
+        latest.is_current(now).then_some(latest)
     }
 
     fn change_from(&mut self, before: Option<f64>, now: Instant) -> Option<Option<f64>> {
@@ -96,9 +96,9 @@
     }
 }
 
-impl Said {
+impl AnnouncedLimit {
     /// Whether it is recent enough to apply.
-    pub fn counts(&self, now: Instant) -> bool {
-        now.saturating_duration_since(self.at) < LIMIT_LIFE
+    pub fn is_current(&self, now: Instant) -> bool {
+        now.saturating_duration_since(self.at) < MAX_LIMIT_AGE
     }
 }
--- a/src/decision/capacity/rate_limit/limit_signal.rs
+++ b/src/decision/capacity/rate_limit/limit_signal.rs
@@ -9,7 +9,7 @@
 
 /// What a response says about the target's rate limit.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum StatedLimit {
+pub enum LimitSignal {
     /// The response has no rate limit header: the target has no limit.
     None,
     /// Requests a second that the target takes from all instances together; finite, not negative.
@@ -19,7 +19,7 @@
     Unreadable,
 }
 
-impl StatedLimit {
+impl LimitSignal {
     /// Parses the values of the header, which must be one decimal number.
     pub fn parse<'a>(mut values: impl Iterator<Item = &'a [u8]>) -> Self {
         match (values.next(), values.next()) {
--- a/src/decision/capacity/rate_limit/mod.rs
+++ b/src/decision/capacity/rate_limit/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! **Inputs**
 //! - The limit that the target last announced to this instance or, as heads report it, to another
-//!   one: 0 to 0.6 s old in normal operation, dropped after `LIMIT_LIFE` (10 s). One start of a
+//!   one: 0 to 0.6 s old in normal operation, dropped after `MAX_LIMIT_AGE` (10 s). One start of a
 //!   target at one address inherits nothing from another.
 //! - Requests whose first choice is the target, sent or not; counted here at once.
 //! - The share, at most `MAX_SHARE_AGE` (1 s) old; otherwise the members, as old as the view.
@@ -37,8 +37,8 @@
 mod limit_signal;
 pub mod totals;
 
-pub use known_limit::Said;
-pub use limit_signal::StatedLimit;
+pub use known_limit::AnnouncedLimit;
+pub use limit_signal::LimitSignal;
 
 use crate::clock::Instant;
 use demand::Demand;
@@ -48,7 +48,7 @@
 
 /// Requests a second that a target is sent whatever its limit: if it got none, no instance would
 /// learn that the limit is gone. It amounts to one request in the operators' window.
-pub const LEAST_RATE: f64 = 0.25;
+pub const MIN_RATE: f64 = 0.25;
 /// Age up to which a share applies; it allows for some lost reports.
 const MAX_SHARE_AGE: Duration = Duration::from_secs(1);
 /// A report is sent at once if the requests since the last one exceed this number plus
@@ -85,14 +85,14 @@
 impl RateLimit {
     /// Applies the signal of a response that arrived `now`, to a request sent at `sent`. Returns the
     /// new limit if it changed; the inner `None` means no limit.
-    pub fn state(&mut self, signal: StatedLimit, sent: Instant, now: Instant) -> Option<Option<f64>> {
-        self.known.state(signal, sent, now)
+    pub fn apply(&mut self, signal: LimitSignal, sent: Instant, now: Instant) -> Option<Option<f64>> {
+        self.known.apply(signal, sent, now)
     }
 
     /// Records a limit that the target announced to another instance. Returns a change as
-    /// [`Self::state`] does.
-    pub fn hear(&mut self, remote: Said, now: Instant) -> Option<Option<f64>> {
-        self.known.hear(remote, now)
+    /// [`Self::apply`] does.
+    pub fn record_remote(&mut self, remote: AnnouncedLimit, now: Instant) -> Option<Option<f64>> {
+        self.known.record_remote(remote, now)
     }
 
     /// The target's limit, requests a second; `None` if it has none.
@@ -100,15 +100,15 @@
         self.known.rate(now)
     }
 
-    /// Whether a limit is known, or was lifted less than `LIMIT_LIFE` (10 s) ago.
-    pub fn has_word(&self, now: Instant) -> bool {
-        self.known.has_word(now)
+    /// Whether a limit is known, or was lifted less than `MAX_LIMIT_AGE` (10 s) ago.
+    pub fn has_recent_signal(&self, now: Instant) -> bool {
+        self.known.has_recent_signal(now)
     }
 
     /// Takes the values for a report to the head: the limit that the target last announced to this
     /// instance, and the demand, requests a second. `None` if there is no recent limit to report.
-    pub fn tell(&mut self, now: Instant) -> Option<(Option<Said>, f64)> {
-        if !self.known.has_word(now) {
+    pub fn take_report(&mut self, now: Instant) -> Option<(Option<AnnouncedLimit>, f64)> {
+        if !self.known.has_recent_signal(now) {
             return None;
         }
         self.reported_demand = self.demand.rate(now);
@@ -120,55 +120,61 @@
     /// `initial_credit`, random from 0 to 1, so that instances do not send their first requests at
     /// the same time.
     pub fn set_share(&mut self, admit_ratio: f64, initial_credit: f64, now: Instant) {
-        if self.pass(now).is_none() {
+        if self.admit_ratio(now).is_none() {
             self.credit = initial_credit;
         }
         self.share = Some(HeadShare { admit_ratio: admit_ratio.clamp(0.0, 1.0), at: now });
     }
 
     /// Recomputes the equal share of the member `own` for the target with the hash `target`.
-    pub fn update_part<'a>(&mut self, target: u64, own: &str, members: impl Iterator<Item = &'a str>, now: Instant) {
+    pub fn update_equal_share<'a>(
+        &mut self,
+        target: u64,
+        own: &str,
+        members: impl Iterator<Item = &'a str>,
+        now: Instant,
+    ) {
         if let Some(rate) = self.rate(now) {
             self.equal_share.update(rate, target, own, members);
         }
     }
 
     /// Whether this instance may send the target no request now.
-    pub fn is_used_up(&self, now: Instant) -> bool {
+    pub fn is_exhausted(&self, now: Instant) -> bool {
         if self.rate(now).is_none() {
             return false;
         }
-        match self.pass(now) {
+        match self.admit_ratio(now) {
             Some(admit_ratio) => self.credit + admit_ratio < 1.0,
             None => !self.equal_share.may_send(now),
         }
     }
 
     /// Records a request whose first choice is the target, sent or not.
-    pub fn offer(&mut self, now: Instant) {
+    pub fn record_offered(&mut self, now: Instant) {
         self.demand.record(now);
         self.unreported = self.unreported.saturating_add(1);
-        if let Some(admit_ratio) = self.pass(now) {
+        if let Some(admit_ratio) = self.admit_ratio(now) {
             self.credit += admit_ratio;
         }
     }
 
-    /// Records that a request is sent, after [`Self::offer`].
-    pub fn spend(&mut self, now: Instant) {
-        match self.pass(now) {
+    /// Records that a request is sent, after [`Self::record_offered`].
+    pub fn record_sent(&mut self, now: Instant) {
+        match self.admit_ratio(now) {
             Some(_) => self.credit = (self.credit - 1.0).clamp(0.0, 1.0),
             None => self.equal_share.record_sent(now),
         }
     }
 
     /// Whether so many requests came since the last report that the next one should be sent at once.
-    pub fn is_unusual(&self, now: Instant) -> bool {
+    pub fn has_surge(&self, now: Instant) -> bool {
         let usual = self.reported_demand * REPORT_PERIOD.as_secs_f64();
         self.rate(now).is_some() && f64::from(self.unreported) > MIN_SURGE_REQUESTS + SURGE_FACTOR * usual
     }
 
     /// Share of the requests that may be sent, 0 to 1; `None` without a current answer of a head.
-    pub fn pass(&self, now: Instant) -> Option<f64> {
+    pub fn admit_ratio(&self, now: Instant) -> Option<f64> {
         let share = self.share?;
         (now.saturating_duration_since(share.at) < MAX_SHARE_AGE).then_some(share.admit_ratio)
     }
--- a/src/decision/capacity/rate_limit/totals.rs
+++ b/src/decision/capacity/rate_limit/totals.rs
@@ -14,8 +14,8 @@
 //! **Guards** the promise that all instances together stay within a target's limit and use it.
 //! **Test**: `tests/rate_limits.rs`, `tests/rate_limit_replay.rs`.
 
-use super::LEAST_RATE;
-use super::known_limit::{LIMIT_LIFE, Said};
+use super::MIN_RATE;
+use super::known_limit::{AnnouncedLimit, MAX_LIMIT_AGE};
 use crate::clock::Instant;
 use crate::decision::registry::members::Members;
 use crate::model::rate_limits::{LimitReport, StartKey, TargetDemand, TargetShare, ToldRate};
@@ -28,7 +28,7 @@
 /// Time for which a leaving target is reported on after an instance last reported it.
 const MAX_LEAVING_AGE: Duration = Duration::from_secs(5);
 /// Targets in one message at most.
-pub const MAX_TOLD: usize = 128;
+pub const MAX_TARGETS_PER_MESSAGE: usize = 128;
 /// Targets that a head keeps totals of at most; it bounds the memory, about 1 kB each.
 const MAX_TARGETS: usize = 4_096;
 
@@ -43,9 +43,9 @@
 #[derive(Debug, Default)]
 struct TargetTotals {
     /// The limit that it last announced to any instance.
-    limit: Option<Said>,
+    limit: Option<AnnouncedLimit>,
     /// The limit that it last announced to an instance of the own hall.
-    own_hall_limit: Option<Said>,
+    own_hall_limit: Option<AnnouncedLimit>,
     /// When it was last reported as leaving.
     leaving_at: Option<Instant>,
     /// When an instance of the own hall last reported it as leaving.
@@ -68,15 +68,15 @@
 
 impl LimitTotals {
     /// Records a report of an instance of the own hall, or of another hall's head.
-    pub fn take(&mut self, report: &LimitReport, own_hall: &str, now: Instant) {
+    pub fn record_report(&mut self, report: &LimitReport, own_hall: &str, now: Instant) {
         self.remove_expired(now);
         let is_own_hall = report.hall == own_hall && !report.is_forwarded;
         if is_own_hall {
             self.own_hall_reported_at = Some(now);
         } else {
-            self.hear_hall(&report.hall, now);
+            self.record_hall_contact(&report.hall, now);
         }
-        for demand in report.targets.iter().take(MAX_TOLD) {
+        for demand in report.targets.iter().take(MAX_TARGETS_PER_MESSAGE) {
             if self.targets.len() >= MAX_TARGETS && !self.targets.contains_key(&demand.target) {
                 continue;
             }
@@ -86,7 +86,7 @@
     }
 
     /// Records that the head of another hall sent a report or an answer.
-    pub fn hear_hall(&mut self, hall: &str, now: Instant) {
+    pub fn record_hall_contact(&mut self, hall: &str, now: Instant) {
         self.halls.insert(hall.to_owned(), now);
     }
 
@@ -103,26 +103,26 @@
         let is_reported = |target: &StartKey| reported.iter().any(|demand| demand.target == *target);
         let first = reported.iter().filter_map(|demand| self.targets.get_key_value(&demand.target));
         let others = self.targets.iter().filter(|(target, _)| !is_reported(target));
-        first.chain(others).filter_map(share).take(MAX_TOLD).collect()
+        first.chain(others).filter_map(share).take(MAX_TARGETS_PER_MESSAGE).collect()
     }
 
     /// The targets to report to other halls: the demand of the own hall, and what targets announced
     /// to its instances.
-    pub fn forward(&self, now: Instant) -> Vec<TargetDemand> {
+    pub fn demands_to_forward(&self, now: Instant) -> Vec<TargetDemand> {
         let demand = |(target, totals): (&StartKey, &TargetTotals)| TargetDemand {
             target: *target,
-            told: totals.own_hall_limit.and_then(|limit| told_rate(limit, now)),
+            told: totals.own_hall_limit.and_then(|limit| limit_to_message(limit, now)),
             demand: total_demand(&totals.instances, now) as f32,
             // Reports of other halls are not sent back to them: halls would keep them alive forever.
             leaves: is_leaving(totals.own_hall_leaving_at, now),
         };
         let has_content = |demand: &TargetDemand| demand.told.is_some() || demand.leaves || demand.demand > 0.0;
-        self.targets.iter().map(demand).filter(has_content).take(MAX_TOLD).collect()
+        self.targets.iter().map(demand).filter(has_content).take(MAX_TARGETS_PER_MESSAGE).collect()
     }
 
     /// Whether this instance is the head of its hall, since an instance of the hall reported to it
     /// recently, and knows targets to report to other halls.
-    pub fn forwards(&self, now: Instant) -> bool {
+    pub fn should_forward(&self, now: Instant) -> bool {
         self.own_hall_reported_at.is_some_and(|at| is_fresh(at, now)) && !self.targets.is_empty()
     }
 
@@ -135,13 +135,13 @@
 
     fn remove_expired(&mut self, now: Instant) {
         self.halls.retain(|_, at| is_fresh(*at, now));
-        self.targets.retain(|_, totals| totals.limit.is_some_and(|limit| limit.counts(now)) || totals.leaves(now));
+        self.targets.retain(|_, totals| totals.limit.is_some_and(|limit| limit.is_current(now)) || totals.leaves(now));
     }
 }
 
 impl TargetTotals {
     fn record(&mut self, demand: &TargetDemand, report: &LimitReport, is_own_hall: bool, now: Instant) {
-        if let Some(limit) = demand.told.and_then(|told| said(told, now)) {
+        if let Some(limit) = demand.told.and_then(|told| limit_from_message(told, now)) {
             replace_if_older(&mut self.limit, limit);
             if is_own_hall {
                 replace_if_older(&mut self.own_hall_limit, limit);
@@ -166,13 +166,13 @@
 
     fn share(&self, target: StartKey, reachable_fraction: f64, now: Instant) -> Option<TargetShare> {
         let leaves = self.leaves(now);
-        let told = self.limit.and_then(|limit| told_rate(limit, now));
+        let told = self.limit.and_then(|limit| limit_to_message(limit, now));
         if told.is_none() && !leaves {
             return None;
         }
         let demand = total_demand(&self.instances, now) + total_demand(&self.halls, now);
         let rate = told.and_then(|told| told.rate).map(f64::from);
-        let max_rate = rate.map_or(f64::INFINITY, |rate| rate.max(LEAST_RATE) * reachable_fraction.min(1.0));
+        let max_rate = rate.map_or(f64::INFINITY, |rate| rate.max(MIN_RATE) * reachable_fraction.min(1.0));
         let pass = if demand <= max_rate { 1.0 } else { max_rate / demand };
         Some(TargetShare { target, told, leaves, pass: pass as f32 })
     }
@@ -188,7 +188,7 @@
     reported_at.is_some_and(|at| now.saturating_duration_since(at) < MAX_LEAVING_AGE)
 }
 
-fn replace_if_older(known: &mut Option<Said>, limit: Said) {
+fn replace_if_older(known: &mut Option<AnnouncedLimit>, limit: AnnouncedLimit) {
     if known.is_none_or(|known| known.at < limit.at) {
         *known = Some(limit);
     }
@@ -202,18 +202,18 @@
     now.saturating_duration_since(at) < MAX_DEMAND_AGE
 }
 
-/// Converts a limit for a message; `None` if it is older than `LIMIT_LIFE`.
-pub fn told_rate(limit: Said, now: Instant) -> Option<ToldRate> {
+/// Converts a limit for a message; `None` if it is older than `MAX_LIMIT_AGE`.
+pub fn limit_to_message(limit: AnnouncedLimit, now: Instant) -> Option<ToldRate> {
     let age = now.saturating_duration_since(limit.at);
     let age_ms = u16::try_from(age.as_millis()).ok()?;
-    (age < LIMIT_LIFE).then_some(ToldRate { rate: limit.rate.map(|rate| rate as f32), age_ms })
+    (age < MAX_LIMIT_AGE).then_some(ToldRate { rate: limit.rate.map(|rate| rate as f32), age_ms })
 }
 
 /// Converts a limit from a message; `None` if its rate is not a finite number of at least 0, or if
-/// it is older than `LIMIT_LIFE`.
-pub fn said(message: ToldRate, now: Instant) -> Option<Said> {
+/// it is older than `MAX_LIMIT_AGE`.
+pub fn limit_from_message(message: ToldRate, now: Instant) -> Option<AnnouncedLimit> {
     let rate = message.rate.map(f64::from);
     let is_rate = rate.is_none_or(|rate| rate.is_finite() && rate >= 0.0);
     let at = now.checked_sub(Duration::from_millis(message.age_ms.into()))?;
-    Some(Said { rate, at }).filter(|limit| is_rate && limit.counts(now))
+    Some(AnnouncedLimit { rate, at }).filter(|limit| is_rate && limit.is_current(now))
 }
--- a/src/decision/registry/statements.rs
+++ b/src/decision/registry/statements.rs
@@ -23,7 +23,7 @@
 //! `standins/tests/pauses.rs`.
 
 use crate::clock::Instant;
-use crate::decision::capacity::rate_limit::{RateLimit, StatedLimit};
+use crate::decision::capacity::rate_limit::{LimitSignal, RateLimit};
 use crate::decision::failure::pause::{Pause, StatedPause};
 use std::time::Duration;
 
@@ -31,7 +31,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Stated {
     /// Of its rate limit.
-    pub limit: StatedLimit,
+    pub limit: LimitSignal,
     /// Of its end.
     pub leaving: StatedLeaving,
     /// Of a time for which it wants no other request.
@@ -89,7 +89,7 @@
             self.pause.record_answer(now);
         }
         let pause = self.pause.state(stated.pause, draw, now).then(|| self.pause.left(now)).flatten();
-        StatedChange { limit: self.limit.state(stated.limit, sent, now), leaves, pause }
+        StatedChange { limit: self.limit.apply(stated.limit, sent, now), leaves, pause }
     }
 
     /// Notes that the target leaves; gives whether that was not known.
--- a/src/decision/registry/target/said.rs
+++ b/src/decision/registry/target/said.rs
@@ -5,7 +5,7 @@
 
 use super::Target;
 use crate::clock::Instant;
-use crate::decision::capacity::rate_limit::Said;
+use crate::decision::capacity::rate_limit::AnnouncedLimit;
 use crate::decision::registry::statements::{Stated, StatedChange, Statements};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -50,8 +50,8 @@
 
     /// Takes in what it said of its rate limit to another instance; gives the limit that
     /// holds from now on where it is another one.
-    pub fn hear_limit(&self, said: Said, now: Instant) -> Option<Option<f64>> {
-        self.statements.borrow_mut().limit.hear(said, now)
+    pub fn hear_limit(&self, said: AnnouncedLimit, now: Instant) -> Option<Option<f64>> {
+        self.statements.borrow_mut().limit.record_remote(said, now)
     }
 
     /// Requests a second that it takes of all instances; `None` where it has no limit.
@@ -61,12 +61,12 @@
 
     /// Whether it said something of a limit lately, also that it has none any more.
     pub fn has_limit_word(&self, now: Instant) -> bool {
-        self.statements.borrow().limit.has_word(now)
+        self.statements.borrow().limit.has_recent_signal(now)
     }
 
     /// What a head is told of its limit and of the demand for it.
-    pub fn tell_limit(&self, now: Instant) -> Option<(Option<Said>, f64)> {
-        self.statements.borrow_mut().limit.tell(now)
+    pub fn tell_limit(&self, now: Instant) -> Option<(Option<AnnouncedLimit>, f64)> {
+        self.statements.borrow_mut().limit.take_report(now)
     }
 
     /// Takes the share of its requests that a head answered.
@@ -76,33 +76,33 @@
 
     /// Share of its requests that may be sent; `None` where no head answered lately.
     pub fn limit_share(&self, now: Instant) -> Option<f64> {
-        self.statements.borrow().limit.pass(now)
+        self.statements.borrow().limit.admit_ratio(now)
     }
 
     /// Works out the equal part of its limit of the member `own` again.
     pub fn update_limit_part<'a>(&self, own: &str, members: impl Iterator<Item = &'a str>, now: Instant) {
-        self.statements.borrow_mut().limit.update_part(self.key.hash(), own, members, now);
+        self.statements.borrow_mut().limit.update_equal_share(self.key.hash(), own, members, now);
     }
 
     /// Whether its limit leaves this instance no request now.
     pub fn is_limit_used_up(&self, now: Instant) -> bool {
-        self.statements.borrow().limit.is_used_up(now)
+        self.statements.borrow().limit.is_exhausted(now)
     }
 
     /// Counts a request that its limit sends elsewhere.
     pub fn offer_limited(&self, now: Instant) {
-        self.statements.borrow_mut().limit.offer(now);
+        self.statements.borrow_mut().limit.record_offered(now);
     }
 
     /// Whether a head should be told at once of what comes for it.
     pub fn is_demand_unusual(&self, now: Instant) -> bool {
-        self.statements.borrow().limit.is_unusual(now)
+        self.statements.borrow().limit.has_surge(now)
     }
 
     pub(super) fn spend_limit(&self, now: Instant) {
         let mut statements = self.statements.borrow_mut();
-        statements.limit.offer(now);
-        statements.limit.spend(now);
+        statements.limit.record_offered(now);
+        statements.limit.record_sent(now);
     }
 
     /// Logs that its answers say something of it that cannot be read; one line for each start.
--- a/src/proxy/answer_check.rs
+++ b/src/proxy/answer_check.rs
@@ -5,7 +5,7 @@
 //! means for the target is [`crate::proxy::exchange`]'s business.
 
 use crate::decision::capacity::load_report::{LoadReport, LoadReportError};
-use crate::decision::capacity::rate_limit::StatedLimit;
+use crate::decision::capacity::rate_limit::LimitSignal;
 use crate::decision::failure::pause::StatedPause;
 use crate::decision::registry::statements::{Stated, StatedLeaving};
 use crate::platform::HeaderNames;
@@ -74,7 +74,7 @@
     let turns_away = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
     let pause = if turns_away { StatedPause::parse(values(&RETRY_AFTER)) } else { StatedPause::None };
     Stated {
-        limit: StatedLimit::parse(values(&names.rate_limit)),
+        limit: LimitSignal::parse(values(&names.rate_limit)),
         leaving: StatedLeaving::parse(values(&names.leaving)),
         pause,
         turns_away,
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -7,7 +7,7 @@
 use crate::clock::{Instant, timeout_at};
 use crate::decision::capacity::in_flight::InFlight;
 use crate::decision::capacity::load_report::LoadReport;
-use crate::decision::capacity::rate_limit::StatedLimit;
+use crate::decision::capacity::rate_limit::LimitSignal;
 use crate::decision::failure::pause::StatedPause;
 use crate::decision::failure::shedding::has_free_slot;
 use crate::decision::registry::statements::StatedLeaving;
@@ -99,7 +99,7 @@
     fn take_statements(&self, response: &Response<Incoming>) {
         let target = self.in_flight.target();
         let stated = answer_check::stated(self.names, response);
-        if stated.limit == StatedLimit::Unreadable {
+        if stated.limit == LimitSignal::Unreadable {
             target.log_unreadable("rate limit");
         }
         if stated.leaving == StatedLeaving::Unreadable {
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -6,7 +6,9 @@
 
 use super::Instance;
 use crate::clock::Instant;
-use crate::decision::capacity::rate_limit::totals::{LimitTotals, MAX_TOLD, said, told_rate};
+use crate::decision::capacity::rate_limit::totals::{
+    LimitTotals, MAX_TARGETS_PER_MESSAGE, limit_from_message, limit_to_message,
+};
 use crate::decision::registry::target::Target;
 use crate::model::rate_limits::{LimitAnswer, LimitReport, StartKey, TargetDemand, TargetShare};
 use crate::platform::Platform;
@@ -31,12 +33,12 @@
 
     /// Whether this instance is the head of its hall and has something to tell the others.
     pub fn forwards(&self) -> bool {
-        self.totals.borrow().forwards(Instant::now())
+        self.totals.borrow().should_forward(Instant::now())
     }
 
     /// Notes that the head of another hall answered.
     pub fn hear_hall(&self, hall: &str) {
-        self.totals.borrow_mut().hear_hall(hall, Instant::now());
+        self.totals.borrow_mut().record_hall_contact(hall, Instant::now());
     }
 
     /// Has a report made at once.
@@ -69,7 +71,7 @@
         let demand = |target: &Rc<Target>| {
             let leaves = target.is_leaving();
             let (said, demand) = target.tell_limit(now).or(leaves.then_some((None, 0.0)))?;
-            let told = said.and_then(|said| told_rate(said, now));
+            let told = said.and_then(|said| limit_to_message(said, now));
             Some(TargetDemand { target: target.start_key, told, demand: demand as f32, leaves })
         };
         let routing = self.routing.borrow();
@@ -77,7 +79,7 @@
             from: settings.name.clone(),
             hall: settings.hall.to_string(),
             is_forwarded: false,
-            targets: routing.targets().filter_map(demand).take(MAX_TOLD).collect(),
+            targets: routing.targets().filter_map(demand).take(MAX_TARGETS_PER_MESSAGE).collect(),
         }
     }
 
@@ -88,7 +90,7 @@
             from: settings.name.clone(),
             hall: settings.hall.to_string(),
             is_forwarded: true,
-            targets: self.rate_limits.totals.borrow().forward(Instant::now()),
+            targets: self.rate_limits.totals.borrow().demands_to_forward(Instant::now()),
         }
     }
 
@@ -96,7 +98,7 @@
     pub fn take_limits(&self, report: &LimitReport) -> LimitAnswer {
         let (now, settings, routing) = (Instant::now(), self.settings(), self.routing.borrow());
         let mut totals = self.rate_limits.totals.borrow_mut();
-        totals.take(report, &settings.hall, now);
+        totals.record_report(report, &settings.hall, now);
         if report.is_forwarded {
             return LimitAnswer::default();
         }
@@ -113,7 +115,7 @@
             if share.leaves && target.hear_leaving() {
                 tracing::info!(event = "target_leaving", id = &*target.id, hall = &*target.hall, from = "instances");
             }
-            if let Some(said) = share.told.and_then(|told| said(told, now))
+            if let Some(said) = share.told.and_then(|told| limit_from_message(told, now))
                 && let Some(rate) = target.hear_limit(said, now)
             {
                 tracing::info!(
--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -2,8 +2,8 @@
 //! random; responses and messages are delayed.
 
 use lockloft::clock::Instant;
-use lockloft::decision::capacity::rate_limit::totals::{LimitTotals, said, told_rate};
-use lockloft::decision::capacity::rate_limit::{RateLimit, StatedLimit};
+use lockloft::decision::capacity::rate_limit::totals::{LimitTotals, limit_from_message, limit_to_message};
+use lockloft::decision::capacity::rate_limit::{LimitSignal, RateLimit};
 use lockloft::decision::quota::{FORWARD_EVERY, REPORT_EVERY};
 use lockloft::decision::registry::members::Members;
 use lockloft::model::member::{Capacity, Member};
@@ -212,9 +212,9 @@
     fn receive_answers(&mut self) {
         while self.answers.front().is_some_and(|answer| answer.due <= self.now) {
             let answer = self.answers.pop_front().unwrap();
-            let signal = self.announced_limit.map_or(StatedLimit::None, StatedLimit::Rate);
+            let signal = self.announced_limit.map_or(LimitSignal::None, LimitSignal::Rate);
             let instance = &mut self.instances[answer.instance];
-            instance.limit.state(signal, answer.sent, self.now);
+            instance.limit.apply(signal, answer.sent, self.now);
             if self.announced_limit.is_some() {
                 instance.passed_on_at.get_or_insert(self.now);
             }
@@ -252,18 +252,18 @@
         let (now, mode) = (self.now, self.mode);
         let own = name(number);
         let instance = &mut self.instances[number];
-        if mode == Mode::EqualShares || instance.limit.pass(now).is_none() {
-            instance.limit.update_part(1, &own, self.members.names(), now);
+        if mode == Mode::EqualShares || instance.limit.admit_ratio(now).is_none() {
+            instance.limit.update_equal_share(1, &own, self.members.names(), now);
         }
         let is_held = match mode {
             Mode::Feedback => instance.passed_on_at.is_some() && instance.credit < 1.0,
-            Mode::EqualShares | Mode::Heads => instance.limit.is_used_up(now),
+            Mode::EqualShares | Mode::Heads => instance.limit.is_exhausted(now),
         };
-        instance.limit.offer(now);
+        instance.limit.record_offered(now);
         if is_held {
             return;
         }
-        instance.limit.spend(now);
+        instance.limit.record_sent(now);
         instance.credit = (instance.credit - 1.0).max(0.0);
         let counts = instance.passed_on_at.is_some_and(|at| now - at >= PROPAGATION_TIME);
         self.sent.push((now, counts));
@@ -289,15 +289,15 @@
         let every = REPORT_EVERY.as_millis() as u64 / STEP.as_millis() as u64;
         for number in 0..self.instances.len() {
             let is_due = (self.step + number as u64).is_multiple_of(every);
-            if !is_due && !self.instances[number].limit.is_unusual(self.now) {
+            if !is_due && !self.instances[number].limit.has_surge(self.now) {
                 continue;
             }
             let now = self.now;
             let hall = self.instances[number].hall;
             let asks = self.instances.len() >= MIN_POLLING_INSTANCES && (self.step + number as u64).is_multiple_of(100);
-            let targets = match self.instances[number].limit.tell(now) {
+            let targets = match self.instances[number].limit.take_report(now) {
                 Some((own, demand)) => {
-                    let told = own.and_then(|limit| told_rate(limit, now));
+                    let told = own.and_then(|limit| limit_to_message(limit, now));
                     vec![TargetDemand { target: TARGET, told, demand: demand as f32, leaves: false }]
                 }
                 None if asks => Vec::new(),
@@ -313,16 +313,16 @@
         let every = FORWARD_EVERY.as_millis() as u64 / STEP.as_millis() as u64;
         for hall in 0..self.heads.len() {
             let is_due = (self.step + 7 * hall as u64).is_multiple_of(every);
-            if !is_due || !self.heads[hall].forwards(self.now) || self.is_partitioned[hall] {
+            if !is_due || !self.heads[hall].should_forward(self.now) || self.is_partitioned[hall] {
                 continue;
             }
-            let targets = self.heads[hall].forward(self.now);
+            let targets = self.heads[hall].demands_to_forward(self.now);
             let report = LimitReport { from: name(hall), hall: hall_name(hall), is_forwarded: true, targets };
             for other in (0..self.heads.len()).filter(|other| *other != hall && !self.is_partitioned[*other]) {
                 self.bytes += encode(&report).len();
                 self.reports.push_back((self.now + NETWORK_DELAY, usize::MAX, other, report.clone()));
                 let from = hall_name(other);
-                self.heads[hall].hear_hall(&from, self.now);
+                self.heads[hall].record_hall_contact(&from, self.now);
             }
         }
     }
@@ -331,7 +331,7 @@
         while self.reports.front().is_some_and(|(due, ..)| *due <= self.now) {
             let (_, from, hall, report) = self.reports.pop_front().unwrap();
             let own = hall_name(hall);
-            self.heads[hall].take(&report, &own, self.now);
+            self.heads[hall].record_report(&report, &own, self.now);
             if !report.is_forwarded {
                 let shares = self.heads[hall].shares(&report.targets, &self.members, &own, self.now);
                 let answer = LimitAnswer { shares };
@@ -343,8 +343,8 @@
             let (_, number, answer) = self.shares.pop_front().unwrap();
             for share in &answer.shares {
                 let limit = &mut self.instances[number].limit;
-                if let Some(remote) = share.told.and_then(|told| said(told, self.now)) {
-                    limit.hear(remote, self.now);
+                if let Some(remote) = share.told.and_then(|told| limit_from_message(told, self.now)) {
+                    limit.record_remote(remote, self.now);
                 }
                 limit.set_share(share.pass.into(), self.random.random(), self.now);
             }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -2,8 +2,10 @@
 //! shares of instances.
 
 use lockloft::clock::Instant;
-use lockloft::decision::capacity::rate_limit::totals::{LimitTotals, MAX_TOLD, said, told_rate};
-use lockloft::decision::capacity::rate_limit::{LEAST_RATE, RateLimit, Said, StatedLimit};
+use lockloft::decision::capacity::rate_limit::totals::{
+    LimitTotals, MAX_TARGETS_PER_MESSAGE, limit_from_message, limit_to_message,
+};
+use lockloft::decision::capacity::rate_limit::{AnnouncedLimit, LimitSignal, MIN_RATE, RateLimit};
 use lockloft::decision::failure::pause::StatedPause;
 use lockloft::decision::registry::members::Members;
 use lockloft::decision::registry::statements::{Stated, StatedLeaving};
@@ -16,8 +18,8 @@
 
 const TARGET: StartKey = StartKey([1; 8]);
 
-fn parse(values: &[&str]) -> StatedLimit {
-    StatedLimit::parse(values.iter().map(|value| value.as_bytes()))
+fn parse(values: &[&str]) -> LimitSignal {
+    LimitSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
 fn ms(count: u64) -> Duration {
@@ -42,28 +44,28 @@
 }
 
 const NO_SIGNALS: Stated =
-    Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
+    Stated { limit: LimitSignal::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
 const NAMED: Option<ToldRate> = Some(ToldRate { rate: Some(6.0), age_ms: 0 });
 
 #[test]
 fn a_limit_is_one_decimal_number() {
-    assert_eq!(parse(&[]), StatedLimit::None);
+    assert_eq!(parse(&[]), LimitSignal::None);
     for (text, rate) in [("4.5", 4.5), ("0", 0.0), (" 12 ", 12.0), (".5", 0.5), ("0.0", 0.0)] {
-        assert_eq!(parse(&[text]), StatedLimit::Rate(rate), "{text}");
+        assert_eq!(parse(&[text]), LimitSignal::Rate(rate), "{text}");
     }
     let long = "9".repeat(40);
     for text in ["", "-1", "+3", "nan", "inf", "1e3", "1,5", "4.5 a second", "1.2.3", ".", "٤", &long] {
-        assert_eq!(parse(&[text]), StatedLimit::Unreadable, "{text}");
+        assert_eq!(parse(&[text]), LimitSignal::Unreadable, "{text}");
     }
-    assert_eq!(parse(&["4", "4"]), StatedLimit::Unreadable, "named twice");
-    assert_eq!(StatedLimit::parse([&[0xff_u8][..]].into_iter()), StatedLimit::Unreadable);
+    assert_eq!(parse(&["4", "4"]), LimitSignal::Unreadable, "named twice");
+    assert_eq!(LimitSignal::parse([&[0xff_u8][..]].into_iter()), LimitSignal::Unreadable);
 }
 
 #[test]
 fn an_unreadable_limit_changes_nothing() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
-    assert_eq!(limit.state(StatedLimit::Rate(4.0), now, now), Some(Some(4.0)));
-    assert_eq!(limit.state(StatedLimit::Unreadable, now + ms(1), now + ms(2)), None);
+    assert_eq!(limit.apply(LimitSignal::Rate(4.0), now, now), Some(Some(4.0)));
+    assert_eq!(limit.apply(LimitSignal::Unreadable, now + ms(1), now + ms(2)), None);
     assert_eq!(limit.rate(now + ms(2)), Some(4.0));
 }
 
@@ -71,31 +73,31 @@
 fn a_response_to_an_earlier_request_lowers_a_limit_but_neither_raises_nor_lifts_it() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
     let (before, named, after) = (now, now + ms(50), now + ms(60));
-    assert_eq!(limit.state(StatedLimit::Rate(4.0), before, named), Some(Some(4.0)));
-    assert_eq!(limit.state(StatedLimit::None, before, named + ms(1)), None);
-    assert_eq!(limit.state(StatedLimit::Rate(8.0), before, named + ms(2)), None);
-    assert_eq!(limit.state(StatedLimit::Rate(2.0), before, named + ms(3)), Some(Some(2.0)));
-    assert_eq!(limit.state(StatedLimit::Rate(8.0), after, named + ms(20)), Some(Some(8.0)));
-    assert_eq!(limit.state(StatedLimit::None, after + ms(30), after + ms(40)), Some(None));
+    assert_eq!(limit.apply(LimitSignal::Rate(4.0), before, named), Some(Some(4.0)));
+    assert_eq!(limit.apply(LimitSignal::None, before, named + ms(1)), None);
+    assert_eq!(limit.apply(LimitSignal::Rate(8.0), before, named + ms(2)), None);
+    assert_eq!(limit.apply(LimitSignal::Rate(2.0), before, named + ms(3)), Some(Some(2.0)));
+    assert_eq!(limit.apply(LimitSignal::Rate(8.0), after, named + ms(20)), Some(Some(8.0)));
+    assert_eq!(limit.apply(LimitSignal::None, after + ms(30), after + ms(40)), Some(None));
 }
 
 #[test]
 fn a_limit_expires_ten_seconds_after_its_last_announcement() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
-    limit.state(StatedLimit::Rate(4.0), now, now);
+    limit.apply(LimitSignal::Rate(4.0), now, now);
     assert_eq!(limit.rate(now + ms(9_900)), Some(4.0));
     assert_eq!(limit.rate(now + ms(10_000)), None);
-    assert!(!limit.is_used_up(now + ms(10_000)));
+    assert!(!limit.is_exhausted(now + ms(10_000)));
 }
 
 #[test]
 fn a_remote_limit_applies_if_it_is_later_and_is_not_reported_on() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
-    limit.state(StatedLimit::Rate(4.0), now, now);
-    assert_eq!(limit.hear(Said { rate: Some(9.0), at: now - ms(10) }, now + ms(5)), None);
-    assert_eq!(limit.hear(Said { rate: None, at: now + ms(20) }, now + ms(30)), Some(None));
-    let (own, _) = limit.tell(now + ms(40)).expect("it had a limit");
-    assert_eq!(own, Some(Said { rate: Some(4.0), at: now }));
+    limit.apply(LimitSignal::Rate(4.0), now, now);
+    assert_eq!(limit.record_remote(AnnouncedLimit { rate: Some(9.0), at: now - ms(10) }, now + ms(5)), None);
+    assert_eq!(limit.record_remote(AnnouncedLimit { rate: None, at: now + ms(20) }, now + ms(30)), Some(None));
+    let (own, _) = limit.take_report(now + ms(40)).expect("it had a limit");
+    assert_eq!(own, Some(AnnouncedLimit { rate: Some(4.0), at: now }));
 }
 
 #[test]
@@ -114,13 +116,13 @@
     let mut sent = 0;
     for number in 0..100 {
         let mut limit = RateLimit::default();
-        limit.state(StatedLimit::Rate(4.0), now, now);
+        limit.apply(LimitSignal::Rate(4.0), now, now);
         limit.set_share(0.3, f64::from(number) / 100.0, now);
         for _ in 0..10 {
-            let is_held = limit.is_used_up(now);
-            limit.offer(now);
+            let is_held = limit.is_exhausted(now);
+            limit.record_offered(now);
             if !is_held {
-                limit.spend(now);
+                limit.record_sent(now);
                 sent += 1;
             }
         }
@@ -141,13 +143,13 @@
 /// Requests that an instance sends in 4 s by its equal share, with a request always waiting.
 fn sent_in_window(rate: f64, number: usize, members: &Members, now: Instant) -> usize {
     let mut limit = RateLimit::default();
-    limit.state(StatedLimit::Rate(rate), now, now);
-    limit.update_part(7, &format!("e-{number}"), members.names(), now);
+    limit.apply(LimitSignal::Rate(rate), now, now);
+    limit.update_equal_share(7, &format!("e-{number}"), members.names(), now);
     let mut sent = 0;
     for at in (0..4_000).step_by(10).map(|at| now + ms(at)) {
-        if !limit.is_used_up(at) {
-            limit.offer(at);
-            limit.spend(at);
+        if !limit.is_exhausted(at) {
+            limit.record_offered(at);
+            limit.record_sent(at);
             sent += 1;
         }
     }
@@ -157,14 +159,14 @@
 #[test]
 fn a_head_answers_with_the_limit_divided_by_the_total_demand() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(4, 2));
-    totals.take(&report("e-0", "h-0", 10.0, NAMED), "h-0", now);
-    totals.take(&report("e-2", "h-0", 5.0, None), "h-0", now);
-    totals.take(&LimitReport { is_forwarded: true, ..report("e-1", "h-1", 15.0, None) }, "h-0", now);
+    totals.record_report(&report("e-0", "h-0", 10.0, NAMED), "h-0", now);
+    totals.record_report(&report("e-2", "h-0", 5.0, None), "h-0", now);
+    totals.record_report(&LimitReport { is_forwarded: true, ..report("e-1", "h-1", 15.0, None) }, "h-0", now);
     let shares = totals.shares(&[], &members, "h-0", now);
     assert!((shares[0].pass - 0.2).abs() < 0.001, "{shares:?}");
     // A repeated report replaces the previous one and adds no demand.
-    totals.take(&report("e-0", "h-0", 10.0, NAMED), "h-0", now + ms(200));
-    totals.take(&report("e-0", "h-0", 10.0, NAMED), "h-0", now + ms(200));
+    totals.record_report(&report("e-0", "h-0", 10.0, NAMED), "h-0", now + ms(200));
+    totals.record_report(&report("e-0", "h-0", 10.0, NAMED), "h-0", now + ms(200));
     let shares = totals.shares(&[], &members, "h-0", now + ms(200));
     assert!((shares[0].pass - 0.2).abs() < 0.001, "{shares:?}");
 }
@@ -172,9 +174,9 @@
 #[test]
 fn an_unreachable_hall_keeps_its_part_of_the_limit() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(6, 3));
-    totals.take(&report("e-0", "h-0", 12.0, NAMED), "h-0", now);
+    totals.record_report(&report("e-0", "h-0", 12.0, NAMED), "h-0", now);
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 6.0 / 3.0 / 12.0).abs() < 0.001);
-    totals.hear_hall("h-1", now);
+    totals.record_hall_contact("h-1", now);
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 6.0 * 2.0 / 3.0 / 12.0).abs() < 0.001);
     let shares = totals.shares(&[], &members, "h-0", now + ms(1_000));
     assert_eq!(shares[0].pass, 1.0, "the reported demand has expired");
@@ -184,20 +186,20 @@
 fn a_target_with_limit_zero_gets_the_minimum_rate() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
     let nothing = Some(ToldRate { rate: Some(0.0), age_ms: 0 });
-    totals.take(&report("e-0", "h-0", 10.0, nothing), "h-0", now);
+    totals.record_report(&report("e-0", "h-0", 10.0, nothing), "h-0", now);
     let pass = f64::from(totals.shares(&[], &members, "h-0", now)[0].pass);
-    assert!((pass - LEAST_RATE / 10.0).abs() < 0.0001, "{pass}");
+    assert!((pass - MIN_RATE / 10.0).abs() < 0.0001, "{pass}");
 }
 
 #[test]
 fn invalid_or_oversized_reports_change_no_share_and_are_bounded() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
-    totals.take(&report("e-0", "h-0", 12.0, NAMED), "h-0", now);
+    totals.record_report(&report("e-0", "h-0", 12.0, NAMED), "h-0", now);
     for demand in [f32::NAN, f32::INFINITY, -5.0] {
-        totals.take(&report("e-9", "h-0", demand, None), "h-0", now);
+        totals.record_report(&report("e-9", "h-0", demand, None), "h-0", now);
     }
     for rate in [f32::NAN, f32::INFINITY, -1.0] {
-        assert_eq!(said(ToldRate { rate: Some(rate), age_ms: 0 }, now), None);
+        assert_eq!(limit_from_message(ToldRate { rate: Some(rate), age_ms: 0 }, now), None);
     }
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 0.5).abs() < 0.001);
     let many = (0..10_000_u64).map(|key| TargetDemand {
@@ -207,16 +209,16 @@
         leaves: false,
     });
     let flood = LimitReport { targets: many.collect(), ..report("e-9", "h-0", 1.0, None) };
-    totals.take(&flood, "h-0", now);
-    assert!(totals.forward(now).len() <= MAX_TOLD);
+    totals.record_report(&flood, "h-0", now);
+    assert!(totals.demands_to_forward(now).len() <= MAX_TARGETS_PER_MESSAGE);
 }
 
 #[test]
 fn an_expired_limit_is_not_converted_for_or_from_messages() {
     let now = Instant::now() + ms(60_000);
-    assert!(told_rate(Said { rate: Some(1.0), at: now - ms(9_000) }, now).is_some());
-    assert!(told_rate(Said { rate: Some(1.0), at: now - ms(11_000) }, now).is_none());
-    assert!(said(ToldRate { rate: Some(1.0), age_ms: 11_000 }, now).is_none());
+    assert!(limit_to_message(AnnouncedLimit { rate: Some(1.0), at: now - ms(9_000) }, now).is_some());
+    assert!(limit_to_message(AnnouncedLimit { rate: Some(1.0), at: now - ms(11_000) }, now).is_none());
+    assert!(limit_from_message(ToldRate { rate: Some(1.0), age_ms: 11_000 }, now).is_none());
 }
 
 #[test]
@@ -224,7 +226,7 @@
     let now = Instant::now();
     let first = registration(Some(1), "127.0.0.1:1");
     let target = Target::new(&first, "a".into(), now);
-    target.take_statements(Stated { limit: StatedLimit::Rate(4.0), ..NO_SIGNALS }, 0.0, now, now);
+    target.take_statements(Stated { limit: LimitSignal::Rate(4.0), ..NO_SIGNALS }, 0.0, now, now);
     let moved = target.succeeded_by(&registration(Some(1), "127.0.0.1:2"), "a".into(), now);
     assert_eq!(moved.rate_limit(now), None);
     let with_more_slots = TargetRegistration { slots: 9, ..first };
@@ -254,13 +256,13 @@
     let (mut one, mut other, now) = (LimitTotals::default(), LimitTotals::default(), Instant::now());
     let mut leaving = report("e-0", "h-0", 0.0, None);
     leaving.targets[0].leaves = true;
-    one.take(&leaving, "h-0", now);
+    one.record_report(&leaving, "h-0", now);
     for step in 1..100 {
         let at = now + ms(100 * step);
         let forwarded =
             |from: &str, targets| LimitReport { targets, is_forwarded: true, ..report(from, from, 0.0, None) };
-        other.take(&forwarded("h-0", one.forward(at)), "h-1", at);
-        one.take(&forwarded("h-1", other.forward(at)), "h-0", at);
+        other.record_report(&forwarded("h-0", one.demands_to_forward(at)), "h-1", at);
+        one.record_report(&forwarded("h-1", other.demands_to_forward(at)), "h-0", at);
     }
-    assert!(one.forward(now + ms(10_000)).is_empty(), "it was reported ten seconds ago");
+    assert!(one.demands_to_forward(now + ms(10_000)).is_empty(), "it was reported ten seconds ago");
 }
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -1,7 +1,7 @@
 //! What targets say of themselves: the values, and which start of a target they hold for.
 
 use lockloft::clock::Instant;
-use lockloft::decision::capacity::rate_limit::StatedLimit;
+use lockloft::decision::capacity::rate_limit::LimitSignal;
 use lockloft::decision::failure::pause::{Pause, StatedPause};
 use lockloft::decision::registry::statements::{Stated, StatedChange, StatedLeaving};
 use lockloft::decision::registry::targets::{Registered, Targets};
@@ -9,7 +9,7 @@
 use std::time::Duration;
 
 const NOTHING: Stated =
-    Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
+    Stated { limit: LimitSignal::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
 const LEAVES: Stated = Stated { leaving: StatedLeaving::Leaves, ..NOTHING };
 
 fn written(start: Option<u64>, sequence: u64) -> TargetRegistration {
