--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -255,12 +255,12 @@
         if mode == Mode::EqualShares || instance.limit.admit_ratio(now).is_none() {
             instance.limit.update_equal_share(1, &own, self.members.names(), now);
         }
-        let is_held = match mode {
+        let is_exhausted = match mode {
             Mode::Feedback => instance.passed_on_at.is_some() && instance.credit < 1.0,
             Mode::EqualShares | Mode::Heads => instance.limit.is_exhausted(now),
         };
         instance.limit.record_offered(now);
-        if is_held {
+        if is_exhausted {
             return;
         }
         instance.limit.record_sent(now);
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -45,7 +45,7 @@
 
 const NO_SIGNALS: Stated =
     Stated { limit: LimitSignal::None, leaving: StatedLeaving::None, pause: StatedPause::None, turns_away: false };
-const NAMED: Option<ToldRate> = Some(ToldRate { rate: Some(6.0), age_ms: 0 });
+const ANNOUNCED: Option<ToldRate> = Some(ToldRate { rate: Some(6.0), age_ms: 0 });
 
 #[test]
 fn a_limit_is_one_decimal_number() {
@@ -57,7 +57,7 @@
     for text in ["", "-1", "+3", "nan", "inf", "1e3", "1,5", "4.5 a second", "1.2.3", ".", "٤", &long] {
         assert_eq!(parse(&[text]), LimitSignal::Unreadable, "{text}");
     }
-    assert_eq!(parse(&["4", "4"]), LimitSignal::Unreadable, "named twice");
+    assert_eq!(parse(&["4", "4"]), LimitSignal::Unreadable, "two values");
     assert_eq!(LimitSignal::parse([&[0xff_u8][..]].into_iter()), LimitSignal::Unreadable);
 }
 
@@ -72,12 +72,12 @@
 #[test]
 fn a_response_to_an_earlier_request_lowers_a_limit_but_neither_raises_nor_lifts_it() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
-    let (before, named, after) = (now, now + ms(50), now + ms(60));
-    assert_eq!(limit.apply(LimitSignal::Rate(4.0), before, named), Some(Some(4.0)));
-    assert_eq!(limit.apply(LimitSignal::None, before, named + ms(1)), None);
-    assert_eq!(limit.apply(LimitSignal::Rate(8.0), before, named + ms(2)), None);
-    assert_eq!(limit.apply(LimitSignal::Rate(2.0), before, named + ms(3)), Some(Some(2.0)));
-    assert_eq!(limit.apply(LimitSignal::Rate(8.0), after, named + ms(20)), Some(Some(8.0)));
+    let (before, announced, after) = (now, now + ms(50), now + ms(60));
+    assert_eq!(limit.apply(LimitSignal::Rate(4.0), before, announced), Some(Some(4.0)));
+    assert_eq!(limit.apply(LimitSignal::None, before, announced + ms(1)), None);
+    assert_eq!(limit.apply(LimitSignal::Rate(8.0), before, announced + ms(2)), None);
+    assert_eq!(limit.apply(LimitSignal::Rate(2.0), before, announced + ms(3)), Some(Some(2.0)));
+    assert_eq!(limit.apply(LimitSignal::Rate(8.0), after, announced + ms(20)), Some(Some(8.0)));
     assert_eq!(limit.apply(LimitSignal::None, after + ms(30), after + ms(40)), Some(None));
 }
 
@@ -119,9 +119,9 @@
         limit.apply(LimitSignal::Rate(4.0), now, now);
         limit.set_share(0.3, f64::from(number) / 100.0, now);
         for _ in 0..10 {
-            let is_held = limit.is_exhausted(now);
+            let is_exhausted = limit.is_exhausted(now);
             limit.record_offered(now);
-            if !is_held {
+            if !is_exhausted {
                 limit.record_sent(now);
                 sent += 1;
             }
@@ -159,14 +159,14 @@
 #[test]
 fn a_head_answers_with_the_limit_divided_by_the_total_demand() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(4, 2));
-    totals.record_report(&report("e-0", "h-0", 10.0, NAMED), "h-0", now);
+    totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now);
     totals.record_report(&report("e-2", "h-0", 5.0, None), "h-0", now);
     totals.record_report(&LimitReport { is_forwarded: true, ..report("e-1", "h-1", 15.0, None) }, "h-0", now);
     let shares = totals.shares(&[], &members, "h-0", now);
     assert!((shares[0].pass - 0.2).abs() < 0.001, "{shares:?}");
     // A repeated report replaces the previous one and adds no demand.
-    totals.record_report(&report("e-0", "h-0", 10.0, NAMED), "h-0", now + ms(200));
-    totals.record_report(&report("e-0", "h-0", 10.0, NAMED), "h-0", now + ms(200));
+    totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now + ms(200));
+    totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now + ms(200));
     let shares = totals.shares(&[], &members, "h-0", now + ms(200));
     assert!((shares[0].pass - 0.2).abs() < 0.001, "{shares:?}");
 }
@@ -174,7 +174,7 @@
 #[test]
 fn an_unreachable_hall_keeps_its_part_of_the_limit() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(6, 3));
-    totals.record_report(&report("e-0", "h-0", 12.0, NAMED), "h-0", now);
+    totals.record_report(&report("e-0", "h-0", 12.0, ANNOUNCED), "h-0", now);
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 6.0 / 3.0 / 12.0).abs() < 0.001);
     totals.record_hall_contact("h-1", now);
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 6.0 * 2.0 / 3.0 / 12.0).abs() < 0.001);
@@ -185,8 +185,8 @@
 #[test]
 fn a_target_with_limit_zero_gets_the_minimum_rate() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
-    let nothing = Some(ToldRate { rate: Some(0.0), age_ms: 0 });
-    totals.record_report(&report("e-0", "h-0", 10.0, nothing), "h-0", now);
+    let zero_limit = Some(ToldRate { rate: Some(0.0), age_ms: 0 });
+    totals.record_report(&report("e-0", "h-0", 10.0, zero_limit), "h-0", now);
     let pass = f64::from(totals.shares(&[], &members, "h-0", now)[0].pass);
     assert!((pass - MIN_RATE / 10.0).abs() < 0.0001, "{pass}");
 }
@@ -194,7 +194,7 @@
 #[test]
 fn invalid_or_oversized_reports_change_no_share_and_are_bounded() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
-    totals.record_report(&report("e-0", "h-0", 12.0, NAMED), "h-0", now);
+    totals.record_report(&report("e-0", "h-0", 12.0, ANNOUNCED), "h-0", now);
     for demand in [f32::NAN, f32::INFINITY, -5.0] {
         totals.record_report(&report("e-9", "h-0", demand, None), "h-0", now);
     }
@@ -204,7 +204,7 @@
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 0.5).abs() < 0.001);
     let many = (0..10_000_u64).map(|key| TargetDemand {
         target: StartKey(key.to_be_bytes()),
-        told: NAMED,
+        told: ANNOUNCED,
         demand: 1.0,
         leaves: false,
     });
--- a/tests/second_target.rs
+++ b/tests/second_target.rs
@@ -36,7 +36,7 @@
     while let Ok(target) = scene.choose(7, &[]) {
         at_second += usize::from(target.key != first.key);
         held.push(target.begin(scene.now));
-        assert!(held.len() < 100, "no limit holds");
+        assert!(held.len() < 100, "the load limit was never reached");
     }
     (first, at_second)
 }
--- a/tests/shared_loads.rs
+++ b/tests/shared_loads.rs
@@ -67,8 +67,8 @@
     let mut shared = SharedLoads::default();
     let many: Vec<TargetLoad> = (0..200).map(|target| load(target, target.into(), ms(0))).collect();
     shared.record(&many, true, now);
-    let named = sorted(shared.loads_for_instances(now));
-    assert_eq!((named.len(), named[0]), (128, (72, 72)));
+    let selected = sorted(shared.loads_for_instances(now));
+    assert_eq!((selected.len(), selected[0]), (128, (72, 72)));
     assert!(shared.loads_for_instances(now + ms(1_100)).is_empty());
 }
 
--- a/tests/slow_start_changes.rs
+++ b/tests/slow_start_changes.rs
@@ -12,7 +12,7 @@
 const BOUNDS: SlowStartBounds = SlowStartBounds { overage: 1.5, slack: 5.0 };
 
 /// A scene with the cold target `t0` only, and one member, unchanged for long enough.
-fn cold_scene(rate: u32) -> Scene {
+fn slow_start_scene(rate: u32) -> Scene {
     let mut scene = Scene::new();
     scene.remove_all();
     put_rate(&mut scene, 1, rate);
@@ -66,7 +66,7 @@
 
 #[test]
 fn a_changed_rate_or_bound_applies_at_once_with_unchanged_members() {
-    let mut scene = cold_scene(4);
+    let mut scene = slow_start_scene(4);
     let at_first = send_for_ten_seconds(&mut scene, BOUNDS);
     assert!((36..=40).contains(&at_first), "{at_first} in ten seconds at 4 a second");
     put_rate(&mut scene, 2, 8);
