--- a/src/decision/registry/signals.rs
+++ b/src/decision/registry/signals.rs
@@ -25,7 +25,7 @@
 //! `standins/tests/pauses.rs`.
 
 use crate::clock::Instant;
-use crate::decision::capacity::rate_limit::{RateLimit, StatedLimit};
+use crate::decision::capacity::rate_limit::{LimitSignal, RateLimit};
 use crate::decision::failure::pause::{Pause, PauseSignal};
 use std::time::Duration;
 
@@ -33,7 +33,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct ResponseSignals {
     /// Rate limit of the target, over all instances.
-    pub limit: StatedLimit,
+    pub limit: LimitSignal,
     /// Whether the target is leaving.
     pub leaving: LeavingSignal,
     /// Time during which the target wants no further requests from this instance.
@@ -91,7 +91,7 @@
             self.pause.record_response(now);
         }
         let pause = self.pause.apply(signals.pause, draw, now).then(|| self.pause.remaining(now)).flatten();
-        SignalChange { limit: self.limit.state(signals.limit, sent, now), began_leaving, pause }
+        SignalChange { limit: self.limit.apply(signals.limit, sent, now), began_leaving, pause }
     }
 
     /// Records that the target is leaving; returns whether this was not known before.
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -8,7 +8,7 @@
 mod signals;
 
 use crate::clock::Instant;
-use crate::decision::capacity::in_flight::{Counter, InFlight};
+use crate::decision::capacity::in_flight::{InFlight, InFlightCounter};
 use crate::decision::capacity::load::Load;
 use crate::decision::capacity::load_report::LoadReport;
 use crate::decision::capacity::slow_start::SlowStart;
@@ -103,7 +103,7 @@
         target.slow_start.replace(self.slow_start.borrow().clone());
         target.begin_slow_start(registration.slow_start, now);
         if registration.address == self.pool.address() {
-            target.load.replace(self.load.borrow().handed_over(now));
+            target.load.replace(self.load.borrow().for_successor(now));
             target.latency.replace(self.latency.borrow().clone());
             target.ejection.replace(self.ejection.borrow().clone());
             target.inherit_signals(self.signals());
@@ -183,10 +183,10 @@
     /// Counts a request as in flight until the returned guard is dropped.
     pub fn begin_request(self: &Rc<Self>, now: Instant) -> InFlight<Self> {
         self.latency.borrow_mut().record_sent(self.in_flight(), now);
-        self.slow_start.borrow_mut().spend(now);
+        self.slow_start.borrow_mut().record_sent(now);
         self.record_sent(now);
         self.ejection.borrow_mut().record_sent();
-        self.load.borrow_mut().begin();
+        self.load.borrow_mut().begin_request();
         InFlight::new(self.clone())
     }
 
@@ -240,23 +240,23 @@
 
     /// Records a load report that arrived in a response.
     pub fn record_load_report(&self, report: LoadReport, now: Instant) {
-        self.load.borrow_mut().report(report, now);
+        self.load.borrow_mut().record_report(report, now);
     }
 
     /// Records a load that it reported to another instance at `at`.
     pub fn record_remote_load(&self, requests: u32, at: Instant) {
-        self.load.borrow_mut().hear(requests, at);
+        self.load.borrow_mut().record_remote(requests, at);
     }
 
     /// Its last load report, if it has not been passed on to other instances yet: the number of
     /// requests, and when it arrived.
     pub fn take_unreported_load(&self) -> Option<(u32, Instant)> {
-        self.load.borrow_mut().take_untold()
+        self.load.borrow_mut().take_unreported()
     }
 
     /// Estimated number of requests running or waiting there.
     pub fn load(&self, now: Instant) -> f64 {
-        self.load.borrow().at(now)
+        self.load.borrow().estimate(now)
     }
 
     /// Makes it cold for `remaining` from `now`; never shortens its slow start.
@@ -298,8 +298,8 @@
     }
 }
 
-impl Counter for Target {
-    fn count_out(&self) {
-        self.load.borrow_mut().end();
+impl InFlightCounter for Target {
+    fn end_request(&self) {
+        self.load.borrow_mut().end_request();
     }
 }
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -5,7 +5,7 @@
 
 use super::Target;
 use crate::clock::Instant;
-use crate::decision::capacity::rate_limit::Said;
+use crate::decision::capacity::rate_limit::AnnouncedLimit;
 use crate::decision::registry::signals::{ResponseSignals, SignalChange, TargetSignals};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -51,8 +51,8 @@
 
     /// Records a rate limit that it sent to another instance; returns the limit in force from now on
     /// if it changed.
-    pub fn record_remote_limit(&self, said: Said, now: Instant) -> Option<Option<f64>> {
-        self.signals.borrow_mut().limit.hear(said, now)
+    pub fn record_remote_limit(&self, said: AnnouncedLimit, now: Instant) -> Option<Option<f64>> {
+        self.signals.borrow_mut().limit.record_remote(said, now)
     }
 
     /// Its rate limit over all instances, requests per second; `None` if it has none.
@@ -62,12 +62,12 @@
 
     /// Whether it recently sent a rate limit, or the information that it no longer has one.
     pub fn has_recent_limit_signal(&self, now: Instant) -> bool {
-        self.signals.borrow().limit.has_word(now)
+        self.signals.borrow().limit.has_recent_signal(now)
     }
 
     /// Its limit and the demand for it, requests per second, for the next report to a head.
-    pub fn take_limit_report(&self, now: Instant) -> Option<(Option<Said>, f64)> {
-        self.signals.borrow_mut().limit.tell(now)
+    pub fn take_limit_report(&self, now: Instant) -> Option<(Option<AnnouncedLimit>, f64)> {
+        self.signals.borrow_mut().limit.take_report(now)
     }
 
     /// Sets the share of its requests, 0 to 1, that a head allows to be sent. `draw` is a random
@@ -78,34 +78,34 @@
 
     /// Share of its requests that may be sent, 0 to 1; `None` if no head answered recently.
     pub fn limit_share(&self, now: Instant) -> Option<f64> {
-        self.signals.borrow().limit.pass(now)
+        self.signals.borrow().limit.admit_ratio(now)
     }
 
     /// Recomputes the equal share of its limit for the member `own`.
     pub fn update_equal_limit_share<'a>(&self, own: &str, members: impl Iterator<Item = &'a str>, now: Instant) {
-        self.signals.borrow_mut().limit.update_part(self.key.hash(), own, members, now);
+        self.signals.borrow_mut().limit.update_equal_share(self.key.hash(), own, members, now);
     }
 
     /// Whether its rate limit forbids this instance to send it a request now.
     pub fn is_limit_exhausted(&self, now: Instant) -> bool {
-        self.signals.borrow().limit.is_used_up(now)
+        self.signals.borrow().limit.is_exhausted(now)
     }
 
     /// Counts a request whose first choice it is, but that its rate limit diverts to another target.
     pub fn record_offered(&self, now: Instant) {
-        self.signals.borrow_mut().limit.offer(now);
+        self.signals.borrow_mut().limit.record_offered(now);
     }
 
     /// Whether demand has risen so much since the last report that a head should be told at once.
     pub fn has_demand_surge(&self, now: Instant) -> bool {
-        self.signals.borrow().limit.is_unusual(now)
+        self.signals.borrow().limit.has_surge(now)
     }
 
     /// Counts a request that is sent against its rate limit.
     pub(super) fn record_sent(&self, now: Instant) {
         let mut signals = self.signals.borrow_mut();
-        signals.limit.offer(now);
-        signals.limit.spend(now);
+        signals.limit.record_offered(now);
+        signals.limit.record_sent(now);
     }
 
     /// Logs that a field of its responses is unreadable, once per record of the target.
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -30,7 +30,7 @@
 //! `standins/tests/registered_again.rs`, `standins/tests/restarted_targets.rs`.
 
 use crate::clock::Instant;
-use crate::decision::capacity::second_target::SecondLatency;
+use crate::decision::capacity::second_target::SecondTargetLatency;
 use crate::decision::failure::latency;
 use crate::decision::registry::signals::TargetSignals;
 use crate::decision::registry::target::Target;
@@ -79,7 +79,7 @@
     /// Median of the targets' average latencies by service, seconds.
     medians: HashMap<Rc<str>, f64>,
     /// Latency of requests at second targets, by service.
-    second_latencies: HashMap<Rc<str>, SecondLatency>,
+    second_latencies: HashMap<Rc<str>, SecondTargetLatency>,
 }
 
 impl Targets {
@@ -225,7 +225,7 @@
     }
 
     /// Latency of requests at second targets of the service; `None` if it never had a target.
-    pub fn second_latency(&self, service: &str) -> Option<&SecondLatency> {
+    pub fn second_latency(&self, service: &str) -> Option<&SecondTargetLatency> {
         self.second_latencies.get(service)
     }
 
--- a/src/proxy/answer_check.rs
+++ b/src/proxy/answer_check.rs
@@ -5,7 +5,7 @@
 //! means for the target is [`crate::proxy::exchange`]'s business.
 
 use crate::decision::capacity::load_report::{LoadReport, LoadReportError};
-use crate::decision::capacity::rate_limit::StatedLimit;
+use crate::decision::capacity::rate_limit::LimitSignal;
 use crate::decision::failure::pause::PauseSignal;
 use crate::decision::registry::signals::{LeavingSignal, ResponseSignals};
 use crate::platform::HeaderNames;
@@ -63,7 +63,7 @@
 /// [`LoadReportError`] where it cannot be read.
 pub fn load_report(names: &HeaderNames, headers: &HeaderMap) -> Result<Option<LoadReport>, LoadReportError> {
     let Some(value) = headers.get(&names.load) else { return Ok(None) };
-    let text = value.to_str().map_err(|_| LoadReportError::NoText)?;
+    let text = value.to_str().map_err(|_| LoadReportError::NotText)?;
     LoadReport::parse(text).map(Some)
 }
 
@@ -74,7 +74,7 @@
     let turns_away = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
     let pause = if turns_away { PauseSignal::parse(values(&RETRY_AFTER)) } else { PauseSignal::None };
     ResponseSignals {
-        limit: StatedLimit::parse(values(&names.rate_limit)),
+        limit: LimitSignal::parse(values(&names.rate_limit)),
         leaving: LeavingSignal::parse(values(&names.leaving)),
         pause,
         is_rejection: turns_away,
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -5,7 +5,7 @@
 use lockloft::decision::capacity::admission::{has_room, max_load};
 use lockloft::decision::capacity::load::Load;
 use lockloft::decision::capacity::load_report::LoadReport;
-use lockloft::decision::capacity::slow_start::{SlowStart, spacing};
+use lockloft::decision::capacity::slow_start::{SlowStart, request_interval};
 use lockloft::decision::failure::ejection::Ejection;
 use lockloft::decision::failure::latency::{Latency, median};
 use lockloft::decision::refusal::stop::takes_requests;
@@ -24,8 +24,8 @@
 fn a_report_beyond_the_range_of_the_count_is_a_full_target() {
     let mut load = Load::default();
     let now = Instant::now();
-    load.report(LoadReport { running: u32::MAX, waiting: 1, slots: 1, slowdown: None }, now);
-    assert!((load.at(now) - f64::from(u32::MAX)).abs() < 1e-9);
+    load.record_report(LoadReport { running: u32::MAX, waiting: 1, slots: 1, slowdown: None }, now);
+    assert!((load.estimate(now) - f64::from(u32::MAX)).abs() < 1e-9);
 }
 
 #[test]
@@ -45,11 +45,11 @@
     let start = Instant::now();
     for (in_flight, reported, age, expected) in table {
         let mut load = Load::default();
-        (0..in_flight).for_each(|_| load.begin());
+        (0..in_flight).for_each(|_| load.begin_request());
         if let Some((running, waiting)) = reported {
-            load.report(LoadReport { running, waiting, slots: 4, slowdown: None }, start);
+            load.record_report(LoadReport { running, waiting, slots: 4, slowdown: None }, start);
         }
-        let found = load.at(start + ms(age));
+        let found = load.estimate(start + ms(age));
         assert!(
             (found - expected).abs() < 1e-9,
             "load {found}: {in_flight} in flight, report {reported:?}, {age} ms old"
@@ -251,7 +251,7 @@
         for step in steps {
             now += ms(step);
             if slow_start.may_send(start, rate, |shared| shared, now) {
-                slow_start.spend(now);
+                slow_start.record_sent(now);
                 sent.push(now);
             }
         }
@@ -311,8 +311,8 @@
     assert!(slow_start.may_send(start, 9, |_| 0, start + ms(2_100)));
     assert!(!slow_start.may_send(start + ms(50), 9, |_| 0, start + ms(2_100)));
     assert!(slow_start.may_send(start + ms(50), 8, |_| 5, start + ms(2_100)));
-    assert_eq!(spacing(10), ms(103));
-    assert_eq!(spacing(0), ms(1_030));
+    assert_eq!(request_interval(10), ms(103));
+    assert_eq!(request_interval(0), ms(1_030));
 }
 
 #[test]
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -2,7 +2,7 @@
 //! which start of a target they apply to.
 
 use lockloft::clock::Instant;
-use lockloft::decision::capacity::rate_limit::StatedLimit;
+use lockloft::decision::capacity::rate_limit::LimitSignal;
 use lockloft::decision::failure::pause::{Pause, PauseSignal};
 use lockloft::decision::registry::signals::{LeavingSignal, ResponseSignals, SignalChange};
 use lockloft::decision::registry::targets::{RegistrationOutcome, Targets};
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 const NO_SIGNALS: ResponseSignals = ResponseSignals {
-    limit: StatedLimit::None,
+    limit: LimitSignal::None,
     leaving: LeavingSignal::None,
     pause: PauseSignal::None,
     is_rejection: false,
