--- a/src/decision/selection/affinity.rs
+++ b/src/decision/selection/affinity.rs
@@ -1,29 +1,30 @@
-//! Affinity: requests with the same affinity key go to the same two targets for each policy
-//! order, which weighted rendezvous hashing picks in proportion to slots. Targets of the
-//! instance's own region count more: in the draw of the first as much as
-//! [`crate::decision::selection::region_weight`] says, in that of the second four times.
+//! Affinity: requests with the same affinity key go to the same two targets of each policy
+//! order, chosen by weighted rendezvous hashing in proportion to slots. Targets in the
+//! instance's own region weigh more: for the first target by the factor that
+//! [`crate::decision::selection::region_weight`] computes, for the second by a factor of four.
 //!
 //! **Inputs**
-//! - Hash of the request's affinity key; of the request's id where the route or the request
+//! - Hash of the request's affinity key, or of the request's id where the route or the request
 //!   has no key.
 //! - Identity, slots and region of each target, from its registration; as old as the view.
 //! - The weight of this instance's region; as old as the view.
-//! - The order that the operators' policies give a target; it comes before the draw.
+//! - The order that the operators' policies give a target; it takes precedence over the score.
 //!
-//! **Why.** Targets keep the objects of recent requests cached: a request about a cached
-//! object takes about 0.3 of the time. All instances of a region compute the same draws, so
-//! they agree without a message, and when a target leaves, only its own objects move. Each
-//! draw is exponential with the target's weight as its rate; the smallest wins, which gives
-//! each target a part of the keys in proportion to its weight. Two targets a key: one gives
-//! no second choice when it is full or fails; with more, objects evict one another from the
-//! targets' caches. The second is drawn with less weight on the region, since it takes what a full target, and often a full region, has no room for.
+//! **Why.** Targets cache the objects of recent requests: a request for a cached object takes
+//! about 0.3 of the time. All instances of a region compute the same scores, so they agree
+//! without exchanging messages, and when a target leaves, only its own keys move. Each score
+//! is an exponential variate with the target's weight as its rate; the lowest wins, which gives
+//! each target a share of the keys in proportion to its weight. Each key has two targets: with
+//! one there is no alternative when it is full or fails; with more, objects evict one another
+//! from the targets' caches. The second target is chosen with less weight on the region, since
+//! it takes the requests that a full target, often in a full region, has no room for.
 //!
-//! **Guards** the promises that requests about one object stay together, that few objects
-//! move when targets come and go, and that requests stay in their region where they can.
+//! **Guards** the promises that requests for one object stay together, that few objects move
+//! when targets come and go, and that requests stay in their region where they can.
 //!
-//! **Test**: `objects_move_only_from_the_target_that_left` and
-//! `most_objects_live_in_the_own_region_and_all_targets_have_some` in `tests/choice.rs`;
-//! `a_key_s_targets_are_those_that_a_naive_search_finds` there.
+//! **Test**: `objects_move_only_from_the_target_that_left`,
+//! `most_objects_are_served_in_the_own_region_and_every_target_serves_some` and
+//! `the_targets_of_a_key_match_a_naive_search` in `tests/choice.rs`.
 
 use crate::decision::registry::target::Target;
 use crate::hash::unit;
@@ -31,49 +32,50 @@
 use std::cmp::Ordering;
 use std::rc::Rc;
 
-/// The draw of a target for an affinity key: the smallest wins. `hash` is that of the
-/// target's identity; `factor` that on the weight of its region.
-pub fn draw(hash: u64, slots: u32, factor: f64, affinity: u64) -> f64 {
-    let weight = f64::from(slots) * factor;
+/// The score of a target for an affinity key in weighted rendezvous hashing; the lowest wins.
+/// `hash` is that of the target's identity, `affinity` that of the key; `region_weight` is the
+/// factor for the target's region.
+pub fn rendezvous_score(hash: u64, slots: u32, region_weight: f64, affinity: u64) -> f64 {
+    let weight = f64::from(slots) * region_weight;
     -(1.0 - unit(hash, affinity)).ln() / weight
 }
 
-/// A target in its order for a request.
+/// A target with what it is ranked by for one request.
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
-    /// What policies say; compared first.
+    /// The order given by policies; compared first.
     pub order: Order,
-    /// Its draw for the first place of its order.
-    pub draw: f64,
-    /// Its draw for the second place.
-    pub second_draw: f64,
+    /// Its score for the first place of its order.
+    pub score: f64,
+    /// Its score for the second place.
+    pub second_score: f64,
     /// The target.
     pub target: &'a Rc<Target>,
 }
 
 impl Candidate<'_> {
-    /// What candidates for the first place are compared by; the smallest is preferred.
-    pub fn key(&self) -> (Order, f64) {
-        (self.order, self.draw)
+    /// The sort key of candidates for the first place; the smallest is preferred.
+    pub fn sort_key(&self) -> (Order, f64) {
+        (self.order, self.score)
     }
 }
 
-/// The targets of a key among those that policies put in the same order.
+/// The two targets of a key among those of one policy order.
 #[derive(Debug)]
 struct Pair<'a> {
-    /// The one with the smallest draw.
+    /// The target with the lowest score.
     first: Candidate<'a>,
-    /// Of the others the one with the smallest draw for the second place.
+    /// The one with the lowest score for the second place among the others.
     second: Option<Candidate<'a>>,
 }
 
 impl<'a> Pair<'a> {
     fn add(&mut self, candidate: Candidate<'a>) {
-        let other = match candidate.draw < self.first.draw {
+        let other = match candidate.score < self.first.score {
             true => std::mem::replace(&mut self.first, candidate),
             false => candidate,
         };
-        if self.second.is_none_or(|second| other.second_draw < second.second_draw) {
+        if self.second.is_none_or(|second| other.second_score < second.second_score) {
             self.second = Some(other);
         }
     }
@@ -83,23 +85,24 @@
     }
 }
 
-/// Targets that a request may go to, the preferred one first: a pair for each order.
+/// The targets that a request may use, in order of preference: one pair for each policy order.
 #[derive(Debug, Default)]
 pub struct Ranking<'a> {
     pairs: Vec<Pair<'a>>,
 }
 
 impl<'a> Ranking<'a> {
-    /// Puts a target in its place; of two with the same draw the earlier stays before.
+    /// Adds a target at its rank; of two with equal scores the one added earlier ranks higher.
     pub fn add(&mut self, candidate: Candidate<'a>) {
         let order = |pair: &Pair<'_>| pair.first.order.partial_cmp(&candidate.order).unwrap_or(Ordering::Equal);
         match self.pairs.binary_search_by(order) {
-            Ok(place) => self.pairs[place].add(candidate),
-            Err(place) => self.pairs.insert(place, Pair { first: candidate, second: None }),
+            Ok(index) => self.pairs[index].add(candidate),
+            Err(index) => self.pairs.insert(index, Pair { first: candidate, second: None }),
         }
     }
 
-    /// Puts a target before all others, whatever its draw; it must be in the first order.
+    /// Ranks a target above all others, whatever its score; it must be of the first order. The
+    /// target that was first becomes the second.
     pub fn put_first(&mut self, candidate: Candidate<'a>) {
         let Some(pair) = self.pairs.first_mut() else { return };
         if pair.first.target.key != candidate.target.key {
@@ -107,17 +110,18 @@
         }
     }
 
-    /// Whether a target would come before all others.
+    /// Whether a candidate that is not in the ranking would rank above all that are; false where
+    /// the ranking is empty.
     pub fn is_first(&self, candidate: &Candidate<'_>) -> bool {
-        self.pairs.first().is_some_and(|pair| candidate.key() < pair.first.key())
+        self.pairs.first().is_some_and(|pair| candidate.sort_key() < pair.first.sort_key())
     }
 
-    /// The preferred target.
+    /// The preferred target; `None` where the ranking is empty.
     pub fn preferred(&self) -> Option<&'a Rc<Target>> {
         self.targets().next()
     }
 
-    /// The targets, the preferred one first.
+    /// The targets, in order of preference.
     pub fn targets(&self) -> impl Iterator<Item = &'a Rc<Target>> {
         self.pairs.iter().flat_map(Pair::targets)
     }
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -1,17 +1,17 @@
-//! The choice of a target: of the targets that nothing excludes, the first by policy order
-//! and affinity that has room and that caps let the request move to; where caps forbid each
-//! move, the best one with room in the default hall.
+//! The choice of a target: among the targets that no rule excludes, the first by policy order
+//! and affinity that has room and that caps let the request move to; where caps forbid every
+//! move, the best target with room in the default hall.
 //!
 //! **Inputs**: the routing state, a [`Query`], and the rules [`crate::decision::selection::exclusion`],
 //! [`crate::decision::selection::affinity`], [`crate::decision::selection::region_weight`], [`crate::decision::selection::key_region`],
 //! [`crate::decision::capacity::admission`], [`crate::decision::capacity::second_target`] and
-//! [`crate::decision::selection::cap_moves`], which give the units and ages of theirs.
+//! [`crate::decision::selection::cap_moves`], which document the units and ages of their own inputs.
 //!
-//! **Why.** Room comes after affinity, since a cached object is worth a short wait, and
-//! before caps, since a move must not be charged for a target that then has no room.
+//! **Why.** Room is checked after affinity, since a cached object is worth a short wait, and
+//! before caps, since a move must not be charged for a target that turns out to have no room.
 //!
-//! **Guards** the promise that `why` names the target a request gets: both run `Choice`, and
-//! only the charge and the requests in flight differ. A dry charge allows a move where a
+//! **Guards** the promise that `why` names the target a request gets: both run `Choice` and
+//! differ only in the cap charge and the requests in flight. A dry charge allows a move where a
 //! request that came now could pay for it.
 //!
 //! **Constants**: none; those of each rule are in its module.
@@ -22,87 +22,87 @@
 use crate::decision::capacity::admission::{has_room, longest_load, max_load};
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target::Target;
-use crate::decision::selection::affinity::{Candidate, Ranking, draw};
+use crate::decision::selection::affinity::{Candidate, Ranking, rendezvous_score};
 use crate::decision::selection::cap_moves::CapMoves;
 use crate::decision::selection::exclusion::{Exclusion, Exclusions};
 use crate::decision::selection::key_region::{KeyRegion, Replacement};
-use crate::decision::selection::region_weight::LEAST_WEIGHT;
+use crate::decision::selection::region_weight::MIN_WEIGHT;
 use crate::model::config::Config;
 use crate::policy::MatchedPolicies;
 use std::cmp::Ordering;
 use std::rc::Rc;
 use std::time::Duration;
 
-// The inputs of the choice and its outcome, for those who ask for one.
+// Re-exported for callers of `choose` and `explain`.
 pub use crate::decision::capacity::slow_start::SlowStartShare;
 pub use crate::decision::selection::outcome::{Chosen, NoTarget, Verdict};
 pub use crate::decision::selection::query::{Asked, Query};
 
-/// Chooses a target.
+/// Chooses a target for a request, and charges caps where it is sent outside its default hall.
 ///
 /// # Errors
-/// [`NoTarget`] where none may be used, none has room, or a cap forbids those that have.
+/// [`NoTarget`] where no target may be used, none has room, or caps forbid those that have room.
 pub fn choose(routing: &Routing, config: &Config, query: &Query<'_>) -> Result<Chosen, NoTarget> {
     let choice = Choice::new(routing, config, query);
-    choice.count_limited();
+    choice.record_limited_demand();
     choice.decide()
 }
 
-/// What a decision that sends nothing comes to.
+/// The result of a dry run: what would be chosen, and why.
 #[derive(Debug)]
 pub struct Explanation {
-    /// What [`choose`] would answer.
+    /// What [`choose`] would return.
     pub outcome: Result<Chosen, NoTarget>,
-    /// Names of the policies that had a part in it.
+    /// Names of the policies that affected the outcome.
     pub policies: Vec<String>,
-    /// Factor on the weight of targets of the instance's region.
-    pub near_weight: f64,
-    /// Limit of second targets, requests per slot.
-    pub second_load: f64,
-    /// What it makes of each target, as [`explain`] says.
+    /// Factor on the weight of targets in the instance's own region (no unit, at least 4).
+    pub own_region_weight: f64,
+    /// Load limit of second targets, requests per slot.
+    pub second_target_max_load: f64,
+    /// The verdict on each target, in the order of [`explain`].
     pub verdicts: Vec<(Rc<Target>, Verdict)>,
 }
 
 impl Explanation {
-    /// Decides on a query. `query.active` is made with
-    /// [`CapCharge::dry`](crate::policy::CapCharge::dry), or is spent from.
+    /// Decides on a query without sending anything. `query.active` must be made with
+    /// [`CapCharge::dry`](crate::policy::CapCharge::dry), otherwise a move is charged to its caps.
     pub fn new(routing: &Routing, config: &Config, query: &Query<'_>) -> Self {
         let choice = Choice::new(routing, config, query);
         let outcome = choice.decide();
         let policies = query.active.map_or_else(Vec::new, MatchedPolicies::applied);
         let verdicts = choice.verdicts(outcome.as_ref().ok().map(|chosen| &chosen.target));
-        let Choice { near_weight, second_load, .. } = choice;
-        Self { outcome, policies, near_weight, second_load, verdicts }
+        let Choice { own_region_weight, second_target_max_load, .. } = choice;
+        Self { outcome, policies, own_region_weight, second_target_max_load, verdicts }
     }
 }
 
-/// What the choice makes of each target of the service: the ranked ones first, in their
-/// order. Nothing is sent, and nothing earned or spent where `query.active` was made with
+/// The verdict on each target of the service, ranked targets first and in order of preference.
+/// Nothing is sent, and caps earn and spend nothing where `query.active` was made with
 /// [`CapCharge::dry`](crate::policy::CapCharge::dry).
 pub fn explain(routing: &Routing, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     Explanation::new(routing, config, query).verdicts
 }
 
-/// What the rules make of a request, before a target is taken.
+/// The ranked targets and the limits for one request, from which a target is chosen.
 struct Choice<'a> {
     routing: &'a Routing,
     query: &'a Query<'a>,
     exclusions: Exclusions<'a>,
     ranking: Ranking<'a>,
     cap_moves: CapMoves<'a>,
-    /// The first of the targets that the request would go to were it not for their rate limits.
+    /// The best-ranked target among those that only their rate limit excludes.
     limited: Option<Candidate<'a>>,
-    /// The one whose pause ends first, and what is left of it.
+    /// The target whose pause ends first, and the time until then.
     paused: Option<(&'a Rc<Target>, Duration)>,
-    /// Limit of the preferred target, requests per slot.
+    /// Load limit of the preferred target, requests per slot.
     max_load: f64,
-    /// Limit of the preferred target where no other has room, requests per slot; `None` where loads
-    /// are not shared.
+    /// Load limit of the preferred target where no other has room, requests per slot; `None` where
+    /// instances do not share loads.
     longest_load: Option<f64>,
-    /// Limit of the others, requests per slot.
-    second_load: f64,
-    /// Factor on the weight of targets of the instance's region.
-    near_weight: f64,
+    /// Load limit of the other targets, requests per slot.
+    second_target_max_load: f64,
+    /// Factor on the weight of targets in the instance's own region.
+    own_region_weight: f64,
 }
 
 impl<'a> Choice<'a> {
@@ -119,29 +119,30 @@
             paused: None,
             max_load,
             longest_load: query.has_shared_loads.then(|| longest_load(rank)),
-            second_load: routing.second_load(query, max_load),
-            near_weight: routing.near_weight(query),
+            second_target_max_load: routing.second_load(query, max_load),
+            own_region_weight: routing.near_weight(query),
         };
         let mut replacement = Replacement::default();
         for target in routing.targets_of(query.service) {
             choice.consider(target, &mut replacement);
         }
-        if let Some(region) = replacement.region_before(&choice.ranking) {
+        if let Some(region) = replacement.key_region(&choice.ranking) {
             choice.keep_in_region(region);
         }
         choice
     }
 
-    /// Considers a target, also one that leaves or is in slow start.
+    /// Adds a target to the ranking, or records it by what excludes it. Targets that are leaving or in
+    /// slow start matter to the region of a key, all targets to caps.
     fn consider(&mut self, target: &'a Rc<Target>, replacement: &mut Replacement<'a>) {
-        let exclusion = self.exclusions.of(target);
-        let matters = matches!(
+        let exclusion = self.exclusions.reason_for(target);
+        let is_recorded = matches!(
             exclusion,
             None | Some(
                 Exclusion::Draining | Exclusion::Leaving | Exclusion::Cold | Exclusion::Paused | Exclusion::Limited
             )
         );
-        if !matters && !self.cap_moves.is_capped() {
+        if !is_recorded && !self.cap_moves.is_capped() {
             return;
         }
         let candidate = self.candidate(target);
@@ -157,21 +158,21 @@
     }
 
     fn add_limited(&mut self, candidate: Candidate<'a>) {
-        if self.limited.is_none_or(|first| candidate.key() < first.key()) {
+        if self.limited.is_none_or(|first| candidate.sort_key() < first.sort_key()) {
             self.limited = Some(candidate);
         }
     }
 
     fn add_paused(&mut self, target: &'a Rc<Target>) {
-        // Where nothing is left a trial is under way.
-        let left = target.pause_left(self.query.now).unwrap_or_default();
-        if self.paused.is_none_or(|(_, first)| left < first) {
-            self.paused = Some((target, left));
+        // A pause that has run out still excludes the target while a trial request is under way.
+        let remaining = target.pause_left(self.query.now).unwrap_or_default();
+        if self.paused.is_none_or(|(_, first)| remaining < first) {
+            self.paused = Some((target, remaining));
         }
     }
 
-    /// Counts the request at the target that it would go to first were it not for its rate limit.
-    fn count_limited(&self) {
+    /// Counts the request as demand of the target that would have been preferred without its rate limit.
+    fn record_limited_demand(&self) {
         let limited =
             self.limited.filter(|limited| self.ranking.preferred().is_none() || self.ranking.is_first(limited));
         if let Some(limited) = limited {
@@ -179,10 +180,10 @@
         }
     }
 
-    /// Lets a target of the region come first, where the key stays there.
+    /// Ranks a target of the region first where the key stays in the region.
     fn keep_in_region(&mut self, mut region: KeyRegion<'a>) {
         for target in self.routing.targets_of(self.query.service) {
-            match self.exclusions.of(target) {
+            match self.exclusions.reason_for(target) {
                 None => region.add_usable(self.candidate(target)),
                 Some(Exclusion::Cold) => region.add_in_slow_start(self.candidate(target)),
                 Some(_) => {}
@@ -194,27 +195,27 @@
     }
 
     fn candidate(&self, target: &'a Rc<Target>) -> Candidate<'a> {
-        candidate(self.query, self.near_weight, target)
+        candidate(self.query, self.own_region_weight, target)
     }
 
     fn decide(&self) -> Result<Chosen, NoTarget> {
-        let preferred = self.ranking.preferred().ok_or_else(|| self.none_usable())?;
+        let preferred = self.ranking.preferred().ok_or_else(|| self.no_usable_target())?;
         let mut is_capped = false;
         for target in self.ranking.targets().filter(|target| self.has_room(target)) {
-            if self.cap_moves.pay_to_move_to(target) {
-                return Ok(self.take(target));
+            if self.cap_moves.charge_move_to(target) {
+                return Ok(self.select(target));
             }
             is_capped = true;
         }
         if !is_capped {
-            let may_wait = self.may_wait_at(preferred);
-            return may_wait.then(|| self.take(preferred)).ok_or_else(|| NoTarget::Full(preferred.clone()));
+            let may_queue = self.may_queue_at(preferred);
+            return may_queue.then(|| self.select(preferred)).ok_or_else(|| NoTarget::Full(preferred.clone()));
         }
         let in_default_hall = self.best_in_default_hall();
-        in_default_hall.map(|target| self.take(target)).ok_or_else(|| NoTarget::Capped(preferred.clone()))
+        in_default_hall.map(|target| self.select(target)).ok_or_else(|| NoTarget::Capped(preferred.clone()))
     }
 
-    fn none_usable(&self) -> NoTarget {
+    fn no_usable_target(&self) -> NoTarget {
         let limited = self.limited.map(|limited| (limited.target, Duration::ZERO));
         match limited.or(self.paused) {
             Some((first, wait)) => NoTarget::Limited { first: first.clone(), wait },
@@ -222,25 +223,26 @@
         }
     }
 
-    /// Whether a request that found no room waits at its preferred target.
-    fn may_wait_at(&self, preferred: &Target) -> bool {
+    /// Whether a request that found no room may be queued at its preferred target.
+    fn may_queue_at(&self, preferred: &Target) -> bool {
         let load = preferred.load(self.query.now);
         self.longest_load.is_some_and(|longest| has_room(load, preferred.slots, longest))
     }
 
-    /// The best target in the default hall, for a request that no cap lets out of it.
+    /// The best target in the default hall, for a request that caps keep there.
     fn best_in_default_hall(&self) -> Option<&'a Rc<Target>> {
         let hall = self.cap_moves.default_hall()?;
-        let is_open = |target: &&Rc<Target>| {
-            *target.hall == *hall && self.has_room(target) && self.exclusions.of(target).is_none()
+        let is_available = |target: &&Rc<Target>| {
+            *target.hall == *hall && self.has_room(target) && self.exclusions.reason_for(target).is_none()
         };
-        let key = |target: &'a Rc<Target>| {
+        let sort_key = |target: &'a Rc<Target>| {
             let candidate = self.candidate(target);
-            (candidate.order, candidate.draw)
+            (candidate.order, candidate.score)
         };
-        let order =
-            |one: &&'a Rc<Target>, other: &&'a Rc<Target>| key(one).partial_cmp(&key(other)).unwrap_or(Ordering::Equal);
-        self.routing.targets_of(self.query.service).iter().filter(is_open).min_by(order)
+        let compare = |one: &&'a Rc<Target>, other: &&'a Rc<Target>| {
+            sort_key(one).partial_cmp(&sort_key(other)).unwrap_or(Ordering::Equal)
+        };
+        self.routing.targets_of(self.query.service).iter().filter(is_available).min_by(compare)
     }
 
     fn verdicts(&self, chosen: Option<&Rc<Target>>) -> Vec<(Rc<Target>, Verdict)> {
@@ -248,13 +250,13 @@
         let others = self.routing.targets_of(self.query.service).iter().filter(|target| !is_ranked(target));
         let verdict = |target: &Rc<Target>| match chosen {
             Some(chosen) if chosen.key == target.key => Verdict::Chosen,
-            _ if is_ranked(target) => self.of_ranked(target),
-            _ => self.exclusions.of(target).map_or(Verdict::NotPreferred, Verdict::Excluded),
+            _ if is_ranked(target) => self.verdict_of_ranked(target),
+            _ => self.exclusions.reason_for(target).map_or(Verdict::NotPreferred, Verdict::Excluded),
         };
         self.ranking.targets().chain(others).map(|target| (target.clone(), verdict(target))).collect()
     }
 
-    fn of_ranked(&self, target: &Target) -> Verdict {
+    fn verdict_of_ranked(&self, target: &Target) -> Verdict {
         match self.has_room(target) {
             false => Verdict::Full,
             true if self.cap_moves.allows_move_to(target) => Verdict::Next,
@@ -263,7 +265,7 @@
     }
 
     fn has_room(&self, target: &Target) -> bool {
-        let max_load = if self.is_preferred(target) { self.max_load } else { self.second_load };
+        let max_load = if self.is_preferred(target) { self.max_load } else { self.second_target_max_load };
         has_room(target.load(self.query.now), target.slots, max_load)
     }
 
@@ -271,8 +273,8 @@
         self.ranking.preferred().is_some_and(|preferred| preferred.key == target.key)
     }
 
-    /// Takes a target; the policies that led to it are noted for the log.
-    fn take(&self, target: &Rc<Target>) -> Chosen {
+    /// The result for a chosen target. Notes the policies that led to it, for the access log and `why`.
+    fn select(&self, target: &Rc<Target>) -> Chosen {
         if let Some(active) = self.query.active {
             active.note_choice(target.selecting(active.document()));
         }
@@ -280,17 +282,17 @@
     }
 }
 
-/// A target in the order that policies and affinity give it.
-fn candidate<'a>(query: &Query<'_>, near_weight: f64, target: &'a Rc<Target>) -> Candidate<'a> {
-    let is_near = *target.region == *query.region;
-    let draw_with = |weight: f64| {
-        let factor = if is_near { weight } else { 1.0 };
-        draw(target.key.hash(), target.slots, factor, query.affinity)
+/// A target with its policy order and its scores for the key of the request.
+fn candidate<'a>(query: &Query<'_>, own_region_weight: f64, target: &'a Rc<Target>) -> Candidate<'a> {
+    let is_in_own_region = *target.region == *query.region;
+    let score_with = |weight: f64| {
+        let region_weight = if is_in_own_region { weight } else { 1.0 };
+        rendezvous_score(target.key.hash(), target.slots, region_weight, query.affinity)
     };
     Candidate {
         order: query.policy_order(target),
-        draw: draw_with(near_weight),
-        second_draw: draw_with(LEAST_WEIGHT),
+        score: score_with(own_region_weight),
+        second_score: score_with(MIN_WEIGHT),
         target,
     }
 }
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -1,6 +1,6 @@
-//! Exclusion: a target gets no request while any of fifteen reasons holds (fourteen names: an expired
-//! target is shown as `draining`); the first that holds, in the order of the table, is the one
-//! that `why` names.
+//! Exclusion: a target gets no request while any of fifteen reasons applies (under fourteen names: an
+//! expired target is reported as `draining`). The first that applies, in the order of the table, is the
+//! one that `why` reports.
 //!
 //! **Inputs**
 //!
@@ -8,21 +8,21 @@
 //! |---|---|---|
 //! | invalid | the entry at the target's key | as the view |
 //! | draining | the target's registration | as the view: current to 1.3 s while store or relay answers, older while they do not |
-//! | leaving | what the target said ([`crate::decision::registry::statements`]) | exact; from others 0.6 s |
+//! | leaving | what the target stated in its answers ([`crate::decision::registry::statements`]) | exact; from other instances 0.6 s |
 //! | expired | the end of its grace ([`crate::decision::registry::grace`]) | no age: a time |
 //! | region not allowed | the allowed regions of the route and of the caller's tenant, from the configuration in force | as the view |
-//! | evacuated | its hall's evacuation | as the view |
-//! | paused | the time that it named to this instance ([`crate::decision::failure::pause`]) | exact |
-//! | ejected | failures that this instance saw ([`crate::decision::failure::ejection`]) | since the last success |
-//! | tried | targets that this request was sent to | exact |
+//! | evacuated | the evacuation of its hall | as the view |
+//! | paused | the end of the pause that it requested from this instance ([`crate::decision::failure::pause`]) | exact |
+//! | ejected | failures that this instance observed ([`crate::decision::failure::ejection`]) | since the last success |
+//! | tried | targets that this request was already sent to | exact |
 //! | denied, not allowed, drained | the operators' policies in force | as the view |
 //! | slow | latency and silence ([`crate::decision::failure::latency`]); the median of the service, seconds | median 0.5 s |
-//! | limited | the target's rate limit ([`crate::decision::capacity::rate_limit`]) | what it said last 0.6 s, the share 1 s |
+//! | limited | the target's rate limit ([`crate::decision::capacity::rate_limit`]) | what it stated last 0.6 s, the share 1 s |
 //! | cold | slow start ([`crate::decision::capacity::slow_start`]) | view below 1.3 s, members unchanged for 2 s |
 //!
-//! **Why.** The registration, region and evacuation come first, then ejection and earlier
-//! tries, then policies and latency. Slow start and the rate limit are last, asked only when nothing else
-//! excludes the target. A target both ejected and denied shows as ejected.
+//! **Why.** Registration, region and evacuation are checked first, then ejection and earlier
+//! tries, then policies and latency. Slow start and the rate limit are last and checked only where
+//! nothing else excludes the target. A target that is both ejected and denied is reported as ejected.
 //!
 //! **Guards** the promises that draining, evacuated and forbidden targets get no new request,
 //! that a request goes to one target at most once, and those of the rules named above.
@@ -40,11 +40,11 @@
 /// Why a target may not be used for a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exclusion {
-    /// The entry at its key cannot be read, or lacks what a registration needs.
+    /// The entry at its key cannot be read, or lacks a required field.
     Invalid,
-    /// Its registration says that it drains, or has expired.
+    /// Its registration has the state draining, or has expired.
     Draining,
-    /// It has said in an answer that it leaves.
+    /// It stated in an answer that it is leaving.
     Leaving,
     /// Its hall is evacuated.
     Evacuated,
@@ -56,23 +56,23 @@
     NotAllowed,
     /// A drain policy selects it.
     Drained,
-    /// It failed, and is ejected for a time.
+    /// It failed, and is ejected for some time.
     Ejected,
-    /// It is far slower than its peers.
+    /// It is much slower than the other targets of the service.
     Slow,
-    /// It is cold, and its rate is used up or other instances' to use.
+    /// It is in slow start, and its rate is used up or reserved for other instances.
     Cold,
-    /// It asked for a pause.
+    /// It requested a pause.
     Paused,
-    /// Its rate limit is used up, or other instances' to use.
+    /// Its rate limit is used up, or reserved for other instances.
     Limited,
-    /// This request was sent there already.
+    /// This request was already sent to it.
     Tried,
 }
 
 impl Exclusion {
-    /// Its name in answers to operators. The names are part of that protocol and stay when
-    /// the code's change.
+    /// The name in answers to operators. These names are part of the operators' protocol and must
+    /// not change with the variants.
     pub fn as_str(self) -> &'static str {
         match self {
             Exclusion::Invalid => "invalid",
@@ -93,23 +93,23 @@
     }
 }
 
-/// Finds what excludes the targets of a request's service.
+/// Finds the reason that excludes a target from a request.
 #[derive(Clone, Copy)]
 pub struct Exclusions<'a> {
     routing: &'a Routing,
     query: &'a Query<'a>,
-    /// Median latency of the service, seconds.
+    /// Median latency of the service's targets, seconds.
     median: f64,
 }
 
 impl<'a> Exclusions<'a> {
-    /// The exclusions for a request now.
+    /// The exclusions for a request, at the time in the query.
     pub fn new(routing: &'a Routing, query: &'a Query<'a>) -> Self {
         Self { routing, query, median: routing.median_latency(query.service) }
     }
 
     /// The first reason that excludes the target; `None` where it may be used.
-    pub fn of(&self, target: &Target) -> Option<Exclusion> {
+    pub fn reason_for(&self, target: &Target) -> Option<Exclusion> {
         let excluded = self.by_state(target).or_else(|| self.by_policy(target));
         let excluded = excluded.or_else(|| self.by_latency(target)).or_else(|| self.by_slow_start(target));
         excluded.or_else(|| target.is_limit_used_up(self.query.now).then_some(Exclusion::Limited))
--- a/src/decision/selection/instance_weight.rs
+++ b/src/decision/selection/instance_weight.rs
@@ -1,66 +1,70 @@
-//! Weight of an instance: how many callers it gets beside the others of its region.
+//! Weight of an instance: how many callers it gets relative to the others of its region.
 //!
-//! **Load.** Callers choose an instance by chance, and machines differ: the weakest are full while
-//! the strongest idle.
+//! **Load.** Callers choose an instance at random, and machines differ: without weights the weakest are
+//! full while the strongest are idle.
 //!
 //! **Inputs**
-//! - Core and link of each instance, from its registration; as old as the view. An instance
-//!   that does not name them counts as the weakest that does.
-//! - Bytes of a request, as this instance sees them ([`super::request_size`]).
+//! - Processor and link capacity of each instance, from its registration; as old as the view. An instance
+//!   that does not state them counts as the weakest of those that do.
+//! - Bytes of a request, as this instance observes them ([`super::request_size`]).
 //!
-//! **Why.** An instance is given callers by what its machine bears: the requests a second of its core
-//! or of its link, whichever are fewer. Its share is bounded, since it is also the share that its
-//! loss costs.
+//! **Why.** An instance is given callers in proportion to what its machine can serve: the requests per
+//! second of its processor or of its link, whichever is lower. Its share is bounded, since it is also the
+//! share of callers that is affected when the instance fails.
 //!
-//! Owns nothing, relies on nothing.
+//! Owns nothing, depends on nothing.
 //!
 //! **Test**: `tests/instance_weight.rs`.
 
 use crate::model::member::Capacity;
 
-/// Processor time of a request, seconds: sets the core against the link.
-const REQUEST_CPU: f64 = 0.000_5;
-/// Largest share of a region's callers that one instance gets where there are enough others: the
-/// share that its loss costs.
+/// Processor time of a request, seconds; makes processor and link capacity comparable.
+const CPU_SECONDS_PER_REQUEST: f64 = 0.000_5;
+/// Largest share of a region's callers that one instance gets where there are enough others, since
+/// this share is affected when the instance fails.
 pub const MAX_SHARE: f64 = 0.2;
-/// Weights below this count as 1: callers give up connections to an instance that an answer no longer
-/// names, for which a small difference is no reason.
-const LEAST_DIFFERENCE: f64 = 1.5;
+/// Weights below this count as 1: callers close connections to an instance that an answer no longer
+/// names, and a small difference does not justify that.
+const MIN_WEIGHT_RATIO: f64 = 1.5;
 
-/// Requests a second that a machine bears; `None` where nothing is known of it.
-pub fn bearable(capacity: Capacity, request_bytes: f64) -> Option<f64> {
+/// Requests per second that a machine can serve; `None` where neither processor nor link is known.
+/// `request_bytes` is the mean size of a request.
+pub fn max_request_rate(capacity: Capacity, request_bytes: f64) -> Option<f64> {
     let known = |value: Option<u32>| value.filter(|value| *value > 0).map(f64::from);
-    let by_core = known(capacity.core_milli).map(|core| core / 1e3 / REQUEST_CPU);
+    let by_core = known(capacity.core_milli).map(|core| core / 1e3 / CPU_SECONDS_PER_REQUEST);
     let by_link = known(capacity.link_kbit).map(|link| link * 1e3 / 8.0 / request_bytes);
     [by_core, by_link].into_iter().flatten().reduce(f64::min)
 }
 
-/// Weights of the instances of a region, in their order, 1 for the weakest: bounded so that none
-/// gets more than [`MAX_SHARE`], or an equal part where that is more. All 1 where nothing is known.
+/// The weights of the instances of a region, in the order given, 1 for the weakest. They are bounded so
+/// that none gets more than [`MAX_SHARE`], or an equal share where that is more. All are 1 where no
+/// capacity is known. `request_bytes` is the mean size of a request.
 pub fn weights(capacities: &[Capacity], request_bytes: f64) -> Vec<f64> {
-    let borne: Vec<Option<f64>> = capacities.iter().map(|capacity| bearable(*capacity, request_bytes)).collect();
-    let Some(weakest) = borne.iter().flatten().copied().reduce(f64::min) else { return vec![1.0; borne.len()] };
-    let relative: Vec<f64> = borne.iter().map(|borne| notable(borne.unwrap_or(weakest) / weakest)).collect();
-    let bound = bound(&relative);
-    relative.into_iter().map(|weight| weight.min(bound).max(1.0)).collect()
+    let rates: Vec<Option<f64>> =
+        capacities.iter().map(|capacity| max_request_rate(*capacity, request_bytes)).collect();
+    let Some(weakest) = rates.iter().flatten().copied().reduce(f64::min) else { return vec![1.0; rates.len()] };
+    let relative: Vec<f64> =
+        rates.iter().map(|rate| without_small_difference(rate.unwrap_or(weakest) / weakest)).collect();
+    let max_weight = max_weight(&relative);
+    relative.into_iter().map(|weight| weight.min(max_weight).max(1.0)).collect()
 }
 
-fn notable(weight: f64) -> f64 {
-    if weight < LEAST_DIFFERENCE { 1.0 } else { weight }
+fn without_small_difference(weight: f64) -> f64 {
+    if weight < MIN_WEIGHT_RATIO { 1.0 } else { weight }
 }
 
-/// The largest weight with which the strongest gets no more than its share.
-fn bound(weights: &[f64]) -> f64 {
+/// The largest weight with which the strongest instances get no more than their bounded share.
+fn max_weight(weights: &[f64]) -> f64 {
     let share = MAX_SHARE.max(1.0 / weights.len() as f64);
-    let mut falling = weights.to_vec();
-    falling.sort_unstable_by(|one, other| other.total_cmp(one));
-    // Those before `cut` are cut to the bound, the rest is below it.
-    let mut rest: f64 = falling.iter().sum();
-    for (cut, weight) in falling.iter().enumerate() {
-        let cut_part = share * cut as f64;
-        if *weight <= cut_part * weight + share * rest {
-            let before = if cut == 0 { *weight } else { falling[cut - 1] };
-            return if cut_part < 1.0 { before.min(share * rest / (1.0 - cut_part)) } else { before };
+    let mut descending = weights.to_vec();
+    descending.sort_unstable_by(|one, other| other.total_cmp(one));
+    // The first `clamped` weights are reduced to the bound; `rest` is the sum of the others.
+    let mut rest: f64 = descending.iter().sum();
+    for (clamped, weight) in descending.iter().enumerate() {
+        let clamped_share = share * clamped as f64;
+        if *weight <= clamped_share * weight + share * rest {
+            let previous = if clamped == 0 { *weight } else { descending[clamped - 1] };
+            return if clamped_share < 1.0 { previous.min(share * rest / (1.0 - clamped_share)) } else { previous };
         }
         rest -= weight;
     }
--- a/src/decision/selection/key_region.rs
+++ b/src/decision/selection/key_region.rs
@@ -1,26 +1,26 @@
-//! Region of a key whose target is replaced: a key whose target leaves and whose next one, of
-//! the same region, is still in slow start goes first to another target of that region, as
-//! far as those that are out of slow start can stand in for those that are not.
+//! Region of a key whose target is replaced: a key whose target is leaving and whose next one, in
+//! the same region, is still in slow start goes first to another target of that region, as far as
+//! the targets out of slow start can substitute for those in it.
 //!
 //! **Inputs**
 //! - Slots of the region's targets that may be used, and of those that only slow start
 //!   excludes, both for this request now; from registrations, as old as the view, and from
 //!   this instance's own ejections and latencies.
-//! - Hash of the affinity key; the order and the draw of each target, also of those that are
+//! - Hash of the affinity key; the order and the score of each target, including those that are
 //!   draining or in slow start.
 //!
 //! **Why.** Where targets are replaced faster than slow start ends, a region of few targets
-//! has most of them in slow start at the same time. By rendezvous over the others, the keys of
-//! those that leave would go to other regions within a second or two, and return together. No
-//! target has them cached, so that they may as well wait for the next one nearby. The part
-//! that stays falls with the slots that are out of slow start, so that these do not get the
-//! keys of all. All instances compute the same part and the same keys, so that they agree
-//! without a message.
+//! has most of them in slow start at the same time. By rendezvous hashing over the others, the keys
+//! of those that leave would move to other regions within a second or two, and return together. No
+//! target has their objects cached, so they may as well wait for the next target in the region. The
+//! share of keys that stays falls with the slots that are out of slow start, so that these are not
+//! given the keys of all. All instances compute the same share and the same keys, so they agree
+//! without exchanging messages.
 //!
-//! Other keys that a target in slow start takes over stay where they are cached until it
+//! Other keys that a target in slow start will take over stay where they are cached until slow start
 //! ends. Where targets are lost, ejected or evacuated, or leave without a successor, keys move
-//! at once, also to other regions. A target that has no room gives way to the key's second
-//! one, as ever.
+//! at once, also to other regions. Where the target chosen here has no room, the request goes to the
+//! key's second one, as always.
 //!
 //! **Guards** the promise that few requests change their region from one moment to the next
 //! while targets are replaced.
@@ -30,15 +30,14 @@
 use crate::decision::selection::affinity::{Candidate, Ranking};
 use crate::hash::unit;
 
-/// How many slots in all, in and out of slow start, one slot out of it stands in for (factor):
-/// while half of a region's slots are out of slow start, all such keys stay.
-const STAND_IN: f64 = 2.0;
-/// Seed of the hash that says which keys stay, so that it is independent of other hashes. Any
-/// fixed number, the same in all instances.
-const REGION_SEED: u64 = 0x27d4_eb2f;
+/// Slots, in and out of slow start, whose keys one slot out of slow start can serve (no unit): as long
+/// as half of a region's slots are out of slow start, all such keys stay.
+const SLOTS_COVERED_PER_SLOT: f64 = 2.0;
+/// Seed of the hash that decides which keys stay, so that it is independent of other hashes. Any
+/// number will do, but it must be the same in all instances.
+const KEY_REGION_SEED: u64 = 0x27d4_eb2f;
 
-/// The target that a key has, if it leaves, and the one that it will have, if that is still
-/// in slow start.
+/// The present target of a key, if it is leaving, and the next one, if that is still in slow start.
 #[derive(Debug, Default)]
 pub struct Replacement<'a> {
     leaving: Option<Candidate<'a>>,
@@ -46,18 +45,19 @@
 }
 
 impl<'a> Replacement<'a> {
-    /// Considers a target that is draining; the best one stays.
+    /// Considers a target that is draining or leaving; the best-ranked one is kept.
     pub fn add_leaving(&mut self, candidate: Candidate<'a>) {
         keep_best(&mut self.leaving, candidate);
     }
 
-    /// Considers a target that only slow start excludes; the best one stays.
+    /// Considers a target that only slow start excludes; the best-ranked one is kept.
     pub fn add_in_slow_start(&mut self, candidate: Candidate<'a>) {
         keep_best(&mut self.in_slow_start, candidate);
     }
 
-    /// The region that both targets are in, where both come before all that may be used.
-    pub fn region_before(self, usable: &Ranking<'a>) -> Option<KeyRegion<'a>> {
+    /// The region in which the key's target is replaced; `None` unless both targets are in the same
+    /// region and rank above all usable ones.
+    pub fn key_region(self, usable: &Ranking<'a>) -> Option<KeyRegion<'a>> {
         let leaving = self.leaving.filter(|candidate| usable.is_first(candidate))?;
         let next = self.in_slow_start.filter(|candidate| usable.is_first(candidate))?;
         (leaving.target.region == next.target.region).then(|| KeyRegion::new(next))
@@ -65,7 +65,7 @@
 }
 
 fn keep_best<'a>(best: &mut Option<Candidate<'a>>, candidate: Candidate<'a>) {
-    if best.is_none_or(|best| candidate.key() < best.key()) {
+    if best.is_none_or(|best| candidate.sort_key() < best.sort_key()) {
         *best = Some(candidate);
     }
 }
@@ -79,7 +79,7 @@
     usable: u32,
     /// Slots of the region's targets that only slow start excludes.
     in_slow_start: u32,
-    /// The best of those that may be used in the next one's order.
+    /// The usable target with the lowest score among those of the next one's policy order.
     best: Option<Candidate<'a>>,
 }
 
@@ -90,11 +90,11 @@
 
     /// Considers a target that may be used.
     pub fn add_usable(&mut self, candidate: Candidate<'a>) {
-        if !self.has(&candidate) {
+        if !self.contains(&candidate) {
             return;
         }
         self.usable = self.usable.saturating_add(candidate.target.slots);
-        let is_better = self.best.is_none_or(|best| candidate.draw < best.draw);
+        let is_better = self.best.is_none_or(|best| candidate.score < best.score);
         if is_better && candidate.order == self.next.order {
             self.best = Some(candidate);
         }
@@ -102,20 +102,20 @@
 
     /// Considers a target that only slow start excludes.
     pub fn add_in_slow_start(&mut self, candidate: Candidate<'a>) {
-        if self.has(&candidate) {
+        if self.contains(&candidate) {
             self.in_slow_start = self.in_slow_start.saturating_add(candidate.target.slots);
         }
     }
 
-    /// The target in the region that the key goes to first; `None` where it may go to any
-    /// region.
+    /// The target in the region that the key goes to first; `None` where the key does not stay in the
+    /// region. `affinity` is the hash of the key.
     pub fn target_for(&self, affinity: u64) -> Option<Candidate<'a>> {
-        let all = f64::from(self.usable) + f64::from(self.in_slow_start);
-        let stays = unit(affinity, REGION_SEED) * all < f64::from(self.usable) * STAND_IN;
+        let all_slots = f64::from(self.usable) + f64::from(self.in_slow_start);
+        let stays = unit(affinity, KEY_REGION_SEED) * all_slots < f64::from(self.usable) * SLOTS_COVERED_PER_SLOT;
         self.best.filter(|_| stays)
     }
 
-    fn has(&self, candidate: &Candidate<'_>) -> bool {
+    fn contains(&self, candidate: &Candidate<'_>) -> bool {
         candidate.target.region == self.next.target.region
     }
 }
--- a/src/decision/selection/mod.rs
+++ b/src/decision/selection/mod.rs
@@ -1,7 +1,7 @@
-//! Who may be chosen, and in which order: the target of a request, the service of a split, the
-//! instances that the directory names.
+//! Which targets may be chosen for a request and in which order, which service of a split, and which
+//! instances the directory names.
 //!
-//! Owns nothing beyond the shares counted of a split. The tables of [`crate::decision`] say what each rule promises.
+//! Owns only the request counts of split routes. The tables of [`crate::decision`] state the promise of each rule.
 
 pub mod affinity;
 pub mod cap_moves;
--- a/src/decision/selection/outcome.rs
+++ b/src/decision/selection/outcome.rs
@@ -1,19 +1,19 @@
-//! What comes of a choice: the target chosen, or why there is none, and what a dry decision
-//! says of each target.
+//! The outcome of a choice: the chosen target, or why there is none, and the verdict of a dry run
+//! on each target.
 //!
-//! Owns nothing but the names that operators read. Made by [`crate::decision::selection::choice`].
+//! Owns only the names of verdicts in answers to operators. Created by [`crate::decision::selection::choice`].
 
 use crate::decision::registry::target::Target;
 use crate::decision::selection::exclusion::Exclusion;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// The target chosen.
+/// The target chosen for a request.
 #[derive(Clone, Debug)]
 pub struct Chosen {
-    /// The target.
+    /// The target to send the request to.
     pub target: Rc<Target>,
-    /// Whether it stands in for the preferred one, which has no room or may not be moved to.
+    /// Whether it is used instead of the preferred one, which has no room or lies where caps forbid a move.
     pub is_second: bool,
 }
 
@@ -22,40 +22,40 @@
 pub enum NoTarget {
     /// The service has no target that may be used.
     NoneUsable,
-    /// Those that may be used want no more requests now, as they say themselves.
+    /// Every target that could be used is paused or at its rate limit, as the targets themselves stated.
     Limited {
-        /// The first one of them.
+        /// The best-ranked target at its rate limit, else the one whose pause ends first.
         first: Rc<Target>,
-        /// Time until one of them may want some again.
+        /// Time until a target may accept requests again; zero for a rate limit.
         wait: Duration,
     },
-    /// The targets of the affinity key have no room; here is the preferred one.
+    /// The targets of the affinity key have no room; holds the preferred one.
     Full(Rc<Target>),
-    /// A cap leaves no credit to move the request to a target that has room; here is the
-    /// preferred one.
+    /// A cap has no credit to move the request to a target that has room; holds the preferred
+    /// one.
     Capped(Rc<Target>),
 }
 
-/// What a dry decision says of a target.
+/// The verdict of a dry run on one target.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Verdict {
     /// The request would go there.
     Chosen,
-    /// Ranked and with room, but not chosen: another ranked target came first.
+    /// Ranked and with room, but another ranked target came first.
     Next,
-    /// Ranked and with room, but a cap allows no move there.
+    /// Ranked and with room, but caps forbid the move.
     Capped,
-    /// It has no room.
+    /// Ranked, but without room.
     Full,
-    /// Other targets are preferred for the affinity key.
+    /// Usable, but not among the targets of the affinity key.
     NotPreferred,
-    /// It may not be used.
+    /// It may not be used, for this reason.
     Excluded(Exclusion),
 }
 
 impl Verdict {
-    /// Its name in answers to operators. The names are part of that protocol and stay when
-    /// the code's change.
+    /// The name in answers to operators. These names are part of the operators' protocol and must
+    /// not change with the variants.
     pub fn as_str(self) -> &'static str {
         match self {
             Verdict::Chosen => "chosen",
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -1,7 +1,7 @@
-//! What the choice of a target looks at besides the routing state: the request, the
-//! instance, and the time.
+//! Inputs of the choice of a target besides the routing state: the request, the instance, and the
+//! time.
 //!
-//! Owns nothing: a [`Query`] is made for each try of a request.
+//! Owns nothing: a [`Query`] is created for each try of a request.
 
 use crate::clock::Instant;
 use crate::decision::capacity::slow_start::SlowStartShare;
@@ -10,62 +10,62 @@
 use crate::model::config::{Route, Tenant, Urgency};
 use crate::policy::{MatchedPolicies, Order, PolicyVerdict};
 
-/// What a request asks for, before anything is known of targets.
+/// A request with the route, tenant and service that were found for it, before targets are considered.
 #[derive(Clone, Copy, Debug)]
 pub struct Asked<'a> {
-    /// Its route.
+    /// The route that takes the request.
     pub route: &'a Route,
-    /// The tenant of its caller; `None` where none is asked for.
+    /// The tenant of the caller; `None` where the route is public or no tenants are configured.
     pub tenant: Option<&'a Tenant>,
-    /// The service chosen for it.
+    /// The service of the route that the request goes to.
     pub service: &'a str,
-    /// Hash of its affinity key, or of the request where it has none.
+    /// Hash of the affinity key, or of the request's id where there is no key; random without either.
     pub affinity: u64,
 }
 
-/// A question for a target.
+/// Everything that the choice of a target for one try depends on besides the routing state.
 #[derive(Debug)]
 pub struct Query<'a> {
-    /// The request's route.
+    /// The route that takes the request.
     pub route: &'a Route,
-    /// The tenant of its caller; `None` where none is asked for.
+    /// The tenant of the caller; `None` where the route is public or no tenants are configured.
     pub tenant: Option<&'a Tenant>,
-    /// The service chosen for it.
+    /// The service of the route that the request goes to.
     pub service: &'a str,
-    /// Hash of its affinity key, or of the request where it has none.
+    /// Hash of the affinity key, or of the request's id where there is no key; random without either.
     pub affinity: u64,
-    /// The instance's own region.
+    /// The region of this instance, from the settings.
     pub region: &'a str,
-    /// What this instance may send to cold targets; `None`, for nothing, while the view may
-    /// be stale.
+    /// This instance's share of what targets in slow start may be sent; `None` while the view may be
+    /// stale, in which case it sends them nothing.
     pub slow_start: Option<SlowStartShare<'a>>,
-    /// Whether the instances share the loads that targets tell them.
+    /// Whether the instances share the loads that targets report to them.
     pub has_shared_loads: bool,
-    /// The operators' policies that select the request.
+    /// The operators' policies that select the request; `None` where none does.
     pub active: Option<&'a MatchedPolicies<'a>>,
-    /// The targets that it was sent to already.
+    /// The targets that earlier tries of the request were sent to.
     pub tried: &'a [TargetKey],
-    /// The time.
+    /// The time of the try.
     pub now: Instant,
 }
 
 impl Query<'_> {
-    /// Whether targets of `region` may be used: the route's regions and the tenant's both bind.
+    /// Whether both the route and the tenant allow targets in `region`.
     pub fn allows(&self, region: &str) -> bool {
         self.route.allows(region) && self.tenant.is_none_or(|tenant| tenant.allows(region))
     }
 
-    /// How urgent the request is.
+    /// The urgency of the request: the priorities of its tenant (0 without one) and its route.
     pub fn urgency(&self) -> Urgency {
         Urgency { tenant: self.tenant.map_or(0, |tenant| tenant.priority), route: self.route.priority }
     }
 
-    /// What the operators' policies say of a target; `None` where none selects the request.
+    /// The verdict of the operators' policies on a target; `None` where none selects the request.
     pub fn policy_verdict(&self, target: &Target) -> Option<PolicyVerdict> {
         self.active.map(|active| active.verdict(target.selecting(active.document())))
     }
 
-    /// The order that policies give a target; smaller goes first.
+    /// The order that policies give a target; the smaller is preferred.
     pub fn policy_order(&self, target: &Target) -> Order {
         match self.policy_verdict(target) {
             Some(PolicyVerdict::Open(order) | PolicyVerdict::Drained(order)) => order,
--- a/src/decision/selection/request_size.rs
+++ b/src/decision/selection/request_size.rs
@@ -1,46 +1,46 @@
-//! How many bytes a request takes on an instance's link, as this instance sees it.
+//! Average number of bytes that a request puts on an instance's link, as this instance observes it.
 //!
 //! **Inputs**
-//! - Bodies of own requests and their answers; a moving average over the last few hundred that
-//!   were answered. One whose length is not told counts as far as it was read when its answer
-//!   began.
+//! - Bodies of the instance's own requests and their responses; a moving average over the last few
+//!   hundred that were answered. A body of unknown length counts as far as it had been read when the
+//!   response began.
 //!
-//! **Why.** Whether a machine's core or its link bears fewer requests depends on their size, which
-//! no setting tells.
+//! **Why.** Whether the processor or the link of a machine limits its request rate depends on the size
+//! of requests, which no setting states.
 //!
-//! Owns the average; lost with the process. Relies on nothing.
+//! Owns the average, which is lost with the process. Depends on nothing.
 //!
 //! **Test**: `tests/instance_weight.rs`.
 
 use std::cell::Cell;
 
-/// Bytes of the heads of a request and its answer, so that an empty body is not free of charge.
-const HEAD_BYTES: f64 = 600.0;
-/// Bytes that count before any request was answered, so that an instance that begins has a cost to
-/// go by.
-const FIRST_BYTES: f64 = 8_000.0;
-/// Part of the average that one request replaces: large answers are rare, and the average has to
-/// hold some of them.
-const STEP: f64 = 1.0 / 512.0;
+/// Bytes of the headers of a request and its response, so that an empty body has a cost.
+const HEADER_BYTES: f64 = 600.0;
+/// Value of the average before any request was answered, so that a new instance has a cost to
+/// calculate with.
+const INITIAL_BYTES: f64 = 8_000.0;
+/// Weight of one request in the average (no unit): large responses are rare, and the average must
+/// include some of them.
+const SMOOTHING_FACTOR: f64 = 1.0 / 512.0;
 
-/// The average. Each byte passes a link once in either direction, from the caller to the target or back.
+/// The moving average. Each byte passes a link once in either direction, from the caller to the target or back.
 #[derive(Debug)]
 pub struct RequestSize(Cell<f64>);
 
 impl Default for RequestSize {
     fn default() -> Self {
-        Self(Cell::new(FIRST_BYTES))
+        Self(Cell::new(INITIAL_BYTES))
     }
 }
 
 impl RequestSize {
-    /// Takes in a request that was answered, with the bytes of both bodies.
-    pub fn observe(&self, asked: u64, answered: u64) {
-        let bytes = HEAD_BYTES + asked as f64 + answered as f64;
-        self.0.set(self.0.get() + STEP * (bytes - self.0.get()));
+    /// Adds a request that was answered, with the bytes of its body and of its response's.
+    pub fn observe(&self, request_bytes: u64, response_bytes: u64) {
+        let bytes = HEADER_BYTES + request_bytes as f64 + response_bytes as f64;
+        self.0.set(self.0.get() + SMOOTHING_FACTOR * (bytes - self.0.get()));
     }
 
-    /// Bytes of a request.
+    /// The average, in bytes per request, headers included.
     pub fn bytes(&self) -> f64 {
         self.0.get()
     }
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -84,8 +84,8 @@
             weight: weighted.weight,
             acted: explained.policies,
             chosen: explained.outcome.as_ref().ok().map(|chosen| chosen.target.id.to_string()),
-            near_weight: Some(explained.near_weight),
-            second_load: Some(explained.second_load),
+            near_weight: Some(explained.own_region_weight),
+            second_load: Some(explained.second_target_max_load),
             refusal: explained.outcome.as_ref().err().map(|reason| refusal(reason).as_str().to_owned()),
             targets: verdicts.map(|(target, verdict)| line(target, *verdict, query.now)).collect(),
         }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -1,10 +1,10 @@
-//! The choice of targets: by object, room, warmth and failures.
+//! The choice of a target by affinity key, load, slow start and failures.
 
 mod scene;
 
 use lockloft::decision::capacity::load_report::LoadReport;
 use lockloft::decision::capacity::slow_start::{SlowStartBounds, own_rate};
-use lockloft::decision::selection::affinity::draw;
+use lockloft::decision::selection::affinity::rendezvous_score;
 use lockloft::decision::selection::choice::{NoTarget, Query, SlowStartShare, choose};
 use lockloft::decision::selection::region_weight::weight;
 use lockloft::model::member::{Capacity, Member};
@@ -18,15 +18,14 @@
     numbers.iter().map(|number| format!("e-{number}")).collect()
 }
 
-/// What all members of a view send a cold target in a second.
+/// Requests per second that all members of a view together send to a target in slow start.
 fn rate_of_view(shared: u32, target: u64, view: &[String]) -> u32 {
     view.iter().map(|own| own_rate(shared, target, own, view.iter().map(String::as_str))).sum()
 }
 
 proptest! {
-    /// Instances that see two different member lists keep the bound together,
-    /// whatever the lists have in common; instances that see the same one use
-    /// the rate well.
+    /// Instances with two different member lists together keep within the bound, whatever the lists
+    /// have in common; instances with the same list use at least half of the rate.
     #[test]
     fn a_cold_target_s_rate_holds_over_disagreeing_views(
         rate in 0.0f64..60.0,
@@ -42,23 +41,23 @@
         let (first, second) = (rate_of_view(shared, target, &one), rate_of_view(shared, target, &other));
         prop_assert!(f64::from(first + second) <= rate * overage + slack);
         prop_assert!(f64::from(first) <= rate);
-        prop_assert!(first >= shared / 2, "{} of {} are used", first, shared);
+        prop_assert!(first >= shared / 2, "only {} of {} requests are used", first, shared);
         prop_assert_eq!(own_rate(shared, target, "not listed", one.iter().map(String::as_str)), 0);
     }
 }
 
 proptest! {
-    /// A key's first target is the one of the smallest draw, its second that of the smallest
-    /// draw for the second place among the others; there is no third.
+    /// The first target of a key is the one with the lowest score, the second the one with the lowest
+    /// score for the second place among the others; there is no third.
     #[test]
-    fn a_key_s_targets_are_those_that_a_naive_search_finds(
+    fn the_targets_of_a_key_match_a_naive_search(
         slots in prop::collection::vec(1u32..9, 8),
         regions in prop::sample::subsequence(vec!["a", "b", "c"], 0..=3),
         key in any::<u64>(),
     ) {
         let mut scene = Scene::new();
         scene.remove_all();
-        let mut draws = Vec::new();
+        let mut scores = Vec::new();
         for region in &regions {
             scene.put_member(region);
         }
@@ -66,26 +65,26 @@
             let hall = ["a-1", "a-2", "b-1", "b-2"][number / 2];
             scene.put(&format!("n{number}"), &format!("{hall} {slots} ready 1 0"));
         }
-        let near: u32 = slots[..4].iter().sum();
-        let all: u32 = slots.iter().sum();
-        let weight = weight(f64::from(near), f64::from(all), regions.len());
+        let own_slots: u32 = slots[..4].iter().sum();
+        let all_slots: u32 = slots.iter().sum();
+        let weight = weight(f64::from(own_slots), f64::from(all_slots), regions.len());
         for target in scene.routing.targets() {
-            let draw_with = |weight| {
-                let factor = if &*target.region == "a" { weight } else { 1.0 };
-                draw(target.key.hash(), target.slots, factor, key)
+            let score_with = |weight| {
+                let region_weight = if &*target.region == "a" { weight } else { 1.0 };
+                rendezvous_score(target.key.hash(), target.slots, region_weight, key)
             };
-            draws.push((draw_with(weight), draw_with(4.0), target.id.clone()));
+            scores.push((score_with(weight), score_with(4.0), target.id.clone()));
         }
-        draws.sort_by(|one, other| one.0.total_cmp(&other.0));
-        draws[1..].sort_by(|one, other| one.1.total_cmp(&other.1));
-        let mut held = Vec::new();
-        for (_, _, expected) in draws.iter().take(2) {
+        scores.sort_by(|one, other| one.0.total_cmp(&other.0));
+        scores[1..].sort_by(|one, other| one.1.total_cmp(&other.1));
+        let mut in_flight = Vec::new();
+        for (_, _, expected) in scores.iter().take(2) {
             let target = scene.choose(key, &[]).unwrap();
             prop_assert_eq!(&target.id, expected);
-            held.extend((0..2 * target.slots).map(|_| target.begin(scene.now)));
+            in_flight.extend((0..2 * target.slots).map(|_| target.begin(scene.now)));
         }
-        let full = matches!(scene.choose(key, &[]), Err(NoTarget::Full(preferred)) if preferred.id == draws[0].2);
-        prop_assert!(full, "a third target was chosen");
+        let is_full = matches!(scene.choose(key, &[]), Err(NoTarget::Full(preferred)) if preferred.id == scores[0].2);
+        prop_assert!(is_full, "a third target was chosen");
     }
 }
 
@@ -94,15 +93,15 @@
     let mut scene = Scene::new();
     let before: Vec<Rc<str>> = (0..500).map(|object| scene.choose(object, &[]).unwrap().id.clone()).collect();
     scene.put("t0", "a-1 4 draining 2 0");
-    for (object, had) in before.iter().enumerate() {
-        let has = scene.choose(object as u64, &[]).unwrap().id.clone();
-        assert!(&**had == "t0" || has == *had, "object {object} moved from {had} to {has}");
-        assert_ne!(&*has, "t0");
+    for (object, previous) in before.iter().enumerate() {
+        let current = scene.choose(object as u64, &[]).unwrap().id.clone();
+        assert!(&**previous == "t0" || current == *previous, "object {object} moved from {previous} to {current}");
+        assert_ne!(&*current, "t0");
     }
 }
 
 #[test]
-fn most_objects_live_in_the_own_region_and_all_targets_have_some() {
+fn most_objects_are_served_in_the_own_region_and_every_target_serves_some() {
     let scene = Scene::new();
     let mut counts: HashMap<Rc<str>, u32> = HashMap::new();
     for object in 0..4_000 {
@@ -110,23 +109,23 @@
     }
     assert_eq!(counts.len(), 8);
     let own: u32 = (0..4).map(|number| counts[format!("t{number}").as_str()]).sum();
-    assert!((3_000..3_400).contains(&own), "{own} of 4000 with a weight of 4 to 1");
+    assert!((3_000..3_400).contains(&own), "{own} of 4000 objects in the own region, with a weight of 4 to 1");
 }
 
 #[test]
 fn a_full_target_gives_way_to_the_object_s_second_and_then_to_a_refusal() {
     let scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
-    let mut held = Vec::new();
+    let mut in_flight = Vec::new();
     while scene.choose(7, &[]).unwrap().id == first.id {
-        held.push(first.begin(scene.now));
-        assert!(held.len() <= 8, "more than twice the slots were sent");
+        in_flight.push(first.begin(scene.now));
+        assert!(in_flight.len() <= 8, "more than two requests per slot were sent");
     }
-    assert_eq!(held.len(), 8);
+    assert_eq!(in_flight.len(), 8);
     let second = scene.choose(7, &[]).unwrap();
-    held.extend((0..8).map(|_| second.begin(scene.now)));
+    in_flight.extend((0..8).map(|_| second.begin(scene.now)));
     assert!(matches!(scene.choose(7, &[]).unwrap_err(), NoTarget::Full(preferred) if preferred.id == first.id));
-    drop(held);
+    drop(in_flight);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
 }
 
@@ -147,9 +146,9 @@
     urgent.priority = 1;
     patient.priority = 2;
     scene.config = config(vec![urgent.clone(), patient.clone()]);
-    let mut held = Vec::new();
+    let mut in_flight = Vec::new();
     while let Ok(target) = scene.choose_on(&patient, 7, &[]) {
-        held.push(target.begin(scene.now));
+        in_flight.push(target.begin(scene.now));
     }
     assert!(scene.choose_on(&urgent, 7, &[]).is_ok());
 }
@@ -176,8 +175,8 @@
     assert!(scene.choose_on(&only_a, 7, &[]).is_ok());
 }
 
-/// What `own` sends a cold target in `seconds` of a caller's steady load.
-fn sent_while_cold(scene: &mut Scene, own: &str, seconds: u64) -> usize {
+/// Number of requests that `own` sends to a target in slow start in `seconds` under steady load.
+fn sent_in_slow_start(scene: &mut Scene, own: &str, seconds: u64) -> usize {
     let end = scene.now + Duration::from_secs(seconds);
     let bounds = SlowStartBounds { overage: 1.5, slack: 5.0 };
     let mut sent = 0;
@@ -205,18 +204,23 @@
     sent
 }
 
-/// A scene in which only the cold `t0` takes requests, and four members.
-fn cold_scene() -> Scene {
+/// A scene with four members in which only `t0` accepts requests, and is in slow start.
+fn slow_start_scene() -> Scene {
     let mut scene = Scene::new();
     scene.put("op", "config 9");
     for number in 0..8 {
         let hall = ["a-1", "a-2", "b-1", "b-2"][number / 2];
-        let (state, cold) = if number == 0 { ("ready", 60_000) } else { ("draining", 0) };
-        scene.put(&format!("t{number}"), &format!("{hall} 40 {state} 2 {cold}"));
+        let (state, slow_start_ms) = if number == 0 { ("ready", 60_000) } else { ("draining", 0) };
+        scene.put(&format!("t{number}"), &format!("{hall} 40 {state} 2 {slow_start_ms}"));
     }
-    let here = "127.0.0.1:1".parse().unwrap();
-    let member =
-        Member { callers: here, peer: here, hall: "a-1".into(), region: "a".into(), capacity: Capacity::default() };
+    let address = "127.0.0.1:1".parse().unwrap();
+    let member = Member {
+        callers: address,
+        peer: address,
+        hall: "a-1".into(),
+        region: "a".into(),
+        capacity: Capacity::default(),
+    };
     let value = String::from_utf8(member.value().to_vec()).unwrap();
     for name in ["e-1", "e-2", "e-3", "e-4"] {
         scene.put(name, &value);
@@ -226,16 +230,16 @@
 
 #[test]
 fn a_cold_target_gets_its_rate_once_the_members_are_steady() {
-    let mut scene = cold_scene();
-    assert_eq!(sent_while_cold(&mut scene, "e-1", 2), 0, "the members have just changed");
-    // 9 a second for four: two each, somewhat more than a second apart in all.
-    let sent = sent_while_cold(&mut scene, "e-1", 10);
-    assert!((18..=20).contains(&sent), "{sent} in ten seconds");
+    let mut scene = slow_start_scene();
+    assert_eq!(sent_in_slow_start(&mut scene, "e-1", 2), 0, "the members have only just changed");
+    // Four members share 9 requests per second: two each, spaced over somewhat more than a second.
+    let sent = sent_in_slow_start(&mut scene, "e-1", 10);
+    assert!((18..=20).contains(&sent), "{sent} requests in ten seconds");
 }
 
 #[test]
 fn an_instance_that_is_not_listed_sends_a_cold_target_nothing() {
-    assert_eq!(sent_while_cold(&mut cold_scene(), "e-9", 6), 0);
+    assert_eq!(sent_in_slow_start(&mut slow_start_scene(), "e-9", 6), 0);
 }
 
 #[test]
@@ -265,7 +269,7 @@
     scene.now += Duration::from_millis(1_900);
     assert!(scene.routing.remove_expired(scene.now).is_empty());
     scene.now += Duration::from_millis(200);
-    assert_ne!(scene.choose(7, &[]).unwrap().id, first.id, "it did not register again");
+    assert_ne!(scene.choose(7, &[]).unwrap().id, first.id, "the grace has ended without a new registration");
     assert_eq!(scene.routing.remove_expired(scene.now).len(), 1);
 }
 
@@ -286,7 +290,7 @@
     scene.put("op", "config 9");
     scene.put("op", "config 5");
     let rate = scene.routing.config.as_ref().map(|config| config.services["shop"].slow_start_rate);
-    assert_eq!(rate, Some(9.0), "the version is the same");
+    assert_eq!(rate, Some(9.0), "a configuration of the same version was applied");
     scene.put("t0", "a-1 4 draining 3 0");
     scene.put("t0", "a-1 4 ready 2 0");
     let is_ready = |scene: &Scene| scene.routing.targets().any(|target| &*target.id == "t0" && target.is_ready());
@@ -302,16 +306,16 @@
     scene.put("t0", "a-1 4 ready 5 0");
     scene.remove("t0", None);
     scene.put("t0", "a-1 4 ready 5 0");
-    assert!(!is_there(&scene), "the last registration was written again");
+    assert!(!is_there(&scene), "the last registration was written a second time and added the target");
     scene.now += Duration::from_secs(119);
     scene.put("t0", "a-1 4 ready 4 0");
-    assert!(!is_there(&scene), "an older registration was written late");
+    assert!(!is_there(&scene), "an older registration was written late and added the target");
     scene.put("t0", "a-1 4 ready 6 0");
-    assert!(is_there(&scene), "it registered again");
+    assert!(is_there(&scene), "a newer registration must add the target");
     scene.remove("t0", None);
     scene.now += Duration::from_secs(120);
     scene.put("t0", "a-1 4 ready 1 0");
-    assert!(is_there(&scene), "the tombstone is old");
+    assert!(is_there(&scene), "the tombstone must have expired");
 }
 
 #[test]
--- a/tests/instance_weight.rs
+++ b/tests/instance_weight.rs
@@ -1,9 +1,9 @@
-//! Weights of instances, and the instances that the directory names by them.
+//! Weights of instances, and the instances that the directory names according to them.
 
 use lockloft::clock::Instant;
 use lockloft::decision::registry::members::Members;
 use lockloft::decision::selection::directory::{OwnInstance, instances_for};
-use lockloft::decision::selection::instance_weight::{MAX_SHARE, bearable, weights};
+use lockloft::decision::selection::instance_weight::{MAX_SHARE, max_request_rate, weights};
 use lockloft::decision::selection::request_size::RequestSize;
 use lockloft::model::member::{Capacity, Member};
 use proptest::prelude::*;
@@ -14,21 +14,21 @@
 
 const STRONG: Capacity = Capacity { core_milli: Some(500), link_kbit: Some(200_000) };
 const WEAK: Capacity = Capacity { core_milli: Some(100), link_kbit: Some(10_000) };
-/// Bytes of a request whose answers are small but for one in nine.
+/// Mean bytes of a request where one response in nine is large and the others are small.
 const BYTES: f64 = 12_000.0;
 
 fn address(number: usize) -> SocketAddr {
     SocketAddr::from(([10, 0, 0, 1], 1_000 + number as u16))
 }
 
-/// The instances of a region, as one of them that is not named itself knows them.
+/// The instances of a region, as known to an instance that does not name itself.
 struct Region {
     members: Members,
     capacities: Vec<Capacity>,
 }
 
 impl Region {
-    fn of(strong: usize, weak: usize) -> Self {
+    fn with(strong: usize, weak: usize) -> Self {
         Self::new([vec![STRONG; strong], vec![WEAK; weak]].concat())
     }
 
@@ -42,7 +42,7 @@
         Self { members, capacities }
     }
 
-    fn answer(&self, draw: impl FnMut() -> f64) -> Vec<usize> {
+    fn answer(&self, random: impl FnMut() -> f64) -> Vec<usize> {
         let own = OwnInstance {
             name: "own",
             region: "a",
@@ -50,11 +50,11 @@
             is_ready: false,
             capacity: Capacity::default(),
         };
-        let named = instances_for("a", own, &self.members, BYTES, draw);
+        let named = instances_for("a", own, &self.members, BYTES, random);
         named.into_iter().map(|address| usize::from(address.port()) - 1_000).collect()
     }
 
-    /// Part of the new connections that each instance gets over so many answers.
+    /// Share of new connections that each instance gets, over this number of answers.
     fn shares(&self, answers: usize, rng: &mut StdRng) -> Vec<f64> {
         let mut shares = vec![0.0; self.capacities.len()];
         for _ in 0..answers {
@@ -66,18 +66,18 @@
 }
 
 #[test]
-fn a_machine_bears_what_its_core_or_its_link_does_whichever_is_less() {
-    assert_eq!(bearable(WEAK, 12_500.0), Some(100.0));
-    assert_eq!(bearable(WEAK, 1_250.0), Some(200.0));
-    assert_eq!(bearable(Capacity { core_milli: None, ..WEAK }, 1_250.0), Some(1_000.0));
-    assert_eq!(bearable(Capacity { link_kbit: None, ..WEAK }, 12_500.0), Some(200.0));
+fn the_request_rate_of_a_machine_is_limited_by_its_core_or_its_link() {
+    assert_eq!(max_request_rate(WEAK, 12_500.0), Some(100.0));
+    assert_eq!(max_request_rate(WEAK, 1_250.0), Some(200.0));
+    assert_eq!(max_request_rate(Capacity { core_milli: None, ..WEAK }, 1_250.0), Some(1_000.0));
+    assert_eq!(max_request_rate(Capacity { link_kbit: None, ..WEAK }, 12_500.0), Some(200.0));
 }
 
 #[test]
-fn zero_says_as_little_as_nothing() {
-    assert_eq!(bearable(Capacity::default(), BYTES), None);
-    assert_eq!(bearable(Capacity { core_milli: Some(0), link_kbit: Some(0) }, BYTES), None);
-    assert_eq!(bearable(Capacity { core_milli: Some(0), ..WEAK }, 12_500.0), Some(100.0));
+fn a_capacity_of_zero_counts_as_unknown() {
+    assert_eq!(max_request_rate(Capacity::default(), BYTES), None);
+    assert_eq!(max_request_rate(Capacity { core_milli: Some(0), link_kbit: Some(0) }, BYTES), None);
+    assert_eq!(max_request_rate(Capacity { core_milli: Some(0), ..WEAK }, 12_500.0), Some(100.0));
 }
 
 #[test]
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_region_of_few_instances_is_named_whole_and_evenly() {
+fn the_instances_of_a_small_region_have_equal_weights() {
     assert_eq!(weights(&[STRONG, WEAK, WEAK], BYTES), [1.0; 3]);
 }
 
@@ -115,19 +115,19 @@
         prop_assert!(weights.iter().all(|weight| *weight >= 1.0 && weight / total <= most), "{weights:?}");
         for (one, other) in links.iter().zip(&weights) {
             for (two, second) in links.iter().zip(&weights) {
-                prop_assert!(one > two || other <= second, "a weaker machine weighs more: {weights:?}");
+                prop_assert!(one > two || other <= second, "a weaker machine has the larger weight: {weights:?}");
             }
         }
     }
 
     #[test]
-    fn an_answer_names_some_that_are_there_each_once_in_order(
+    fn an_answer_names_existing_instances_once_and_in_order(
         strong in 0_usize..6,
         weak in 0_usize..90,
         seed: u64,
     ) {
         let mut rng = StdRng::seed_from_u64(seed);
-        let named = Region::of(strong, weak).answer(|| rng.random());
+        let named = Region::with(strong, weak).answer(|| rng.random());
         prop_assert!(named.len() >= (strong + weak).min(4) && named.len() <= 64, "{named:?}");
         prop_assert!(named.windows(2).all(|pair| pair[0] < pair[1]), "{named:?}");
         prop_assert!(named.iter().all(|number| *number < strong + weak), "{named:?}");
@@ -135,9 +135,9 @@
 }
 
 #[test]
-fn instances_that_are_alike_are_all_named_without_chance() {
-    for region in [Region::of(0, 9), Region::new(vec![Capacity::default(); 9])] {
-        assert_eq!(region.answer(|| panic!("nothing is drawn")), (0..9).collect::<Vec<_>>());
+fn all_instances_are_named_where_machines_are_alike() {
+    for region in [Region::with(0, 9), Region::new(vec![Capacity::default(); 9])] {
+        assert_eq!(region.answer(|| panic!("no random number is needed")), (0..9).collect::<Vec<_>>());
     }
 }
 
@@ -145,7 +145,7 @@
 fn shares_of_callers_follow_the_weights_and_their_bound() {
     let mut rng = StdRng::seed_from_u64(1);
     for (strong, weak) in [(4, 22), (4, 8), (1, 20)] {
-        let region = Region::of(strong, weak);
+        let region = Region::with(strong, weak);
         let weights = weights(&region.capacities, BYTES);
         let total: f64 = weights.iter().sum();
         let shares = region.shares(20_000, &mut rng);
@@ -158,17 +158,17 @@
 }
 
 #[test]
-fn who_loses_its_strong_instance_has_others_and_they_are_a_bounded_part() {
+fn a_failed_strong_instance_affects_few_callers_and_they_know_others() {
     let mut rng = StdRng::seed_from_u64(2);
-    let region = Region::of(4, 8);
-    let mut met = 0;
+    let region = Region::with(4, 8);
+    let mut affected = 0;
     for _ in 0..10_000 {
         let named = region.answer(|| rng.random());
         assert!(named.len() >= 4, "{named:?}");
-        met += usize::from(named[rng.random_range(0..named.len())] == 0);
+        affected += usize::from(named[rng.random_range(0..named.len())] == 0);
     }
-    println!("of callers at 4 strong and 8 weak instances, {met} in 10,000 meet one strong that died");
-    assert!(met < 2_200, "{met}");
+    println!("with 4 strong and 8 weak instances, the failure of one strong affects {affected} of 10,000 callers");
+    assert!(affected < 2_200, "{affected}");
 }
 
 #[test]
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn the_size_of_a_request_follows_what_is_answered() {
+fn the_average_request_size_follows_the_bodies() {
     let size = RequestSize::default();
     let first = size.bytes();
     (0..5_000).for_each(|number| size.observe(0, if number % 10 == 0 { 90_000 } else { 1_500 }));
@@ -193,41 +193,43 @@
     assert!((99_000.0..102_000.0).contains(&size.bytes()), "{}", size.bytes());
 }
 
-/// What one second of the load does to the instances of a region.
+/// Replays waves of load on the instances of a region, second by second.
 struct Replay {
     region: Region,
-    /// Whether answers name all evenly, as they did without weights.
-    is_even: bool,
+    /// Whether answers name all instances, as they would without weights.
+    is_unweighted: bool,
     rng: StdRng,
 }
 
-/// The busiest instance of a kind: of a second's link, in the middle second and in the worst.
+/// Link utilization of the busiest instance of a kind, per second: the median and the maximum.
 #[derive(Debug)]
 struct Busiest {
-    middle: f64,
-    worst: f64,
-    /// Part of seconds in which an instance of the kind is asked for more than its link bears.
-    full: f64,
+    median: f64,
+    max: f64,
+    /// Share of the seconds in which an instance of the kind gets more than its link can carry.
+    overloaded: f64,
 }
 
 const CALLERS: usize = 300;
+/// Period of the waves of load, seconds.
 const PERIOD: f64 = 36.0;
+/// Length of a replay, seconds.
 const SECONDS: usize = 72;
-/// Time for which callers keep an answer.
+/// Time for which callers keep an answer, seconds.
 const TTL: usize = 5;
 
 impl Replay {
-    fn new(strong: usize, weak: usize, is_even: bool) -> Self {
-        Self { region: Region::of(strong, weak), is_even, rng: StdRng::seed_from_u64(3) }
+    fn new(strong: usize, weak: usize, is_unweighted: bool) -> Self {
+        Self { region: Region::with(strong, weak), is_unweighted, rng: StdRng::seed_from_u64(3) }
     }
 
     fn answer(&mut self) -> Vec<usize> {
-        let Self { region, is_even, rng } = self;
-        if *is_even { (0..region.capacities.len()).collect() } else { region.answer(|| rng.random()) }
+        let Self { region, is_unweighted, rng } = self;
+        if *is_unweighted { (0..region.capacities.len()).collect() } else { region.answer(|| rng.random()) }
     }
 
-    /// Bits that each instance's link is asked for in each second. Two requests of three come over a
-    /// new connection; the others over one that is kept while the answer names its instance.
+    /// Bits that each instance's link has to carry in each second. Two of three requests use a new
+    /// connection; the others reuse one, which is kept as long as the caller's answer names its instance.
     fn run(mut self, mean_rate: f64) -> (Vec<Capacity>, Vec<Vec<f64>>) {
         let mut answers: Vec<Vec<usize>> = (0..CALLERS).map(|_| self.answer()).collect();
         let mut kept: HashMap<usize, usize> = HashMap::new();
@@ -235,7 +237,7 @@
         for second in 0..SECONDS {
             for caller in (0..CALLERS).filter(|caller| (caller + second) % TTL == 0) {
                 answers[caller] = self.answer();
-                kept.retain(|other, instance| *other != caller || answers[caller].contains(instance));
+                kept.retain(|owner, instance| *owner != caller || answers[caller].contains(instance));
             }
             let wave = 1.0 + 0.55 * (second as f64 / PERIOD * std::f64::consts::TAU).sin();
             let mut bits = vec![0.0; self.region.capacities.len()];
@@ -255,35 +257,35 @@
     fn busiest(self, mean_rate: f64, kind: Capacity) -> Busiest {
         let (capacities, seconds) = self.run(mean_rate);
         let link = f64::from(kind.link_kbit.unwrap()) * 1e3;
-        let of_kind = |bits: &Vec<f64>| -> f64 {
+        let max_of_kind = |bits: &Vec<f64>| -> f64 {
             let used = bits.iter().zip(&capacities).filter(|(_, capacity)| **capacity == kind);
             used.map(|(bits, _)| bits / link).fold(0.0, f64::max)
         };
-        let mut most: Vec<f64> = seconds.iter().map(of_kind).collect();
-        most.sort_unstable_by(f64::total_cmp);
-        let full = most.iter().filter(|used| **used > 1.0).count() as f64 / most.len() as f64;
-        Busiest { middle: most[SECONDS / 2], worst: most[SECONDS - 1], full }
+        let mut utilization: Vec<f64> = seconds.iter().map(max_of_kind).collect();
+        utilization.sort_unstable_by(f64::total_cmp);
+        let overloaded = utilization.iter().filter(|used| **used > 1.0).count() as f64 / utilization.len() as f64;
+        Busiest { median: utilization[SECONDS / 2], max: utilization[SECONDS - 1], overloaded }
     }
 }
 
 #[test]
-fn waves_of_callers_fill_no_link_where_instances_are_weighed() {
+fn weights_keep_waves_of_load_from_overloading_links() {
     for (strong, weak, rate) in [(4, 22, 1_300.0), (4, 8, 700.0)] {
-        let busiest = |is_even, kind| Replay::new(strong, weak, is_even).busiest(rate, kind);
+        let busiest = |is_unweighted, kind| Replay::new(strong, weak, is_unweighted).busiest(rate, kind);
         let before = busiest(true, WEAK);
         let [weak_now, strong_now] = [WEAK, STRONG].map(|kind| busiest(false, kind));
-        println!("{strong} strong and {weak} weak, {rate} a second, busiest second of a link:");
-        println!("even: weak {before:.2?}\nby weight: weak {weak_now:.2?}, strong {strong_now:.2?}");
-        assert!(before.full > 0.3, "the load is too small to show anything: {before:?}");
-        assert!(weak_now.full < 0.05 && strong_now.worst < 0.9, "{weak_now:?} {strong_now:?}");
-        assert!(weak_now.middle < 0.5 * before.middle, "{weak_now:?} {before:?}");
+        println!("{strong} strong and {weak} weak instances, {rate} requests/s, utilization of the busiest link:");
+        println!("unweighted: weak {before:.2?}\nweighted: weak {weak_now:.2?}, strong {strong_now:.2?}");
+        assert!(before.overloaded > 0.3, "the load is too low to show a difference: {before:?}");
+        assert!(weak_now.overloaded < 0.05 && strong_now.max < 0.9, "{weak_now:?} {strong_now:?}");
+        assert!(weak_now.median < 0.5 * before.median, "{weak_now:?} {before:?}");
     }
 }
 
 #[test]
-fn answers_of_one_instance_differ_so_that_all_get_callers() {
+fn answers_vary_so_that_every_instance_gets_callers() {
     let mut rng = StdRng::seed_from_u64(4);
-    let region = Region::of(4, 22);
+    let region = Region::with(4, 22);
     let seen: BTreeSet<usize> = (0..400).flat_map(|_| region.answer(|| rng.random())).collect();
     assert_eq!(seen.len(), 26);
 }
--- a/tests/region_weight.rs
+++ b/tests/region_weight.rs
@@ -1,22 +1,22 @@
-//! The weight of the own region, and how many of a region's requests stay there.
+//! The weight of the own region, and the share of a region's requests that stay there.
 
 mod scene;
 
-use lockloft::decision::selection::region_weight::{LEAST_WEIGHT, weight};
+use lockloft::decision::selection::region_weight::{MIN_WEIGHT, weight};
 use proptest::prelude::*;
 use scene::Scene;
 use std::collections::HashMap;
 use std::rc::Rc;
 
-/// Targets with these slots in region `a`, and with these in region `b`.
-fn scene(near: &[u32], far: &[u32]) -> Scene {
+/// Targets with the slots in `own` in region `a`, and with those in `other` in region `b`.
+fn scene(own: &[u32], other: &[u32]) -> Scene {
     let halls: HashMap<Rc<str>, Rc<str>> =
         [("a-1", "a"), ("b-1", "b")].map(|(hall, region)| (hall.into(), region.into())).into();
     let mut scene = Scene::with_regions(halls);
     for region in ["a", "b"] {
         scene.put_member(region);
     }
-    for (hall, targets) in [("a-1", near), ("b-1", far)] {
+    for (hall, targets) in [("a-1", own), ("b-1", other)] {
         for (number, slots) in targets.iter().enumerate() {
             scene.put(&format!("{hall}-{number}"), &format!("{hall} {slots} ready 1 0"));
         }
@@ -25,59 +25,59 @@
 }
 
 /// Share of 4,000 keys whose first target is in region `a`.
-fn near_share(scene: &Scene) -> f64 {
-    let is_near = |key: &u64| &*scene.choose(*key, &[]).unwrap().region == "a";
-    (0..4_000).filter(is_near).count() as f64 / 4_000.0
+fn own_region_share(scene: &Scene) -> f64 {
+    let is_in_own_region = |key: &u64| &*scene.choose(*key, &[]).unwrap().region == "a";
+    (0..4_000).filter(is_in_own_region).count() as f64 / 4_000.0
 }
 
 #[test]
 fn a_region_with_more_than_its_share_of_the_slots_keeps_nearly_all_of_its_keys() {
-    let share = near_share(&scene(&[4, 4, 4], &[4, 4]));
+    let share = own_region_share(&scene(&[4, 4, 4], &[4, 4]));
     assert!((0.93..0.97).contains(&share), "{share} stay");
 }
 
 #[test]
-fn a_region_of_few_slots_keeps_as_many_keys_as_these_bear() {
-    // A fifth of the slots for half of the requests: 0.4 of them are borne, which is less
-    // than the least weight keeps (0.5).
-    let share = near_share(&scene(&[4], &[4, 4, 4, 4]));
+fn a_region_of_few_slots_keeps_as_many_keys_as_they_can_serve() {
+    // A fifth of the slots for half of the requests: they can serve 0.4 of these, which is less than
+    // the smallest weight keeps (0.5).
+    let share = own_region_share(&scene(&[4], &[4, 4, 4, 4]));
     assert!((0.47..0.53).contains(&share), "{share} stay");
-    // Half of the slots for half of them: 0.8.
-    let share = near_share(&scene(&[4, 4, 4], &[4, 4, 4]));
+    // Half of the slots for half of the requests: 0.8.
+    let share = own_region_share(&scene(&[4, 4, 4], &[4, 4, 4]));
     assert!((0.78..0.82).contains(&share), "{share} stay");
 }
 
 #[test]
-fn targets_that_leave_or_are_evacuated_bear_nothing() {
+fn draining_and_evacuated_targets_do_not_count() {
     let mut scene = scene(&[4, 4, 4], &[4, 4, 4]);
     scene.put("a-1-0", "a-1 4 draining 2 0");
     scene.put("a-1-1", "a-1 4 draining 2 0");
-    let share = near_share(&scene);
-    // A quarter of the slots: half is borne, and the least weight keeps 16 of 28.
+    let share = own_region_share(&scene);
+    // A quarter of the slots: they can serve half of the requests, and the smallest weight keeps 16 of 28.
     assert!((0.54..0.60).contains(&share), "{share} stay");
     scene.put("evacuation", "evacuated b-1");
-    assert!((near_share(&scene) - 1.0).abs() < 1e-9, "only region a has targets");
+    assert!((own_region_share(&scene) - 1.0).abs() < 1e-9, "only region a has usable targets");
 }
 
 #[test]
-fn without_targets_nearby_or_elsewhere_the_weight_is_the_least() {
-    for (near, all) in [(0.0, 0.0), (0.0, 8.0), (8.0, 8.0)] {
-        assert!((weight(near, all, 3) - LEAST_WEIGHT).abs() < 1e-9, "{near} of {all}");
+fn the_weight_is_the_smallest_where_one_side_has_no_targets() {
+    for (own_slots, all_slots) in [(0.0, 0.0), (0.0, 8.0), (8.0, 8.0)] {
+        assert!((weight(own_slots, all_slots, 3) - MIN_WEIGHT).abs() < 1e-9, "{own_slots} of {all_slots}");
     }
 }
 
 proptest! {
-    /// No region is drawn more than its slots bear, but by the least weight; and the weight is
-    /// a number that orders targets.
+    /// A region is sent no more than its slots can serve, except by the smallest weight; and the
+    /// weight is finite, so that it can order targets.
     #[test]
-    fn a_weight_draws_what_the_slots_bear(near in 1u32..500, far in 1u32..500, regions in 0usize..12) {
-        let (near, far) = (f64::from(near), f64::from(far));
-        let all = near + far;
-        let weight = weight(near, all, regions);
-        prop_assert!(weight.is_finite() && weight >= LEAST_WEIGHT);
-        let drawn = weight * near / (weight * near + far);
-        let borne = 0.8 * near / all * regions.max(1) as f64;
-        prop_assert!(weight == LEAST_WEIGHT || drawn <= borne + 1e-9);
-        prop_assert!(weight == LEAST_WEIGHT || drawn <= 0.95 + 1e-9);
+    fn a_weight_sends_no_more_than_the_slots_can_serve(own in 1u32..500, other in 1u32..500, regions in 0usize..12) {
+        let (own, other) = (f64::from(own), f64::from(other));
+        let all = own + other;
+        let weight = weight(own, all, regions);
+        prop_assert!(weight.is_finite() && weight >= MIN_WEIGHT);
+        let sent = weight * own / (weight * own + other);
+        let servable = 0.8 * own / all * regions.max(1) as f64;
+        prop_assert!(weight == MIN_WEIGHT || sent <= servable + 1e-9);
+        prop_assert!(weight == MIN_WEIGHT || sent <= 0.95 + 1e-9);
     }
 }
