--- a/tests/governed/mod.rs
+++ b/tests/governed/mod.rs
@@ -1,4 +1,4 @@
-//! The scene under operators' policies: puts policies in force and asks for choices.
+//! Puts operators' policies in force in a scene, and asks for choices of a target.
 
 use crate::scene::{Scene, route};
 use hyper::{HeaderMap, Method, Uri};
@@ -6,31 +6,31 @@
 use lockloft::policy::Sources;
 use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, RequestFacts};
 
-/// Halls of the scene, two targets each.
+/// The halls of the scene, with two targets each.
 pub const HALLS: [&str; 4] = ["a-1", "a-2", "b-1", "b-2"];
 
-/// The hall of a target, by its number.
+/// The hall of a target, given by its number.
 pub fn hall_of(target: usize) -> &'static str {
     HALLS[target / 2]
 }
 
-/// What became of a request.
+/// The outcome of a request: the number of the chosen target, or a refusal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Outcome {
-    To(usize),
+    Chosen(usize),
     Capped,
     NoneUsable,
 }
 
-/// The policies of a text, in force in a scene.
-pub fn govern(scene: &mut Scene, text: &str) {
+/// Puts the policies of a TOML text in force.
+pub fn apply_policies(scene: &mut Scene, text: &str) {
     let sources = Sources::single("policies.toml", text);
     let document = PolicyDocument { revision: 1, id: "1".into(), by: "anna".into(), sources };
     Policies::try_from(&document).unwrap();
     scene.put("policies", std::str::from_utf8(&document.value()).unwrap());
 }
 
-/// What becomes of a request about an object, with a tier where it has one.
+/// Decides on a request for an object, with an `x-tier` header where `tier` is given.
 pub fn decide(scene: &Scene, object: u64, tier: Option<&str>) -> Outcome {
     let route = route("r", "a", "/");
     let mut headers = HeaderMap::new();
@@ -62,9 +62,9 @@
         now: scene.now,
     };
     match choose(&scene.routing, &scene.config, &query) {
-        Ok(chosen) => Outcome::To(chosen.target.id[1..].parse().unwrap()),
+        Ok(chosen) => Outcome::Chosen(chosen.target.id[1..].parse().unwrap()),
         Err(NoTarget::Capped(_)) => Outcome::Capped,
         Err(NoTarget::NoneUsable | NoTarget::Limited { .. }) => Outcome::NoneUsable,
-        Err(NoTarget::Full(_)) => unreachable!("nothing is under way"),
+        Err(NoTarget::Full(_)) => unreachable!("no request is in flight"),
     }
 }
--- a/tests/naive/mod.rs
+++ b/tests/naive/mod.rs
@@ -1,73 +1,81 @@
-//! A naive decider that looks at every policy and every target by name.
+//! A naive implementation of the choice that looks at every policy and every target by name.
 
 pub mod spec;
 
 use crate::governed::{Outcome, hall_of};
-use spec::{PolicySpec, Say, Spec, TARGETS, selects};
+use spec::{Action, PolicySpec, Spec, TARGETS, selects};
 
-/// Credit of one move for the naive decider, which counts in whole millionths: a cap
-/// earns what is left of it below that.
+/// Credit of one move. Credit is counted in whole millionths, and what a cap earns is rounded down
+/// to them.
 const MOVE: i64 = 1_000_000;
 
-/// The naive decider: the obvious search, and what each policy has earned.
+/// The naive implementation: a plain search, and the credit that each policy has earned.
 pub struct Naive<'a> {
     spec: &'a Spec,
     /// Credit of each policy, in millionths of a move.
-    earned: Vec<i64>,
+    credit: Vec<i64>,
 }
 
 impl<'a> Naive<'a> {
-    /// A decider whose policies have earned nothing.
+    /// Starts with no credit for any policy.
     pub fn new(spec: &'a Spec) -> Self {
-        Self { spec, earned: vec![0; spec.policies.len()] }
+        Self { spec, credit: vec![0; spec.policies.len()] }
     }
 
-    /// `place` is the order that place alone gives the targets for the object.
-    pub fn decide(&mut self, place: &[usize], tier: Option<&str>) -> Outcome {
+    /// Decides on a request. `affinity_order` is the order of the targets by the affinity of the
+    /// object alone.
+    pub fn decide(&mut self, affinity_order: &[usize], tier: Option<&str>) -> Outcome {
         let spec = self.spec;
         let request = Spec::request_labels(tier);
         let active: Vec<usize> =
             (0..spec.policies.len()).filter(|number| selects(&spec.policies[*number].requests, &request)).collect();
-        let saying = |say: fn(&Say) -> bool| -> Vec<&PolicySpec> {
-            active.iter().map(|number| &spec.policies[*number]).filter(|policy| say(&policy.say)).collect()
+        let with_action = |is_wanted: fn(&Action) -> bool| -> Vec<&PolicySpec> {
+            active.iter().map(|number| &spec.policies[*number]).filter(|policy| is_wanted(&policy.action)).collect()
         };
-        let reaches = |policy: &PolicySpec, target: usize| selects(&policy.places, &spec.target_labels(target));
-        let (denials, drains) = (saying(|say| *say == Say::Deny), saying(|say| *say == Say::Drain));
-        let (allowances, preferences) = (saying(|say| *say == Say::Allow), saying(|say| matches!(say, Say::Prefer(_))));
-        let is_barred = |target: usize| {
-            denials.iter().any(|policy| reaches(policy, target))
-                || !allowances.is_empty() && !allowances.iter().any(|policy| reaches(policy, target))
+        let selects_target = |policy: &PolicySpec, target: usize| selects(&policy.places, &spec.target_labels(target));
+        let (denials, drains) =
+            (with_action(|action| *action == Action::Deny), with_action(|action| *action == Action::Drain));
+        let (allowances, preferences) =
+            (with_action(|action| *action == Action::Allow), with_action(|action| matches!(action, Action::Prefer(_))));
+        let is_forbidden = |target: usize| {
+            denials.iter().any(|policy| selects_target(policy, target))
+                || !allowances.is_empty() && !allowances.iter().any(|policy| selects_target(policy, target))
         };
-        let is_open = |target: usize| {
-            !is_barred(target) && !spec.leaving[target] && !drains.iter().any(|policy| reaches(policy, target))
+        let is_usable = |target: usize| {
+            !is_forbidden(target)
+                && !spec.leaving[target]
+                && !drains.iter().any(|policy| selects_target(policy, target))
         };
         let rank = |target: usize| {
-            let ranks =
-                preferences.iter().filter(|policy| reaches(policy, target)).filter_map(|policy| match policy.say {
-                    Say::Prefer(rank) => Some(rank),
+            let ranks = preferences.iter().filter(|policy| selects_target(policy, target)).filter_map(|policy| {
+                match policy.action {
+                    Action::Prefer(rank) => Some(rank),
                     _ => None,
-                });
+                }
+            });
             ranks.min().unwrap_or(u16::MAX)
         };
-        let position = |target: usize| place.iter().position(|other| *other == target).unwrap();
+        let position = |target: usize| affinity_order.iter().position(|other| *other == target).unwrap();
         let best = |targets: Vec<usize>| targets.into_iter().min_by_key(|target| (rank(*target), position(*target)));
-        let caps: Vec<usize> = active.into_iter().filter(|number| spec.policies[*number].say == Say::Cap).collect();
+        let caps: Vec<usize> =
+            active.into_iter().filter(|number| spec.policies[*number].action == Action::Cap).collect();
         for number in &caps {
-            self.earned[*number] = (self.earned[*number] + (spec.policies[*number].cap * MOVE as f64) as i64).min(MOVE);
+            self.credit[*number] = (self.credit[*number] + (spec.policies[*number].cap * MOVE as f64) as i64).min(MOVE);
         }
-        let Some(wanted) = best((0..TARGETS).filter(|target| is_open(*target)).collect()) else {
+        let Some(preferred) = best((0..TARGETS).filter(|target| is_usable(*target)).collect()) else {
             return Outcome::NoneUsable;
         };
-        // Leaving, drained or not: where the request belongs but for troubles.
-        let home = best((0..TARGETS).filter(|target| !is_barred(*target)).collect()).map(hall_of);
-        if caps.is_empty() || home == Some(hall_of(wanted)) {
-            return Outcome::To(wanted);
+        // The default hall: draining and drained targets count here.
+        let default_hall = best((0..TARGETS).filter(|target| !is_forbidden(*target)).collect()).map(hall_of);
+        if caps.is_empty() || default_hall == Some(hall_of(preferred)) {
+            return Outcome::Chosen(preferred);
         }
-        if caps.iter().all(|number| self.earned[*number] >= MOVE) {
-            caps.iter().for_each(|number| self.earned[*number] -= MOVE);
-            return Outcome::To(wanted);
+        if caps.iter().all(|number| self.credit[*number] >= MOVE) {
+            caps.iter().for_each(|number| self.credit[*number] -= MOVE);
+            return Outcome::Chosen(preferred);
         }
-        let at_home = (0..TARGETS).filter(|target| is_open(*target) && Some(hall_of(*target)) == home).collect();
-        best(at_home).map_or(Outcome::Capped, Outcome::To)
+        let in_default_hall =
+            (0..TARGETS).filter(|target| is_usable(*target) && Some(hall_of(*target)) == default_hall).collect();
+        best(in_default_hall).map_or(Outcome::Capped, Outcome::Chosen)
     }
 }
--- a/tests/naive/spec.rs
+++ b/tests/naive/spec.rs
@@ -1,61 +1,62 @@
-//! Cases of the comparison with a naive decider: policies, targets and requests, and
-//! their text.
+//! Generated cases for the comparison with the naive implementation: policies, targets and
+//! requests, and the policies as TOML.
 
 use crate::governed::{HALLS, hall_of};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
-/// Targets of the scene.
+/// Number of targets in the scene.
 pub const TARGETS: usize = 8;
 
-/// Labels of a target or a request.
+/// The labels of a target or a request, by key.
 pub type Labels = BTreeMap<&'static str, String>;
 
-/// One test of a selector.
+/// One condition of a selector, on the value of a label.
 #[derive(Clone, Debug)]
-pub enum Test {
+pub enum Condition {
     Is(&'static str),
     OneOf(Vec<&'static str>),
     Not(Vec<&'static str>),
     Exists(bool),
 }
 
-impl Test {
-    fn passes(&self, value: Option<&str>) -> bool {
+impl Condition {
+    fn holds(&self, value: Option<&str>) -> bool {
         match self {
-            Test::Is(wanted) => value == Some(*wanted),
-            Test::OneOf(list) => value.is_some_and(|value| list.contains(&value)),
-            Test::Not(list) => value.is_none_or(|value| !list.contains(&value)),
-            Test::Exists(wanted) => value.is_some() == *wanted,
+            Condition::Is(expected) => value == Some(*expected),
+            Condition::OneOf(list) => value.is_some_and(|value| list.contains(&value)),
+            Condition::Not(list) => value.is_none_or(|value| !list.contains(&value)),
+            Condition::Exists(expected) => value.is_some() == *expected,
         }
     }
 
     fn toml(&self) -> String {
         match self {
-            Test::Is(value) => format!("\"{value}\""),
-            Test::OneOf(list) => format!("{list:?}"),
-            Test::Not(list) => format!("{{ not = {list:?} }}"),
-            Test::Exists(wanted) => format!("{{ exists = {wanted} }}"),
+            Condition::Is(value) => format!("\"{value}\""),
+            Condition::OneOf(list) => format!("{list:?}"),
+            Condition::Not(list) => format!("{{ not = {list:?} }}"),
+            Condition::Exists(expected) => format!("{{ exists = {expected} }}"),
         }
     }
 }
 
-/// Tests that all have to pass.
-pub type Selector = Vec<(&'static str, Test)>;
+/// Conditions on labels, by key; all have to hold.
+pub type Selector = Vec<(&'static str, Condition)>;
 
-/// Whether labels pass a selector.
+/// Whether a selector selects something with these labels.
 pub fn selects(selector: &Selector, labels: &Labels) -> bool {
-    selector.iter().all(|(key, test)| test.passes(labels.get(key).map(String::as_str)))
+    selector.iter().all(|(key, condition)| condition.holds(labels.get(key).map(String::as_str)))
 }
 
 fn selector_toml(selector: &Selector) -> String {
-    let tests: Vec<String> = selector.iter().map(|(key, test)| format!("{key} = {}", test.toml())).collect();
-    format!("{{ {} }}", tests.join(", "))
+    let conditions: Vec<String> =
+        selector.iter().map(|(key, condition)| format!("{key} = {}", condition.toml())).collect();
+    format!("{{ {} }}", conditions.join(", "))
 }
 
-/// What a policy says of the places it selects.
+/// What a policy does with the targets it selects.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Say {
+pub enum Action {
     Allow,
     Deny,
     Drain,
@@ -63,85 +64,85 @@
     Cap,
 }
 
-/// One policy.
+/// One policy: what it selects and its action. `cap` counts only for the action `Cap`.
 #[derive(Clone, Debug)]
 pub struct PolicySpec {
     pub requests: Selector,
     pub places: Selector,
-    pub say: Say,
+    pub action: Action,
     pub cap: f64,
 }
 
 impl PolicySpec {
     fn toml(&self, name: &str) -> String {
-        let said = match self.say {
-            Say::Allow => "allow = true".to_owned(),
-            Say::Deny => "deny = true".to_owned(),
-            Say::Drain => "drain = true".to_owned(),
-            Say::Prefer(rank) => format!("prefer = {rank}"),
-            Say::Cap => format!("cap = {:?}", self.cap),
+        let action = match self.action {
+            Action::Allow => "allow = true".to_owned(),
+            Action::Deny => "deny = true".to_owned(),
+            Action::Drain => "drain = true".to_owned(),
+            Action::Prefer(rank) => format!("prefer = {rank}"),
+            Action::Cap => format!("cap = {:?}", self.cap),
         };
         let (requests, places) = (selector_toml(&self.requests), selector_toml(&self.places));
-        format!("[[policy]]\nname = \"{name}\"\nrequests = {requests}\nplaces = {places}\n{said}\n")
+        format!("[[policy]]\nname = \"{name}\"\nrequests = {requests}\nplaces = {places}\n{action}\n")
     }
 }
 
-/// Policies, targets and requests of one case.
+/// The targets, policies and requests of one case.
 #[derive(Clone, Debug)]
 pub struct Spec {
-    /// Stage of each target, where it has one.
+    /// The `stage` label of each target, where it has one.
     pub stages: Vec<Option<&'static str>>,
     pub policies: Vec<PolicySpec>,
-    /// Targets that are leaving.
+    /// Whether each target is draining.
     pub leaving: Vec<bool>,
-    /// Object and tier of each request.
-    pub asks: Vec<(u64, Option<&'static str>)>,
+    /// The object and the `tier` label of each request.
+    pub requests: Vec<(u64, Option<&'static str>)>,
 }
 
-fn place_test() -> impl Strategy<Value = (&'static str, Test)> {
+fn place_condition() -> impl Strategy<Value = (&'static str, Condition)> {
     prop_oneof![
-        prop::sample::select(&HALLS[..]).prop_map(|hall| ("hall", Test::Is(hall))),
-        prop::sample::subsequence(HALLS.to_vec(), 1..4).prop_map(|list| ("hall", Test::OneOf(list))),
-        Just(("region", Test::Is("b"))),
-        Just(("region", Test::Not(vec!["a"]))),
-        Just(("target", Test::Not(vec!["t0", "t5"]))),
-        Just(("stage", Test::Is("cold"))),
-        Just(("stage", Test::Not(vec!["cold"]))),
-        any::<bool>().prop_map(|wanted| ("stage", Test::Exists(wanted))),
+        prop::sample::select(&HALLS[..]).prop_map(|hall| ("hall", Condition::Is(hall))),
+        prop::sample::subsequence(HALLS.to_vec(), 1..4).prop_map(|list| ("hall", Condition::OneOf(list))),
+        Just(("region", Condition::Is("b"))),
+        Just(("region", Condition::Not(vec!["a"]))),
+        Just(("target", Condition::Not(vec!["t0", "t5"]))),
+        Just(("stage", Condition::Is("cold"))),
+        Just(("stage", Condition::Not(vec!["cold"]))),
+        any::<bool>().prop_map(|expected| ("stage", Condition::Exists(expected))),
     ]
 }
 
-fn request_test() -> impl Strategy<Value = Selector> {
+fn request_selector() -> impl Strategy<Value = Selector> {
     prop_oneof![
         3 => Just(vec![]),
-        1 => Just(vec![("tier", Test::Is("x"))]),
-        1 => Just(vec![("tier", Test::Not(vec!["x"]))]),
-        1 => any::<bool>().prop_map(|wanted| vec![("tier", Test::Exists(wanted))]),
-        1 => Just(vec![("service", Test::OneOf(vec!["shop", "other"]))]),
-        1 => Just(vec![("service", Test::Is("other"))]),
-        1 => Just(vec![("method", Test::Is("GET")), ("hall", Test::Is("a-1"))]),
+        1 => Just(vec![("tier", Condition::Is("x"))]),
+        1 => Just(vec![("tier", Condition::Not(vec!["x"]))]),
+        1 => any::<bool>().prop_map(|expected| vec![("tier", Condition::Exists(expected))]),
+        1 => Just(vec![("service", Condition::OneOf(vec!["shop", "other"]))]),
+        1 => Just(vec![("service", Condition::Is("other"))]),
+        1 => Just(vec![("method", Condition::Is("GET")), ("hall", Condition::Is("a-1"))]),
     ]
 }
 
 fn policy() -> impl Strategy<Value = PolicySpec> {
-    let say = prop_oneof![
-        1 => Just(Say::Allow),
-        1 => Just(Say::Deny),
-        2 => Just(Say::Drain),
-        1 => (1u16..4).prop_map(Say::Prefer),
-        3 => Just(Say::Cap),
+    let action = prop_oneof![
+        1 => Just(Action::Allow),
+        1 => Just(Action::Deny),
+        2 => Just(Action::Drain),
+        1 => (1u16..4).prop_map(Action::Prefer),
+        3 => Just(Action::Cap),
     ];
     let cap = prop_oneof![Just(0.0), Just(1.0), 0.0f64..1.0];
-    let places = prop::collection::vec(place_test(), 0..2);
-    (request_test(), places, say, cap).prop_map(|(requests, places, say, cap)| PolicySpec {
+    let places = prop::collection::vec(place_condition(), 0..2);
+    (request_selector(), places, action, cap).prop_map(|(requests, places, action, cap)| PolicySpec {
         requests,
         places,
-        say,
+        action,
         cap,
     })
 }
 
-/// Any case.
+/// Generates a case.
 pub fn spec() -> impl Strategy<Value = Spec> {
     let stage = prop::sample::select(vec![None, Some("cold"), Some("warm")]);
     let tier = prop::sample::select(vec![None, Some("x"), Some("y")]);
@@ -151,11 +152,11 @@
         prop::collection::vec(prop::bool::weighted(0.15), TARGETS),
         prop::collection::vec((any::<u64>(), tier), 1..40),
     )
-        .prop_map(|(stages, policies, leaving, asks)| Spec { stages, policies, leaving, asks })
+        .prop_map(|(stages, policies, leaving, requests)| Spec { stages, policies, leaving, requests })
 }
 
 impl Spec {
-    /// The policies as their operator writes them.
+    /// The policies as TOML, in the form that operators write.
     pub fn toml(&self) -> String {
         let mut text = "[[service]]\nname = \"shop\"\nheaders = { tier = \"X-Tier\" }\n".to_owned();
         for (number, stage) in self.stages.iter().enumerate() {
@@ -169,7 +170,7 @@
         text
     }
 
-    /// Labels of a target.
+    /// The labels of a target, given by its number.
     pub fn target_labels(&self, target: usize) -> Labels {
         let hall = hall_of(target);
         let mut labels = Labels::from([
@@ -184,7 +185,7 @@
         labels
     }
 
-    /// Labels of a request.
+    /// The labels of a request with this tier.
     pub fn request_labels(tier: Option<&str>) -> Labels {
         let given = [("service", "shop"), ("route", "r"), ("region", "a"), ("hall", "a-1"), ("method", "GET")];
         let mut labels: Labels = given.into_iter().map(|(key, value)| (key, value.to_owned())).collect();
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -1,6 +1,6 @@
-//! A small routing without processes: eight targets in four halls.
+//! A routing state of eight targets in four halls, without processes, for tests of the decisions.
 
-// Each test program uses its own part of it.
+// Each test program uses only a part of it.
 #![allow(dead_code)]
 
 use bytes::Bytes;
@@ -21,7 +21,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A safe route to the service `shop`.
+/// A route to the service `shop` whose requests may be retried.
 pub fn route(name: &str, host: &str, prefix: &str) -> Route {
     Route {
         name: name.into(),
@@ -40,12 +40,13 @@
     }
 }
 
-/// A config with these routes.
+/// A configuration with these routes and no services.
 pub fn config(routes: Vec<Route>) -> Config {
     Config::new(1, routes, HashMap::new(), CallerLimits::default())
 }
 
-/// A config whose service bears `rate` requests a second while cold.
+/// A configuration with the service `shop`, whose targets accept `rate` requests per second during
+/// slow start.
 pub fn config_with_rate(rate: f64) -> Config {
     let service = Service {
         max_connections: 100,
@@ -56,13 +57,13 @@
     Config::new(1, Vec::new(), HashMap::from([("shop".into(), service)]), CallerLimits::default())
 }
 
-/// A platform whose values are plain words.
+/// A platform whose store values are words separated by spaces.
 pub struct Plain;
 
 impl Platform for Plain {
     type Store = NoStore;
     fn headers() -> lockloft::platform::HeaderNames {
-        unimplemented!("no test here sends requests")
+        unimplemented!("tests with this platform send no requests")
     }
     fn ready_path() -> &'static str {
         ""
@@ -120,7 +121,7 @@
     }
 }
 
-/// A store that nobody asks.
+/// A store for tests that do not call it.
 pub struct NoStore;
 
 impl lockloft::store::Store for NoStore {
@@ -128,7 +129,7 @@
         Rc::default()
     }
     async fn list(&self, _: &str, _: impl FnOnce()) -> Result<Listing, lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
     async fn watch(
         &self,
@@ -137,26 +138,26 @@
         _: Duration,
         _: impl FnOnce(),
     ) -> Result<lockloft::store::Watched, lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
     async fn count(&self, _: &str) -> Result<usize, lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
     async fn position(&self) -> Result<Position, lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
 
     async fn grant(&self, _: Duration) -> Result<lockloft::store::LeaseId, lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
     async fn renew(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
     async fn end(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
     async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
     async fn put_leased_if(
         &self,
@@ -165,14 +166,14 @@
         _: lockloft::store::LeaseId,
         _: u64,
     ) -> Result<(), lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
     async fn put(&self, _: &str, _: Bytes, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
-        unimplemented!("no test here asks the store")
+        unimplemented!("this store is not called in tests")
     }
 }
 
-/// A routing, its config and a time.
+/// A routing state, a configuration and the current time.
 pub struct Scene {
     pub routing: Routing,
     pub config: Config,
@@ -181,8 +182,8 @@
 }
 
 impl Scene {
-    /// Targets `t0` to `t7` of four slots each, two a hall; halls `a-1`, `a-2`
-    /// in region `a`, `b-1`, `b-2` in region `b`.
+    /// Targets `t0` to `t7` with four slots each, two in each hall: halls `a-1` and `a-2` in region `a`,
+    /// `b-1` and `b-2` in region `b`.
     pub fn new() -> Self {
         let regions = [("a-1", "a"), ("a-2", "a"), ("b-1", "b"), ("b-2", "b")];
         let mut scene =
@@ -194,12 +195,12 @@
         scene
     }
 
-    /// No targets; `regions` gives the region of each hall.
+    /// A scene without targets; `regions` gives the region of each hall.
     pub fn with_regions(regions: HashMap<Rc<str>, Rc<str>>) -> Self {
         Self { routing: Routing::new(regions), config: config(Vec::new()), revision: 0, now: Instant::now() }
     }
 
-    /// Writes a key of the store.
+    /// Applies the write of a key in the store.
     pub fn put(&mut self, key: &str, value: &str) {
         self.revision += 1;
         let item = Item { key: key.to_owned(), value: Bytes::from(value.to_owned()), revision: self.revision };
@@ -215,8 +216,8 @@
         self.put(&format!("e-{region}"), std::str::from_utf8(&member.value()).unwrap());
     }
 
-    /// Removes a key of the store; the target is kept until a time where one
-    /// is given.
+    /// Applies the removal of a key in the store; where `grace_until` is given, the target is kept until
+    /// then.
     pub fn remove(&mut self, key: &str, grace_until: Option<Instant>) {
         self.revision += 1;
         let event = Event::Gone { key: key.to_owned(), revision: self.revision };
@@ -230,12 +231,12 @@
         }
     }
 
-    /// Chooses a target for an affinity key.
+    /// Chooses a target for an affinity key, excluding those in `tried`.
     pub fn choose(&self, affinity: u64, tried: &[TargetKey]) -> Result<Rc<Target>, NoTarget> {
         self.choose_on(&route("r", "a", "/"), affinity, tried)
     }
 
-    /// The same on a route of its own.
+    /// Chooses a target for a request on another route.
     pub fn choose_on(&self, route: &Route, affinity: u64, tried: &[TargetKey]) -> Result<Rc<Target>, NoTarget> {
         let query = Query {
             route,
