--- a/src/decision/selection/affinity.rs
+++ b/src/decision/selection/affinity.rs
@@ -27,7 +27,7 @@
 //! `the_targets_of_a_key_match_a_naive_search` in `tests/choice.rs`.
 
 use crate::decision::registry::target::Target;
-use crate::hash::unit;
+use crate::hash::unit_interval;
 use crate::policy::Order;
 use std::cmp::Ordering;
 use std::rc::Rc;
@@ -37,7 +37,7 @@
 /// factor for the target's region.
 pub fn rendezvous_score(hash: u64, slots: u32, region_weight: f64, affinity: u64) -> f64 {
     let weight = f64::from(slots) * region_weight;
-    -(1.0 - unit(hash, affinity)).ln() / weight
+    -(1.0 - unit_interval(hash, affinity)).ln() / weight
 }
 
 /// A target with what it is ranked by for one request.
--- a/src/decision/selection/key_region.rs
+++ b/src/decision/selection/key_region.rs
@@ -28,7 +28,7 @@
 //! **Test**: `tests/region_moves.rs`.
 
 use crate::decision::selection::affinity::{Candidate, Ranking};
-use crate::hash::unit;
+use crate::hash::unit_interval;
 
 /// Slots, in and out of slow start, whose keys one slot out of slow start can serve (no unit): as long
 /// as half of a region's slots are out of slow start, all such keys stay.
@@ -111,7 +111,8 @@
     /// region. `affinity` is the hash of the key.
     pub fn target_for(&self, affinity: u64) -> Option<Candidate<'a>> {
         let all_slots = f64::from(self.usable) + f64::from(self.in_slow_start);
-        let stays = unit(affinity, KEY_REGION_SEED) * all_slots < f64::from(self.usable) * SLOTS_COVERED_PER_SLOT;
+        let stays =
+            unit_interval(affinity, KEY_REGION_SEED) * all_slots < f64::from(self.usable) * SLOTS_COVERED_PER_SLOT;
         self.best.filter(|_| stays)
     }
 
--- a/src/decision/selection/split.rs
+++ b/src/decision/selection/split.rs
@@ -20,7 +20,7 @@
 //! `keys_of_a_split_stay_with_their_service_while_its_weight_grows` and
 //! `a_part_with_no_weight_gets_nothing` in `tests/logic.rs`.
 
-use crate::hash::unit;
+use crate::hash::unit_interval;
 use crate::model::config::{Route, WeightedService};
 use std::collections::HashMap;
 use std::rc::Rc;
@@ -71,7 +71,7 @@
         let none = HashMap::new();
         let counts = self.routes.get(&route.name).unwrap_or(&none);
         let corrected = corrected_weights(&route.services, counts);
-        &route.services[pick_by_weight(&corrected, unit(affinity, SPLIT_SEED))]
+        &route.services[pick_by_weight(&corrected, unit_interval(affinity, SPLIT_SEED))]
     }
 
     /// Drops the counts of routes that no longer exist.
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -8,12 +8,12 @@
 
 /// Maps a hash and a seed to a position in [0, 1). Positions under different seeds are independent.
 /// The resolution is 2^-53, all that an `f64` in this range can hold.
-pub fn unit(hash: u64, seed: u64) -> f64 {
+pub fn unit_interval(hash: u64, seed: u64) -> f64 {
     let mixed = xxh3_64_with_seed(&hash.to_le_bytes(), seed);
     (mixed >> 11) as f64 / (1u64 << 53) as f64
 }
 
 /// Hashes an affinity key, given as the bytes that the caller sent.
-pub fn hash_affinity(value: &[u8]) -> u64 {
+pub fn hash_affinity_key(value: &[u8]) -> u64 {
     xxh3_64(value)
 }
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -8,7 +8,7 @@
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target::Target;
 use crate::decision::selection::choice::{Asked, Explanation, NoTarget, Verdict};
-use crate::hash::hash_affinity;
+use crate::hash::hash_affinity_key;
 use crate::model::config::{Config, Route, Tenant, WeightedService};
 use crate::platform::Platform;
 use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
@@ -31,7 +31,7 @@
     let route = question.route(&config)?;
     let key = question.affinity_key.as_ref().filter(|_| route.affinity);
     // A request without a key goes by its own id, which differs from request to request.
-    let affinity = key.map_or_else(rand::random, |key| hash_affinity(key.as_bytes()));
+    let affinity = key.map_or_else(rand::random, |key| hash_affinity_key(key.as_bytes()));
     let tenant = question.tenant(&config)?;
     let dry =
         DryRequest { instance, question: &question, settings: &settings, routing: &routing, route, tenant, affinity };
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -8,7 +8,7 @@
 use super::policies::Policies;
 use super::set::PolicySet;
 use super::verdict::{Order, PolicyVerdict};
-use crate::hash::unit;
+use crate::hash::unit_interval;
 use std::cell::Cell;
 use std::rc::Rc;
 
@@ -42,7 +42,7 @@
         if set.is_empty() {
             return None;
         }
-        let weight = pick_weight(policies, set, unit(affinity, WEIGHT_SEED));
+        let weight = pick_weight(policies, set, unit_interval(affinity, WEIGHT_SEED));
         let matched = Self { policies: policies.clone(), set, weight, applied: Cell::default(), charge };
         charge.earn(policies, matched.caps());
         Some(matched)
--- a/src/proxy/caller_request.rs
+++ b/src/proxy/caller_request.rs
@@ -4,7 +4,7 @@
 //! which it began. The body is apart ([`crate::proxy::incoming_body`]).
 
 use crate::clock::Instant;
-use crate::hash::hash_affinity;
+use crate::hash::hash_affinity_key;
 use crate::model::config::{Config, Route, Tenant};
 use crate::model::fingerprint::Fingerprint;
 use crate::platform::Platform;
@@ -68,7 +68,7 @@
     pub fn affinity(&self) -> u64 {
         let key = self.parts.headers.get(&self.instance.names.affinity_key).filter(|_| self.route.affinity);
         match key.or_else(|| self.id()) {
-            Some(value) => hash_affinity(value.as_bytes()),
+            Some(value) => hash_affinity_key(value.as_bytes()),
             None => rand::random(),
         }
     }
