--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -36,7 +36,7 @@
 // Re-exported for callers of `choose` and `explain`.
 pub use crate::decision::capacity::slow_start::SlowStartShare;
 pub use crate::decision::selection::outcome::{Chosen, NoTarget, Verdict};
-pub use crate::decision::selection::query::{Asked, Query};
+pub use crate::decision::selection::query::{Query, RoutedRequest};
 
 /// Chooses a target for a request, and charges caps where it is sent outside its default hall.
 ///
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -12,7 +12,7 @@
 
 /// A request with the route, tenant and service that were found for it, before targets are considered.
 #[derive(Clone, Copy, Debug)]
-pub struct Asked<'a> {
+pub struct RoutedRequest<'a> {
     /// The route that takes the request.
     pub route: &'a Route,
     /// The tenant of the caller; `None` where the route is public or no tenants are configured.
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -7,7 +7,7 @@
 use crate::clock::Instant;
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target::Target;
-use crate::decision::selection::choice::{Asked, Explanation, NoTarget, Verdict};
+use crate::decision::selection::choice::{Explanation, NoTarget, RoutedRequest, Verdict};
 use crate::hash::hash_affinity_key;
 use crate::model::config::{Config, Route, Tenant, WeightedService};
 use crate::platform::Platform;
@@ -75,8 +75,8 @@
         let policies = self.routing.policies.as_ref();
         let active = policies.and_then(|policies| MatchedPolicies::find(policies, &facts, self.affinity, &charge));
         let service = &*weighted.service;
-        let asked = Asked { route: self.route, tenant: self.tenant, service, affinity: self.affinity };
-        let query = self.instance.query(self.settings, asked, active.as_ref(), &[]);
+        let request = RoutedRequest { route: self.route, tenant: self.tenant, service, affinity: self.affinity };
+        let query = self.instance.query(self.settings, request, active.as_ref(), &[]);
         let explained = Explanation::new(self.routing, config, &query);
         let verdicts = explained.verdicts.iter();
         WhyService {
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -8,7 +8,7 @@
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target::Target;
 use crate::decision::registry::target_key::TargetKey;
-use crate::decision::selection::choice::{Asked, Chosen, NoTarget, choose};
+use crate::decision::selection::choice::{Chosen, NoTarget, RoutedRequest, choose};
 use crate::model::config::WeightedService;
 use crate::platform::Platform;
 use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
@@ -87,13 +87,13 @@
     fn of_service(&self, snapshot: &Snapshot<'_>, tried: &[TargetKey]) -> (Result<Chosen, NoTarget>, Vec<String>) {
         let active = self.active(snapshot);
         let settings = snapshot.settings;
-        let asked = Asked {
+        let request = RoutedRequest {
             route: self.request.route,
             tenant: self.request.tenant(),
             service: &self.picked.service,
             affinity: self.affinity,
         };
-        let query = self.request.instance.query(settings, asked, active.as_ref(), tried);
+        let query = self.request.instance.query(settings, request, active.as_ref(), tried);
         let chosen = choose(snapshot.routing, self.request.config, &query);
         (chosen, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -43,7 +43,7 @@
 use crate::decision::registry::change::StateChange;
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target_key::TargetKey;
-use crate::decision::selection::choice::{Asked, Query, SlowStartShare};
+use crate::decision::selection::choice::{Query, RoutedRequest, SlowStartShare};
 use crate::decision::selection::request_size::RequestSize;
 use crate::decision::selection::split::Splits;
 use crate::model::fingerprint::Fingerprint;
@@ -145,12 +145,12 @@
     pub fn query<'a>(
         &self,
         settings: &'a Settings,
-        asked: Asked<'a>,
+        request: RoutedRequest<'a>,
         active: Option<&'a MatchedPolicies<'a>>,
         tried: &'a [TargetKey],
     ) -> Query<'a> {
         let share = SlowStartShare { own: &settings.name, bounds: settings.slow_start };
-        let Asked { route, tenant, service, affinity } = asked;
+        let RoutedRequest { route, tenant, service, affinity } = request;
         Query {
             route,
             tenant,
