--- a/src/decision/selection/cap_moves.rs
+++ b/src/decision/selection/cap_moves.rs
@@ -40,7 +40,7 @@
 impl<'a> CapMoves<'a> {
     /// Starts without a default target; [`Self::consider`] adds the targets of the service.
     pub fn new(query: &'a Query<'a>) -> Self {
-        Self { query, caps: query.active.filter(|active| active.has_caps()), default_target: None }
+        Self { query, caps: query.matched_policies.filter(|policies| policies.has_caps()), default_target: None }
     }
 
     /// Whether a cap selects the request.
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -64,12 +64,12 @@
 }
 
 impl Explanation {
-    /// Decides on a query without sending anything. `query.active` must be made with
+    /// Decides on a query without sending anything. `query.matched_policies` must be made with
     /// [`CapCharge::dry`](crate::policy::CapCharge::dry), otherwise a move is charged to its caps.
     pub fn new(routing: &Routing, config: &Config, query: &Query<'_>) -> Self {
         let choice = Choice::new(routing, config, query);
         let outcome = choice.decide();
-        let policies = query.active.map_or_else(Vec::new, MatchedPolicies::applied);
+        let policies = query.matched_policies.map_or_else(Vec::new, MatchedPolicies::applied);
         let verdicts = choice.verdicts(outcome.as_ref().ok().map(|chosen| &chosen.target));
         let Choice { own_region_weight, second_target_max_load, .. } = choice;
         Self { outcome, policies, own_region_weight, second_target_max_load, verdicts }
@@ -77,7 +77,7 @@
 }
 
 /// The verdict on each target of the service, ranked targets first and in order of preference.
-/// Nothing is sent, and caps earn and spend nothing where `query.active` was made with
+/// Nothing is sent, and caps earn and spend nothing where `query.matched_policies` was made with
 /// [`CapCharge::dry`](crate::policy::CapCharge::dry).
 pub fn explain(routing: &Routing, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     Explanation::new(routing, config, query).verdicts
@@ -275,8 +275,8 @@
 
     /// The result for a chosen target. Notes the policies that led to it, for the access log and `why`.
     fn select(&self, target: &Rc<Target>) -> Chosen {
-        if let Some(active) = self.query.active {
-            active.note_choice(target.selecting(active.document()));
+        if let Some(policies) = self.query.matched_policies {
+            policies.note_choice(target.selecting(policies.document()));
         }
         Chosen { target: target.clone(), is_second: !self.is_preferred(target) }
     }
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -42,7 +42,7 @@
     /// Whether the instances share the loads that targets report to them.
     pub has_shared_loads: bool,
     /// The operators' policies that select the request; `None` where none does.
-    pub active: Option<&'a MatchedPolicies<'a>>,
+    pub matched_policies: Option<&'a MatchedPolicies<'a>>,
     /// The targets that earlier tries of the request were sent to.
     pub tried: &'a [TargetKey],
     /// The time of the try.
@@ -62,7 +62,7 @@
 
     /// The verdict of the operators' policies on a target; `None` where none selects the request.
     pub fn policy_verdict(&self, target: &Target) -> Option<PolicyVerdict> {
-        self.active.map(|active| active.verdict(target.selecting(active.document())))
+        self.matched_policies.map(|policies| policies.verdict(target.selecting(policies.document())))
     }
 
     /// The order that policies give a target; the smaller is preferred.
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -146,7 +146,7 @@
         &self,
         settings: &'a Settings,
         request: RoutedRequest<'a>,
-        active: Option<&'a MatchedPolicies<'a>>,
+        matched_policies: Option<&'a MatchedPolicies<'a>>,
         tried: &'a [TargetKey],
     ) -> Query<'a> {
         let share = SlowStartShare { own: &settings.name, bounds: settings.slow_start };
@@ -159,7 +159,7 @@
             region: &settings.region,
             slow_start: self.store_copy.is_current().then_some(share),
             has_shared_loads: self.target_loads.are_shared(),
-            active,
+            matched_policies,
             tried,
             now: Instant::now(),
         }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -191,7 +191,7 @@
             region: "a",
             slow_start,
             has_shared_loads: false,
-            active: None,
+            matched_policies: None,
             tried: &[],
             now: scene.now,
         };
--- a/tests/governed/mod.rs
+++ b/tests/governed/mod.rs
@@ -47,7 +47,7 @@
         headers: &headers,
     };
     let charge = CapCharge::default();
-    let active =
+    let matched_policies =
         scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, object, &charge));
     let query = Query {
         route: &route,
@@ -57,7 +57,7 @@
         region: "a",
         slow_start: None,
         has_shared_loads: false,
-        active: active.as_ref(),
+        matched_policies: matched_policies.as_ref(),
         tried: &[],
         now: scene.now,
     };
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -76,7 +76,7 @@
         region: "a",
         slow_start: None,
         has_shared_loads: false,
-        active: active.as_ref(),
+        matched_policies: active.as_ref(),
         tried: &[],
         now: scene.now,
     };
--- a/tests/region_moves.rs
+++ b/tests/region_moves.rs
@@ -95,7 +95,7 @@
             region,
             slow_start: None,
             has_shared_loads: false,
-            active: None,
+            matched_policies: None,
             tried: &[],
             now: scene.now,
         };
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -222,7 +222,7 @@
                 region,
                 slow_start: None,
                 has_shared_loads: self.load.limits_shared,
-                active: None,
+                matched_policies: None,
                 tried: &tried,
                 now,
             };
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -246,7 +246,7 @@
             region: "a",
             slow_start: None,
             has_shared_loads: false,
-            active: None,
+            matched_policies: None,
             tried,
             now: self.now,
         };
--- a/tests/slow_start_changes.rs
+++ b/tests/slow_start_changes.rs
@@ -51,7 +51,7 @@
             region: "a",
             slow_start: Some(SlowStartShare { own: "e-1", bounds }),
             has_shared_loads: false,
-            active: None,
+            matched_policies: None,
             tried: &[],
             now: scene.now,
         };
