--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -35,14 +35,14 @@
 
 // Re-exported for callers of `choose` and `explain`.
 pub use crate::decision::capacity::slow_start::SlowStartShare;
-pub use crate::decision::selection::outcome::{Chosen, NoTarget, Verdict};
+pub use crate::decision::selection::outcome::{ChosenTarget, NoTarget, Verdict};
 pub use crate::decision::selection::query::{Query, RoutedRequest};
 
 /// Chooses a target for a request, and charges caps where it is sent outside its default hall.
 ///
 /// # Errors
 /// [`NoTarget`] where no target may be used, none has room, or caps forbid those that have room.
-pub fn choose(routing: &Routing, config: &Config, query: &Query<'_>) -> Result<Chosen, NoTarget> {
+pub fn choose(routing: &Routing, config: &Config, query: &Query<'_>) -> Result<ChosenTarget, NoTarget> {
     let choice = Choice::new(routing, config, query);
     choice.record_limited_demand();
     choice.decide()
@@ -52,7 +52,7 @@
 #[derive(Debug)]
 pub struct Explanation {
     /// What [`choose`] would return.
-    pub outcome: Result<Chosen, NoTarget>,
+    pub outcome: Result<ChosenTarget, NoTarget>,
     /// Names of the policies that affected the outcome.
     pub policies: Vec<String>,
     /// Factor on the weight of targets in the instance's own region (no unit, at least 4).
@@ -198,7 +198,7 @@
         candidate(self.query, self.own_region_weight, target)
     }
 
-    fn decide(&self) -> Result<Chosen, NoTarget> {
+    fn decide(&self) -> Result<ChosenTarget, NoTarget> {
         let preferred = self.ranking.preferred().ok_or_else(|| self.no_usable_target())?;
         let mut is_capped = false;
         for target in self.ranking.targets().filter(|target| self.has_room(target)) {
@@ -274,11 +274,11 @@
     }
 
     /// The result for a chosen target. Notes the policies that led to it, for the access log and `why`.
-    fn select(&self, target: &Rc<Target>) -> Chosen {
+    fn select(&self, target: &Rc<Target>) -> ChosenTarget {
         if let Some(policies) = self.query.matched_policies {
             policies.note_choice(target.selecting(policies.document()));
         }
-        Chosen { target: target.clone(), is_second: !self.is_preferred(target) }
+        ChosenTarget { target: target.clone(), is_second: !self.is_preferred(target) }
     }
 }
 
--- a/src/decision/selection/outcome.rs
+++ b/src/decision/selection/outcome.rs
@@ -10,7 +10,7 @@
 
 /// The target chosen for a request.
 #[derive(Clone, Debug)]
-pub struct Chosen {
+pub struct ChosenTarget {
     /// The target to send the request to.
     pub target: Rc<Target>,
     /// Whether it is used instead of the preferred one, which has no room or lies where caps forbid a move.
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -9,7 +9,7 @@
 use crate::decision::failure::next_try::{Next, Obstacle, Tries, TryOutcome, has_time, next_try, reason_despite};
 use crate::decision::registry::target::Target;
 use crate::decision::registry::target_key::TargetKey;
-use crate::decision::selection::choice::Chosen;
+use crate::decision::selection::choice::ChosenTarget;
 use crate::net::request_body::RequestBody;
 use crate::platform::Platform;
 use crate::proxy::access_record::AccessRecord;
@@ -30,7 +30,7 @@
 
 /// A try that may be made.
 struct Prepared {
-    chosen: Chosen,
+    chosen: ChosenTarget,
     request: Request<RequestBody>,
     /// Strikes against the request that are known as it begins.
     strikes: u32,
@@ -74,7 +74,7 @@
                 Next::Try { costs_retry } => costs_retry,
                 Next::Refuse(reason) => return Err(reason.into()),
             };
-            let Prepared { chosen: Chosen { target, is_second }, request, strikes } =
+            let Prepared { chosen: ChosenTarget { target, is_second }, request, strikes } =
                 self.prepare(costs_retry, record)?;
             self.tried.push(target.key);
             record.load = target.load(Instant::now());
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -8,7 +8,7 @@
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target::Target;
 use crate::decision::registry::target_key::TargetKey;
-use crate::decision::selection::choice::{Chosen, NoTarget, RoutedRequest, choose};
+use crate::decision::selection::choice::{ChosenTarget, NoTarget, RoutedRequest, choose};
 use crate::model::config::WeightedService;
 use crate::platform::Platform;
 use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// [`Refusal`] where the service has no target for the request.
-    pub fn choose(&self, tried: &[TargetKey], record: &mut AccessRecord) -> Result<Chosen, Refusal> {
+    pub fn choose(&self, tried: &[TargetKey], record: &mut AccessRecord) -> Result<ChosenTarget, Refusal> {
         let instance = self.request.instance;
         let settings = instance.settings.borrow().clone();
         let snapshot = Snapshot { routing: &instance.routing.borrow(), settings: &settings };
@@ -84,7 +84,11 @@
     }
 
     /// A target of the picked service, and the names of the policies that had a part.
-    fn of_service(&self, snapshot: &Snapshot<'_>, tried: &[TargetKey]) -> (Result<Chosen, NoTarget>, Vec<String>) {
+    fn of_service(
+        &self,
+        snapshot: &Snapshot<'_>,
+        tried: &[TargetKey],
+    ) -> (Result<ChosenTarget, NoTarget>, Vec<String>) {
         let active = self.active(snapshot);
         let settings = snapshot.settings;
         let request = RoutedRequest {
