--- a/src/decision/selection/split.rs
+++ b/src/decision/selection/split.rs
@@ -43,12 +43,12 @@
 
 /// Request counts of all split routes.
 #[derive(Debug, Default)]
-pub struct Splits {
+pub struct TrafficSplits {
     /// The decaying counts by service, for each route.
     routes: HashMap<Rc<str>, HashMap<Rc<str>, f64>>,
 }
 
-impl Splits {
+impl TrafficSplits {
     /// Chooses the service for a key and counts the request. `affinity` is the hash of the key.
     pub fn pick<'a>(&mut self, route: &'a Route, affinity: u64) -> &'a WeightedService {
         let weighted = self.peek(route, affinity);
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -10,7 +10,7 @@
 //! | [`StrikeReports`] | requests whose strikes the other instances have to hear of |
 //! | [`RateLimits`] | what this instance knows of targets' rate limits as the head of a hall |
 //! | [`TargetLoads`] | loads of targets that instances share |
-//! | [`Routing`], [`Splits`], [`RetryBudgets`] | the state of the decisions |
+//! | [`Routing`], [`TrafficSplits`], [`RetryBudgets`] | the state of the decisions |
 //! | [`Settings`], [`Metrics`], [`Log`] | what their names say |
 //!
 //! [`Instance`] joins them: a change of the view updates the routing state, and a change
@@ -45,7 +45,7 @@
 use crate::decision::registry::target_key::TargetKey;
 use crate::decision::selection::choice::{Query, RoutedRequest, SlowStartShare};
 use crate::decision::selection::request_size::RequestSize;
-use crate::decision::selection::split::Splits;
+use crate::decision::selection::split::TrafficSplits;
 use crate::model::fingerprint::Fingerprint;
 use crate::platform::{HeaderNames, Platform};
 use crate::policy::MatchedPolicies;
@@ -71,7 +71,7 @@
     /// The configuration, targets and members that the view describes.
     pub routing: RefCell<Routing>,
     /// Shares of split routes.
-    pub splits: RefCell<Splits>,
+    pub splits: RefCell<TrafficSplits>,
     /// The retry budgets.
     pub retries: RefCell<RetryBudgets>,
     /// The quotas of tenants.
@@ -108,7 +108,7 @@
             store,
             names: P::headers(),
             store_copy,
-            splits: RefCell::new(Splits::default()),
+            splits: RefCell::new(TrafficSplits::default()),
             quotas: Quotas::default(),
             target_loads: TargetLoads::default(),
             rate_limits: RateLimits::default(),
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -4,7 +4,7 @@
 
 use bytes::Bytes;
 use lockloft::decision::failure::retry::{RetryBudget, budget, max_saved};
-use lockloft::decision::selection::split::Splits;
+use lockloft::decision::selection::split::TrafficSplits;
 use lockloft::model::config::{Route, WeightedService};
 use lockloft::store::view::StoreView;
 use lockloft::store::{Event, Item, Listing};
@@ -122,7 +122,7 @@
             WeightedService { service: "one".into(), weight },
             WeightedService { service: "two".into(), weight: 1.0 - weight },
         ];
-        let mut splits = Splits::default();
+        let mut splits = TrafficSplits::default();
         let mut ones = 0;
         for number in 0..2_000 {
             let weighted = splits.pick(&split, objects[number * 7 % objects.len()]);
@@ -193,7 +193,7 @@
             WeightedService { service: "one".into(), weight },
             WeightedService { service: "two".into(), weight: 1.0 - weight },
         ];
-        Splits::default().peek(&split, key).service.to_string()
+        TrafficSplits::default().peek(&split, key).service.to_string()
     };
     let at_one = |weight: f64| (0..4_000).filter(|key| service_of(weight, *key) == "one").collect::<Vec<u64>>();
     let (few, more) = (at_one(0.3), at_one(0.5));
@@ -211,7 +211,7 @@
         WeightedService { service: "none".into(), weight: 0.0 },
         WeightedService { service: "all".into(), weight: 5.0 },
     ];
-    let mut splits = Splits::default();
+    let mut splits = TrafficSplits::default();
     for object in 0..1_000 {
         assert_eq!(&*splits.pick(&split, object).service, "all");
     }
