--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -164,7 +164,7 @@
     }
 
     fn add_paused(&mut self, target: &'a Rc<Target>) {
-        // A pause that has run out still excludes the target while a trial request is under way.
+        // A pause that has run out still excludes the target while a probe is under way.
         let remaining = target.pause_left(self.query.now).unwrap_or_default();
         if self.paused.is_none_or(|(_, first)| remaining < first) {
             self.paused = Some((target, remaining));
--- a/src/decision/selection/directory.rs
+++ b/src/decision/selection/directory.rs
@@ -58,8 +58,9 @@
 
 /// The addresses of the instances for a caller in a region: the others in name order, then this
 /// one; at most 64, where this instance is dropped first if all weights are equal. Empty where no other
-/// instance is known and this one accepts no requests. `request_bytes` is the mean size of a request. `random` returns
-/// numbers in [0, 1); it is not called where all weights are equal, since all instances are named then.
+/// instance is known and this one accepts no requests. `request_bytes` is the mean size of a request.
+/// `random` returns numbers in [0, 1); it is not called where all weights are equal, since all
+/// instances are named then.
 pub fn instances_for(
     caller_region: &str,
     own: OwnInstance<'_>,
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -8,7 +8,7 @@
 //! |---|---|---|
 //! | invalid | the entry at the target's key | as the view |
 //! | draining | the target's registration | as the view: current to 1.3 s while store or relay answers, older while they do not |
-//! | leaving | what the target stated in its answers ([`crate::decision::registry::statements`]) | exact; from other instances 0.6 s |
+//! | leaving | what the target announced in its answers ([`crate::decision::registry::statements`]) | exact; from other instances 0.6 s |
 //! | expired | the end of its grace ([`crate::decision::registry::grace`]) | no age: a time |
 //! | region not allowed | the allowed regions of the route and of the caller's tenant, from the configuration in force | as the view |
 //! | evacuated | the evacuation of its hall | as the view |
@@ -17,7 +17,7 @@
 //! | tried | targets that this request was already sent to | exact |
 //! | denied, not allowed, drained | the operators' policies in force | as the view |
 //! | slow | latency and silence ([`crate::decision::failure::latency`]); the median of the service, seconds | median 0.5 s |
-//! | limited | the target's rate limit ([`crate::decision::capacity::rate_limit`]) | what it stated last 0.6 s, the share 1 s |
+//! | limited | the target's rate limit ([`crate::decision::capacity::rate_limit`]) | what it announced last 0.6 s, the share 1 s |
 //! | cold | slow start ([`crate::decision::capacity::slow_start`]) | view below 1.3 s, members unchanged for 2 s |
 //!
 //! **Why.** Registration, region and evacuation are checked first, then ejection and earlier
@@ -44,7 +44,7 @@
     Invalid,
     /// Its registration has the state draining, or has expired.
     Draining,
-    /// It stated in an answer that it is leaving.
+    /// It announced in an answer that it is leaving.
     Leaving,
     /// Its hall is evacuated.
     Evacuated,
--- a/src/decision/selection/outcome.rs
+++ b/src/decision/selection/outcome.rs
@@ -13,7 +13,7 @@
 pub struct ChosenTarget {
     /// The target to send the request to.
     pub target: Rc<Target>,
-    /// Whether it is used instead of the preferred one, which has no room or lies where caps forbid a move.
+    /// Whether it is used instead of the preferred one, which has no room or is forbidden by caps.
     pub is_second: bool,
 }
 
@@ -22,7 +22,8 @@
 pub enum NoTarget {
     /// The service has no target that may be used.
     NoneUsable,
-    /// Every target that could be used is paused or at its rate limit, as the targets themselves stated.
+    /// No target may be used, but at least one is excluded only by the pause or the rate limit that it
+    /// announced itself.
     Limited {
         /// The best-ranked target at its rate limit, else the one whose pause ends first.
         first: Rc<Target>,
