--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -7,8 +7,8 @@
 use crate::clock::Instant;
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target::Target;
-use crate::decision::selection::choice::{Asked, Explanation, NoTarget, Verdict};
-use crate::hash::hash_affinity;
+use crate::decision::selection::choice::{Explanation, NoTarget, RoutedRequest, Verdict};
+use crate::hash::hash_affinity_key;
 use crate::model::config::{Config, Route, Tenant, WeightedService};
 use crate::platform::Platform;
 use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
@@ -31,7 +31,7 @@
     let route = question.route(&config)?;
     let key = question.affinity_key.as_ref().filter(|_| route.affinity);
     // A request without a key goes by its own id, which differs from request to request.
-    let affinity = key.map_or_else(rand::random, |key| hash_affinity(key.as_bytes()));
+    let affinity = key.map_or_else(rand::random, |key| hash_affinity_key(key.as_bytes()));
     let tenant = question.tenant(&config)?;
     let dry =
         DryRequest { instance, question: &question, settings: &settings, routing: &routing, route, tenant, affinity };
@@ -75,8 +75,8 @@
         let policies = self.routing.policies.as_ref();
         let active = policies.and_then(|policies| MatchedPolicies::find(policies, &facts, self.affinity, &charge));
         let service = &*weighted.service;
-        let asked = Asked { route: self.route, tenant: self.tenant, service, affinity: self.affinity };
-        let query = self.instance.query(self.settings, asked, active.as_ref(), &[]);
+        let request = RoutedRequest { route: self.route, tenant: self.tenant, service, affinity: self.affinity };
+        let query = self.instance.query(self.settings, request, active.as_ref(), &[]);
         let explained = Explanation::new(self.routing, config, &query);
         let verdicts = explained.verdicts.iter();
         WhyService {
@@ -84,8 +84,8 @@
             weight: weighted.weight,
             acted: explained.policies,
             chosen: explained.outcome.as_ref().ok().map(|chosen| chosen.target.id.to_string()),
-            near_weight: Some(explained.near_weight),
-            second_load: Some(explained.second_load),
+            near_weight: Some(explained.own_region_weight),
+            second_load: Some(explained.second_target_max_load),
             refusal: explained.outcome.as_ref().err().map(|reason| refusal(reason).as_str().to_owned()),
             targets: verdicts.map(|(target, verdict)| line(target, *verdict, query.now)).collect(),
         }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -11,7 +11,7 @@
 };
 use crate::decision::registry::target::Target;
 use crate::decision::registry::target_key::TargetKey;
-use crate::decision::selection::choice::Chosen;
+use crate::decision::selection::choice::ChosenTarget;
 use crate::net::request_body::RequestBody;
 use crate::platform::Platform;
 use crate::proxy::access_record::AccessRecord;
@@ -32,7 +32,7 @@
 
 /// A try that may be made.
 struct Prepared {
-    chosen: Chosen,
+    chosen: ChosenTarget,
     request: Request<RequestBody>,
     /// Strikes against the request that are known as it begins.
     strikes: u32,
@@ -76,7 +76,7 @@
                 TryDecision::Try { costs_retry } => costs_retry,
                 TryDecision::Refuse(reason) => return Err(reason.into()),
             };
-            let Prepared { chosen: Chosen { target, is_second }, request, strikes } =
+            let Prepared { chosen: ChosenTarget { target, is_second }, request, strikes } =
                 self.prepare(costs_retry, record)?;
             self.tried.push(target.key);
             record.load = target.load(Instant::now());
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -10,7 +10,7 @@
 //! | [`StrikeReports`] | requests whose strikes the other instances have to hear of |
 //! | [`RateLimits`] | what this instance knows of targets' rate limits as the head of a hall |
 //! | [`TargetLoads`] | loads of targets that instances share |
-//! | [`Routing`], [`Splits`], [`RetryBudgets`] | the state of the decisions |
+//! | [`Routing`], [`TrafficSplits`], [`RetryBudgets`] | the state of the decisions |
 //! | [`Settings`], [`Metrics`], [`Log`] | what their names say |
 //!
 //! [`Instance`] joins them: a change of the view updates the routing state, and a change
@@ -43,9 +43,9 @@
 use crate::decision::registry::change::StateChange;
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target_key::TargetKey;
-use crate::decision::selection::choice::{Asked, Query, SlowStartShare};
+use crate::decision::selection::choice::{Query, RoutedRequest, SlowStartShare};
 use crate::decision::selection::request_size::RequestSize;
-use crate::decision::selection::split::Splits;
+use crate::decision::selection::split::TrafficSplits;
 use crate::model::fingerprint::Fingerprint;
 use crate::platform::{HeaderNames, Platform};
 use crate::policy::MatchedPolicies;
@@ -71,7 +71,7 @@
     /// The configuration, targets and members that the view describes.
     pub routing: RefCell<Routing>,
     /// Shares of split routes.
-    pub splits: RefCell<Splits>,
+    pub splits: RefCell<TrafficSplits>,
     /// The retry budgets.
     pub retries: RefCell<RetryBudgets>,
     /// The quotas of tenants.
@@ -108,7 +108,7 @@
             store,
             names: P::headers(),
             store_copy,
-            splits: RefCell::new(Splits::default()),
+            splits: RefCell::new(TrafficSplits::default()),
             quotas: Quotas::default(),
             target_loads: TargetLoads::default(),
             rate_limits: RateLimits::default(),
@@ -145,12 +145,12 @@
     pub fn query<'a>(
         &self,
         settings: &'a Settings,
-        asked: Asked<'a>,
-        active: Option<&'a MatchedPolicies<'a>>,
+        request: RoutedRequest<'a>,
+        matched_policies: Option<&'a MatchedPolicies<'a>>,
         tried: &'a [TargetKey],
     ) -> Query<'a> {
         let share = SlowStartShare { own: &settings.name, bounds: settings.slow_start };
-        let Asked { route, tenant, service, affinity } = asked;
+        let RoutedRequest { route, tenant, service, affinity } = request;
         Query {
             route,
             tenant,
@@ -159,7 +159,7 @@
             region: &settings.region,
             slow_start: self.store_copy.is_current().then_some(share),
             has_shared_loads: self.target_loads.are_shared(),
-            active,
+            matched_policies,
             tried,
             now: Instant::now(),
         }
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -229,7 +229,7 @@
                 region,
                 slow_start: None,
                 has_shared_loads: self.load.has_shared_loads,
-                active: None,
+                matched_policies: None,
                 tried: &tried,
                 now,
             };
