--- a/src/decision/quota/hall_demand.rs
+++ b/src/decision/quota/hall_demand.rs
@@ -1,17 +1,18 @@
-//! A tenant's demand by hall, and what is expected of halls that have told nothing since the own
-//! hall's demand grew.
+//! A tenant's demand by hall, and an estimate for halls that have not reported since the own hall's
+//! demand grew.
 //!
-//! **Load pattern**: a tenant sends a multiple of its usual everywhere from one moment to the next,
-//! while other halls' reports are 0.3 s old, or later where links are full.
+//! **Load pattern**: a tenant multiplies its request rate in all halls at the same moment, while
+//! reports of other halls are 0.3 s old, or older where links are saturated.
 //!
-//! **Rule.** Each other hall is expected to ask for what it told last, times what the own hall's
-//! demand has grown by since then, as far as that is above chance. Where little is left of the quota,
-//! less has to be above it. What such a hall lets through since its last report counts as used.
+//! **Rule.** Each other hall is expected to receive the demand that it reported last, times the
+//! growth of the own hall's demand since then, as far as that growth exceeds random variation. The
+//! less is left of the quota, the smaller the growth that counts. Requests that such a hall is
+//! estimated to have admitted since its last report count as used.
 //!
 //! **Inputs**: requests that arrived, by hall: those of the own hall 0.05 to 0.2 s old, of others 0.1
-//! to 0.5 s, up to the age from which a hall is not heard from. Callers that move into the own hall
-//! look like growth until the hall that they left has told; a share falls then only where the tenant
-//! is near its quota.
+//! to 0.5 s, up to the age from which a hall counts as unreachable. Callers that move into the own hall
+//! look like growth until the hall that they left has reported; an admit ratio is reduced then only where
+//! the tenant is near its quota.
 //!
 //! **Guards** the promise that a step of any size stays within the quota. **Test**:
 //! `tests/quota_steps.rs`, `tests/quotas.rs`.
@@ -20,130 +21,138 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Time over which a hall's demand is averaged: several reports.
-const STEADY_TIME: Duration = Duration::from_millis(350);
-/// Time over which growth is seen: two reports of instances with much to tell.
-const RECENT_TIME: Duration = Duration::from_millis(100);
-/// Part of the window that is ample (no unit). The less is left below it, the sooner a step uses it
-/// up, and the less has to be seen of one.
-const AMPLE: f64 = 0.25;
-/// Deviations by which growth has to exceed chance while ample room is left (no unit).
-const DEVIATIONS: f64 = 2.5;
-/// Growth of the own hall, besides 1, from which other halls are expected to grow while ample
-/// room is left (factor): below, callers come and go.
-const LEAST_GROWTH: f64 = 0.75;
-/// Most that is expected of other halls (factor): a hall whose callers just came has any growth.
+/// Time constant of a hall's average demand: several report intervals.
+const AVERAGE_TIME_CONSTANT: Duration = Duration::from_millis(350);
+/// Time constant of a hall's recent demand, in which growth shows: two reports of instances that report
+/// at the shortest interval.
+const RECENT_TIME_CONSTANT: Duration = Duration::from_millis(100);
+/// Free part of the window from which the full thresholds of growth apply (no unit). The less is free
+/// below it, the sooner a step exhausts the quota, and the lower the thresholds.
+const AMPLE_FREE_PART: f64 = 0.25;
+/// Standard deviations by which growth has to exceed random variation while
+/// [`AMPLE_FREE_PART`] is free (no unit).
+const GROWTH_DEVIATIONS: f64 = 2.5;
+/// Growth of the own hall, in excess of 1, from which other halls are expected to grow while
+/// [`AMPLE_FREE_PART`] is free (factor): smaller changes come from callers that come and go.
+const MIN_EXCESS_GROWTH: f64 = 0.75;
+/// Largest growth expected of other halls (factor): a hall that has just received its first callers
+/// shows arbitrarily large growth.
 const MAX_GROWTH: f64 = 40.0;
-/// Longest time for which requests that a hall has not told are worked out: later it counts as not
-/// heard from.
-const MAX_UNTOLD: Duration = Duration::from_secs(1);
+/// Longest time over which unreported requests of a hall are estimated: after it, the hall counts as
+/// unreachable.
+const MAX_UNREPORTED_TIME: Duration = Duration::from_secs(1);
 
-/// An average rate that forgets.
+/// An exponentially weighted average rate.
 #[derive(Clone, Copy, Debug)]
-struct Rate {
+struct DecayingRate {
     per_second: f64,
-    time: Duration,
-    at: Instant,
+    time_constant: Duration,
+    updated_at: Instant,
 }
 
-impl Rate {
-    fn new(time: Duration, at: Instant) -> Self {
-        Self { per_second: 0.0, time, at }
+impl DecayingRate {
+    fn new(time_constant: Duration, updated_at: Instant) -> Self {
+        Self { per_second: 0.0, time_constant, updated_at }
     }
 
-    fn kept(&self, passed: Duration) -> f64 {
-        (-passed.as_secs_f64() / self.time.as_secs_f64()).exp()
+    fn decay(&self, passed: Duration) -> f64 {
+        (-passed.as_secs_f64() / self.time_constant.as_secs_f64()).exp()
     }
 
     fn add(&mut self, count: f64, over: Duration, now: Instant) {
-        let new = count / over.as_secs_f64() * (1.0 - self.kept(over));
-        self.per_second = self.at(now) + new;
-        self.at = now;
+        let new = count / over.as_secs_f64() * (1.0 - self.decay(over));
+        self.per_second = self.value_at(now) + new;
+        self.updated_at = now;
     }
 
-    fn at(&self, now: Instant) -> f64 {
-        self.per_second * self.kept(now.saturating_duration_since(self.at))
+    fn value_at(&self, now: Instant) -> f64 {
+        self.per_second * self.decay(now.saturating_duration_since(self.updated_at))
     }
 }
 
-/// What a hall told.
+/// Demand that a hall reported.
 #[derive(Clone, Copy, Debug)]
 struct HallDemand {
-    steady: Rate,
-    recent: Rate,
-    /// The own hall's demand when this one told something last.
-    own_then: f64,
+    average: DecayingRate,
+    recent: DecayingRate,
+    /// The own hall's average demand when this hall last reported, requests per second.
+    own_at_report: f64,
 }
 
-/// Demand by hall.
+/// A tenant's demand by hall.
 #[derive(Clone, Debug, Default)]
 pub struct HallDemands {
-    /// `None` where no hall's demand tells of the others.
+    /// The own hall; `None` where no other hall's demand is estimated.
     own: Option<String>,
     halls: BTreeMap<String, HallDemand>,
 }
 
 impl HallDemands {
-    /// Nothing told yet, at the head of a hall.
+    /// Demand at the head of the hall `own`, before any report.
     pub fn of_hall(own: &str) -> Self {
         Self { own: Some(own.to_owned()), halls: BTreeMap::new() }
     }
 
-    /// Counts requests that arrived in a hall within the last `over`.
+    /// Counts requests that arrived in a hall within the last `over`, admitted or not.
     pub fn record(&mut self, hall: &str, offered: u32, over: Duration, now: Instant) {
-        let own_then = self.own_steady(now);
+        let own_at_report = self.own_average(now);
         if !self.halls.contains_key(hall) {
-            let new = HallDemand { steady: Rate::new(STEADY_TIME, now), recent: Rate::new(RECENT_TIME, now), own_then };
+            let new = HallDemand {
+                average: DecayingRate::new(AVERAGE_TIME_CONSTANT, now),
+                recent: DecayingRate::new(RECENT_TIME_CONSTANT, now),
+                own_at_report,
+            };
             self.halls.insert(hall.to_owned(), new);
         }
         let Some(demand) = self.halls.get_mut(hall) else { return };
-        demand.steady.add(offered.into(), over, now);
+        demand.average.add(offered.into(), over, now);
         demand.recent.add(offered.into(), over, now);
-        demand.own_then = own_then;
+        demand.own_at_report = own_at_report;
     }
 
-    /// Requests a second that are expected of all halls that are heard from, and requests that
-    /// arrived in the other halls since they told something. `free` is the part of the window that is
-    /// left, 0 to 1.
-    pub fn expected(&self, is_heard: impl Fn(&str) -> bool, free: f64, now: Instant) -> (f64, f64) {
+    /// The demand expected of all reachable halls, in requests per second, and the number of requests
+    /// estimated to have arrived in the other halls since their last reports. `free` is the part of
+    /// the window that is left, 0 to 1.
+    pub fn expected(&self, is_reachable: impl Fn(&str) -> bool, free: f64, now: Instant) -> (f64, f64) {
         let Some(own) = self.own.as_deref() else { return (0.0, 0.0) };
-        let caution = (free / AMPLE).min(1.0);
-        let deviations = DEVIATIONS * caution;
-        let latest = self.latest(own, deviations, now);
-        let (mut all, mut untold) = (latest, 0.0);
-        for (_, demand) in self.halls.iter().filter(|(hall, _)| **hall != *own && is_heard(hall)) {
-            let growth = growth(latest, demand.own_then, deviations);
-            if growth < 1.0 + LEAST_GROWTH * caution {
-                all += demand.steady.at(now);
+        let headroom = (free / AMPLE_FREE_PART).min(1.0);
+        let deviations = GROWTH_DEVIATIONS * headroom;
+        let current_demand = self.current_demand(own, deviations, now);
+        let (mut all, mut unreported) = (current_demand, 0.0);
+        for (_, demand) in self.halls.iter().filter(|(hall, _)| **hall != *own && is_reachable(hall)) {
+            let growth = growth(current_demand, demand.own_at_report, deviations);
+            if growth < 1.0 + MIN_EXCESS_GROWTH * headroom {
+                all += demand.average.value_at(now);
                 continue;
             }
-            let rate = demand.steady.per_second * growth;
-            let age = now.saturating_duration_since(demand.steady.at).min(MAX_UNTOLD);
+            let rate = demand.average.per_second * growth;
+            let age = now.saturating_duration_since(demand.average.updated_at).min(MAX_UNREPORTED_TIME);
             all += rate;
-            untold += rate * age.as_secs_f64();
+            unreported += rate * age.as_secs_f64();
         }
-        (all, untold)
+        (all, unreported)
     }
 
-    fn own_steady(&self, now: Instant) -> f64 {
+    fn own_average(&self, now: Instant) -> f64 {
         let own = self.own.as_deref().and_then(|own| self.halls.get(own));
-        own.map_or(0.0, |demand| demand.steady.at(now))
+        own.map_or(0.0, |demand| demand.average.value_at(now))
     }
 
-    /// The own hall's demand: the latest, as far as it is above chance, or the average.
-    fn latest(&self, own: &str, deviations: f64, now: Instant) -> f64 {
+    /// The own hall's demand: the recent one less its random variation, or the average if that is higher.
+    fn current_demand(&self, own: &str, deviations: f64, now: Instant) -> f64 {
         let Some(demand) = self.halls.get(own) else { return 0.0 };
-        let recent = demand.recent.at(now);
-        let deviation = (recent / (2.0 * RECENT_TIME.as_secs_f64())).sqrt();
-        (recent - deviations * deviation).max(demand.steady.at(now))
+        let recent = demand.recent.value_at(now);
+        let deviation = (recent / (2.0 * RECENT_TIME_CONSTANT.as_secs_f64())).sqrt();
+        (recent - deviations * deviation).max(demand.average.value_at(now))
     }
 }
 
-/// What the own hall's demand has grown by (factor): from the most that it may have been.
-fn growth(latest: f64, then: f64, deviations: f64) -> f64 {
-    let average = STEADY_TIME.as_secs_f64();
-    let deviation = ((then + 1.0 / average) / (2.0 * average)).sqrt();
-    // Of a few requests a second one more is no growth.
-    let one = 1.0 / (2.0 * average);
-    (latest / (then + one + deviations * deviation)).min(MAX_GROWTH)
+/// Growth of the own hall's demand (factor), relative to the highest value that random variation
+/// makes plausible for the previous demand.
+fn growth(current_demand: f64, previous: f64, deviations: f64) -> f64 {
+    let time_constant = AVERAGE_TIME_CONSTANT.as_secs_f64();
+    let deviation = ((previous + 1.0 / time_constant) / (2.0 * time_constant)).sqrt();
+    // At a few requests per second, one more request is not growth.
+    let one_request = 1.0 / (2.0 * time_constant);
+    (current_demand / (previous + one_request + deviations * deviation)).min(MAX_GROWTH)
 }
--- a/src/decision/quota/heads.rs
+++ b/src/decision/quota/heads.rs
@@ -1,12 +1,13 @@
-//! The head of a hall: of its instances the first by a hash of hall and name; the next one where
-//! that one does not answer.
+//! The head of a hall: the first of its instances in the order of a hash of hall and name, or the
+//! next one where that one does not answer.
 //!
-//! **Inputs**: the members, as old as the view; instances that did not answer lately, exact.
+//! **Inputs**: the members, as old as the view; instances that recently failed to answer, exact.
 //!
-//! **Why.** All instances find the same head without a message. The hash spreads the heads of
-//! several halls over machines, and differs from the order by name in which the store is watched, so
-//! that no instance does both for its hall but by chance. Where instances disagree, a hall has two
-//! heads for a while; each tells the other halls what it was told.
+//! **Why.** All instances find the same head without exchanging messages. The hash spreads the heads
+//! of several halls over machines. It differs from the order by name that decides which instance
+//! watches the store, so that one instance does both for its hall only by chance. Where instances
+//! disagree, a hall temporarily has two heads; each forwards to the other halls the reports that it
+//! received.
 //!
 //! **Test**: `tests/quotas.rs`.
 
@@ -18,14 +19,15 @@
 /// The head of a hall.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Head<'a> {
-    /// Its name.
+    /// Instance name.
     pub name: &'a str,
-    /// Where it listens for its peers.
+    /// Address at which it accepts reports of other instances.
     pub peer: SocketAddr,
+    /// Order among the hall's instances, lowest first.
     rank: u64,
 }
 
-/// The heads of all halls, by hall, of the instances that may be asked.
+/// The heads of all halls, by hall, chosen among the instances for which `may_ask` holds.
 pub fn heads<'a>(members: &'a Members, may_ask: impl Fn(SocketAddr) -> bool) -> BTreeMap<&'a str, Head<'a>> {
     let mut heads: BTreeMap<&str, Head<'_>> = BTreeMap::new();
     for (name, member) in members.iter().filter(|(_, member)| may_ask(member.peer)) {
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -1,43 +1,43 @@
-//! Quotas: how many requests of a tenant run, over all instances together.
+//! Quotas: limits on the requests of a tenant over all instances together.
 //!
-//! **Rule.** Each instance counts the requests of each tenant and tells the *head* of its hall; heads
-//! tell each other. Each head counts each tenant's requests at all instances in the operators'
-//! window, and answers the share of a tenant's requests that may pass. An instance that hears from
-//! no head admits its equal part of the rate, and heads leave the parts of those that they do not
-//! hear from.
+//! **Rule.** Each instance counts the requests of each tenant and reports them to the *head* of its
+//! hall, the instance that aggregates the hall's reports; heads report to each other. Each head counts
+//! each tenant's requests at all instances in the operators' window, and answers with the ratio at
+//! which to admit a tenant's requests. An instance without a current answer admits its equal share of
+//! the rate, and heads do not grant the shares of instances that do not report.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! |---|---|
-//! | [`own_use`] | admits or refuses a request; what this instance has not told yet |
-//! | [`part`] | the equal part of an instance that hears nothing |
-//! | [`totals`] | what a head knows: a window a tenant, whom it hears from |
-//! | [`tenant_window`] | one tenant's requests in the window; the share that may pass |
-//! | [`hall_demand`] | what is expected of halls that have not told yet |
-//! | `outboxes` | what other halls were not told yet |
+//! | [`own_use`] | admission of requests, and usage that is not reported yet |
+//! | [`part`] | the equal share of an instance without a current answer |
+//! | [`totals`] | usage as a head aggregates it: a window for each tenant, and who is reachable |
+//! | [`tenant_window`] | one tenant's requests in the window, and the ratio at which they are admitted |
+//! | [`hall_demand`] | demand expected of halls without a recent report |
+//! | `outboxes` | usage that is still to be sent to other halls |
 //! | [`heads`] | which instance is the head of a hall |
 //!
-//! **Why.** A request waits for nobody: the decision is made where it arrives, on what is known
-//! there. No instance is special, the store is not asked, and what is exchanged grows with the
-//! instances of a hall and with the halls, not with pairs of instances.
+//! **Why.** No request waits for a message: the instance at which it arrives decides on what it knows.
+//! No instance is special, the store is not involved, and the traffic grows with the instances of a
+//! hall and with the halls, not with pairs of instances.
 //!
-//! **Bound.** Over all instances, requests let through in any window are at most the rate times the
-//! window, the burst, half of the operators' slack, and what is let through before word of it is back
-//! (0.2 to 0.5 s) beyond what was left of the window. Between two answers an instance lets a few
-//! requests of a tenant through ([`own_use`]): a small one that sends 40 times its usual from one
-//! moment to the next can exceed its quota in the window in which that begins, and so can a large one
-//! while links hold reports up.
+//! **Bound.** Over all instances, the requests admitted in any window are at most the rate times the
+//! window, the burst, half of the operators' slack, and the requests admitted beyond the rest of the
+//! window before reports of them take effect (0.2 to 0.5 s). Between two answers an instance admits a
+//! few requests of a tenant ([`own_use`]). Therefore a small tenant that from one moment to the next
+//! sends 40 times its usual requests can exceed its quota in the window in which that begins, and so
+//! can a large one while saturated links delay reports.
 //!
-//! Nothing here waits or sends. `docs/design/shifted-work.md` compares the ways. **Test**:
+//! Nothing here waits or sends. `docs/design/shifted-work.md` compares the alternatives. **Test**:
 //! `tests/quota_replay.rs`, `tests/quota_steps.rs`, `tests/quotas.rs`.
 
 use std::time::Duration;
 
-/// Time between two reports of an instance to its head. With the time between two reports of a head
-/// it makes the reaction.
+/// Time between two reports of an instance to its head. Together with the time between two reports of a
+/// head it determines the reaction time.
 pub const REPORT_EVERY: Duration = Duration::from_millis(200);
-/// Time between two reports of a head to other halls: twice the bytes at half of it.
+/// Time between two reports of a head to other halls: half of it would double the bytes sent.
 pub const FORWARD_EVERY: Duration = Duration::from_millis(300);
-/// Shortest time between two reports, however much there is to tell.
+/// Shortest time between two reports, however much there is to report.
 pub const REPORT_GAP: Duration = Duration::from_millis(50);
 
 pub mod hall_demand;
--- a/src/decision/quota/outboxes.rs
+++ b/src/decision/quota/outboxes.rs
@@ -1,40 +1,40 @@
-//! What other halls have not been told yet of the own hall's requests.
+//! The own hall's usage that is still to be sent to other halls.
 //!
-//! Owns the counts by hall, kept where a hall cannot be told. Relies on nothing.
+//! Owns the counts by hall, kept while a hall cannot be reached. Relies on nothing.
 
 use crate::clock::Instant;
 use crate::model::usage::Usage;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest time for which requests are kept for a hall that cannot be told: what is older is outside
-/// of the operators' windows.
-const KEEP_FOR: Duration = Duration::from_secs(5);
-/// What another hall has not been told yet.
+/// Longest time for which usage is kept for an unreachable hall: older requests are outside of the
+/// operators' windows.
+const MAX_UNSENT_TIME: Duration = Duration::from_secs(5);
+/// Usage that has not been sent to one hall yet.
 #[derive(Debug)]
 struct Outbox {
     tenants: BTreeMap<String, Usage>,
-    /// Since when there is something in it.
+    /// When the first usage was added.
     since: Instant,
 }
 
-/// What other halls have not been told yet.
+/// Usage that has not been sent to other halls yet.
 #[derive(Debug, Default)]
 pub struct Outboxes {
     by_hall: BTreeMap<String, Outbox>,
-    /// Whether something was taken out since the first was kept.
-    has_forwarded: bool,
+    /// Whether `take` was called since this was created.
+    was_taken: bool,
 }
 
 impl Outboxes {
-    /// Keeps requests for a hall.
+    /// Adds usage to be sent to a hall, and drops what has been waiting too long.
     pub fn keep(&mut self, hall: &str, tenants: &[(String, Usage)], now: Instant) {
         if tenants.is_empty() {
             return;
         }
         let new = || Outbox { tenants: BTreeMap::new(), since: now };
         let outbox = self.by_hall.entry(hall.to_owned()).or_insert_with(new);
-        if now.saturating_duration_since(outbox.since) > KEEP_FOR {
+        if now.saturating_duration_since(outbox.since) > MAX_UNSENT_TIME {
             *outbox = new();
         }
         for (name, usage) in tenants {
@@ -42,25 +42,25 @@
         }
     }
 
-    /// Takes out what a hall has to be told, and the time in which it arrived.
+    /// Removes and returns the usage to be sent to a hall, and the time since the first of it was added.
     pub fn take(&mut self, hall: &str, now: Instant) -> (Vec<(String, Usage)>, Duration) {
-        self.has_forwarded = true;
+        self.was_taken = true;
         let Some(outbox) = self.by_hall.remove(hall) else { return Default::default() };
         (outbox.tenants.into_iter().collect(), now.saturating_duration_since(outbox.since))
     }
 
-    /// Whether there is something to tell, and no hall was told anything so far.
-    pub fn is_first_due(&self) -> bool {
-        !self.has_forwarded && !self.by_hall.is_empty()
+    /// Whether there is usage to send, and none was taken so far.
+    pub fn is_first_pending(&self) -> bool {
+        !self.was_taken && !self.by_hall.is_empty()
     }
 
-    /// Whether there is nothing to tell.
+    /// Whether there is no usage to send.
     pub fn is_empty(&self) -> bool {
         self.by_hall.is_empty()
     }
 
-    /// Whether `is_much` holds of what a hall lacks of a tenant.
-    pub fn any(&self, is_much: impl Fn(&str, &Usage) -> bool) -> bool {
-        self.by_hall.values().any(|outbox| outbox.tenants.iter().any(|(name, usage)| is_much(name, usage)))
+    /// Whether `matches` holds for a tenant's usage that is waiting for any hall.
+    pub fn any(&self, matches: impl Fn(&str, &Usage) -> bool) -> bool {
+        self.by_hall.values().any(|outbox| outbox.tenants.iter().any(|(name, usage)| matches(name, usage)))
     }
 }
--- a/src/decision/quota/own_use.rs
+++ b/src/decision/quota/own_use.rs
@@ -1,19 +1,19 @@
-//! Admission by quota: an instance lets the share of a tenant's requests through that the head of
-//! its hall answered last, evenly spaced; its equal part ([`super::part`]) where the answer is too
-//! old, or too much was let through since.
+//! Admission by quota: an instance admits a tenant's requests, evenly spaced, at the ratio that the
+//! head of its hall last answered. It admits only its equal share of the quota ([`super::part`]) while
+//! the answer is too old, or once too many requests were admitted since.
 //!
 //! **Inputs**
-//! - Shares by tenant, from the last answer of a head; up to `ANSWER_AGE` (1 s) old. A tenant that
-//!   the answer does not name passes whole.
-//! - Requests of each tenant that arrived here and were let through since, counted at once.
+//! - Admit ratios by tenant, from the last answer of a head; up to `ANSWER_AGE` (1 s) old. All requests of a
+//!   tenant that the answer does not name are admitted.
+//! - Requests of each tenant that arrived here, and those admitted since, counted at once.
 //! - The quota, from the configuration in force, and the number of instances; as old as the view.
 //!
-//! **Why.** Word of a tenant that suddenly sends a multiple of its usual has to come before its
-//! burst is used up: what is far above its usual is told at once, and until an answer comes an
-//! instance lets five times that through and then its part.
+//! **Why.** When a tenant suddenly sends a multiple of its usual requests, the head has to know before
+//! the burst is used up. Requests far above the usual number are therefore reported at once, and until
+//! an answer arrives an instance admits five times that number and then only its equal share.
 //!
 //! **Guards** the promises that a tenant's requests stay within its quota, and that a request is
-//! refused at once and not held. **Test**: `tests/quotas.rs`, `tests/quota_replay.rs`.
+//! refused immediately instead of being held. **Test**: `tests/quotas.rs`, `tests/quota_replay.rs`.
 
 use crate::clock::Instant;
 use crate::decision::quota::part::{Fleet, Part};
@@ -23,209 +23,223 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Age of an answer up to which its shares hold: four times the time between two reports, so that
-/// one lost report and the change to another head cost nothing.
+/// Age of an answer up to which its ratios apply: four times the report interval, so that one lost
+/// report and the change to another head have no effect.
 pub const ANSWER_AGE: Duration = Duration::from_secs(1);
-/// Requests of a tenant since the last report from which they are told at once, however few are
-/// usual: with fewer most reports of small tenants would be sent at once.
-const LEAST_UNUSUAL: f64 = 2.0;
-/// Factor on a tenant's usual requests between two reports from which they are told at once.
-const UNUSUAL: f64 = 2.0;
-/// Factor on these up to which requests pass before they are answered, and the least number: as many
-/// reports as may fail while an answer holds.
-const UNANSWERED: f64 = 5.0;
-/// See [`UNANSWERED`].
-const LEAST_UNANSWERED: f64 = 8.0;
-/// Factor on what is unusual up to which requests of a tenant that is held back pass before they are
-/// answered, and the least number: its quota is used up, and all instances may let as much through.
-const UNANSWERED_HELD: f64 = 1.0;
-/// See [`UNANSWERED_HELD`].
-const LEAST_UNANSWERED_HELD: f64 = 2.0;
-/// Requests of a tenant that pass before the first answer: all instances may be starting, and none
-/// know what was let through before.
-const BEFORE_FIRST_ANSWER: f64 = 3.0;
-/// By how much a tenant's share rises with one answer at most: this factor, and so much besides (no
-/// unit). From nothing it is whole after five answers, a second.
-const RISE: f64 = 1.5;
-/// See [`RISE`].
-const LEAST_RISE: f64 = 0.1;
-/// Part of the last report that was answered in what is usual (no unit).
-const USUAL_WEIGHT: f64 = 0.3;
-
-/// What becomes of a request.
+/// Least number of a tenant's unreported requests that is reported at once, however few are usual:
+/// with a lower one, most reports of small tenants would be sent at once.
+const MIN_SURGE_REQUESTS: f64 = 2.0;
+/// Factor on a tenant's usual requests between two reports from which its requests are reported at once.
+const SURGE_FACTOR: f64 = 2.0;
+/// Factor on the number that is reported at once, up to which requests are admitted before an answer,
+/// and least such limit: as many reports as may fail while an answer applies.
+const UNANSWERED_FACTOR: f64 = 5.0;
+/// See [`UNANSWERED_FACTOR`].
+const MIN_UNANSWERED: f64 = 8.0;
+/// The same for a tenant with an admit ratio below 1: its quota is used up, and every instance may admit as
+/// many requests.
+const LIMITED_UNANSWERED_FACTOR: f64 = 1.0;
+/// See [`LIMITED_UNANSWERED_FACTOR`].
+const MIN_LIMITED_UNANSWERED: f64 = 2.0;
+/// Requests of a tenant that are admitted before the first answer: all instances may be starting, and
+/// none of them knows what was admitted before.
+const MAX_BEFORE_FIRST_ANSWER: f64 = 3.0;
+/// Most that a tenant's admit ratio rises with one answer: to this factor times the last one plus
+/// [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
+const RATIO_RISE_FACTOR: f64 = 1.5;
+/// See [`RATIO_RISE_FACTOR`].
+const RATIO_RISE_STEP: f64 = 0.1;
+/// Weight of the last answered report in the average number of requests in a report (no unit).
+const AVERAGE_WEIGHT: f64 = 0.3;
+
+/// Decision on a request by its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It may be sent on.
+    /// The request may be sent to a target.
     Admitted,
-    /// The tenant's quota is used up.
+    /// The tenant's quota is used up; the request is refused.
     Refused,
 }
 
-/// The requests of a tenant at this instance.
+/// One tenant's requests at this instance.
 #[derive(Debug)]
-struct TenantUse {
-    /// What no head was told yet.
-    untold: Usage,
-    /// What was told and is not answered yet.
-    told: Usage,
-    /// Requests in a report that was answered, on average.
-    usual: f64,
-    /// Share of the requests that may pass.
-    pass: f64,
-    /// What earlier requests left of the share, below one request.
-    left: f64,
+struct TenantUsage {
+    /// Requests that no head was told of yet.
+    unreported: Usage,
+    /// Requests in a report that is not answered yet.
+    in_report: Usage,
+    /// Average number of requests in an answered report.
+    average_offered: f64,
+    /// Part of the requests that is admitted, 0 to 1.
+    admit_ratio: f64,
+    /// Fraction of a request carried over from earlier ones, below 1.
+    credit: f64,
     part: Part,
 }
 
-impl TenantUse {
-    /// `left` is at random, so that instances do not let their first requests through together.
-    fn new(pass: f64, left: f64) -> Self {
-        Self { untold: Usage::default(), told: Usage::default(), usual: 0.0, pass, left, part: Part::default() }
+impl TenantUsage {
+    /// `credit` is random, so that instances do not admit their first requests at the same moment.
+    fn new(admit_ratio: f64, credit: f64) -> Self {
+        Self {
+            unreported: Usage::default(),
+            in_report: Usage::default(),
+            average_offered: 0.0,
+            admit_ratio,
+            credit,
+            part: Part::default(),
+        }
     }
 
-    /// Requests since the last report from which they are told at once.
-    fn unusual(&self) -> f64 {
-        (UNUSUAL * self.usual).max(LEAST_UNUSUAL)
+    /// Number of unreported requests from which they are reported at once.
+    fn surge_threshold(&self) -> f64 {
+        (SURGE_FACTOR * self.average_offered).max(MIN_SURGE_REQUESTS)
     }
 
     fn is_unusual(&self) -> bool {
-        f64::from(self.untold.offered) >= self.unusual()
+        f64::from(self.unreported.offered) >= self.surge_threshold()
     }
 
-    /// Whether as much was let through as may be before an answer.
-    fn is_unanswered(&self, is_first: bool) -> bool {
-        let admitted = self.untold.admitted.saturating_add(self.told.admitted);
-        let most = match (is_first, self.pass < 1.0) {
-            (true, _) => BEFORE_FIRST_ANSWER,
-            (false, true) => (UNANSWERED_HELD * self.pass * self.unusual()).max(LEAST_UNANSWERED_HELD),
-            (false, false) => (UNANSWERED * self.unusual()).max(LEAST_UNANSWERED),
+    /// Whether as many requests were admitted as are allowed before the next answer.
+    fn is_unanswered_limit_reached(&self, is_first: bool) -> bool {
+        let admitted = self.unreported.admitted.saturating_add(self.in_report.admitted);
+        let most = match (is_first, self.admit_ratio < 1.0) {
+            (true, _) => MAX_BEFORE_FIRST_ANSWER,
+            (false, true) => {
+                (LIMITED_UNANSWERED_FACTOR * self.admit_ratio * self.surge_threshold()).max(MIN_LIMITED_UNANSWERED)
+            }
+            (false, false) => (UNANSWERED_FACTOR * self.surge_threshold()).max(MIN_UNANSWERED),
         };
         f64::from(admitted) >= most
     }
 
-    fn passes(&mut self) -> bool {
-        self.left += self.pass;
-        let passes = self.left >= 1.0;
-        if passes {
-            self.left -= 1.0;
+    fn take_credit(&mut self) -> bool {
+        self.credit += self.admit_ratio;
+        let is_admitted = self.credit >= 1.0;
+        if is_admitted {
+            self.credit -= 1.0;
         }
-        passes
+        is_admitted
     }
 }
 
-/// The requests of all tenants at this instance.
+/// All tenants' requests at this instance, and the ratios at which they are admitted.
 #[derive(Debug, Default)]
 pub struct OwnUse {
-    tenants: HashMap<Rc<str>, TenantUse>,
-    /// The shares of the last answer, also of tenants without a request here so far.
-    passes: HashMap<String, f64>,
-    /// When the last report began that was answered.
-    told_until: Option<Instant>,
-    /// When a report began that is not answered yet.
-    reported: Option<Instant>,
+    tenants: HashMap<Rc<str>, TenantUsage>,
+    /// The ratios of the last answer, including those of tenants without a request here so far.
+    admit_ratios: HashMap<String, f64>,
+    /// When the last answered report was started; later requests are not reported yet.
+    reported_until: Option<Instant>,
+    /// When the report was started that is not answered yet.
+    report_started_at: Option<Instant>,
+    /// Whether a head has answered since the process started.
     was_answered: bool,
-    /// When a head last answered; at first the time of the first request.
-    answered: Option<Instant>,
+    /// When a head last answered; before the first answer, the time of the first request.
+    answered_at: Option<Instant>,
 }
 
 impl OwnUse {
-    /// Admits or refuses a request of a tenant. `draw` is at random from 0 to 1.
-    pub fn admit(&mut self, tenant: &Rc<str>, quota: Quota, fleet: Fleet, draw: f64, now: Instant) -> Admission {
-        let answered = *self.answered.get_or_insert(now);
-        let is_answered = now.saturating_duration_since(answered) < ANSWER_AGE;
+    /// Admits or refuses a request of a tenant, and counts it. `random` is a random number from 0 to 1.
+    pub fn admit(&mut self, tenant: &Rc<str>, quota: Quota, fleet: Fleet, random: f64, now: Instant) -> Admission {
+        let answered_at = *self.answered_at.get_or_insert(now);
+        let is_answered = now.saturating_duration_since(answered_at) < ANSWER_AGE;
         let is_first = !self.was_answered;
-        let passes = &self.passes;
-        let new = || TenantUse::new(passes.get(&**tenant).copied().unwrap_or(1.0), draw);
-        let of_tenant = self.tenants.entry(tenant.clone()).or_insert_with(new);
-        of_tenant.untold.offered = of_tenant.untold.offered.saturating_add(1);
-        let is_admitted = match (is_answered, of_tenant.is_unanswered(is_first)) {
-            (true, false) => of_tenant.passes(),
-            // What was saved up is for an instance that hears nothing: here others let as much through.
-            (true, true) => of_tenant.part.take(Quota { burst: 0.0, ..quota }, fleet, now),
-            (false, _) => of_tenant.part.take(quota, fleet, now),
+        let admit_ratios = &self.admit_ratios;
+        let new = || TenantUsage::new(admit_ratios.get(&**tenant).copied().unwrap_or(1.0), random);
+        let usage = self.tenants.entry(tenant.clone()).or_insert_with(new);
+        usage.unreported.offered = usage.unreported.offered.saturating_add(1);
+        let is_admitted = match (is_answered, usage.is_unanswered_limit_reached(is_first)) {
+            (true, false) => usage.take_credit(),
+            // The burst is for an instance without a current answer: here all others may admit as much.
+            (true, true) => usage.part.take(Quota { burst: 0.0, ..quota }, fleet, now),
+            (false, _) => usage.part.take(quota, fleet, now),
         };
         if !is_admitted {
             return Admission::Refused;
         }
-        of_tenant.untold.admitted = of_tenant.untold.admitted.saturating_add(1);
+        usage.unreported.admitted = usage.unreported.admitted.saturating_add(1);
         Admission::Admitted
     }
 
-    /// Takes back a request that was admitted and that no target ran.
+    /// Withdraws the count of an admitted request that no target ran.
     pub fn release(&mut self, tenant: &str) {
-        if let Some(of_tenant) = self.tenants.get_mut(tenant) {
-            of_tenant.untold.admitted = of_tenant.untold.admitted.saturating_sub(1);
+        if let Some(usage) = self.tenants.get_mut(tenant) {
+            usage.unreported.admitted = usage.unreported.admitted.saturating_sub(1);
         }
     }
 
-    /// Whether so many requests of the tenant arrived that they should be told at once.
+    /// Whether the tenant's unreported requests are so many that they should be reported at once.
     pub fn is_unusual(&self, tenant: &str) -> bool {
-        self.tenants.get(tenant).is_some_and(TenantUse::is_unusual)
+        self.tenants.get(tenant).is_some_and(TenantUsage::is_unusual)
     }
 
-    /// Time in which the requests arrived that are to be told now.
+    /// Time in which the unreported requests arrived; 0 before the first request.
     pub fn untold_for(&self, now: Instant) -> Duration {
-        self.told_until.or(self.answered).map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
+        self.reported_until.or(self.answered_at).map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
-    /// What is to be told now. It counts as told until it is answered or restored.
+    /// Starts a report: returns the unreported usage by tenant, which is in the report until
+    /// [`Self::take_answer`], [`Self::forget_report`] or [`Self::restore_report`] is called.
     pub fn begin_report(&mut self, now: Instant) -> Vec<(String, Usage)> {
-        self.reported = Some(now);
+        self.report_started_at = Some(now);
         let mut report = Vec::new();
-        for (name, of_tenant) in &mut self.tenants {
-            let untold = std::mem::take(&mut of_tenant.untold);
-            of_tenant.told = untold;
-            if !untold.is_empty() {
-                report.push((name.to_string(), untold));
+        for (name, usage) in &mut self.tenants {
+            let unreported = std::mem::take(&mut usage.unreported);
+            usage.in_report = unreported;
+            if !unreported.is_empty() {
+                report.push((name.to_string(), unreported));
             }
         }
         report
     }
 
-    /// Takes back a report that was not answered: it is told again, and counted twice where the
-    /// head took it.
+    /// Adds the usage of a report that was not answered to the next one. It is counted twice if the
+    /// head had received the report.
     pub fn restore_report(&mut self) {
-        for of_tenant in self.tenants.values_mut() {
-            let told = std::mem::take(&mut of_tenant.told);
-            of_tenant.untold.add(told);
+        for usage in self.tenants.values_mut() {
+            let in_report = std::mem::take(&mut usage.in_report);
+            usage.unreported.add(in_report);
         }
     }
 
-    /// The last report was taken, but says nothing of what may pass.
+    /// Completes a report that was counted but whose answer is not to be used: the ratios stay as they
+    /// were, and the last answer ages.
     pub fn forget_report(&mut self) {
-        self.told_until = self.reported.take();
-        for of_tenant in self.tenants.values_mut() {
-            of_tenant.told = Usage::default();
+        self.reported_until = self.report_started_at.take();
+        for usage in self.tenants.values_mut() {
+            usage.in_report = Usage::default();
         }
     }
 
-    /// Takes the answer to the last report.
+    /// Applies the answer to the last report.
     pub fn take_answer(&mut self, answer: &UsageAnswer, now: Instant) {
-        self.answered = Some(now);
+        self.answered_at = Some(now);
         self.was_answered = true;
-        self.told_until = self.reported.take();
-        let pass = |pass: f32| f64::from(pass).clamp(0.0, 1.0);
-        self.passes = answer.passes.iter().map(|(name, share)| (name.clone(), pass(*share))).collect();
-        for (name, of_tenant) in &mut self.tenants {
-            let told = std::mem::take(&mut of_tenant.told);
-            of_tenant.usual += USUAL_WEIGHT * (f64::from(told.offered) - of_tenant.usual);
-            // A head that begins may not know yet of a tenant that another one held back.
-            let most = RISE * of_tenant.pass + LEAST_RISE;
-            of_tenant.pass = self.passes.get(&**name).copied().unwrap_or(1.0).min(most);
+        self.reported_until = self.report_started_at.take();
+        let clamped = |ratio: f32| f64::from(ratio).clamp(0.0, 1.0);
+        self.admit_ratios = answer.passes.iter().map(|(name, ratio)| (name.clone(), clamped(*ratio))).collect();
+        for (name, usage) in &mut self.tenants {
+            let in_report = std::mem::take(&mut usage.in_report);
+            usage.average_offered += AVERAGE_WEIGHT * (f64::from(in_report.offered) - usage.average_offered);
+            // A new head may not know yet of a tenant whose ratio its predecessor had reduced.
+            let most = RATIO_RISE_FACTOR * usage.admit_ratio + RATIO_RISE_STEP;
+            usage.admit_ratio = self.admit_ratios.get(&**name).copied().unwrap_or(1.0).min(most);
         }
     }
 
-    /// Time since a head last answered; `None` before the first request.
+    /// Time since a head last answered, or since the first request before the first answer; `None` before
+    /// the first request.
     pub fn answer_age(&self, now: Instant) -> Option<Duration> {
-        self.answered.map(|at| now.saturating_duration_since(at))
+        self.answered_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Share of the tenant's requests that may pass.
+    /// Part of the tenant's requests that the last answer admits, 0 to 1; 1 where it does not name the
+    /// tenant.
     pub fn pass(&self, tenant: &str) -> f64 {
-        self.passes.get(tenant).copied().unwrap_or(1.0)
+        self.admit_ratios.get(tenant).copied().unwrap_or(1.0)
     }
 
-    /// Forgets tenants that are no longer there.
+    /// Removes the tenants for which `is_there` does not hold.
     pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
         self.tenants.retain(|name, _| is_there(name));
     }
--- a/src/decision/quota/part.rs
+++ b/src/decision/quota/part.rs
@@ -1,58 +1,59 @@
-//! The part of a tenant's quota that an instance admits which hears from no head: the rate and the
-//! burst, divided by the number of instances.
+//! The equal share of a tenant's quota, for an instance without a current answer from a head: a token
+//! bucket with the rate and the burst divided by the number of instances.
 //!
-//! **Inputs**: the quota; the number of instances in the view, which is not bounded in age while
-//! the store is unreachable.
+//! **Inputs**: the quota; the number of instances in the view, whose age is not bounded while the
+//! store is unreachable.
 //!
-//! It begins with one request: what was let through before the process started is not known.
+//! The bucket starts with one token: requests admitted before the process started are unknown.
 //!
-//! **Why.** The parts of all instances sum to the quota whoever hears whom, so that a hall, a region
-//! or a machine that is cut off serves on. Where a part of the burst is below one request, one is
-//! kept: an instance then serves a tenant's first request.
+//! **Why.** The shares of all instances sum to the quota whichever of them can communicate, so that a
+//! hall, a region or a machine that is cut off continues to serve. Where the share of the burst is
+//! below one request, the bucket holds one, so that an instance serves a tenant's first request.
 //!
-//! **Guards** the promise that a tenant's quota holds where instances cannot talk.
+//! **Guards** the promise that a tenant's quota holds where instances cannot communicate.
 //! **Test**: `tests/quotas.rs`, `tests/quota_replay.rs`.
 
 use crate::clock::Instant;
 use crate::model::config::Quota;
 
-/// Instances that are assumed where this one is in no list of them: it cannot tell then how many
-/// others know as little.
-const UNKNOWN_FLEET: usize = 100;
+/// Number of instances assumed while this one is not among the members: it cannot know then how many
+/// others are in the same state.
+const DEFAULT_FLEET_SIZE: usize = 100;
 
-/// Who shares a quota.
+/// The instances among which a quota is divided.
 #[derive(Clone, Copy, Debug)]
 pub struct Fleet {
     /// Instances in the view.
     pub members: usize,
-    /// Whether this one is among them.
+    /// Whether this instance is among them.
     pub is_member: bool,
 }
 
 impl Fleet {
-    /// Instances that share a quota.
+    /// Number of instances by which the quota is divided: at least 1, or 100 while this one is not a
+    /// member.
     pub fn size(self) -> f64 {
-        let least = if self.is_member { 1 } else { UNKNOWN_FLEET };
+        let least = if self.is_member { 1 } else { DEFAULT_FLEET_SIZE };
         self.members.max(least) as f64
     }
 }
 
-/// Requests of a tenant that this instance may let through by itself.
+/// Token bucket of one tenant at this instance.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Part {
-    saved: Option<f64>,
-    at: Option<Instant>,
+    tokens: Option<f64>,
+    updated_at: Option<Instant>,
 }
 
 impl Part {
-    /// Pays for a request; false where the part is used up.
+    /// Takes a token for a request; false where none is left. `quota` is that of all instances together.
     pub fn take(&mut self, quota: Quota, fleet: Fleet, now: Instant) -> bool {
-        let most = (quota.burst / fleet.size()).max(1.0);
-        let passed = self.at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-        self.at = Some(now);
-        let saved = (self.saved.unwrap_or(1.0) + passed * quota.rate / fleet.size()).min(most);
-        let is_paid = saved >= 1.0;
-        self.saved = Some(if is_paid { saved - 1.0 } else { saved });
-        is_paid
+        let max_tokens = (quota.burst / fleet.size()).max(1.0);
+        let elapsed = self.updated_at.map_or(0.0, |updated_at| now.saturating_duration_since(updated_at).as_secs_f64());
+        self.updated_at = Some(now);
+        let tokens = (self.tokens.unwrap_or(1.0) + elapsed * quota.rate / fleet.size()).min(max_tokens);
+        let is_taken = tokens >= 1.0;
+        self.tokens = Some(if is_taken { tokens - 1.0 } else { tokens });
+        is_taken
     }
 }
--- a/src/decision/quota/tenant_window.rs
+++ b/src/decision/quota/tenant_window.rs
@@ -1,26 +1,27 @@
-//! One tenant's requests over all instances in the operators' window, and the share of its requests
-//! that may pass.
+//! One tenant's requests over all instances in the operators' window, and the ratio at which its
+//! requests are admitted.
 //!
 //! **Inputs**
 //! - The tenant's quota, from the configuration in force; as old as the view. In a window it is the
-//!   rate times the window, and the burst.
-//! - Requests that instances let through and that arrived there, by hall, told 0.2 to 0.5 s later.
-//! - The part of the quota that is not left to instances that are not heard from, 0 to 1, and the
-//!   halls that are heard from.
+//!   rate times the window, plus the burst.
+//! - Requests that arrived at instances and those admitted, by hall, reported 0.2 to 0.5 s later.
+//! - The part of the quota that is not left to unreachable instances, 0 to 1, and which halls are
+//!   reachable.
 //!
-//! **Why.** A share lets all instances refuse alike, wherever the callers come in, and needs no
-//! message for a request. The window is the operators' own measure: a tenant that is always above
-//! its rate is served the burst in each window, where tokens that are saved up serve it once. It
-//! fills at a rate that falls with what is left of it, beyond what leaves it, so that word of the last
-//! requests comes before it is full. Of more than the average that leaves at one moment only that is
-//! let in at once: a burst does not come again with each window.
+//! **Why.** With one ratio all instances refuse alike, wherever callers connect, and no message is
+//! needed per request. The window is the operators' own measure: a tenant that is always above its
+//! rate is granted the burst in each window, where a token bucket would grant it once. Requests are
+//! admitted at the rate at which others leave the window, plus one that falls with the room left in
+//! it, so that reports of the last requests arrive before it is full. Where more than the average
+//! leaves at one moment, only the average is replaced at once, so that a burst does not recur in each
+//! window.
 //!
-//! A step comes to all halls at one moment, and word of it from the others later than from the own
-//! one: what the own hall's requests have grown by is expected of the others until they tell more
+//! A step in demand reaches all halls at the same moment, but is reported later by the others than by
+//! the own one: until they report, they are expected to have grown as the own hall has
 //! ([`super::hall_demand`]).
 //!
-//! What a head does not know, since it began within the window, counts as used up, and leaves the
-//! window at the tenant's rate.
+//! A head that took over within the window does not know the requests admitted before. It assumes that
+//! they used up the quota, and that they leave the window at the tenant's rate.
 //!
 //! **Guards** the promise that a tenant's requests stay within its quota over all instances, and
 //! that one below its quota is not refused. **Test**: `tests/quotas.rs`, `tests/quota_replay.rs`.
@@ -32,45 +33,46 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Slots of a window. It is counted up to a slot longer, never shorter.
+/// Slots of a window. Requests count for up to one slot longer than the window, never shorter.
 const SLOTS: usize = 20;
-/// Slots by which it is known how much leaves the window next: two, about the time until word comes.
-const LEAVING_SLOTS: usize = 2;
-/// Time over which demand is averaged: long against the time between two reports (0.2 s), short
-/// against a window.
-const DEMAND_TIME: Duration = Duration::from_millis(350);
-/// Shortest time for which a report stands: of one that covers less the demand would be by chance.
-const SHORTEST_REPORT: Duration = Duration::from_millis(100);
-/// Time in which what is left of a window is used up: over twice the time from a request to the share
-/// that follows from it.
+/// Slots from which the rate is computed at which requests leave the window next: two are about the time
+/// until reports arrive.
+const EXPIRING_SLOTS: usize = 2;
+/// Time constant of the average demand: long compared with the report interval (0.2 s), short compared
+/// with a window.
+const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(350);
+/// Shortest time that a report is taken to cover: demand computed over less would be random.
+const MIN_REPORT_TIME: Duration = Duration::from_millis(100);
+/// Time in which the rest of a window is used up: over twice the time from a request to the ratio that
+/// takes it into account.
 const FILL_TIME: Duration = Duration::from_millis(1200);
 
-/// A tenant's quota, as far as it is shared out by a head.
+/// A tenant's quota as a limit on the requests in a window.
 #[derive(Clone, Copy, Debug)]
 pub struct SharedQuota {
     /// The tenant's quota.
     pub quota: Quota,
-    /// The operators' window.
+    /// Length of the operators' window.
     pub window: Duration,
-    /// Requests besides in a window, for counts that are late.
+    /// Additional requests in a window, for late reports.
     pub slack: f64,
-    /// Part of the quota that is shared out here, 0 to 1.
+    /// Part of the quota that the head grants, 0 to 1; unreachable instances use the rest.
     pub part: f64,
 }
 
 impl SharedQuota {
-    /// Most requests in a window.
+    /// Most requests in a window, including the slack.
     pub fn most(&self) -> f64 {
         self.quota() + self.slack * self.part
     }
 
-    /// The same without the slack.
+    /// Most requests in a window, without the slack.
     fn quota(&self) -> f64 {
         (self.quota.rate * self.window.as_secs_f64() + self.quota.burst) * self.part
     }
 }
 
-/// Requests of a hall's callers that were let through, by slot.
+/// Requests that a hall's instances admitted, by slot.
 #[derive(Clone, Debug, Default)]
 struct HallCounts {
     slots: [i64; SLOTS + 1],
@@ -92,127 +94,127 @@
 #[derive(Clone, Debug)]
 pub struct TenantWindow {
     halls: BTreeMap<String, HallCounts>,
-    /// Number of the slot now.
+    /// Number of the current slot, counted from `started_at`.
     slot: u64,
     /// Length of a slot, seconds.
     slot_time: f64,
-    begun: Instant,
-    /// Requests that arrive, a second, with less weight the longer ago; too low at first.
+    started_at: Instant,
+    /// Exponentially weighted average of requests that arrive, per second; too low at first.
     demand: f64,
-    /// The same by hall, as far as a hall's growth tells of the others.
+    /// Demand by hall, from which that of halls without a recent report is estimated.
     by_hall: HallDemands,
-    /// The share that was answered last.
-    last_pass: f64,
-    /// Longest time before the first report in which told requests had arrived, seconds.
-    seen_before: f64,
-    at: Instant,
+    /// The ratio that was computed last.
+    last_ratio: f64,
+    /// Longest time covered by one report, seconds: requests of the first one arrived before `started_at`.
+    max_report_time: f64,
+    updated_at: Instant,
 }
 
-/// Weight of the last so many seconds in the average demand.
-fn weight_of(seconds: f64) -> f64 {
-    1.0 - (-seconds / DEMAND_TIME.as_secs_f64()).exp()
+/// Weight of the last `seconds` in the average demand, 0 to 1.
+fn average_weight(seconds: f64) -> f64 {
+    1.0 - (-seconds / DEMAND_TIME_CONSTANT.as_secs_f64()).exp()
 }
 
 impl TenantWindow {
-    /// The window of a tenant of which nothing was told yet.
+    /// An empty window, which estimates no other hall's demand.
     pub fn new(now: Instant) -> Self {
         Self {
             halls: BTreeMap::new(),
             slot: 0,
             slot_time: 1.0,
-            begun: now,
+            started_at: now,
             demand: 0.0,
             by_hall: HallDemands::default(),
-            last_pass: 1.0,
-            seen_before: 0.0,
-            at: now,
+            last_ratio: 1.0,
+            max_report_time: 0.0,
+            updated_at: now,
         }
     }
 
-    /// The window at the head of a hall, which expects of other halls what it sees in its own.
+    /// An empty window at the head of `hall`, which expects growth in its own hall to occur in others too.
     pub fn of_hall(hall: &str, now: Instant) -> Self {
         Self { by_hall: HallDemands::of_hall(hall), ..Self::new(now) }
     }
 
-    /// Counts requests that instances of a hall told, which arrived within the last `over`.
+    /// Counts requests that a hall reported, and which arrived within the last `over`.
     pub fn record(&mut self, hall: &str, usage: Usage, over: Duration, shared: SharedQuota, now: Instant) {
         self.advance(shared, now);
-        let slot = self.slot_now();
+        let slot = self.current_slot();
         if !self.halls.contains_key(hall) {
             self.halls.insert(hall.to_owned(), HallCounts::default());
         }
         if let Some(counts) = self.halls.get_mut(hall) {
             counts.add(slot, usage.admitted.into());
         }
-        self.by_hall.record(hall, usage.offered, over.max(SHORTEST_REPORT), now);
-        let over = over.max(SHORTEST_REPORT).as_secs_f64();
-        self.seen_before = self.seen_before.max(over);
-        self.demand += f64::from(usage.offered) / over * weight_of(over);
+        self.by_hall.record(hall, usage.offered, over.max(MIN_REPORT_TIME), now);
+        let over = over.max(MIN_REPORT_TIME).as_secs_f64();
+        self.max_report_time = self.max_report_time.max(over);
+        self.demand += f64::from(usage.offered) / over * average_weight(over);
     }
 
-    /// The share of the tenant's requests that may pass now, 0 to 1. `is_heard` says of a hall
-    /// whether it is heard from, `known_for` for how long.
+    /// Part of the tenant's requests to admit now, 0 to 1. `is_reachable` states whether a hall is
+    /// reachable, `known_for` for how long this head has known all admitted requests.
     pub fn pass(
         &mut self,
         shared: SharedQuota,
-        is_heard: impl Fn(&str) -> bool,
+        is_reachable: impl Fn(&str) -> bool,
         known_for: Duration,
         now: Instant,
     ) -> f64 {
         self.advance(shared, now);
         let rate = shared.quota.rate * shared.part;
         let unknown = (shared.quota() - rate * known_for.as_secs_f64()).max(0.0);
-        // Half of the slack is left for what was let through before this head began.
+        // Half of the slack is left for requests admitted before this instance became head.
         let most = if unknown > 0.0 { (shared.quota() + shared.most()) / 2.0 } else { shared.most() };
-        let told = self.used(&is_heard) + unknown;
-        let free = if most > 0.0 { (1.0 - told / most).clamp(0.0, 1.0) } else { 0.0 };
-        let (expected, untold) = self.by_hall.expected(&is_heard, free, now);
-        let used = told + untold * self.last_pass;
-        let left = most - used;
-        let unknown_leaving = if unknown > 0.0 { rate } else { 0.0 };
-        let leaving = (self.leaving(is_heard) + unknown_leaving).min(used / shared.window.as_secs_f64());
-        let allowed = leaving + left / FILL_TIME.as_secs_f64();
+        let reported = self.used(&is_reachable) + unknown;
+        let free = if most > 0.0 { (1.0 - reported / most).clamp(0.0, 1.0) } else { 0.0 };
+        let (expected, unreported) = self.by_hall.expected(&is_reachable, free, now);
+        let used = reported + unreported * self.last_ratio;
+        let remaining = most - used;
+        let unknown_expiring = if unknown > 0.0 { rate } else { 0.0 };
+        let expiring = (self.expiring_rate(is_reachable) + unknown_expiring).min(used / shared.window.as_secs_f64());
+        let allowed = expiring + remaining / FILL_TIME.as_secs_f64();
         let demand = self.demand().max(expected);
-        self.last_pass = if allowed >= demand { 1.0 } else { (allowed / demand).max(0.0) };
-        self.last_pass
+        self.last_ratio = if allowed >= demand { 1.0 } else { (allowed / demand).max(0.0) };
+        self.last_ratio
     }
 
-    /// Requests let through in the window, in halls that are heard from.
-    pub fn used(&self, is_heard: impl Fn(&str) -> bool) -> f64 {
-        let heard = self.halls.iter().filter(|(hall, _)| is_heard(hall));
-        heard.map(|(_, counts)| counts.total).sum::<i64>().max(0) as f64
+    /// Requests admitted in the window, in halls for which `is_reachable` holds.
+    pub fn used(&self, is_reachable: impl Fn(&str) -> bool) -> f64 {
+        let reachable = self.halls.iter().filter(|(hall, _)| is_reachable(hall));
+        reachable.map(|(_, counts)| counts.total).sum::<i64>().max(0) as f64
     }
 
-    /// Requests, a second, that will leave the window next.
-    fn leaving(&self, is_heard: impl Fn(&str) -> bool) -> f64 {
-        let next = (1..=LEAVING_SLOTS).map(|ahead| (self.slot as usize + ahead) % (SLOTS + 1));
-        let heard = self.halls.iter().filter(|(hall, _)| is_heard(hall));
-        let count: i64 = heard.map(|(_, counts)| next.clone().map(|slot| counts.slots[slot]).sum::<i64>()).sum();
-        count.max(0) as f64 / (LEAVING_SLOTS as f64 * self.slot_time)
+    /// Rate at which requests will leave the window next, per second.
+    fn expiring_rate(&self, is_reachable: impl Fn(&str) -> bool) -> f64 {
+        let next = (1..=EXPIRING_SLOTS).map(|ahead| (self.slot as usize + ahead) % (SLOTS + 1));
+        let reachable = self.halls.iter().filter(|(hall, _)| is_reachable(hall));
+        let count: i64 = reachable.map(|(_, counts)| next.clone().map(|slot| counts.slots[slot]).sum::<i64>()).sum();
+        count.max(0) as f64 / (EXPIRING_SLOTS as f64 * self.slot_time)
     }
 
-    /// Requests that arrive, a second, on average since the first were told.
+    /// Requests that arrive per second, admitted or not; a moving average since the first report.
     pub fn demand(&self) -> f64 {
-        let seen = self.at.saturating_duration_since(self.begun).as_secs_f64() + self.seen_before;
-        if seen > 0.0 { self.demand / weight_of(seen) } else { 0.0 }
+        let observed = self.updated_at.saturating_duration_since(self.started_at).as_secs_f64() + self.max_report_time;
+        if observed > 0.0 { self.demand / average_weight(observed) } else { 0.0 }
     }
 
-    fn slot_now(&self) -> usize {
+    fn current_slot(&self) -> usize {
         self.slot as usize % (SLOTS + 1)
     }
 
-    /// Lets go of what has left the window.
+    /// Advances the window to `now`, and drops the requests that have left it.
     fn advance(&mut self, shared: SharedQuota, now: Instant) {
-        let passed = now.saturating_duration_since(self.at).as_secs_f64();
-        self.at = now;
-        self.demand *= (-passed / DEMAND_TIME.as_secs_f64()).exp();
+        let elapsed = now.saturating_duration_since(self.updated_at).as_secs_f64();
+        self.updated_at = now;
+        self.demand *= (-elapsed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
         self.slot_time = shared.window.as_secs_f64() / SLOTS as f64;
-        let slot = (now.saturating_duration_since(self.begun).as_secs_f64() / self.slot_time) as u64;
+        let slot = (now.saturating_duration_since(self.started_at).as_secs_f64() / self.slot_time) as u64;
         let first = self.slot + 1;
         let last = slot.min(self.slot + SLOTS as u64 + 1);
         for cleared in first..=last {
-            let place = cleared as usize % (SLOTS + 1);
-            self.halls.values_mut().for_each(|counts| counts.clear(place));
+            let index = cleared as usize % (SLOTS + 1);
+            self.halls.values_mut().for_each(|counts| counts.clear(index));
         }
         self.slot = slot.max(self.slot);
     }
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -1,16 +1,16 @@
-//! Totals of all tenants, as the head of a hall knows them: a window a tenant, whom it hears from,
-//! and what other halls lack.
+//! Usage of all tenants as the head of a hall aggregates it: a window for each tenant, which instances
+//! and halls are reachable, and the usage that other halls still have to be sent.
 //!
 //! **Inputs**
 //! - Reports of instances of the own hall and of other halls' heads, 0.2 to 0.5 s old.
 //! - The members; as old as the view.
 //!
-//! **Why.** Instances that are not heard from admit their equal parts by themselves; the rate is
-//! reduced by these parts, so that both together keep the quota. A member that is dead counts as one
-//! that is not heard from, until its lease ends.
+//! **Why.** Instances that do not report admit their equal shares on their own; the rate that the head
+//! grants is reduced by these shares, so that both together keep the quota. A dead member counts as
+//! one that does not report until its lease ends.
 //!
-//! An instance that has not been told anything for a while begins anew: what it knew says nothing of
-//! the time in which another was head.
+//! An instance that has received no report for a while starts with empty totals: its earlier ones
+//! lack the time in which another instance was head.
 //!
 //! **Guards** the promises of [`super::tenant_window`]. **Test**: `tests/quotas.rs`,
 //! `tests/quota_replay.rs`.
@@ -24,40 +24,41 @@
 use std::collections::{BTreeSet, HashMap};
 use std::time::Duration;
 
-/// Time without a report after which an instance or a hall counts as not heard from: twice the time
-/// between two reports of a head, and some work. Where one is late, a part of the quota lies idle for a moment.
-const SILENT_AFTER: Duration = Duration::from_millis(800);
-/// Time for which a head that begins takes all others for heard from: two silent calls to a dead head
-/// before it, and the time between two reports. What it answers itself meanwhile does not count where
-/// it hears from no other.
-const BEGIN_FOR: Duration = Duration::from_millis(1_200);
-/// Time without any report after which what was known is forgotten.
-const FORGET_AFTER: Duration = Duration::from_secs(2);
-/// Longest time before it was told anything for which a head credits a tenant's rate: requests that
-/// no other head took, since it had died.
-const MAX_CREDIT: Duration = Duration::from_secs(1);
-/// Time for which it is not worked out again who is heard from.
-const FLEET_AGE: Duration = Duration::from_millis(100);
-/// Part of the operators' slack that is used (no unit): the rest is left for what is let through
-/// before word of it comes.
-const SLACK_USED: f64 = 0.5;
-/// Requests of a tenant from which another hall is told at once: so many seconds of the hall's part
-/// of its rate, and at least [`LEAST_URGENT`]. At their quota, callers send 0.4 s of it between two
-/// reports.
-const URGENT: f64 = 0.5;
-/// See [`URGENT`].
-const LEAST_URGENT: f64 = 4.0;
+/// Time without a report after which an instance or a hall counts as unreachable: twice the time between
+/// two reports of a head, plus some processing time. While a report is late, its part of the quota stays
+/// unused.
+const UNREACHABLE_AFTER: Duration = Duration::from_millis(800);
+/// Time for which a new head treats all others as reachable: two calls to its dead predecessor that time
+/// out, and one report interval. Its answers to its own reports are not used meanwhile if no other
+/// instance reports to it.
+const STARTUP_TIME: Duration = Duration::from_millis(1_200);
+/// Time without any report after which the totals are dropped.
+const RESET_AFTER: Duration = Duration::from_secs(2);
+/// Longest time before its first report for which a new head takes a tenant's usage as known: no other
+/// head has counted those requests, since the previous one was dead.
+const MAX_KNOWN_BEFORE_START: Duration = Duration::from_secs(1);
+/// Time for which [`Reachability`] is not computed again.
+const MAX_REACHABILITY_AGE: Duration = Duration::from_millis(100);
+/// Part of the operators' slack that heads grant (no unit): the rest is left for requests admitted
+/// before reports of them arrive.
+const GRANTED_SLACK: f64 = 0.5;
+/// Unsent requests of a tenant from which another hall is sent a report at once: as many as the hall's
+/// part of the tenant's rate allows in this many seconds, and at least [`MIN_URGENT_REQUESTS`]. Callers
+/// at their quota send 0.4 s of it between two reports.
+const URGENT_SECONDS: f64 = 0.5;
+/// See [`URGENT_SECONDS`].
+const MIN_URGENT_REQUESTS: f64 = 4.0;
 
-/// This instance, as others know it.
+/// Name and hall of this instance.
 #[derive(Clone, Copy, Debug)]
 pub struct Place<'a> {
-    /// Its name.
+    /// Instance name, unique among the members.
     pub name: &'a str,
-    /// Its hall.
+    /// Hall, from the settings.
     pub hall: &'a str,
 }
 
-/// What all instances may do: the tenants' quotas and who there is.
+/// Configuration and members on which a head's computations depend.
 #[derive(Clone, Copy, Debug)]
 pub struct Rules<'a> {
     /// Tenants of the configuration in force.
@@ -72,45 +73,47 @@
     pub own: Place<'a>,
 }
 
-/// What a head knows.
+/// Usage of all tenants, as the head of a hall aggregates it.
 #[derive(Debug, Default)]
 pub struct Totals {
     windows: HashMap<String, TenantWindow>,
-    /// When an instance of the own hall, by name, last told something.
-    members_heard: HashMap<String, Instant>,
-    /// When another hall last told something.
-    halls_heard: HashMap<String, Instant>,
+    /// When each instance of the own hall last reported, by name.
+    member_reports: HashMap<String, Instant>,
+    /// When each other hall last reported.
+    hall_reports: HashMap<String, Instant>,
     outboxes: Outboxes,
-    began: Option<Instant>,
-    /// Since when it knows all that was let through.
-    known_since: Option<Instant>,
-    last: Option<Instant>,
-    fleet: Option<FleetNow>,
+    /// When this instance became head.
+    head_since: Option<Instant>,
+    /// Time from which all admitted requests are known.
+    complete_since: Option<Instant>,
+    /// When the last report arrived.
+    last_report_at: Option<Instant>,
+    reachability: Option<Reachability>,
 }
 
-/// Who there is and who is heard from, worked out now and then.
+/// Other halls, and which of them and of the instances are reachable.
 #[derive(Debug)]
-struct FleetNow {
-    /// Part of the instances that are heard from, 0 to 1.
-    part: f64,
+struct Reachability {
+    /// Part of the instances that is reachable, 0 to 1.
+    fraction: f64,
     /// The other halls.
     halls: Vec<String>,
-    /// Those that are not heard from.
-    silent_halls: Vec<String>,
-    at: Instant,
+    /// Other halls that are not reachable.
+    unreachable_halls: Vec<String>,
+    computed_at: Instant,
 }
 
 impl Totals {
-    /// Takes a report, and gives the answer to it.
+    /// Counts a report, and returns the answer to it.
     pub fn take(&mut self, report: &UsageReport, rules: Rules<'_>, now: Instant) -> UsageAnswer {
         let over = Duration::from_millis(report.over_ms.into());
-        self.begin(over, now);
+        self.reset_if_idle(over, now);
         let is_of_hall = report.hall == rules.own.hall;
         match is_of_hall {
-            true => self.members_heard.insert(report.from.clone(), now),
-            false => self.halls_heard.insert(report.hall.clone(), now),
+            true => self.member_reports.insert(report.from.clone(), now),
+            false => self.hall_reports.insert(report.hall.clone(), now),
         };
-        let part = self.fleet(rules, now).part;
+        let part = self.reachability(rules, now).fraction;
         for (name, usage) in &report.tenants {
             let Some(shared) = shared(name, rules, part) else { continue };
             if !self.windows.contains_key(name) {
@@ -121,131 +124,138 @@
             }
         }
         if is_of_hall && !report.is_forwarded {
-            self.keep_for_others(&report.tenants, now);
+            self.add_for_other_halls(&report.tenants, now);
         }
         self.answer(rules, now)
     }
 
-    /// The shares that may pass now.
+    /// The ratios at which tenants' requests are to be admitted now.
     pub fn answer(&mut self, rules: Rules<'_>, now: Instant) -> UsageAnswer {
-        let part = self.fleet(rules, now).part;
-        let known_for = self.known_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
-        let silent = self.fleet.as_ref().map_or(&[][..], |fleet| &fleet.silent_halls);
-        let is_heard = |hall: &str| !silent.iter().any(|silent| silent == hall);
+        let part = self.reachability(rules, now).fraction;
+        let known_for = self.complete_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
+        let unreachable = self.reachability.as_ref().map_or(&[][..], |reachability| &reachability.unreachable_halls);
+        let is_reachable = |hall: &str| !unreachable.iter().any(|unreachable| unreachable == hall);
         let mut passes = Vec::new();
         for (name, window) in &mut self.windows {
             let Some(shared) = shared(name, rules, part) else { continue };
-            let pass = window.pass(shared, is_heard, known_for, now);
-            if pass < 1.0 {
-                passes.push((name.clone(), pass as f32));
+            let ratio = window.pass(shared, is_reachable, known_for, now);
+            if ratio < 1.0 {
+                passes.push((name.clone(), ratio as f32));
             }
         }
         UsageAnswer { passes, ..UsageAnswer::default() }
     }
 
-    /// Whether this instance was told something lately, so that it is some instances' head.
+    /// Whether this instance received a report recently, so that it is the head of some instances.
     pub fn is_head(&self, now: Instant) -> bool {
-        self.last.is_some_and(|last| now.saturating_duration_since(last) < FORGET_AFTER)
+        self.last_report_at.is_some_and(|last_report_at| now.saturating_duration_since(last_report_at) < RESET_AFTER)
     }
 
-    /// Whether this instance is not the only one that it knows of, but heard from no other: it may be
-    /// cut off from them.
+    /// Whether there were other members recently, but none reports to this instance: it may be cut off
+    /// from them.
     pub fn is_alone(&self, rules: Rules<'_>, now: Instant) -> bool {
-        rules.members.recent_count(now) > 1 && !self.hears_others(rules.own)
+        rules.members.recent_count(now) > 1 && !self.has_other_reports(rules.own)
     }
 
-    fn hears_others(&self, own: Place<'_>) -> bool {
-        self.members_heard.keys().any(|name| *name != *own.name) || !self.halls_heard.is_empty()
+    fn has_other_reports(&self, own: Place<'_>) -> bool {
+        self.member_reports.keys().any(|name| *name != *own.name) || !self.hall_reports.is_empty()
     }
 
-    /// Takes out what a hall has to be told, and the time in which it arrived.
+    /// Removes and returns the usage to be sent to a hall, and the time since the first of it was added.
     pub fn begin_forward(&mut self, hall: &str, now: Instant) -> (Vec<(String, Usage)>, Duration) {
         self.outboxes.take(hall, now)
     }
 
-    /// Puts back what a hall was not told.
+    /// Puts back usage that could not be sent to a hall.
     pub fn restore_forward(&mut self, hall: &str, tenants: Vec<(String, Usage)>, now: Instant) {
         self.outboxes.keep(hall, &tenants, now);
     }
 
-    /// Whether this head began so lately that what it answers rests on little.
-    fn begins(&self) -> bool {
-        self.began.zip(self.last).is_some_and(|(began, last)| last.saturating_duration_since(began) < BEGIN_FOR)
+    /// Whether this instance became head so recently that its answers rest on few reports.
+    fn is_starting(&self) -> bool {
+        self.head_since.zip(self.last_report_at).is_some_and(|(head_since, last_report_at)| {
+            last_report_at.saturating_duration_since(head_since) < STARTUP_TIME
+        })
     }
 
-    /// Whether a hall lacks so much of a tenant that it should be told at once; all that was told to a
-    /// head that begins is.
+    /// Whether so many requests of a tenant are still to be sent to another hall that it should be done
+    /// at once. For a new head any usage is urgent.
     pub fn is_urgent(&self, rules: Rules<'_>) -> bool {
-        let halls = self.fleet.as_ref().map_or(1, |fleet| fleet.halls.len() + 1);
-        self.outboxes.is_first_due()
-            || (self.begins() && !self.outboxes.is_empty())
+        let halls = self.reachability.as_ref().map_or(1, |reachability| reachability.halls.len() + 1);
+        self.outboxes.is_first_pending()
+            || (self.is_starting() && !self.outboxes.is_empty())
             || self.outboxes.any(|name, usage| {
-                let much = |rate: f64| (URGENT * rate / halls as f64).max(LEAST_URGENT);
-                quota(name, rules).is_some_and(|quota| f64::from(usage.offered) >= much(quota.rate))
+                let threshold = |rate: f64| (URGENT_SECONDS * rate / halls as f64).max(MIN_URGENT_REQUESTS);
+                quota(name, rules).is_some_and(|quota| f64::from(usage.offered) >= threshold(quota.rate))
             })
     }
 
-    /// Forgets tenants that are no longer there.
+    /// Removes the tenants for which `is_there` does not hold.
     pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
         self.windows.retain(|name, _| is_there(name));
     }
 
-    /// The window of a tenant, where something was told of it.
+    /// The window of a tenant; `None` where none of its requests were reported.
     pub fn window(&self, tenant: &str) -> Option<&TenantWindow> {
         self.windows.get(tenant)
     }
 
-    /// Begins anew where nothing was told for a while. The first report covers `over`, which no other
-    /// head was told of.
-    fn begin(&mut self, over: Duration, now: Instant) {
+    /// Starts with empty totals after a time without reports. `over` is the time that the first report
+    /// covers, whose requests no other head has counted.
+    fn reset_if_idle(&mut self, over: Duration, now: Instant) {
         if !self.is_head(now) {
-            let known_since = now.checked_sub(over.min(MAX_CREDIT)).or(Some(now));
-            *self = Self { began: Some(now), known_since, ..Self::default() };
+            let complete_since = now.checked_sub(over.min(MAX_KNOWN_BEFORE_START)).or(Some(now));
+            *self = Self { head_since: Some(now), complete_since, ..Self::default() };
         }
-        self.last = Some(now);
+        self.last_report_at = Some(now);
     }
 
-    fn keep_for_others(&mut self, tenants: &[(String, Usage)], now: Instant) {
-        let halls = self.fleet.as_ref().map_or_else(Vec::new, |fleet| fleet.halls.clone());
+    fn add_for_other_halls(&mut self, tenants: &[(String, Usage)], now: Instant) {
+        let halls = self.reachability.as_ref().map_or_else(Vec::new, |reachability| reachability.halls.clone());
         for hall in halls {
             self.outboxes.keep(&hall, tenants, now);
         }
     }
 
-    /// Who is heard from. At first all count as heard from.
-    fn fleet(&mut self, rules: Rules<'_>, now: Instant) -> &FleetNow {
-        let is_fresh = |fleet: &FleetNow| now.saturating_duration_since(fleet.at) < FLEET_AGE;
-        if !self.fleet.as_ref().is_some_and(is_fresh) {
-            self.members_heard.retain(|_, at| now.saturating_duration_since(*at) < SILENT_AFTER);
-            self.halls_heard.retain(|_, at| now.saturating_duration_since(*at) < SILENT_AFTER);
-            self.fleet = Some(self.look_at_fleet(rules, now));
+    /// Which halls and instances are reachable, computed at most every `MAX_REACHABILITY_AGE`. At first all
+    /// count as reachable.
+    fn reachability(&mut self, rules: Rules<'_>, now: Instant) -> &Reachability {
+        let is_fresh = |reachability: &Reachability| {
+            now.saturating_duration_since(reachability.computed_at) < MAX_REACHABILITY_AGE
+        };
+        if !self.reachability.as_ref().is_some_and(is_fresh) {
+            self.member_reports.retain(|_, at| now.saturating_duration_since(*at) < UNREACHABLE_AFTER);
+            self.hall_reports.retain(|_, at| now.saturating_duration_since(*at) < UNREACHABLE_AFTER);
+            self.reachability = Some(self.compute_reachability(rules, now));
         }
-        self.fleet.as_ref().expect("it was worked out")
+        self.reachability.as_ref().expect("computed above")
     }
 
-    fn look_at_fleet(&self, rules: Rules<'_>, now: Instant) -> FleetNow {
+    fn compute_reachability(&self, rules: Rules<'_>, now: Instant) -> Reachability {
         let all = rules.members.recent_count(now).max(1);
-        let heard = rules.members.iter().filter(|(name, member)| self.hears(name, &member.hall, rules, now)).count();
-        // Members that are gone lately may live, and admit their parts.
-        let part = heard as f64 / all as f64;
+        let reachable =
+            rules.members.iter().filter(|(name, member)| self.is_reachable(name, &member.hall, rules, now)).count();
+        // Members whose registrations ended recently may still run, and admit their equal shares.
+        let fraction = reachable as f64 / all as f64;
         let others = rules.members.iter().map(|(_, member)| &member.hall).filter(|hall| **hall != *rules.own.hall);
         let halls: BTreeSet<&String> = others.collect();
         let halls: Vec<String> = halls.into_iter().cloned().collect();
-        let silent_halls = halls.iter().filter(|hall| !self.hears("", hall, rules, now)).cloned().collect();
-        FleetNow { part, halls, silent_halls, at: now }
+        let unreachable_halls = halls.iter().filter(|hall| !self.is_reachable("", hall, rules, now)).cloned().collect();
+        Reachability { fraction, halls, unreachable_halls, computed_at: now }
     }
 
-    fn hears(&self, name: &str, hall: &str, rules: Rules<'_>, now: Instant) -> bool {
-        let is_recent = |at: Instant| now.saturating_duration_since(at) < SILENT_AFTER;
-        let begins = self.began.is_none_or(|began| now.saturating_duration_since(began) < BEGIN_FOR);
-        if name == rules.own.name || begins {
+    fn is_reachable(&self, name: &str, hall: &str, rules: Rules<'_>, now: Instant) -> bool {
+        let is_recent = |at: Instant| now.saturating_duration_since(at) < UNREACHABLE_AFTER;
+        let is_starting =
+            self.head_since.is_none_or(|head_since| now.saturating_duration_since(head_since) < STARTUP_TIME);
+        if name == rules.own.name || is_starting {
             return true;
         }
-        let heard = match hall == rules.own.hall {
-            true => self.members_heard.get(name),
-            false => self.halls_heard.get(hall),
+        let last_report = match hall == rules.own.hall {
+            true => self.member_reports.get(name),
+            false => self.hall_reports.get(hall),
         };
-        heard.copied().is_some_and(is_recent)
+        last_report.copied().is_some_and(is_recent)
     }
 }
 
@@ -254,5 +264,5 @@
 }
 
 fn shared(name: &str, rules: Rules<'_>, part: f64) -> Option<SharedQuota> {
-    Some(SharedQuota { quota: quota(name, rules)?, window: rules.window, slack: SLACK_USED * rules.slack, part })
+    Some(SharedQuota { quota: quota(name, rules)?, window: rules.window, slack: GRANTED_SLACK * rules.slack, part })
 }
