--- a/src/decision/refusal/mod.rs
+++ b/src/decision/refusal/mod.rs
@@ -1,7 +1,7 @@
-//! Who is turned away and told what: when a refused caller may return, what is held of answers, what
-//! a stopping instance still takes.
+//! Refusals: when a refused caller may return, how much of responses is held for slow callers, and which
+//! requests a stopping instance still serves.
 //!
-//! Owns nothing. The tables of [`crate::decision`] say what each rule promises.
+//! Owns nothing. The tables of [`crate::decision`] state what each rule promises.
 
 pub mod held_answers;
 pub mod retry_after;
--- a/src/decision/refusal/retry_after.rs
+++ b/src/decision/refusal/retry_after.rs
@@ -1,14 +1,14 @@
-//! Retry-After of a refusal for want of room: the time after which there is probably room
-//! again, spread so that callers who were refused together do not return together.
+//! Retry-After of a refusal for lack of capacity: the time after which capacity is likely to be
+//! available, with jitter so that callers refused together do not return together.
 //!
 //! **Inputs**
 //! - Median latency of the service's targets, seconds; 0.5 s old at most. Infinite before the
 //!   first answer.
 //! - A random number for each refusal.
 //!
-//! **Why.** A slot is free after a service time; those who were refused meanwhile return as
-//! well, so that a caller who comes at once is refused again, and callers who come together
-//! fill the targets together. Services differ in how long their work takes.
+//! **Why.** A slot becomes free after a service time. Callers refused in the meantime return as well,
+//! so a caller that returns immediately is refused again, and callers that return together fill the
+//! targets together. Service times differ between services.
 //!
 //! **Guards** the promise that a caller is told when to come back.
 //!
@@ -16,30 +16,30 @@
 
 use std::time::Duration;
 
-/// Median latencies until there is room (factor).
-const ROOM_AFTER: f64 = 3.0;
-/// The wait where no latency is known yet.
-const USUAL: Duration = Duration::from_millis(400);
-/// Shortest and longest wait before it is spread: a round trip between regions and some work, and
-/// the time that callers have.
-const SHORTEST: Duration = Duration::from_millis(100);
-const LONGEST: Duration = Duration::from_secs(2);
+/// Wait in median latencies (factor).
+const WAIT_LATENCIES: f64 = 3.0;
+/// Wait while no latency is known.
+const DEFAULT_WAIT: Duration = Duration::from_millis(400);
+/// Shortest wait before jitter: a round trip between regions and some processing time.
+const MIN_WAIT: Duration = Duration::from_millis(100);
+/// Longest wait before jitter: the time that callers have.
+const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// The wait of a caller whose tenant's quota is used up, before it is spread: a second of the rate.
-/// One who returns sooner takes the place of another of the same tenant.
+/// Wait of a caller whose tenant's quota is used up, before jitter: one second of the rate. A caller that
+/// returns sooner takes the place of another one of the same tenant.
 pub const QUOTA_WAIT: Duration = Duration::from_secs(1);
 
-/// The wait of a caller whose request no target takes by what it says itself, before it is spread: a
-/// second of the targets' limits.
+/// Wait of a caller whose request no target accepts because of what the targets themselves announced,
+/// before jitter: one second of their limits.
 pub const LIMIT_WAIT: Duration = Duration::from_secs(1);
 
-/// How long to wait until there is room at a service with this median latency, seconds.
-pub fn until_room(median: f64) -> Duration {
-    let wait = Duration::try_from_secs_f64(ROOM_AFTER * median).unwrap_or(USUAL);
-    wait.clamp(SHORTEST, LONGEST)
+/// Wait until a service with this median latency, in seconds, is likely to have capacity, before jitter.
+pub fn until_room(median_latency: f64) -> Duration {
+    let wait = Duration::try_from_secs_f64(WAIT_LATENCIES * median_latency).unwrap_or(DEFAULT_WAIT);
+    wait.clamp(MIN_WAIT, MAX_WAIT)
 }
 
-/// Half of a wait to one and a half, by a random number in [0, 1).
+/// Applies jitter: 0.5 to 1.5 times `wait`, for `random` in [0, 1).
 pub fn spread(wait: Duration, random: f64) -> Duration {
     wait.mul_f64(0.5 + random)
 }
