--- a/tests/quota_fleet/changes.rs
+++ b/tests/quota_fleet/changes.rs
@@ -1,4 +1,4 @@
-//! Instances that end, leave, start anew and come back.
+//! Instances that stop, leave the members, restart and come back.
 
 use super::Fleet;
 use lockloft::decision::quota::heads::heads;
@@ -6,50 +6,50 @@
 use lockloft::decision::quota::totals::Totals;
 
 impl Fleet {
-    /// Hall of an instance, by number.
+    /// Hall of an instance, by its number.
     pub fn hall(&self, number: usize) -> &str {
         &self.instances[number].hall
     }
 
-    /// The instance that is the head of a hall.
+    /// Number of the instance that is the head of a hall.
     pub fn head(&self, hall: &str) -> usize {
         let heads = heads(&self.members, |_| true);
         self.instances.iter().position(|instance| instance.name == heads[hall].name).unwrap()
     }
 
-    /// Ends an instance; the others see it go after a lease of 2.6 s.
+    /// Kills an instance. It stays a member until [`Self::remove_member`]; a lease lasts 2.6 s.
     pub fn kill(&mut self, number: usize) {
         self.instances[number].is_up = false;
     }
 
-    /// A killed instance leaves the members.
-    pub fn forget(&mut self, number: usize) {
+    /// Removes an instance from the members.
+    pub fn remove_member(&mut self, number: usize) {
         let (name, now) = (self.instances[number].name.clone(), self.instant());
         self.members.remove(&name, now);
     }
 
-    /// All instances start anew, knowing nothing.
+    /// Restarts all instances with empty state; messages in flight are lost.
     pub fn restart_all(&mut self) {
         for instance in &mut self.instances {
             (instance.own, instance.totals) = (OwnUse::default(), Totals::default());
-            (instance.is_reporting, instance.is_up) = (false, true);
+            (instance.awaits_answer, instance.is_up) = (false, true);
             instance.forwarding.clear();
-            instance.parts.clear();
+            instance.equal_shares.clear();
         }
         self.queue.clear();
-        self.waiting.clear();
+        self.in_flight.clear();
     }
 
-    /// An instance starts anew, knowing nothing.
+    /// Restarts an instance with empty state.
     pub fn restart(&mut self, number: usize) {
         let instance = &mut self.instances[number];
         (instance.own, instance.totals) = (OwnUse::default(), Totals::default());
-        (instance.is_reporting, instance.is_up) = (false, true);
+        (instance.awaits_answer, instance.is_up) = (false, true);
         instance.forwarding.clear();
-        instance.parts.clear();
+        instance.equal_shares.clear();
     }
 
-    /// An instance that had left the members is among them again.
+    /// Adds an instance to the members again.
     pub fn join(&mut self, number: usize) {
         let (instance, now) = (&self.instances[number], self.instant());
         self.members.insert(instance.name.clone(), instance.member(), now);
--- a/tests/quota_fleet/instance.rs
+++ b/tests/quota_fleet/instance.rs
@@ -1,4 +1,4 @@
-//! An instance of a fleet: what it admitted itself, what it adds up as a head, and its calls.
+//! An instance of a simulated fleet: its own usage, the totals that it keeps as a head, and its calls.
 
 use lockloft::decision::quota::own_use::OwnUse;
 use lockloft::decision::quota::part::Part;
@@ -16,19 +16,25 @@
     pub(super) peer: SocketAddr,
     pub(super) own: OwnUse,
     pub(super) totals: Totals,
-    pub(super) parts: HashMap<Rc<str>, Part>,
+    pub(super) equal_shares: HashMap<Rc<str>, Part>,
+    /// When the next report is due, milliseconds.
     pub(super) next_report: u64,
-    pub(super) reported: Option<u64>,
-    pub(super) is_reporting: bool,
+    /// When the last report was sent, milliseconds.
+    pub(super) last_report: Option<u64>,
+    /// Whether a report is sent and not answered yet.
+    pub(super) awaits_answer: bool,
     pub(super) next_forward: u64,
+    /// Halls to which a report is in flight.
     pub(super) forwarding: Vec<String>,
-    pub(super) failed: HashMap<SocketAddr, u64>,
+    /// Until when a failed head is skipped, milliseconds.
+    pub(super) skipped_until: HashMap<SocketAddr, u64>,
+    /// Consecutive failed calls to a head.
     pub(super) failures: HashMap<SocketAddr, u32>,
     pub(super) is_up: bool,
 }
 
 impl Instance {
-    /// An instance that knows nothing, by its number.
+    /// A new instance with empty state, by its number.
     pub(super) fn new(number: usize, halls: usize, random: &mut StdRng) -> Self {
         Self {
             name: format!("e-{number}"),
@@ -36,19 +42,19 @@
             peer: ([127, 0, 0, 1], 1_000 + number as u16).into(),
             own: OwnUse::default(),
             totals: Totals::default(),
-            parts: HashMap::new(),
+            equal_shares: HashMap::new(),
             next_report: random.random_range(0..200),
-            reported: None,
-            is_reporting: false,
+            last_report: None,
+            awaits_answer: false,
             next_forward: random.random_range(0..300),
             forwarding: Vec::new(),
-            failed: HashMap::new(),
+            skipped_until: HashMap::new(),
             failures: HashMap::new(),
             is_up: true,
         }
     }
 
-    /// What the others know of it.
+    /// Its entry in the list of members.
     pub(super) fn member(&self) -> Member {
         Member {
             callers: self.peer,
--- a/tests/quota_fleet/load.rs
+++ b/tests/quota_fleet/load.rs
@@ -1,32 +1,33 @@
-//! Load of a fleet: tenants' quotas and their callers' requests.
+//! Load of a simulated fleet: the quotas of tenants and the requests of their callers.
 
 use lockloft::model::config::Quota;
 use std::rc::Rc;
 
-/// A tenant's callers.
+/// The load of one tenant.
 pub struct Load {
     pub name: Rc<str>,
     pub quota: Quota,
-    /// Requests a second at a time, milliseconds.
+    /// Requests per second at a time in milliseconds.
     pub rate: Box<dyn Fn(u64) -> f64>,
-    /// Whether its callers come to an instance.
-    pub reaches: Box<dyn Fn(usize) -> bool>,
+    /// Whether its callers use an instance, by its number.
+    pub uses_instance: Box<dyn Fn(usize) -> bool>,
 }
 
 impl Load {
-    /// A tenant with this quota a second and burst, whose callers come everywhere.
+    /// A tenant with `quota` as its rate per second and as its burst, whose callers use all instances.
     pub fn new(name: &str, quota: f64, rate: impl Fn(u64) -> f64 + 'static) -> Self {
         let quota = Quota { rate: quota, burst: quota };
-        Self { name: name.into(), quota, rate: Box::new(rate), reaches: Box::new(|_| true) }
+        Self { name: name.into(), quota, rate: Box::new(rate), uses_instance: Box::new(|_| true) }
     }
 }
 
-/// Eighty tenants, a few of them large: each sends 0.62 of its quota on average.
-pub fn usual_loads(total: f64) -> Vec<Load> {
+/// Eighty tenants, a few of them large, each of which sends 0.62 of its quota on average. `total` is the
+/// sum of their requests per second.
+pub fn typical_loads(total: f64) -> Vec<Load> {
     let weights: f64 = (1..=80).map(|rank| 1.0 / f64::from(rank)).sum();
     let load = |rank: u32| {
-        let usual = total / weights / f64::from(rank);
-        Load::new(&format!("t-{rank}"), (1.6 * usual).round().max(1.0), move |_| usual)
+        let typical = total / weights / f64::from(rank);
+        Load::new(&format!("t-{rank}"), (1.6 * typical).round().max(1.0), move |_| typical)
     };
     (1..=80).map(load).collect()
 }
--- a/tests/quota_fleet/messages.rs
+++ b/tests/quota_fleet/messages.rs
@@ -1,4 +1,4 @@
-//! Messages between instances: on their way, late or lost.
+//! Messages between instances, which are delayed or lost.
 
 use super::Fleet;
 use lockloft::model::usage::{UsageAnswer, UsageReport, encode};
@@ -6,12 +6,12 @@
 use std::cmp::Reverse;
 use std::net::SocketAddr;
 
-/// Time until a call that is lost counts as failed, milliseconds.
-pub(super) const CALL_TIME: u64 = 300;
-/// One way within a hall, with the work at both ends, milliseconds.
-const NEAR: u64 = 5;
-/// One way between halls, milliseconds.
-const FAR: u64 = 17;
+/// Time after which a call without an answer counts as failed, milliseconds.
+pub(super) const CALL_TIMEOUT: u64 = 300;
+/// One-way latency within a hall, including processing at both ends, milliseconds.
+const HALL_LATENCY: u64 = 5;
+/// One-way latency between halls, milliseconds.
+const INTER_HALL_LATENCY: u64 = 17;
 
 pub(super) enum Message {
     Report {
@@ -20,7 +20,7 @@
         report: UsageReport,
         sent: u64,
     },
-    /// A report that comes when nobody waits for its answer any more.
+    /// A report that arrives after its sender has given up the call.
     LateReport {
         to: usize,
         report: UsageReport,
@@ -41,32 +41,32 @@
 impl Fleet {
     pub(super) fn send(&mut self, from: usize, to: usize, report: UsageReport) {
         self.bytes += encode(&report).len();
-        let is_lost = (self.is_cut)(from, to, self.now) || !self.instances[to].is_up;
-        let way = self.way_between(from, to);
+        let is_lost = (self.drops_message)(from, to, self.now) || !self.instances[to].is_up;
+        let delay = self.latency(from, to);
         let head = self.instances[to].peer;
-        if !is_lost && way < CALL_TIME {
-            self.put(way, Message::Report { from, to, report, sent: self.now });
+        if !is_lost && delay < CALL_TIMEOUT {
+            self.schedule(delay, Message::Report { from, to, report, sent: self.now });
             return;
         }
         if !is_lost {
-            self.put(way, Message::LateReport { to, report: report.clone() });
+            self.schedule(delay, Message::LateReport { to, report: report.clone() });
         }
-        self.put(CALL_TIME, Message::Lost { to: from, head, report });
+        self.schedule(CALL_TIMEOUT, Message::Lost { to: from, head, report });
     }
 
-    pub(super) fn way_between(&mut self, from: usize, to: usize) -> u64 {
+    pub(super) fn latency(&mut self, from: usize, to: usize) -> u64 {
         if from == to {
             return 0;
         }
-        let base = if self.instances[from].hall == self.instances[to].hall { NEAR } else { FAR };
-        base + self.random.random_range(0..base) + (self.waits)(from, to, self.now)
+        let base = if self.instances[from].hall == self.instances[to].hall { HALL_LATENCY } else { INTER_HALL_LATENCY };
+        base + self.random.random_range(0..base) + (self.extra_delay)(from, to, self.now)
     }
 
-    pub(super) fn put(&mut self, after: u64, message: Message) {
-        self.sent += 1;
+    pub(super) fn schedule(&mut self, after: u64, message: Message) {
+        self.last_message += 1;
         self.messages += 1;
-        self.waiting.insert(self.sent, message);
-        self.queue.push(Reverse((self.now + after, self.sent)));
+        self.in_flight.insert(self.last_message, message);
+        self.queue.push(Reverse((self.now + after, self.last_message)));
     }
 
     pub(super) fn deliver(&mut self) {
@@ -75,11 +75,11 @@
                 return;
             }
             self.queue.pop();
-            match self.waiting.remove(&number).unwrap() {
-                Message::Report { from, to, report, sent } => self.take_report(from, to, report, sent),
-                Message::LateReport { to, report } => drop(self.count(to, &report)),
-                Message::Answer { to, head, report, answer } => self.take_answer(to, head, &report, &answer),
-                Message::Lost { to, head, report } => self.take_loss(to, head, report),
+            match self.in_flight.remove(&number).unwrap() {
+                Message::Report { from, to, report, sent } => self.receive_report(from, to, report, sent),
+                Message::LateReport { to, report } => drop(self.count_report(to, &report)),
+                Message::Answer { to, head, report, answer } => self.receive_answer(to, head, &report, &answer),
+                Message::Lost { to, head, report } => self.receive_loss(to, head, report),
             }
         }
     }
--- a/tests/quota_fleet/mod.rs
+++ b/tests/quota_fleet/mod.rs
@@ -1,14 +1,14 @@
-//! A fleet without sockets: instances that admit requests by quota, and messages between them that
-//! take time, get lost or meet a cut. Time is simulated, in milliseconds.
+//! Simulation of a fleet without sockets: instances that admit requests by quota, and messages between
+//! them that are delayed, lost or blocked by a partition. Time is simulated, in milliseconds.
 //!
-//! | file | its job |
+//! | file | purpose |
 //! |---|---|
-//! | `load`, `seen` | what tenants send, and what became of it |
-//! | `instance` | an instance and what it knows |
-//! | `changes` | instances that end, leave, start anew and come back |
-//! | `arrivals` | requests, and whether they are admitted |
-//! | `messages` | what is on its way between instances, late or lost |
-//! | `reports`, `answers` | what instances tell heads, and what comes of it |
+//! | `load`, `seen` | requests of tenants, and their outcome |
+//! | `instance` | an instance and its state |
+//! | `changes` | instances that stop, leave, restart and come back |
+//! | `arrivals` | arrival and admission of requests |
+//! | `messages` | messages in flight, delayed or lost |
+//! | `reports`, `answers` | reports to heads, and their answers |
 
 #![allow(dead_code)]
 
@@ -21,8 +21,8 @@
 mod reports;
 mod seen;
 
-pub use load::{Load, usual_loads};
-pub use seen::{Seen, holds};
+pub use load::{Load, typical_loads};
+pub use seen::{Outcome, check_bound};
 
 use instance::Instance;
 use lockloft::clock::Instant;
@@ -41,31 +41,31 @@
 /// Step of the simulation, milliseconds.
 const STEP: u64 = 5;
 
-/// How quotas are kept.
+/// How instances enforce quotas.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Way {
-    /// Each instance keeps its equal part, with no message.
-    EqualParts,
-    /// Heads of halls add up what is used, and answer the share that may pass.
-    SharedTotals,
+pub enum Mode {
+    /// Each instance admits its equal share, without messages.
+    EqualShares,
+    /// Heads of halls aggregate usage, and answer the ratio to admit.
+    Heads,
 }
 
-type Cut = Box<dyn Fn(usize, usize, u64) -> bool>;
-type Wait = Box<dyn Fn(usize, usize, u64) -> u64>;
+type LossRule = Box<dyn Fn(usize, usize, u64) -> bool>;
+type DelayRule = Box<dyn Fn(usize, usize, u64) -> u64>;
 
-/// A fleet with its load.
+/// A simulated fleet with its load.
 pub struct Fleet {
-    pub way: Way,
+    pub mode: Mode,
     /// The operators' slack, requests.
     pub slack: f64,
-    /// Whether a message from one instance to another is lost at a time.
-    pub is_cut: Cut,
-    /// How long a message from one instance to another waits at full links, milliseconds.
-    pub waits: Wait,
-    /// Part of the answers that are lost.
-    pub lost_answers: f64,
+    /// Whether a message from one instance to another, by their numbers, is lost at a time.
+    pub drops_message: LossRule,
+    /// Additional delay of a message from one instance to another at a time, milliseconds.
+    pub extra_delay: DelayRule,
+    /// Fraction of answers that are lost.
+    pub answer_loss: f64,
     pub loads: Vec<Load>,
-    /// Bytes and messages between instances.
+    /// Bytes of messages between instances, and number of messages, lost ones included.
     pub bytes: usize,
     pub messages: usize,
     tenants: Tenants,
@@ -74,13 +74,13 @@
     start: Instant,
     now: u64,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
-    waiting: HashMap<usize, Message>,
-    sent: usize,
+    in_flight: HashMap<usize, Message>,
+    last_message: usize,
     random: StdRng,
 }
 
 impl Fleet {
-    pub fn new(way: Way, instances: usize, halls: usize, loads: Vec<Load>, seed: u64) -> Self {
+    pub fn new(mode: Mode, instances: usize, halls: usize, loads: Vec<Load>, seed: u64) -> Self {
         let start = Instant::now();
         let mut random = StdRng::seed_from_u64(seed);
         let mut members = Members::default();
@@ -91,11 +91,11 @@
         });
         let instances = instances.collect();
         let mut fleet = Self {
-            way,
+            mode,
             slack: 20.0,
-            is_cut: Box::new(|_, _, _| false),
-            waits: Box::new(|_, _, _| 0),
-            lost_answers: 0.0,
+            drops_message: Box::new(|_, _, _| false),
+            extra_delay: Box::new(|_, _, _| 0),
+            answer_loss: 0.0,
             loads,
             bytes: 0,
             messages: 0,
@@ -105,21 +105,21 @@
             start,
             now: 0,
             queue: BinaryHeap::new(),
-            waiting: HashMap::new(),
-            sent: 0,
+            in_flight: HashMap::new(),
+            last_message: 0,
             random,
         };
-        fleet.follow_quotas();
+        fleet.update_tenants();
         fleet
     }
 
     /// Changes a tenant's quota at all instances.
     pub fn set_quota(&mut self, tenant: usize, quota: f64) {
         self.loads[tenant].quota = Quota { rate: quota, burst: quota };
-        self.follow_quotas();
+        self.update_tenants();
     }
 
-    fn follow_quotas(&mut self) {
+    fn update_tenants(&mut self) {
         let tenant = |load: &Load| Tenant {
             name: load.name.clone(),
             api_keys: vec![ApiKey::new(&load.name)],
@@ -134,28 +134,28 @@
         self.start + Duration::from_millis(self.now)
     }
 
-    /// Plays on until a time, milliseconds; gives what became of each tenant's requests from the
-    /// start of this part.
-    pub fn play(&mut self, until: u64) -> Vec<Seen> {
-        let mut seen: Vec<Seen> = self.loads.iter().map(|_| Seen::default()).collect();
+    /// Runs the simulation until a time in milliseconds; returns the outcome of each tenant's requests during
+    /// this run.
+    pub fn run_until(&mut self, until: u64) -> Vec<Outcome> {
+        let mut outcomes: Vec<Outcome> = self.loads.iter().map(|_| Outcome::default()).collect();
         while self.now < until {
             self.now += STEP;
             self.deliver();
-            for (tenant, seen) in seen.iter_mut().enumerate() {
-                self.arrivals(tenant, seen);
+            for (tenant, outcome) in outcomes.iter_mut().enumerate() {
+                self.generate_arrivals(tenant, outcome);
             }
-            if self.way == Way::SharedTotals {
+            if self.mode == Mode::Heads {
                 for number in 0..self.instances.len() {
                     self.report(number);
                     self.forward(number);
                 }
             }
         }
-        seen
+        outcomes
     }
 }
 
-/// A usage that is all let through.
+/// Usage in which all requests were admitted.
 pub fn admitted(count: u32) -> Usage {
     Usage { admitted: count as i32, offered: count }
 }
--- a/tests/quota_fleet/reports.rs
+++ b/tests/quota_fleet/reports.rs
@@ -1,4 +1,4 @@
-//! Reports of instances to their hall's head, and of heads to those of other halls.
+//! Reports of instances to the head of their hall, and of heads to those of other halls.
 
 use super::{Fleet, WINDOW};
 use lockloft::decision::quota::heads::heads;
@@ -9,7 +9,7 @@
 impl Fleet {
     fn head_of(&self, number: usize, hall: &str) -> Option<usize> {
         let instance = &self.instances[number];
-        let may_ask = |peer| instance.failed.get(&peer).is_none_or(|until| *until <= self.now);
+        let may_ask = |peer| instance.skipped_until.get(&peer).is_none_or(|until| *until <= self.now);
         let heads = heads(&self.members, may_ask);
         let peer = heads.get(hall)?.peer;
         self.instances.iter().position(|other| other.peer == peer)
@@ -17,15 +17,15 @@
 
     pub(super) fn report(&mut self, number: usize) {
         let instance = &self.instances[number];
-        if !instance.is_up || instance.is_reporting || instance.next_report > self.now {
+        if !instance.is_up || instance.awaits_answer || instance.next_report > self.now {
             return;
         }
         let hall = instance.hall.clone();
         let Some(head) = self.head_of(number, &hall) else { return };
         let now = self.instant();
         let instance = &mut self.instances[number];
-        instance.is_reporting = true;
-        instance.reported = Some(self.now);
+        instance.awaits_answer = true;
+        instance.last_report = Some(self.now);
         instance.next_report = self.now + REPORT_EVERY.as_millis() as u64;
         let over_ms = instance.own.untold_for(now).as_millis() as u32;
         let tenants = instance.own.begin_report(now);
@@ -52,8 +52,8 @@
         };
         if instance.totals.is_urgent(rules) {
             let gap = REPORT_GAP.as_millis() as u64;
-            let soonest = (instance.next_forward + gap).saturating_sub(FORWARD_EVERY.as_millis() as u64);
-            instance.next_forward = instance.next_forward.min(soonest.max(self.now));
+            let earliest = (instance.next_forward + gap).saturating_sub(FORWARD_EVERY.as_millis() as u64);
+            instance.next_forward = instance.next_forward.min(earliest.max(self.now));
         }
         if !instance.is_up || instance.next_forward > self.now || !instance.totals.is_head(now) {
             return;
--- a/tests/quota_fleet/seen.rs
+++ b/tests/quota_fleet/seen.rs
@@ -1,32 +1,34 @@
-//! What became of a tenant's requests, and whether its quota held.
+//! Outcome of a tenant's requests, and whether its quota held.
 
 use super::WINDOW;
 use lockloft::model::config::Quota;
 
-/// What became of a tenant's requests.
+/// Arrival times of a tenant's requests, milliseconds.
 #[derive(Default)]
-pub struct Seen {
+pub struct Outcome {
+    /// All requests.
     pub offered: Vec<u64>,
+    /// Admitted requests.
     pub admitted: Vec<u64>,
 }
 
-impl Seen {
-    /// Requests that one place which sees all at once would have admitted: each that finds the
-    /// quota of the window before it not used up.
-    pub fn owed(&self, quota: Quota) -> usize {
+impl Outcome {
+    /// Number of requests that a single limiter for the whole fleet would have admitted: each one for which
+    /// the quota in the window before it is not used up.
+    pub fn admissible(&self, quota: Quota) -> usize {
         let most = quota.rate * WINDOW.as_secs_f64() + quota.burst;
-        let mut owed: Vec<u64> = Vec::new();
+        let mut admissible: Vec<u64> = Vec::new();
         for time in &self.offered {
-            let start = owed.partition_point(|at| at + WINDOW.as_millis() as u64 <= *time);
-            if (owed.len() - start) as f64 + 1.0 <= most {
-                owed.push(*time);
+            let start = admissible.partition_point(|at| at + WINDOW.as_millis() as u64 <= *time);
+            if (admissible.len() - start) as f64 + 1.0 <= most {
+                admissible.push(*time);
             }
         }
-        owed.len()
+        admissible.len()
     }
 
-    /// Most admitted in a window, milliseconds.
-    pub fn most_in(&self, window: u64) -> usize {
+    /// Most requests admitted in any window of `window` milliseconds.
+    pub fn max_in_window(&self, window: u64) -> usize {
         let mut start = 0;
         let mut most = 0;
         for (end, time) in self.admitted.iter().enumerate() {
@@ -39,9 +41,12 @@
     }
 }
 
-/// Whether the operators' bound holds in each window of 5 s.
-pub fn holds(seen: &Seen, quota: Quota, slack: f64) -> Result<(), String> {
+/// Checks the operators' bound in each window of 5 s.
+///
+/// # Errors
+/// The number admitted in the worst window, where that is too many.
+pub fn check_bound(outcome: &Outcome, quota: Quota, slack: f64) -> Result<(), String> {
     let most = (quota.rate * 5.0 + quota.burst) * 1.1 + slack;
-    let found = seen.most_in(5_000);
+    let found = outcome.max_in_window(5_000);
     if found as f64 <= most { Ok(()) } else { Err(format!("{found} in 5 s, allowed {most:.0}")) }
 }
--- a/tests/quota_replay.rs
+++ b/tests/quota_replay.rs
@@ -1,248 +1,260 @@
-//! Quotas of a fleet, replayed without sockets: the sum over all instances in every window, and what
-//! is refused below the quota, under the loads and faults that the rule names.
+//! Quotas of a simulated fleet, without sockets: requests admitted by all instances in every window, and
+//! requests refused below the quota, under the loads and faults for which the quota rule is made.
 
 mod quota_fleet;
 
-use quota_fleet::{Fleet, Load, Seen, Way, holds, usual_loads};
+use quota_fleet::{Fleet, Load, Mode, Outcome, check_bound, typical_loads};
 
 /// The operators' slack, requests.
 const SLACK: f64 = 20.0;
 
-fn refused(seen: &[Seen]) -> f64 {
-    let offered: usize = seen.iter().map(|seen| seen.offered.len()).sum();
-    let admitted: usize = seen.iter().map(|seen| seen.admitted.len()).sum();
+fn refused(outcomes: &[Outcome]) -> f64 {
+    let offered: usize = outcomes.iter().map(|outcome| outcome.offered.len()).sum();
+    let admitted: usize = outcomes.iter().map(|outcome| outcome.admitted.len()).sum();
     (offered - admitted) as f64 / offered as f64
 }
 
-/// Part of all requests below the quotas that were not admitted.
-fn all_lacking(fleet: &Fleet, seen: &[Seen]) -> f64 {
-    let of = |(seen, load): (&Seen, &Load)| (seen.owed(load.quota), seen.admitted.len());
-    let counts: Vec<(usize, usize)> = seen.iter().zip(&fleet.loads).map(of).collect();
-    let owed: usize = counts.iter().map(|(owed, _)| owed).sum();
-    let lacking: usize = counts.iter().map(|(owed, admitted)| owed.saturating_sub(*admitted)).sum();
-    lacking as f64 / owed as f64
+/// Fraction of all tenants' requests below their quotas that was not admitted.
+fn total_shortfall(fleet: &Fleet, outcomes: &[Outcome]) -> f64 {
+    let counts_of = |(outcome, load): (&Outcome, &Load)| (outcome.admissible(load.quota), outcome.admitted.len());
+    let counts: Vec<(usize, usize)> = outcomes.iter().zip(&fleet.loads).map(counts_of).collect();
+    let admissible: usize = counts.iter().map(|(admissible, _)| admissible).sum();
+    let shortfall: usize = counts.iter().map(|(admissible, admitted)| admissible.saturating_sub(*admitted)).sum();
+    shortfall as f64 / admissible as f64
 }
 
-/// Part of the requests below the quota that were not admitted.
-fn lacking(seen: &Seen, load: &Load) -> f64 {
-    let owed = seen.owed(load.quota);
-    owed.saturating_sub(seen.admitted.len()) as f64 / owed.max(1) as f64
+/// Fraction of a tenant's requests below its quota that was not admitted.
+fn shortfall(outcome: &Outcome, load: &Load) -> f64 {
+    let admissible = outcome.admissible(load.quota);
+    admissible.saturating_sub(outcome.admitted.len()) as f64 / admissible.max(1) as f64
 }
 
-fn all_hold(fleet: &Fleet, seen: &[Seen]) {
-    for (seen, load) in seen.iter().zip(&fleet.loads) {
-        holds(seen, load.quota, SLACK).unwrap_or_else(|found| panic!("{}: {found}", load.name));
+fn assert_bounds(fleet: &Fleet, outcomes: &[Outcome]) {
+    for (outcome, load) in outcomes.iter().zip(&fleet.loads) {
+        check_bound(outcome, load.quota, SLACK).unwrap_or_else(|error| panic!("{}: {error}", load.name));
     }
 }
 
-/// A tenant of the usual ones, by rank, sends `x` times its usual from 5 to 11.5 s.
-fn hot(rank: usize, x: f64) -> Vec<Load> {
-    let mut loads = usual_loads(1_900.0);
-    let usual = (loads[rank - 1].rate)(0);
-    loads[rank - 1].rate = Box::new(move |at| if (5_000..11_500).contains(&at) { x * usual } else { usual });
+/// The typical loads, but the tenant with this rank sends `factor` times as much from 5 to 11.5 s.
+fn loads_with_surge(rank: usize, factor: f64) -> Vec<Load> {
+    let mut loads = typical_loads(1_900.0);
+    let typical = (loads[rank - 1].rate)(0);
+    loads[rank - 1].rate = Box::new(move |at| if (5_000..11_500).contains(&at) { factor * typical } else { typical });
     loads
 }
 
 #[test]
-fn below_their_quotas_tenants_are_not_refused() {
+fn tenants_below_their_quotas_are_not_refused() {
     for (instances, halls, total) in [(75, 6, 1_900.0), (12, 6, 450.0), (295, 6, 6_000.0)] {
-        let mut fleet = Fleet::new(Way::SharedTotals, instances, halls, usual_loads(total), 1);
-        let seen = fleet.play(15_000);
-        all_hold(&fleet, &seen);
-        let lacking = all_lacking(&fleet, &seen);
-        assert!(lacking < 0.001, "{instances}: {lacking}");
+        let mut fleet = Fleet::new(Mode::Heads, instances, halls, typical_loads(total), 1);
+        let outcomes = fleet.run_until(15_000);
+        assert_bounds(&fleet, &outcomes);
+        let shortfall = total_shortfall(&fleet, &outcomes);
+        assert!(shortfall < 0.001, "{instances}: {shortfall}");
     }
 }
 
 #[test]
-fn equal_parts_refuse_small_tenants_below_their_quotas() {
-    let mut fleet = Fleet::new(Way::EqualParts, 75, 6, usual_loads(1_900.0), 1);
-    let seen = fleet.play(15_000);
-    all_hold(&fleet, &seen);
-    assert!(refused(&seen) > 0.1, "{}", refused(&seen));
+fn equal_shares_alone_refuse_small_tenants_below_their_quotas() {
+    let mut fleet = Fleet::new(Mode::EqualShares, 75, 6, typical_loads(1_900.0), 1);
+    let outcomes = fleet.run_until(15_000);
+    assert_bounds(&fleet, &outcomes);
+    assert!(refused(&outcomes) > 0.1, "{}", refused(&outcomes));
 }
 
 #[test]
 fn a_tenant_that_suddenly_sends_a_multiple_stays_within_its_quota() {
-    for (rank, x) in [(1, 7.5), (1, 13.0), (10, 7.5), (40, 13.0), (80, 7.5), (80, 13.0)] {
+    for (rank, factor) in [(1, 7.5), (1, 13.0), (10, 7.5), (40, 13.0), (80, 7.5), (80, 13.0)] {
         for seed in 0..3 {
-            let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, hot(rank, x), seed);
-            let seen = fleet.play(15_000);
-            all_hold(&fleet, &seen);
-            let hot = rank - 1;
-            let lacking = lacking(&seen[hot], &fleet.loads[hot]);
-            assert!(lacking < 0.15, "rank {rank} x {x}: lacks {lacking}");
-            let others: Vec<Seen> =
-                seen.into_iter().enumerate().filter(|(tenant, _)| *tenant != hot).map(|(_, seen)| seen).collect();
+            let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads_with_surge(rank, factor), seed);
+            let outcomes = fleet.run_until(15_000);
+            assert_bounds(&fleet, &outcomes);
+            let tenant = rank - 1;
+            let shortfall = shortfall(&outcomes[tenant], &fleet.loads[tenant]);
+            assert!(shortfall < 0.15, "rank {rank}, {factor} times its usual: {shortfall} not admitted");
+            let others: Vec<Outcome> = outcomes
+                .into_iter()
+                .enumerate()
+                .filter(|(other, _)| *other != tenant)
+                .map(|(_, outcome)| outcome)
+                .collect();
             assert!(refused(&others) < 0.001, "{}", refused(&others));
         }
     }
 }
 
 #[test]
-fn callers_that_all_come_to_one_instance_are_served_as_far_as_the_quota_goes() {
-    let mut loads = usual_loads(1_900.0);
+fn callers_on_a_single_instance_get_the_whole_quota() {
+    let mut loads = typical_loads(1_900.0);
     for load in &mut loads {
         let own = load.name.len() + load.quota.rate as usize;
-        load.reaches = Box::new(move |number| number == own % 75);
+        load.uses_instance = Box::new(move |number| number == own % 75);
     }
-    let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, loads, 2);
-    let seen = fleet.play(15_000);
-    all_hold(&fleet, &seen);
-    let lacking = all_lacking(&fleet, &seen);
-    assert!(lacking < 0.001, "{lacking}");
+    let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads, 2);
+    let outcomes = fleet.run_until(15_000);
+    assert_bounds(&fleet, &outcomes);
+    let shortfall = total_shortfall(&fleet, &outcomes);
+    assert!(shortfall < 0.001, "{shortfall}");
 }
 
 #[test]
-fn all_instances_that_start_at_once_keep_the_quota() {
-    let mut loads = usual_loads(1_900.0);
+fn the_quota_holds_when_all_instances_restart_at_once() {
+    let mut loads = typical_loads(1_900.0);
     for rank in [0, 39, 79] {
-        let usual = (loads[rank].rate)(0);
-        loads[rank].rate = Box::new(move |_| 7.5 * usual);
+        let typical = (loads[rank].rate)(0);
+        loads[rank].rate = Box::new(move |_| 7.5 * typical);
     }
-    let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, loads, 3);
-    let mut seen = fleet.play(6_000);
+    let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads, 3);
+    let mut outcomes = fleet.run_until(6_000);
     fleet.restart_all();
-    for (seen, after) in seen.iter_mut().zip(fleet.play(12_000)) {
-        seen.admitted.extend(after.admitted);
+    for (outcome, after) in outcomes.iter_mut().zip(fleet.run_until(12_000)) {
+        outcome.admitted.extend(after.admitted);
     }
-    all_hold(&fleet, &seen);
+    assert_bounds(&fleet, &outcomes);
 }
 
 #[test]
-fn all_instances_that_start_at_once_keep_the_quota_whatever_the_draws() {
+fn the_quota_holds_when_all_instances_restart_at_once_for_many_seeds() {
     for seed in 10..18 {
-        let mut loads = usual_loads(1_900.0);
+        let mut loads = typical_loads(1_900.0);
         for rank in [0, 39, 79] {
-            let usual = (loads[rank].rate)(0);
-            loads[rank].rate = Box::new(move |_| 7.5 * usual);
+            let typical = (loads[rank].rate)(0);
+            loads[rank].rate = Box::new(move |_| 7.5 * typical);
         }
-        let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, loads, seed);
-        let mut seen = fleet.play(6_000);
+        let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads, seed);
+        let mut outcomes = fleet.run_until(6_000);
         fleet.restart_all();
-        for (seen, after) in seen.iter_mut().zip(fleet.play(12_000)) {
-            seen.admitted.extend(after.admitted);
+        for (outcome, after) in outcomes.iter_mut().zip(fleet.run_until(12_000)) {
+            outcome.admitted.extend(after.admitted);
         }
-        all_hold(&fleet, &seen);
+        assert_bounds(&fleet, &outcomes);
     }
 }
 
 #[test]
-fn a_quota_that_is_lowered_holds_in_each_window_after_the_next() {
+fn a_lowered_quota_holds_in_each_window_after_the_next() {
     for rank in [1, 20, 80] {
-        let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, usual_loads(1_900.0), 4);
-        fleet.play(6_000);
+        let mut fleet = Fleet::new(Mode::Heads, 75, 6, typical_loads(1_900.0), 4);
+        fleet.run_until(6_000);
         let lowered = (fleet.loads[rank - 1].quota.rate / 5.0).max(1.0);
         fleet.set_quota(rank - 1, lowered);
-        fleet.play(8_000);
-        let seen = fleet.play(20_000);
-        all_hold(&fleet, &seen);
+        fleet.run_until(8_000);
+        let outcomes = fleet.run_until(20_000);
+        assert_bounds(&fleet, &outcomes);
     }
 }
 
 #[test]
-fn heads_that_die_cost_nothing_below_the_quotas() {
-    let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, usual_loads(1_900.0), 5);
-    fleet.play(3_000);
+fn dead_heads_cause_no_refusals_below_the_quotas() {
+    let mut fleet = Fleet::new(Mode::Heads, 75, 6, typical_loads(1_900.0), 5);
+    fleet.run_until(3_000);
     let heads: Vec<usize> = (0..6).map(|hall| fleet.head(&format!("h-{hall}"))).collect();
     for head in &heads {
         fleet.kill(*head);
     }
-    let seen = fleet.play(5_600);
-    let lacking = all_lacking(&fleet, &seen);
-    assert!(lacking < 0.002, "{lacking}");
+    let outcomes = fleet.run_until(5_600);
+    let shortfall = total_shortfall(&fleet, &outcomes);
+    assert!(shortfall < 0.002, "{shortfall}");
     for head in heads {
-        fleet.forget(head);
+        fleet.remove_member(head);
     }
-    let seen = fleet.play(12_000);
-    all_hold(&fleet, &seen);
-    assert!(refused(&seen) < 0.001, "{}", refused(&seen));
+    let outcomes = fleet.run_until(12_000);
+    assert_bounds(&fleet, &outcomes);
+    assert!(refused(&outcomes) < 0.001, "{}", refused(&outcomes));
 }
 
 #[test]
-fn a_hall_that_is_cut_off_and_the_others_keep_the_quota_together() {
+fn the_quota_holds_while_a_hall_is_cut_off() {
     for is_one_way in [false, true] {
         for rank in [1, 40, 80] {
-            let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, hot(rank, 7.5), 6);
-            let is_off = |number: usize| number % 6 == 2;
-            fleet.is_cut = Box::new(move |from, to, at| {
-                let crosses = if is_one_way { is_off(from) && !is_off(to) } else { is_off(from) != is_off(to) };
+            let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads_with_surge(rank, 7.5), 6);
+            let is_cut_off = |number: usize| number % 6 == 2;
+            fleet.drops_message = Box::new(move |from, to, at| {
+                let crosses =
+                    if is_one_way { is_cut_off(from) && !is_cut_off(to) } else { is_cut_off(from) != is_cut_off(to) };
                 crosses && (4_000..16_000).contains(&at)
             });
-            let seen = fleet.play(20_000);
-            all_hold(&fleet, &seen);
+            let outcomes = fleet.run_until(20_000);
+            assert_bounds(&fleet, &outcomes);
         }
     }
 }
 
 #[test]
-fn instances_that_are_cut_off_from_all_others_keep_the_quota() {
+fn the_quota_holds_while_instances_are_cut_off_from_all_others() {
     for rank in [1, 20, 80] {
-        let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, hot(rank, 7.5), 7);
-        fleet.is_cut =
+        let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads_with_surge(rank, 7.5), 7);
+        fleet.drops_message =
             Box::new(|from, to, at| from != to && (from % 3 == 0 || to % 3 == 0) && (4_000..16_000).contains(&at));
-        let seen = fleet.play(20_000);
-        all_hold(&fleet, &seen);
+        let outcomes = fleet.run_until(20_000);
+        assert_bounds(&fleet, &outcomes);
     }
 }
 
 #[test]
-fn answers_that_are_lost_count_twice_and_never_too_little() {
-    let mut fleet = Fleet::new(Way::SharedTotals, 75, 6, hot(10, 7.5), 8);
-    fleet.lost_answers = 0.05;
-    let seen = fleet.play(15_000);
-    all_hold(&fleet, &seen);
+fn reports_counted_twice_after_lost_answers_do_not_exceed_the_quota() {
+    let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads_with_surge(10, 7.5), 8);
+    fleet.answer_loss = 0.05;
+    let outcomes = fleet.run_until(15_000);
+    assert_bounds(&fleet, &outcomes);
 }
 
 #[test]
-fn what_is_exchanged_grows_with_instances_and_halls() {
+fn traffic_per_instance_stays_bounded_in_larger_fleets() {
     for (instances, halls, total) in [(12, 6, 450.0), (75, 6, 1_900.0), (295, 6, 6_000.0)] {
-        let mut fleet = Fleet::new(Way::SharedTotals, instances, halls, usual_loads(total), 9);
-        fleet.play(10_000);
+        let mut fleet = Fleet::new(Mode::Heads, instances, halls, typical_loads(total), 9);
+        fleet.run_until(10_000);
         let bytes = fleet.bytes as f64 / 10.0 / instances as f64;
         let messages = fleet.messages as f64 / 10.0 / instances as f64;
-        println!("{instances} instances: {bytes:.0} bytes and {messages:.1} messages a second each");
+        println!("{instances} instances: {bytes:.0} bytes and {messages:.1} messages per second each");
         assert!(bytes < 8_000.0, "{instances}: {bytes}");
     }
 }
 
-/// Where all registrations went at once and came back one by one, six times over, a tenant that sends
-/// twice its quota had up to 158 requests in 5 s where 152 are allowed, at five instances in three
-/// halls. With each member that comes back heads change, and a new one knows nothing of a tenant that
-/// another one held back: it does not name it, and its callers pass whole until it is told of them.
+/// All registrations are lost at once and restored one by one, six times. Each restored member changes
+/// heads, and a new head does not know that its predecessor limited a tenant: it does not name the tenant,
+/// whose requests are all admitted until they are reported. With five instances in three halls, a tenant
+/// that sends twice its quota had up to 158 requests in 5 s, where 152 are allowed.
 #[test]
-fn registrations_that_go_and_come_back_keep_the_quota() {
+fn the_quota_holds_while_registrations_are_lost_and_restored() {
     for gap in [50, 150] {
         for seed in 0..20 {
             let loads = vec![Load::new("two", 20.0, |_| 40.0), Load::new("one", 100.0, |_| 60.0)];
-            let mut fleet = Fleet::new(Way::SharedTotals, 5, 3, loads, seed);
-            let mut seen = fleet.play(6_000);
+            let mut fleet = Fleet::new(Mode::Heads, 5, 3, loads, seed);
+            let mut outcomes = fleet.run_until(6_000);
             let mut until = 6_000;
             for round in 0..6 {
-                until = go_and_come_back(&mut fleet, &mut seen, round + seed as usize, gap, until);
+                until = lose_and_restore_members(&mut fleet, &mut outcomes, round + seed as usize, gap, until);
                 if round % 2 == 0 {
                     fleet.restart((round * 7 + seed as usize + 2) % 5);
                 }
             }
-            all_hold(&fleet, &seen);
+            assert_bounds(&fleet, &outcomes);
         }
     }
 }
 
-/// All members go, and come back one by one from the instance `first` on, one each `gap`.
-fn go_and_come_back(fleet: &mut Fleet, seen: &mut [Seen], first: usize, gap: u64, mut until: u64) -> u64 {
-    let mut play = |fleet: &mut Fleet, until: u64| {
-        for (seen, after) in seen.iter_mut().zip(fleet.play(until)) {
-            seen.admitted.extend(after.admitted);
+/// Removes all members, and adds them again one by one, one every `gap` milliseconds, starting with the
+/// instance `first`. Returns the time at which the simulation stands.
+fn lose_and_restore_members(
+    fleet: &mut Fleet,
+    outcomes: &mut [Outcome],
+    first: usize,
+    gap: u64,
+    mut until: u64,
+) -> u64 {
+    let mut run = |fleet: &mut Fleet, until: u64| {
+        for (outcome, after) in outcomes.iter_mut().zip(fleet.run_until(until)) {
+            outcome.admitted.extend(after.admitted);
         }
     };
-    (0..5).for_each(|number| fleet.forget(number));
+    (0..5).for_each(|number| fleet.remove_member(number));
     for number in 0..5 {
         until += gap;
-        play(fleet, until);
+        run(fleet, until);
         fleet.join((first + number) % 5);
     }
     until += 700;
-    play(fleet, until);
+    run(fleet, until);
     until
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -1,4 +1,4 @@
-//! The rules of quotas, one by one: window, part, admission, totals, heads.
+//! Unit tests of the quota rules: window, equal share, admission, totals, heads.
 
 use lockloft::clock::Instant;
 use lockloft::decision::quota::heads::heads;
@@ -17,7 +17,7 @@
 
 const QUOTA: Quota = Quota { rate: 10.0, burst: 20.0 };
 const WINDOW: Duration = Duration::from_secs(5);
-/// Time for which reports stand here.
+/// Time that each report covers.
 const OVER: Duration = Duration::from_millis(200);
 const WHOLE: SharedQuota = SharedQuota { quota: QUOTA, window: WINDOW, slack: 0.0, part: 1.0 };
 
@@ -25,35 +25,35 @@
     Duration::from_secs_f64(seconds)
 }
 
-fn let_through(count: u32) -> Usage {
+fn all_admitted(count: u32) -> Usage {
     Usage { admitted: count as i32, offered: count }
 }
 
-/// The share that may pass of a window that all is known of.
+/// The admit ratio of a window of which all requests are known.
 fn pass(window: &mut TenantWindow, shared: SharedQuota, now: Instant) -> f64 {
     window.pass(shared, |_| true, WINDOW, now)
 }
 
 #[test]
-fn all_passes_while_the_window_has_room_and_none_once_it_is_overfull() {
+fn all_requests_are_admitted_while_the_window_has_room_and_none_once_it_is_over_full() {
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
-    window.record("a", let_through(30), OVER, WHOLE, start);
+    window.record("a", all_admitted(30), OVER, WHOLE, start);
     let next = start + seconds(1.0);
     assert_eq!(pass(&mut window, WHOLE, next), 1.0);
-    window.record("a", let_through(50), OVER, WHOLE, next);
+    window.record("a", all_admitted(50), OVER, WHOLE, next);
     assert_eq!((window.used(|_| true), pass(&mut window, WHOLE, next)), (80.0, 0.0));
     let later = next + seconds(5.5);
     assert_eq!((pass(&mut window, WHOLE, later), window.used(|_| true)), (1.0, 0.0));
 }
 
 #[test]
-fn a_request_stays_in_the_window_for_all_of_it() {
+fn a_request_counts_for_the_whole_window() {
     let start = Instant::now();
     for offset in 0..50 {
         let mut window = TenantWindow::new(start);
         let at = start + Duration::from_millis(10 * offset);
-        window.record("a", let_through(1), OVER, WHOLE, at);
+        window.record("a", all_admitted(1), OVER, WHOLE, at);
         pass(&mut window, WHOLE, at + seconds(4.99));
         assert_eq!(window.used(|_| true), 1.0);
         pass(&mut window, WHOLE, at + seconds(5.51));
@@ -62,23 +62,23 @@
 }
 
 #[test]
-fn what_a_head_does_not_know_counts_as_used_up() {
+fn requests_unknown_to_a_new_head_count_as_used() {
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
     window.record("a", Usage { admitted: 0, offered: 14 }, OVER, WHOLE, start);
-    let share = window.pass(WHOLE, |_| true, Duration::ZERO, start);
-    assert!((share - 10.0 / window.demand()).abs() < 0.01, "{share}");
+    let ratio = window.pass(WHOLE, |_| true, Duration::ZERO, start);
+    assert!((ratio - 10.0 / window.demand()).abs() < 0.01, "{ratio}");
     let known = window.pass(WHOLE, |_| true, 2 * WINDOW, start);
-    // What is left of the window is used up in 1.2 s.
+    // The rest of the window is used up in 1.2 s.
     assert!((known - 70.0 / 1.2 / window.demand()).abs() < 0.01, "{known}");
 }
 
 #[test]
-fn a_part_of_the_quota_is_for_the_halls_that_are_heard_from() {
+fn unreachable_halls_and_their_part_of_the_quota_do_not_count() {
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
-    window.record("a", let_through(30), OVER, WHOLE, start);
-    window.record("b", let_through(60), OVER, WHOLE, start);
+    window.record("a", all_admitted(30), OVER, WHOLE, start);
+    window.record("b", all_admitted(60), OVER, WHOLE, start);
     assert_eq!(pass(&mut window, WHOLE, start), 0.0);
     let half = SharedQuota { part: 0.5, ..WHOLE };
     assert_eq!(window.used(|hall| hall == "a"), 30.0);
@@ -87,48 +87,48 @@
 }
 
 #[test]
-fn requests_that_no_target_ran_leave_the_window() {
+fn requests_that_no_target_ran_are_subtracted_from_the_window() {
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
-    window.record("a", let_through(60), OVER, WHOLE, start);
+    window.record("a", all_admitted(60), OVER, WHOLE, start);
     window.record("a", Usage { admitted: -50, offered: 0 }, OVER, WHOLE, start);
     assert_eq!(window.used(|_| true), 10.0);
 }
 
 proptest! {
     #[test]
-    fn what_passes_in_a_window_stays_within_the_quota(
+    fn requests_admitted_in_any_window_stay_within_the_quota(
         steps in prop::collection::vec((0_u64..400, 0_u32..12), 1..300),
     ) {
         let start = Instant::now();
         let mut now = start;
         let mut window = TenantWindow::new(start);
-        let mut passed: Vec<(Instant, f64)> = Vec::new();
+        let mut admitted: Vec<(Instant, f64)> = Vec::new();
         for (wait, offered) in steps {
             now += Duration::from_millis(wait);
-            let share = pass(&mut window, WHOLE, now);
-            let count = (f64::from(offered) * share) as u32;
+            let ratio = pass(&mut window, WHOLE, now);
+            let count = (f64::from(offered) * ratio) as u32;
             window.record("a", Usage { admitted: count as i32, offered }, OVER, WHOLE, now);
-            passed.push((now, count.into()));
-            let in_window = passed.iter().filter(|(at, _)| *at + WINDOW > now).map(|(_, count)| count);
+            admitted.push((now, count.into()));
+            let in_window = admitted.iter().filter(|(at, _)| *at + WINDOW > now).map(|(_, count)| count);
             let in_window: f64 = in_window.sum();
-            // What arrives at one moment is decided by one share, and so is what replaces that which
-            // leaves: two moments may be beyond.
+            // One ratio decides on all requests of one moment, and on all that replace those that leave the
+            // window at one moment: the requests of two moments may be too many.
             prop_assert!(in_window <= WHOLE.most() + 2.0 * 11.0, "{in_window} of {}", WHOLE.most());
         }
     }
 
     #[test]
-    fn the_parts_of_all_instances_sum_to_the_quota(
+    fn equal_shares_of_all_instances_sum_to_the_quota(
         members in 1_usize..300,
-        asks in prop::collection::vec((0_usize..300, 0_u64..50), 1..2_000),
+        requests in prop::collection::vec((0_usize..300, 0_u64..50), 1..2_000),
     ) {
         let fleet = Fleet { members, is_member: true };
         let start = Instant::now();
         let mut now = start;
         let mut parts = vec![Part::default(); members];
         let mut admitted = 0.0;
-        for (instance, wait) in asks {
+        for (instance, wait) in requests {
             now += Duration::from_millis(wait);
             if parts[instance % members].take(QUOTA, fleet, now) {
                 admitted += 1.0;
@@ -139,7 +139,7 @@
     }
 
     #[test]
-    fn a_report_is_read_as_it_was_written(
+    fn a_decoded_report_equals_the_encoded_one(
         tenants in prop::collection::vec(("[a-z]{0,9}", any::<i32>(), any::<u32>()), 0..90),
     ) {
         let tenants = tenants.into_iter().map(|(name, admitted, offered)| (name, Usage { admitted, offered })).collect();
@@ -148,14 +148,14 @@
     }
 
     #[test]
-    fn bytes_that_are_no_report_are_refused_or_read_without_a_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..300)) {
         let _ = decode::<UsageReport>(&bytes);
         let _ = decode::<UsageAnswer>(&bytes);
     }
 }
 
 #[test]
-fn an_instance_in_no_list_takes_a_hundredth() {
+fn an_instance_that_is_not_a_member_admits_a_hundredth_of_the_quota() {
     let fleet = Fleet { members: 1, is_member: false };
     let quota = Quota { rate: 100.0, burst: 100.0 };
     let (start, mut part) = (Instant::now(), Part::default());
@@ -163,7 +163,7 @@
     assert!(part.take(quota, fleet, start + seconds(1.0)));
 }
 
-/// How many of `offered` requests an instance admits within a moment.
+/// Number of `offered` requests at one moment that an instance admits, one of ten members.
 fn admit(own: &mut OwnUse, tenant: &Rc<str>, offered: usize, now: Instant) -> usize {
     let fleet = Fleet { members: 10, is_member: true };
     let admitted = |_: &usize| own.admit(tenant, QUOTA, fleet, 0.5, now) == Admission::Admitted;
@@ -171,7 +171,7 @@
 }
 
 #[test]
-fn an_instance_lets_the_share_through_that_was_answered() {
+fn an_instance_admits_requests_at_the_answered_ratio() {
     let (start, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
     let mut own = OwnUse::default();
     let mut admitted = 0;
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn without_an_answer_a_few_requests_pass_and_then_the_part() {
+fn without_an_answer_a_few_requests_are_admitted_and_then_the_equal_share() {
     let (start, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
     let mut own = OwnUse::default();
     assert_eq!(admit(&mut own, &tenant, 100, start), 3 + 1);
@@ -199,12 +199,12 @@
     own.take_answer(&UsageAnswer::default(), later);
     own.begin_report(later);
     own.take_answer(&UsageAnswer::default(), later);
-    // Five times what is unusual, or eight where little is usual.
+    // Five times the number that is reported at once, and at least eight.
     assert!(admit(&mut own, &tenant, 10_000, later) >= 8);
 }
 
 #[test]
-fn a_request_that_no_target_ran_is_taken_back_in_the_next_report() {
+fn a_request_that_no_target_ran_is_subtracted_in_the_next_report() {
     let (now, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
     let mut own = OwnUse::default();
     admit(&mut own, &tenant, 3, now);
@@ -215,7 +215,7 @@
 }
 
 #[test]
-fn a_share_holds_for_a_tenant_whose_first_request_comes_later() {
+fn an_answered_ratio_applies_to_a_tenant_whose_first_request_comes_later() {
     let (now, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
     let mut own = OwnUse::default();
     admit(&mut own, &"other".into(), 1, now);
@@ -249,14 +249,14 @@
     Tenants::try_from(vec![tenant("t", Some(QUOTA)), tenant("free", None)]).unwrap()
 }
 
-/// What `e-1` knows of all.
+/// Inputs of the instance `e-1`.
 fn rules<'a>(tenants: &'a Tenants, members: &'a Members) -> Rules<'a> {
     Rules { tenants, members, window: WINDOW, slack: 0.0, own: Place { name: "e-1", hall: "a" } }
 }
 
 fn report(from: &str, hall: &str, count: u32) -> UsageReport {
     let is_forwarded = hall == "b";
-    let tenants = vec![("t".to_owned(), let_through(count)), ("free".to_owned(), let_through(1_000))];
+    let tenants = vec![("t".to_owned(), all_admitted(count)), ("free".to_owned(), all_admitted(1_000))];
     UsageReport {
         from: from.to_owned(),
         hall: hall.to_owned(),
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn a_head_adds_up_its_hall_and_the_others_and_leaves_the_part_of_the_silent() {
+fn a_head_aggregates_all_halls_and_leaves_the_shares_of_unreachable_instances() {
     let start = Instant::now();
     let (tenants, members) = (tenants(), members(start));
     let rules = rules(&tenants, &members);
@@ -280,26 +280,26 @@
     assert_eq!(answer.passes, [("t".to_owned(), 0.0)]);
     assert_eq!(totals.window("t").unwrap().used(|_| true), 75.0);
     assert!(totals.window("free").is_none() && !totals.is_alone(rules, start));
-    // Once e-2 and the other hall are silent, a quarter of the quota is left: 17.5 in a window, of
+    // Once e-2 and the other hall are unreachable, a quarter of the quota is left: 17.5 in a window, of
     // which the own hall used 10.
     let mut now = start;
     for _ in 0..20 {
         now += Duration::from_millis(100);
         totals.take(&report("e-1", "a", 0), rules, now);
     }
-    let asks =
+    let demand =
         UsageReport { tenants: vec![("t".to_owned(), Usage { admitted: 0, offered: 20 })], ..report("e-1", "a", 0) };
-    let answer = totals.take(&asks, rules, now);
-    // Of what was before the head began 12.5 are unknown and leave at 2.5 a second; the window is
-    // overfull by 5.
+    let answer = totals.take(&demand, rules, now);
+    // 12.5 requests admitted before this instance became head are unknown, and leave at 2.5 per second;
+    // the window is over-full by 5.
     let allowed = 2.5 - 5.0;
     let expected = f64::max(allowed / 40.0, 0.0);
-    let share = f64::from(answer.passes[0].1);
-    assert!((share - expected).abs() < 0.01, "{share} {expected}");
+    let ratio = f64::from(answer.passes[0].1);
+    assert!((ratio - expected).abs() < 0.01, "{ratio} {expected}");
 }
 
 #[test]
-fn what_another_hall_lacks_is_told_once_and_kept_where_it_fails() {
+fn usage_is_forwarded_to_another_hall_once_and_kept_if_that_fails() {
     let start = Instant::now();
     let (tenants, members) = (tenants(), members(start));
     let rules = Rules {
@@ -313,17 +313,17 @@
     totals.take(&report("e-1", "a", 3), rules, start);
     totals.take(&report("e-2", "a", 4), rules, start);
     totals.take(&report("e-3", "b", 50), rules, start);
-    let count = |told: &[(String, Usage)]| told.iter().find(|(name, _)| name == "t").map(|(_, usage)| usage.offered);
-    let told = totals.begin_forward("b", start).0;
-    assert_eq!(count(&told), Some(7));
+    let count = |usage: &[(String, Usage)]| usage.iter().find(|(name, _)| name == "t").map(|(_, usage)| usage.offered);
+    let forwarded = totals.begin_forward("b", start).0;
+    assert_eq!(count(&forwarded), Some(7));
     assert!(totals.begin_forward("b", start).0.is_empty() && totals.begin_forward("a", start).0.is_empty());
-    totals.restore_forward("b", told, start);
+    totals.restore_forward("b", forwarded, start);
     totals.take(&report("e-2", "a", 1), rules, start);
     assert_eq!(count(&totals.begin_forward("b", start).0), Some(8));
 }
 
 #[test]
-fn a_head_that_was_told_nothing_for_a_while_begins_anew() {
+fn a_head_without_reports_for_a_while_starts_with_empty_totals() {
     let start = Instant::now();
     let (tenants, members) = (tenants(), members(start));
     let rules = Rules {
@@ -343,7 +343,7 @@
 }
 
 #[test]
-fn all_instances_find_the_same_head_and_the_next_where_it_fails() {
+fn all_instances_choose_the_same_head_and_the_next_one_if_it_fails() {
     let now = Instant::now();
     let mut members = Members::default();
     for number in 0..40_u16 {
@@ -378,7 +378,7 @@
 }
 
 #[test]
-fn members_that_lost_their_keys_count_for_a_while() {
+fn members_whose_registrations_were_lost_count_for_a_while() {
     let start = Instant::now();
     let (tenants, mut members) = (tenants(), members(start));
     for name in ["e-2", "e-3", "e-4"] {
@@ -387,7 +387,7 @@
     assert_eq!((members.count(), members.recent_count(start)), (1, 4));
     let mut totals = Totals::default();
     totals.take(&report("e-1", "a", 5), rules(&tenants, &members), start);
-    assert!(totals.is_alone(rules(&tenants, &members), start), "the others may live");
+    assert!(totals.is_alone(rules(&tenants, &members), start), "the others may still run");
     members.insert("e-2".to_owned(), member(b'2'.into(), "a"), start + seconds(1.0));
     assert_eq!(members.recent_count(start + seconds(2.0)), 4);
     let later = start + seconds(10.1);
