--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -34,11 +34,11 @@
 
 /// Time between two reports of an instance to its head. Together with the time between two reports of a
 /// head it determines the reaction time.
-pub const REPORT_EVERY: Duration = Duration::from_millis(200);
+pub const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two reports of a head to other halls: half of it would double the bytes sent.
-pub const FORWARD_EVERY: Duration = Duration::from_millis(300);
+pub const FORWARD_INTERVAL: Duration = Duration::from_millis(300);
 /// Shortest time between two reports, however much there is to report.
-pub const REPORT_GAP: Duration = Duration::from_millis(50);
+pub const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 pub mod hall_demand;
 pub mod heads;
--- a/src/decision/quota/own_use.rs
+++ b/src/decision/quota/own_use.rs
@@ -3,7 +3,7 @@
 //! the answer is too old, or once too many requests were admitted since.
 //!
 //! **Inputs**
-//! - Admit ratios by tenant, from the last answer of a head; up to `ANSWER_AGE` (1 s) old. All requests of a
+//! - Admit ratios by tenant, from the last answer of a head; up to `MAX_ANSWER_AGE` (1 s) old. All requests of a
 //!   tenant that the answer does not name are admitted.
 //! - Requests of each tenant that arrived here, and those admitted since, counted at once.
 //! - The quota, from the configuration in force, and the number of instances; as old as the view.
@@ -25,7 +25,7 @@
 
 /// Age of an answer up to which its ratios apply: four times the report interval, so that one lost
 /// report and the change to another head have no effect.
-pub const ANSWER_AGE: Duration = Duration::from_secs(1);
+pub const MAX_ANSWER_AGE: Duration = Duration::from_secs(1);
 /// Least number of a tenant's unreported requests that is reported at once, however few are usual:
 /// with a lower one, most reports of small tenants would be sent at once.
 const MIN_SURGE_REQUESTS: f64 = 2.0;
@@ -142,7 +142,7 @@
     /// Admits or refuses a request of a tenant, and counts it. `random` is a random number from 0 to 1.
     pub fn admit(&mut self, tenant: &Rc<str>, quota: Quota, fleet: Fleet, random: f64, now: Instant) -> Admission {
         let answered_at = *self.answered_at.get_or_insert(now);
-        let is_answered = now.saturating_duration_since(answered_at) < ANSWER_AGE;
+        let is_answered = now.saturating_duration_since(answered_at) < MAX_ANSWER_AGE;
         let is_first = !self.was_answered;
         let admit_ratios = &self.admit_ratios;
         let new = || TenantUsage::new(admit_ratios.get(&**tenant).copied().unwrap_or(1.0), random);
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -11,7 +11,7 @@
 //! [`crate::decision::capacity::rate_limit`] for the rule. Test: `standins/tests/rate_limits.rs`.
 
 use crate::clock::{Instant, sleep, sleep_until, timeout};
-use crate::decision::quota::{FORWARD_EVERY, REPORT_EVERY, REPORT_GAP};
+use crate::decision::quota::{FORWARD_INTERVAL, MIN_REPORT_INTERVAL, REPORT_INTERVAL};
 use crate::model::rate_limits::{LimitAnswer, LimitReport};
 use crate::model::usage::encode;
 use crate::net::server::CallerBody;
@@ -51,11 +51,11 @@
     spawn_local(forward_all(instance.clone(), links.clone()));
     let mut reported = Instant::now();
     loop {
-        let longest = if instance.knows_limits() { REPORT_EVERY } else { LOOK_EVERY };
+        let longest = if instance.knows_limits() { REPORT_INTERVAL } else { LOOK_EVERY };
         // Either way it is looked whether there is something to report.
         let _ = timeout(longest, instance.rate_limits.report_due()).await;
         if instance.update_limits() || asks_for_limits(&instance) {
-            sleep_until(reported + REPORT_GAP).await;
+            sleep_until(reported + MIN_REPORT_INTERVAL).await;
             reported = Instant::now();
             report(&instance, &links).await;
         }
@@ -86,7 +86,7 @@
 /// Tells the heads of other halls what this one was told, until the process ends.
 async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, links: Rc<HeadLinks>) {
     loop {
-        sleep(FORWARD_EVERY).await;
+        sleep(FORWARD_INTERVAL).await;
         let others = links.other_heads(&instance);
         links.keep_heads(&instance, &others);
         if !instance.rate_limits.forwards() {
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -12,7 +12,7 @@
 //! [`crate::decision::capacity::shared_loads`] for who is told what. Test: `standins/tests/quotas.rs`.
 
 use crate::clock::{Instant, sleep, sleep_until, timeout};
-use crate::decision::quota::{FORWARD_EVERY, REPORT_EVERY, REPORT_GAP};
+use crate::decision::quota::{FORWARD_INTERVAL, MIN_REPORT_INTERVAL, REPORT_INTERVAL};
 use crate::model::usage::{UsageAnswer, UsageReport, encode};
 use crate::net::server::CallerBody;
 use crate::platform::Platform;
@@ -54,13 +54,13 @@
     spawn_local(forward_all(instance.clone(), known.clone()));
     let mut reported = Instant::now();
     loop {
-        let longest = if is_needed(&instance) { REPORT_EVERY } else { LOOK_EVERY };
+        let longest = if is_needed(&instance) { REPORT_INTERVAL } else { LOOK_EVERY };
         // Either way it is looked whether there is something to report.
         let _ = timeout(longest, instance.quotas.report_due()).await;
         if !is_needed(&instance) {
             continue;
         }
-        sleep_until(reported + REPORT_GAP).await;
+        sleep_until(reported + MIN_REPORT_INTERVAL).await;
         reported = Instant::now();
         report(&instance, &known).await;
     }
@@ -116,8 +116,8 @@
     let mut forwarded = Instant::now();
     loop {
         // Either way the other halls are told.
-        let _ = timeout(FORWARD_EVERY, instance.quotas.forward_due()).await;
-        sleep_until(forwarded + REPORT_GAP).await;
+        let _ = timeout(FORWARD_INTERVAL, instance.quotas.forward_due()).await;
+        sleep_until(forwarded + MIN_REPORT_INTERVAL).await;
         forwarded = Instant::now();
         if !is_needed(&instance) {
             sleep(LOOK_EVERY).await;
--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -4,7 +4,7 @@
 use lockloft::clock::Instant;
 use lockloft::decision::capacity::rate_limit::totals::{LimitTotals, said, told_rate};
 use lockloft::decision::capacity::rate_limit::{RateLimit, StatedLimit};
-use lockloft::decision::quota::{FORWARD_EVERY, REPORT_EVERY};
+use lockloft::decision::quota::{FORWARD_INTERVAL, REPORT_INTERVAL};
 use lockloft::decision::registry::members::Members;
 use lockloft::model::member::{Capacity, Member};
 use lockloft::model::rate_limits::{LimitAnswer, LimitReport, StartKey, TargetDemand};
@@ -279,7 +279,7 @@
     }
 
     fn report(&mut self) {
-        let every = REPORT_EVERY.as_millis() as u64 / STEP.as_millis() as u64;
+        let every = REPORT_INTERVAL.as_millis() as u64 / STEP.as_millis() as u64;
         for number in 0..self.instances.len() {
             let is_due = (self.step + number as u64).is_multiple_of(every);
             if !is_due && !self.instances[number].limit.is_unusual(self.now) {
@@ -303,7 +303,7 @@
     }
 
     fn forward(&mut self) {
-        let every = FORWARD_EVERY.as_millis() as u64 / STEP.as_millis() as u64;
+        let every = FORWARD_INTERVAL.as_millis() as u64 / STEP.as_millis() as u64;
         for hall in 0..self.heads.len() {
             let is_due = (self.step + 7 * hall as u64).is_multiple_of(every);
             if !is_due || !self.heads[hall].forwards(self.now) || self.is_cut[hall] {
--- a/tests/quota_fleet/arrivals.rs
+++ b/tests/quota_fleet/arrivals.rs
@@ -3,7 +3,7 @@
 use super::load::Load;
 use super::seen::Outcome;
 use super::{Fleet, Mode, STEP};
-use lockloft::decision::quota::REPORT_GAP;
+use lockloft::decision::quota::MIN_REPORT_INTERVAL;
 use lockloft::decision::quota::own_use::Admission;
 use lockloft::decision::quota::part::Fleet as FleetSize;
 use rand::Rng;
@@ -39,7 +39,7 @@
         }
         let admitted = instance.own.admit(name, *quota, size, random, now) == Admission::Admitted;
         if instance.own.is_unusual(name) {
-            let earliest = instance.last_report.map_or(0, |at| at + REPORT_GAP.as_millis() as u64);
+            let earliest = instance.last_report.map_or(0, |at| at + MIN_REPORT_INTERVAL.as_millis() as u64);
             instance.next_report = instance.next_report.min(earliest.max(self.now));
         }
         admitted
--- a/tests/quota_fleet/reports.rs
+++ b/tests/quota_fleet/reports.rs
@@ -3,7 +3,7 @@
 use super::{Fleet, WINDOW};
 use lockloft::decision::quota::heads::heads;
 use lockloft::decision::quota::totals::{Place, Rules};
-use lockloft::decision::quota::{FORWARD_EVERY, REPORT_EVERY, REPORT_GAP};
+use lockloft::decision::quota::{FORWARD_INTERVAL, MIN_REPORT_INTERVAL, REPORT_INTERVAL};
 use lockloft::model::usage::UsageReport;
 
 impl Fleet {
@@ -26,7 +26,7 @@
         let instance = &mut self.instances[number];
         instance.awaits_answer = true;
         instance.last_report = Some(self.now);
-        instance.next_report = self.now + REPORT_EVERY.as_millis() as u64;
+        instance.next_report = self.now + REPORT_INTERVAL.as_millis() as u64;
         let over_ms = instance.own.untold_for(now).as_millis() as u32;
         let tenants = instance.own.begin_report(now);
         let report = UsageReport {
@@ -51,14 +51,14 @@
             own: Place { name: &instance.name, hall: &instance.hall },
         };
         if instance.totals.is_urgent(rules) {
-            let gap = REPORT_GAP.as_millis() as u64;
-            let earliest = (instance.next_forward + gap).saturating_sub(FORWARD_EVERY.as_millis() as u64);
+            let gap = MIN_REPORT_INTERVAL.as_millis() as u64;
+            let earliest = (instance.next_forward + gap).saturating_sub(FORWARD_INTERVAL.as_millis() as u64);
             instance.next_forward = instance.next_forward.min(earliest.max(self.now));
         }
         if !instance.is_up || instance.next_forward > self.now || !instance.totals.is_head(now) {
             return;
         }
-        instance.next_forward = self.now + FORWARD_EVERY.as_millis() as u64;
+        instance.next_forward = self.now + FORWARD_INTERVAL.as_millis() as u64;
         let own = instance.hall.clone();
         let mut halls: Vec<String> = self.members.iter().map(|(_, member)| member.hall.clone()).collect();
         halls.sort_unstable();
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -2,7 +2,7 @@
 
 use lockloft::clock::Instant;
 use lockloft::decision::quota::heads::heads;
-use lockloft::decision::quota::own_use::{ANSWER_AGE, Admission, OwnUse};
+use lockloft::decision::quota::own_use::{Admission, MAX_ANSWER_AGE, OwnUse};
 use lockloft::decision::quota::part::{Fleet, Part};
 use lockloft::decision::quota::tenant_window::{SharedQuota, TenantWindow};
 use lockloft::decision::quota::totals::{Place, Rules, Totals};
@@ -193,7 +193,7 @@
     own.begin_report(start);
     own.restore_report();
     assert_eq!(admit(&mut own, &tenant, 100, start), 0);
-    let later = start + ANSWER_AGE + seconds(1.0);
+    let later = start + MAX_ANSWER_AGE + seconds(1.0);
     assert_eq!(admit(&mut own, &tenant, 100, later), 2);
     own.begin_report(later);
     own.take_answer(&UsageAnswer::default(), later);
