--- a/src/decision/quota/part.rs
+++ b/src/decision/quota/equal_share.rs
@@ -22,17 +22,17 @@
 
 /// The instances among which a quota is divided.
 #[derive(Clone, Copy, Debug)]
-pub struct Fleet {
+pub struct FleetSize {
     /// Instances in the view.
     pub members: usize,
     /// Whether this instance is among them.
     pub is_member: bool,
 }
 
-impl Fleet {
+impl FleetSize {
     /// Number of instances by which the quota is divided: at least 1, or 100 while this one is not a
     /// member.
-    pub fn size(self) -> f64 {
+    pub fn instances(self) -> f64 {
         let least = if self.is_member { 1 } else { DEFAULT_FLEET_SIZE };
         self.members.max(least) as f64
     }
@@ -40,18 +40,18 @@
 
 /// Token bucket of one tenant at this instance.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Part {
+pub struct EqualShare {
     tokens: Option<f64>,
     updated_at: Option<Instant>,
 }
 
-impl Part {
+impl EqualShare {
     /// Takes a token for a request; false where none is left. `quota` is that of all instances together.
-    pub fn take(&mut self, quota: Quota, fleet: Fleet, now: Instant) -> bool {
-        let max_tokens = (quota.burst / fleet.size()).max(1.0);
+    pub fn try_take(&mut self, quota: Quota, fleet: FleetSize, now: Instant) -> bool {
+        let max_tokens = (quota.burst / fleet.instances()).max(1.0);
         let elapsed = self.updated_at.map_or(0.0, |updated_at| now.saturating_duration_since(updated_at).as_secs_f64());
         self.updated_at = Some(now);
-        let tokens = (self.tokens.unwrap_or(1.0) + elapsed * quota.rate / fleet.size()).min(max_tokens);
+        let tokens = (self.tokens.unwrap_or(1.0) + elapsed * quota.rate / fleet.instances()).min(max_tokens);
         let is_taken = tokens >= 1.0;
         self.tokens = Some(if is_taken { tokens - 1.0 } else { tokens });
         is_taken
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -9,7 +9,7 @@
 //! | module | purpose |
 //! |---|---|
 //! | [`own_use`] | admission of requests, and usage that is not reported yet |
-//! | [`part`] | the equal share of an instance without a current answer |
+//! | [`equal_share`] | the equal share of an instance without a current answer |
 //! | [`totals`] | usage as a head aggregates it: a window for each tenant, and who is reachable |
 //! | [`tenant_window`] | one tenant's requests in the window, and the ratio at which they are admitted |
 //! | [`hall_demand`] | demand expected of halls without a recent report |
@@ -40,10 +40,10 @@
 /// Shortest time between two reports, however much there is to report.
 pub const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
+pub mod equal_share;
 pub mod hall_demand;
 pub mod heads;
 mod outboxes;
 pub mod own_use;
-pub mod part;
 pub mod tenant_window;
 pub mod totals;
--- a/src/decision/quota/own_use.rs
+++ b/src/decision/quota/own_use.rs
@@ -1,6 +1,6 @@
 //! Admission by quota: an instance admits a tenant's requests, evenly spaced, at the ratio that the
-//! head of its hall last answered. It admits only its equal share of the quota ([`super::part`]) while
-//! the answer is too old, or once too many requests were admitted since.
+//! head of its hall last answered. It admits only its equal share of the quota
+//! ([`super::equal_share`]) while the answer is too old, or once too many requests were admitted since.
 //!
 //! **Inputs**
 //! - Admit ratios by tenant, from the last answer of a head; up to `MAX_ANSWER_AGE` (1 s) old. All requests of a
@@ -16,7 +16,7 @@
 //! refused immediately instead of being held. **Test**: `tests/quotas.rs`, `tests/quota_replay.rs`.
 
 use crate::clock::Instant;
-use crate::decision::quota::part::{Fleet, Part};
+use crate::decision::quota::equal_share::{EqualShare, FleetSize};
 use crate::model::config::Quota;
 use crate::model::usage::{Usage, UsageAnswer};
 use std::collections::HashMap;
@@ -74,7 +74,7 @@
     admit_ratio: f64,
     /// Fraction of a request carried over from earlier ones, below 1.
     credit: f64,
-    part: Part,
+    equal_share: EqualShare,
 }
 
 impl TenantUsage {
@@ -86,7 +86,7 @@
             average_offered: 0.0,
             admit_ratio,
             credit,
-            part: Part::default(),
+            equal_share: EqualShare::default(),
         }
     }
 
@@ -140,7 +140,7 @@
 
 impl OwnUse {
     /// Admits or refuses a request of a tenant, and counts it. `random` is a random number from 0 to 1.
-    pub fn admit(&mut self, tenant: &Rc<str>, quota: Quota, fleet: Fleet, random: f64, now: Instant) -> Admission {
+    pub fn admit(&mut self, tenant: &Rc<str>, quota: Quota, fleet: FleetSize, random: f64, now: Instant) -> Admission {
         let answered_at = *self.answered_at.get_or_insert(now);
         let is_answered = now.saturating_duration_since(answered_at) < MAX_ANSWER_AGE;
         let is_first = !self.was_answered;
@@ -151,8 +151,8 @@
         let is_admitted = match (is_answered, usage.is_unanswered_limit_reached(is_first)) {
             (true, false) => usage.take_credit(),
             // The burst is for an instance without a current answer: here all others may admit as much.
-            (true, true) => usage.part.take(Quota { burst: 0.0, ..quota }, fleet, now),
-            (false, _) => usage.part.take(quota, fleet, now),
+            (true, true) => usage.equal_share.try_take(Quota { burst: 0.0, ..quota }, fleet, now),
+            (false, _) => usage.equal_share.try_take(quota, fleet, now),
         };
         if !is_admitted {
             return Admission::Refused;
--- a/src/operator/quotas.rs
+++ b/src/operator/quotas.rs
@@ -23,7 +23,7 @@
             burst: quota.burst,
             window_s: settings.quota_window.as_secs_f64(),
             pass: own.pass(&tenant.name),
-            part: quota.rate / instance.fleet().size(),
+            part: quota.rate / instance.fleet().instances(),
             answer_age_ms,
             head: totals
                 .window(&tenant.name)
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -5,8 +5,8 @@
 
 use super::Instance;
 use crate::clock::Instant;
+use crate::decision::quota::equal_share::FleetSize;
 use crate::decision::quota::own_use::{Admission, OwnUse};
-use crate::decision::quota::part::Fleet;
 use crate::decision::quota::totals::{Place, Rules, Totals};
 use crate::model::config::{Tenant, Tenants};
 use crate::model::usage::{Usage, UsageAnswer, UsageReport};
@@ -120,9 +120,9 @@
     }
 
     /// Who shares the quotas.
-    pub fn fleet(&self) -> Fleet {
+    pub fn fleet(&self) -> FleetSize {
         let members = &self.routing.borrow().members;
-        Fleet {
+        FleetSize {
             members: members.recent_count(Instant::now()),
             is_member: members.contains_key(&self.settings.borrow().name),
         }
--- a/tests/quota_fleet/arrivals.rs
+++ b/tests/quota_fleet/arrivals.rs
@@ -4,8 +4,8 @@
 use super::seen::Outcome;
 use super::{Fleet, Mode, STEP};
 use lockloft::decision::quota::MIN_REPORT_INTERVAL;
+use lockloft::decision::quota::equal_share::FleetSize;
 use lockloft::decision::quota::own_use::Admission;
-use lockloft::decision::quota::part::Fleet as FleetSize;
 use rand::Rng;
 
 impl Fleet {
@@ -35,7 +35,7 @@
         let size = FleetSize { members: self.members.recent_count(now), is_member: true };
         let instance = &mut self.instances[number];
         if self.mode == Mode::EqualShares {
-            return instance.equal_shares.entry(name.clone()).or_default().take(*quota, size, now);
+            return instance.equal_shares.entry(name.clone()).or_default().try_take(*quota, size, now);
         }
         let admitted = instance.own.admit(name, *quota, size, random, now) == Admission::Admitted;
         if instance.own.is_unusual(name) {
--- a/tests/quota_fleet/instance.rs
+++ b/tests/quota_fleet/instance.rs
@@ -1,7 +1,7 @@
 //! An instance of a simulated fleet: its own usage, the totals that it keeps as a head, and its calls.
 
+use lockloft::decision::quota::equal_share::EqualShare;
 use lockloft::decision::quota::own_use::OwnUse;
-use lockloft::decision::quota::part::Part;
 use lockloft::decision::quota::totals::Totals;
 use lockloft::model::member::{Capacity, Member};
 use rand::Rng;
@@ -16,7 +16,7 @@
     pub(super) peer: SocketAddr,
     pub(super) own: OwnUse,
     pub(super) totals: Totals,
-    pub(super) equal_shares: HashMap<Rc<str>, Part>,
+    pub(super) equal_shares: HashMap<Rc<str>, EqualShare>,
     /// When the next report is due, milliseconds.
     pub(super) next_report: u64,
     /// When the last report was sent, milliseconds.
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -1,9 +1,9 @@
 //! Unit tests of the quota rules: window, equal share, admission, totals, heads.
 
 use lockloft::clock::Instant;
+use lockloft::decision::quota::equal_share::{EqualShare, FleetSize};
 use lockloft::decision::quota::heads::heads;
 use lockloft::decision::quota::own_use::{Admission, MAX_ANSWER_AGE, OwnUse};
-use lockloft::decision::quota::part::{Fleet, Part};
 use lockloft::decision::quota::tenant_window::{SharedQuota, TenantWindow};
 use lockloft::decision::quota::totals::{Place, Rules, Totals};
 use lockloft::decision::registry::members::Members;
@@ -123,14 +123,14 @@
         members in 1_usize..300,
         requests in prop::collection::vec((0_usize..300, 0_u64..50), 1..2_000),
     ) {
-        let fleet = Fleet { members, is_member: true };
+        let fleet = FleetSize { members, is_member: true };
         let start = Instant::now();
         let mut now = start;
-        let mut parts = vec![Part::default(); members];
+        let mut shares = vec![EqualShare::default(); members];
         let mut admitted = 0.0;
         for (instance, wait) in requests {
             now += Duration::from_millis(wait);
-            if parts[instance % members].take(QUOTA, fleet, now) {
+            if shares[instance % members].try_take(QUOTA, fleet, now) {
                 admitted += 1.0;
             }
         }
@@ -156,16 +156,16 @@
 
 #[test]
 fn an_instance_that_is_not_a_member_admits_a_hundredth_of_the_quota() {
-    let fleet = Fleet { members: 1, is_member: false };
+    let fleet = FleetSize { members: 1, is_member: false };
     let quota = Quota { rate: 100.0, burst: 100.0 };
-    let (start, mut part) = (Instant::now(), Part::default());
-    assert!(part.take(quota, fleet, start) && !part.take(quota, fleet, start));
-    assert!(part.take(quota, fleet, start + seconds(1.0)));
+    let (start, mut share) = (Instant::now(), EqualShare::default());
+    assert!(share.try_take(quota, fleet, start) && !share.try_take(quota, fleet, start));
+    assert!(share.try_take(quota, fleet, start + seconds(1.0)));
 }
 
 /// Number of `offered` requests at one moment that an instance admits, one of ten members.
 fn admit(own: &mut OwnUse, tenant: &Rc<str>, offered: usize, now: Instant) -> usize {
-    let fleet = Fleet { members: 10, is_member: true };
+    let fleet = FleetSize { members: 10, is_member: true };
     let admitted = |_: &usize| own.admit(tenant, QUOTA, fleet, 0.5, now) == Admission::Admitted;
     (0..offered).filter(admitted).count()
 }
