--- a/src/decision/quota/own_use.rs
+++ b/src/decision/quota/local_usage.rs
@@ -95,7 +95,7 @@
         (SURGE_FACTOR * self.average_offered).max(MIN_SURGE_REQUESTS)
     }
 
-    fn is_unusual(&self) -> bool {
+    fn has_surge(&self) -> bool {
         f64::from(self.unreported.offered) >= self.surge_threshold()
     }
 
@@ -124,7 +124,7 @@
 
 /// All tenants' requests at this instance, and the ratios at which they are admitted.
 #[derive(Debug, Default)]
-pub struct OwnUse {
+pub struct LocalUsage {
     tenants: HashMap<Rc<str>, TenantUsage>,
     /// The ratios of the last answer, including those of tenants without a request here so far.
     admit_ratios: HashMap<String, f64>,
@@ -138,7 +138,7 @@
     answered_at: Option<Instant>,
 }
 
-impl OwnUse {
+impl LocalUsage {
     /// Admits or refuses a request of a tenant, and counts it. `random` is a random number from 0 to 1.
     pub fn admit(&mut self, tenant: &Rc<str>, quota: Quota, fleet: FleetSize, random: f64, now: Instant) -> Admission {
         let answered_at = *self.answered_at.get_or_insert(now);
@@ -169,12 +169,12 @@
     }
 
     /// Whether the tenant's unreported requests are so many that they should be reported at once.
-    pub fn is_unusual(&self, tenant: &str) -> bool {
-        self.tenants.get(tenant).is_some_and(TenantUsage::is_unusual)
+    pub fn has_surge(&self, tenant: &str) -> bool {
+        self.tenants.get(tenant).is_some_and(TenantUsage::has_surge)
     }
 
     /// Time in which the unreported requests arrived; 0 before the first request.
-    pub fn untold_for(&self, now: Instant) -> Duration {
+    pub fn unreported_for(&self, now: Instant) -> Duration {
         self.reported_until.or(self.answered_at).map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
     }
 
@@ -235,7 +235,7 @@
 
     /// Part of the tenant's requests that the last answer admits, 0 to 1; 1 where it does not name the
     /// tenant.
-    pub fn pass(&self, tenant: &str) -> f64 {
+    pub fn admit_ratio(&self, tenant: &str) -> f64 {
         self.admit_ratios.get(tenant).copied().unwrap_or(1.0)
     }
 
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -8,7 +8,7 @@
 //!
 //! | module | purpose |
 //! |---|---|
-//! | [`own_use`] | admission of requests, and usage that is not reported yet |
+//! | [`local_usage`] | admission of requests, and usage that is not reported yet |
 //! | [`equal_share`] | the equal share of an instance without a current answer |
 //! | [`totals`] | usage as a head aggregates it: a window for each tenant, and who is reachable |
 //! | [`tenant_window`] | one tenant's requests in the window, and the ratio at which they are admitted |
@@ -23,7 +23,7 @@
 //! **Bound.** Over all instances, the requests admitted in any window are at most the rate times the
 //! window, the burst, half of the operators' slack, and the requests admitted beyond the rest of the
 //! window before reports of them take effect (0.2 to 0.5 s). Between two answers an instance admits a
-//! few requests of a tenant ([`own_use`]). Therefore a small tenant that from one moment to the next
+//! few requests of a tenant ([`local_usage`]). Therefore a small tenant that from one moment to the next
 //! sends 40 times its usual requests can exceed its quota in the window in which that begins, and so
 //! can a large one while saturated links delay reports.
 //!
@@ -43,7 +43,7 @@
 pub mod equal_share;
 pub mod hall_demand;
 pub mod heads;
+pub mod local_usage;
 mod outboxes;
-pub mod own_use;
 pub mod tenant_window;
 pub mod totals;
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -5,7 +5,7 @@
 //! writes its line in the access log. Relies on the configuration in force.
 
 use crate::clock::{Instant, timeout_at};
-use crate::decision::quota::own_use::Admission;
+use crate::decision::quota::local_usage::Admission;
 use crate::decision::refusal::held_answers::HELD_WAIT;
 use crate::decision::refusal::retry_after::{LIMIT_WAIT, QUOTA_WAIT, spread, until_room};
 use crate::decision::refusal::stop::takes_requests;
@@ -145,7 +145,7 @@
 
 fn quota_record<P: Platform>(instance: &Instance<P>, tenant: &Tenant) -> QuotaRecord {
     let own = instance.quotas.own();
-    QuotaRecord { share: own.pass(&tenant.name), answer_age: own.answer_age(Instant::now()) }
+    QuotaRecord { share: own.admit_ratio(&tenant.name), answer_age: own.answer_age(Instant::now()) }
 }
 
 /// A request of which all is known but its body.
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -6,7 +6,7 @@
 use super::Instance;
 use crate::clock::Instant;
 use crate::decision::quota::equal_share::FleetSize;
-use crate::decision::quota::own_use::{Admission, OwnUse};
+use crate::decision::quota::local_usage::{Admission, LocalUsage};
 use crate::decision::quota::totals::{Place, Rules, Totals};
 use crate::model::config::{Tenant, Tenants};
 use crate::model::usage::{Usage, UsageAnswer, UsageReport};
@@ -18,7 +18,7 @@
 /// The quotas of tenants.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    own: RefCell<OwnUse>,
+    own: RefCell<LocalUsage>,
     totals: RefCell<Totals>,
     /// Whether a tenant of the configuration in force has a quota.
     is_needed: Cell<bool>,
@@ -50,7 +50,7 @@
     /// What is to be told of the own requests, and the time in which they arrived.
     pub fn begin_report(&self) -> (Vec<(String, Usage)>, Duration) {
         let (mut own, now) = (self.own.borrow_mut(), Instant::now());
-        let over = own.untold_for(now);
+        let over = own.unreported_for(now);
         (own.begin_report(now), over)
     }
 
@@ -87,7 +87,7 @@
     }
 
     /// The own requests, for operators.
-    pub fn own(&self) -> Ref<'_, OwnUse> {
+    pub fn own(&self) -> Ref<'_, LocalUsage> {
         self.own.borrow()
     }
 
@@ -113,7 +113,7 @@
         let mut own = self.quotas.own.borrow_mut();
         let admission = own.admit(&tenant.name, quota, fleet, rand::random(), Instant::now());
         self.metrics.count_quota(&tenant.name, admission == Admission::Admitted);
-        if own.is_unusual(&tenant.name) {
+        if own.has_surge(&tenant.name) {
             self.quotas.report_due.notify_one();
         }
         admission
--- a/tests/quota_fleet/arrivals.rs
+++ b/tests/quota_fleet/arrivals.rs
@@ -5,7 +5,7 @@
 use super::{Fleet, Mode, STEP};
 use lockloft::decision::quota::MIN_REPORT_INTERVAL;
 use lockloft::decision::quota::equal_share::FleetSize;
-use lockloft::decision::quota::own_use::Admission;
+use lockloft::decision::quota::local_usage::Admission;
 use rand::Rng;
 
 impl Fleet {
@@ -38,7 +38,7 @@
             return instance.equal_shares.entry(name.clone()).or_default().try_take(*quota, size, now);
         }
         let admitted = instance.own.admit(name, *quota, size, random, now) == Admission::Admitted;
-        if instance.own.is_unusual(name) {
+        if instance.own.has_surge(name) {
             let earliest = instance.last_report.map_or(0, |at| at + MIN_REPORT_INTERVAL.as_millis() as u64);
             instance.next_report = instance.next_report.min(earliest.max(self.now));
         }
--- a/tests/quota_fleet/instance.rs
+++ b/tests/quota_fleet/instance.rs
@@ -1,7 +1,7 @@
 //! An instance of a simulated fleet: its own usage, the totals that it keeps as a head, and its calls.
 
 use lockloft::decision::quota::equal_share::EqualShare;
-use lockloft::decision::quota::own_use::OwnUse;
+use lockloft::decision::quota::local_usage::LocalUsage;
 use lockloft::decision::quota::totals::Totals;
 use lockloft::model::member::{Capacity, Member};
 use rand::Rng;
@@ -14,7 +14,7 @@
     pub(super) name: String,
     pub(super) hall: String,
     pub(super) peer: SocketAddr,
-    pub(super) own: OwnUse,
+    pub(super) own: LocalUsage,
     pub(super) totals: Totals,
     pub(super) equal_shares: HashMap<Rc<str>, EqualShare>,
     /// When the next report is due, milliseconds.
@@ -40,7 +40,7 @@
             name: format!("e-{number}"),
             hall: format!("h-{}", number % halls),
             peer: ([127, 0, 0, 1], 1_000 + number as u16).into(),
-            own: OwnUse::default(),
+            own: LocalUsage::default(),
             totals: Totals::default(),
             equal_shares: HashMap::new(),
             next_report: random.random_range(0..200),
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -3,7 +3,7 @@
 use lockloft::clock::Instant;
 use lockloft::decision::quota::equal_share::{EqualShare, FleetSize};
 use lockloft::decision::quota::heads::heads;
-use lockloft::decision::quota::own_use::{Admission, MAX_ANSWER_AGE, OwnUse};
+use lockloft::decision::quota::local_usage::{Admission, LocalUsage, MAX_ANSWER_AGE};
 use lockloft::decision::quota::tenant_window::{SharedQuota, TenantWindow};
 use lockloft::decision::quota::totals::{Place, Rules, Totals};
 use lockloft::decision::registry::members::Members;
@@ -164,7 +164,7 @@
 }
 
 /// Number of `offered` requests at one moment that an instance admits, one of ten members.
-fn admit(own: &mut OwnUse, tenant: &Rc<str>, offered: usize, now: Instant) -> usize {
+fn admit(own: &mut LocalUsage, tenant: &Rc<str>, offered: usize, now: Instant) -> usize {
     let fleet = FleetSize { members: 10, is_member: true };
     let admitted = |_: &usize| own.admit(tenant, QUOTA, fleet, 0.5, now) == Admission::Admitted;
     (0..offered).filter(admitted).count()
@@ -173,7 +173,7 @@
 #[test]
 fn an_instance_admits_requests_at_the_answered_ratio() {
     let (start, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
-    let mut own = OwnUse::default();
+    let mut own = LocalUsage::default();
     let mut admitted = 0;
     for step in 0..100 {
         let now = start + Duration::from_millis(200 * step);
@@ -187,9 +187,9 @@
 #[test]
 fn without_an_answer_a_few_requests_are_admitted_and_then_the_equal_share() {
     let (start, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
-    let mut own = OwnUse::default();
+    let mut own = LocalUsage::default();
     assert_eq!(admit(&mut own, &tenant, 100, start), 3 + 1);
-    assert!(own.is_unusual("t"));
+    assert!(own.has_surge("t"));
     own.begin_report(start);
     own.restore_report();
     assert_eq!(admit(&mut own, &tenant, 100, start), 0);
@@ -206,7 +206,7 @@
 #[test]
 fn a_request_that_no_target_ran_is_subtracted_in_the_next_report() {
     let (now, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
-    let mut own = OwnUse::default();
+    let mut own = LocalUsage::default();
     admit(&mut own, &tenant, 3, now);
     own.begin_report(now);
     own.take_answer(&UsageAnswer::default(), now);
@@ -217,7 +217,7 @@
 #[test]
 fn an_answered_ratio_applies_to_a_tenant_whose_first_request_comes_later() {
     let (now, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
-    let mut own = OwnUse::default();
+    let mut own = LocalUsage::default();
     admit(&mut own, &"other".into(), 1, now);
     own.begin_report(now);
     own.take_answer(&UsageAnswer { passes: vec![("t".into(), 0.0)], ..Default::default() }, now);
