--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -51,7 +51,7 @@
 
 /// Name and hall of this instance.
 #[derive(Clone, Copy, Debug)]
-pub struct Place<'a> {
+pub struct InstanceIdentity<'a> {
     /// Instance name, unique among the members.
     pub name: &'a str,
     /// Hall, from the settings.
@@ -60,7 +60,7 @@
 
 /// Configuration and members on which a head's computations depend.
 #[derive(Clone, Copy, Debug)]
-pub struct Rules<'a> {
+pub struct QuotaContext<'a> {
     /// Tenants of the configuration in force.
     pub tenants: &'a Tenants,
     /// The members in the view.
@@ -70,12 +70,12 @@
     /// The operators' slack in a window, requests.
     pub slack: f64,
     /// This instance.
-    pub own: Place<'a>,
+    pub own: InstanceIdentity<'a>,
 }
 
 /// Usage of all tenants, as the head of a hall aggregates it.
 #[derive(Debug, Default)]
-pub struct Totals {
+pub struct UsageTotals {
     windows: HashMap<String, TenantWindow>,
     /// When each instance of the own hall last reported, by name.
     member_reports: HashMap<String, Instant>,
@@ -103,21 +103,21 @@
     computed_at: Instant,
 }
 
-impl Totals {
+impl UsageTotals {
     /// Counts a report, and returns the answer to it.
-    pub fn take(&mut self, report: &UsageReport, rules: Rules<'_>, now: Instant) -> UsageAnswer {
+    pub fn record_report(&mut self, report: &UsageReport, context: QuotaContext<'_>, now: Instant) -> UsageAnswer {
         let over = Duration::from_millis(report.over_ms.into());
         self.reset_if_idle(over, now);
-        let is_of_hall = report.hall == rules.own.hall;
+        let is_of_hall = report.hall == context.own.hall;
         match is_of_hall {
             true => self.member_reports.insert(report.from.clone(), now),
             false => self.hall_reports.insert(report.hall.clone(), now),
         };
-        let part = self.reachability(rules, now).fraction;
+        let part = self.reachability(context, now).fraction;
         for (name, usage) in &report.tenants {
-            let Some(shared) = shared(name, rules, part) else { continue };
+            let Some(shared) = shared(name, context, part) else { continue };
             if !self.windows.contains_key(name) {
-                self.windows.insert(name.clone(), TenantWindow::of_hall(rules.own.hall, now));
+                self.windows.insert(name.clone(), TenantWindow::of_hall(context.own.hall, now));
             }
             if let Some(window) = self.windows.get_mut(name) {
                 window.record(&report.hall, *usage, over, shared, now);
@@ -126,18 +126,18 @@
         if is_of_hall && !report.is_forwarded {
             self.add_for_other_halls(&report.tenants, now);
         }
-        self.answer(rules, now)
+        self.answer(context, now)
     }
 
     /// The ratios at which tenants' requests are to be admitted now.
-    pub fn answer(&mut self, rules: Rules<'_>, now: Instant) -> UsageAnswer {
-        let part = self.reachability(rules, now).fraction;
+    pub fn answer(&mut self, context: QuotaContext<'_>, now: Instant) -> UsageAnswer {
+        let part = self.reachability(context, now).fraction;
         let known_for = self.complete_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
         let unreachable = self.reachability.as_ref().map_or(&[][..], |reachability| &reachability.unreachable_halls);
         let is_reachable = |hall: &str| !unreachable.iter().any(|unreachable| unreachable == hall);
         let mut passes = Vec::new();
         for (name, window) in &mut self.windows {
-            let Some(shared) = shared(name, rules, part) else { continue };
+            let Some(shared) = shared(name, context, part) else { continue };
             let ratio = window.pass(shared, is_reachable, known_for, now);
             if ratio < 1.0 {
                 passes.push((name.clone(), ratio as f32));
@@ -153,11 +153,11 @@
 
     /// Whether there were other members recently, but none reports to this instance: it may be cut off
     /// from them.
-    pub fn is_alone(&self, rules: Rules<'_>, now: Instant) -> bool {
-        rules.members.recent_count(now) > 1 && !self.has_other_reports(rules.own)
+    pub fn is_isolated(&self, context: QuotaContext<'_>, now: Instant) -> bool {
+        context.members.recent_count(now) > 1 && !self.has_other_reports(context.own)
     }
 
-    fn has_other_reports(&self, own: Place<'_>) -> bool {
+    fn has_other_reports(&self, own: InstanceIdentity<'_>) -> bool {
         self.member_reports.keys().any(|name| *name != *own.name) || !self.hall_reports.is_empty()
     }
 
@@ -180,13 +180,13 @@
 
     /// Whether so many requests of a tenant are still to be sent to another hall that it should be done
     /// at once. For a new head any usage is urgent.
-    pub fn is_urgent(&self, rules: Rules<'_>) -> bool {
+    pub fn is_forward_urgent(&self, context: QuotaContext<'_>) -> bool {
         let halls = self.reachability.as_ref().map_or(1, |reachability| reachability.halls.len() + 1);
         self.outboxes.is_first_pending()
             || (self.is_starting() && !self.outboxes.is_empty())
             || self.outboxes.any(|name, usage| {
                 let threshold = |rate: f64| (URGENT_SECONDS * rate / halls as f64).max(MIN_URGENT_REQUESTS);
-                quota(name, rules).is_some_and(|quota| f64::from(usage.offered) >= threshold(quota.rate))
+                quota(name, context).is_some_and(|quota| f64::from(usage.offered) >= threshold(quota.rate))
             })
     }
 
@@ -219,39 +219,40 @@
 
     /// Which halls and instances are reachable, computed at most every `MAX_REACHABILITY_AGE`. At first all
     /// count as reachable.
-    fn reachability(&mut self, rules: Rules<'_>, now: Instant) -> &Reachability {
+    fn reachability(&mut self, context: QuotaContext<'_>, now: Instant) -> &Reachability {
         let is_fresh = |reachability: &Reachability| {
             now.saturating_duration_since(reachability.computed_at) < MAX_REACHABILITY_AGE
         };
         if !self.reachability.as_ref().is_some_and(is_fresh) {
             self.member_reports.retain(|_, at| now.saturating_duration_since(*at) < UNREACHABLE_AFTER);
             self.hall_reports.retain(|_, at| now.saturating_duration_since(*at) < UNREACHABLE_AFTER);
-            self.reachability = Some(self.compute_reachability(rules, now));
+            self.reachability = Some(self.compute_reachability(context, now));
         }
         self.reachability.as_ref().expect("computed above")
     }
 
-    fn compute_reachability(&self, rules: Rules<'_>, now: Instant) -> Reachability {
-        let all = rules.members.recent_count(now).max(1);
+    fn compute_reachability(&self, context: QuotaContext<'_>, now: Instant) -> Reachability {
+        let all = context.members.recent_count(now).max(1);
         let reachable =
-            rules.members.iter().filter(|(name, member)| self.is_reachable(name, &member.hall, rules, now)).count();
+            context.members.iter().filter(|(name, member)| self.is_reachable(name, &member.hall, context, now)).count();
         // Members whose registrations ended recently may still run, and admit their equal shares.
         let fraction = reachable as f64 / all as f64;
-        let others = rules.members.iter().map(|(_, member)| &member.hall).filter(|hall| **hall != *rules.own.hall);
+        let others = context.members.iter().map(|(_, member)| &member.hall).filter(|hall| **hall != *context.own.hall);
         let halls: BTreeSet<&String> = others.collect();
         let halls: Vec<String> = halls.into_iter().cloned().collect();
-        let unreachable_halls = halls.iter().filter(|hall| !self.is_reachable("", hall, rules, now)).cloned().collect();
+        let unreachable_halls =
+            halls.iter().filter(|hall| !self.is_reachable("", hall, context, now)).cloned().collect();
         Reachability { fraction, halls, unreachable_halls, computed_at: now }
     }
 
-    fn is_reachable(&self, name: &str, hall: &str, rules: Rules<'_>, now: Instant) -> bool {
+    fn is_reachable(&self, name: &str, hall: &str, context: QuotaContext<'_>, now: Instant) -> bool {
         let is_recent = |at: Instant| now.saturating_duration_since(at) < UNREACHABLE_AFTER;
         let is_starting =
             self.head_since.is_none_or(|head_since| now.saturating_duration_since(head_since) < STARTUP_TIME);
-        if name == rules.own.name || is_starting {
+        if name == context.own.name || is_starting {
             return true;
         }
-        let last_report = match hall == rules.own.hall {
+        let last_report = match hall == context.own.hall {
             true => self.member_reports.get(name),
             false => self.hall_reports.get(hall),
         };
@@ -259,10 +260,15 @@
     }
 }
 
-fn quota(name: &str, rules: Rules<'_>) -> Option<Quota> {
-    rules.tenants.find(name)?.quota
+fn quota(name: &str, context: QuotaContext<'_>) -> Option<Quota> {
+    context.tenants.find(name)?.quota
 }
 
-fn shared(name: &str, rules: Rules<'_>, part: f64) -> Option<SharedQuota> {
-    Some(SharedQuota { quota: quota(name, rules)?, window: rules.window, slack: GRANTED_SLACK * rules.slack, part })
+fn shared(name: &str, context: QuotaContext<'_>, part: f64) -> Option<SharedQuota> {
+    Some(SharedQuota {
+        quota: quota(name, context)?,
+        window: context.window,
+        slack: GRANTED_SLACK * context.slack,
+        part,
+    })
 }
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -7,7 +7,7 @@
 use crate::clock::Instant;
 use crate::decision::quota::equal_share::FleetSize;
 use crate::decision::quota::local_usage::{Admission, LocalUsage};
-use crate::decision::quota::totals::{Place, Rules, Totals};
+use crate::decision::quota::totals::{InstanceIdentity, QuotaContext, UsageTotals};
 use crate::model::config::{Tenant, Tenants};
 use crate::model::usage::{Usage, UsageAnswer, UsageReport};
 use crate::platform::Platform;
@@ -19,7 +19,7 @@
 #[derive(Debug, Default)]
 pub struct Quotas {
     own: RefCell<LocalUsage>,
-    totals: RefCell<Totals>,
+    totals: RefCell<UsageTotals>,
     /// Whether a tenant of the configuration in force has a quota.
     is_needed: Cell<bool>,
     report_due: Notify,
@@ -92,7 +92,7 @@
     }
 
     /// What this instance knows as a head, for operators.
-    pub fn totals(&self) -> Ref<'_, Totals> {
+    pub fn totals(&self) -> Ref<'_, UsageTotals> {
         self.totals.borrow()
     }
 
@@ -130,7 +130,7 @@
 
     /// Takes a report as the head of a hall, and gives the answer to it.
     pub fn take_usage(&self, report: &UsageReport) -> UsageAnswer {
-        let answer = self.with_rules(|totals, rules| totals.take(report, rules, Instant::now()));
+        let answer = self.with_rules(|totals, rules| totals.record_report(report, rules, Instant::now()));
         UsageAnswer { loads: self.exchange_loads(report), ..answer.unwrap_or_default() }
     }
 
@@ -138,26 +138,26 @@
     /// from, so that the answer would be that of one that is cut off.
     pub fn take_own_usage(&self, report: &UsageReport) -> Option<UsageAnswer> {
         let answer = self.with_rules(|totals, rules| {
-            let answer = totals.take(report, rules, Instant::now());
-            (!totals.is_alone(rules, Instant::now())).then_some(answer)
+            let answer = totals.record_report(report, rules, Instant::now());
+            (!totals.is_isolated(rules, Instant::now())).then_some(answer)
         })?;
         Some(UsageAnswer { loads: self.exchange_loads(report), ..answer? })
     }
 
     /// Changes the totals; `None` before the first configuration.
-    fn with_rules<T>(&self, change: impl FnOnce(&mut Totals, Rules<'_>) -> T) -> Option<T> {
+    fn with_rules<T>(&self, change: impl FnOnce(&mut UsageTotals, QuotaContext<'_>) -> T) -> Option<T> {
         let (settings, routing) = (self.settings(), self.routing.borrow());
         let config = routing.config.as_ref()?;
-        let rules = Rules {
+        let rules = QuotaContext {
             tenants: &config.tenants,
             members: &routing.members,
             window: settings.quota_window,
             slack: settings.quota_slack,
-            own: Place { name: &settings.name, hall: &settings.hall },
+            own: InstanceIdentity { name: &settings.name, hall: &settings.hall },
         };
         let mut totals = self.quotas.totals.borrow_mut();
         let changed = change(&mut totals, rules);
-        if totals.is_urgent(rules) {
+        if totals.is_forward_urgent(rules) {
             self.quotas.forward_due.notify_one();
         }
         Some(changed)
--- a/tests/quota_fleet/answers.rs
+++ b/tests/quota_fleet/answers.rs
@@ -3,7 +3,7 @@
 use super::instance::Instance;
 use super::messages::{CALL_TIMEOUT, Message};
 use super::{Fleet, WINDOW};
-use lockloft::decision::quota::totals::{Place, Rules};
+use lockloft::decision::quota::totals::{InstanceIdentity, QuotaContext};
 use lockloft::model::usage::{UsageAnswer, UsageReport, encode};
 use rand::Rng;
 use std::net::SocketAddr;
@@ -18,19 +18,19 @@
     pub(super) fn count_report(&mut self, to: usize, report: &UsageReport) -> (UsageAnswer, bool) {
         let now = self.instant();
         let head = &mut self.instances[to];
-        let rules = Rules {
+        let context = QuotaContext {
             tenants: &self.tenants,
             members: &self.members,
             window: WINDOW,
             slack: self.slack,
-            own: Place { name: &head.name, hall: &head.hall },
+            own: InstanceIdentity { name: &head.name, hall: &head.hall },
         };
-        (head.totals.take(report, rules, now), head.totals.is_alone(rules, now))
+        (head.totals.record_report(report, context, now), head.totals.is_isolated(context, now))
     }
 
     pub(super) fn receive_report(&mut self, from: usize, to: usize, report: UsageReport, sent: u64) {
-        let (answer, is_alone) = self.count_report(to, &report);
-        if from == to && is_alone {
+        let (answer, is_isolated) = self.count_report(to, &report);
+        if from == to && is_isolated {
             let head = &mut self.instances[to];
             head.awaits_answer = false;
             head.own.forget_report();
--- a/tests/quota_fleet/changes.rs
+++ b/tests/quota_fleet/changes.rs
@@ -3,7 +3,7 @@
 use super::Fleet;
 use lockloft::decision::quota::heads::heads;
 use lockloft::decision::quota::local_usage::LocalUsage;
-use lockloft::decision::quota::totals::Totals;
+use lockloft::decision::quota::totals::UsageTotals;
 
 impl Fleet {
     /// Hall of an instance, by its number.
@@ -31,7 +31,7 @@
     /// Restarts all instances with empty state; messages in flight are lost.
     pub fn restart_all(&mut self) {
         for instance in &mut self.instances {
-            (instance.own, instance.totals) = (LocalUsage::default(), Totals::default());
+            (instance.own, instance.totals) = (LocalUsage::default(), UsageTotals::default());
             (instance.awaits_answer, instance.is_up) = (false, true);
             instance.forwarding.clear();
             instance.equal_shares.clear();
@@ -43,7 +43,7 @@
     /// Restarts an instance with empty state.
     pub fn restart(&mut self, number: usize) {
         let instance = &mut self.instances[number];
-        (instance.own, instance.totals) = (LocalUsage::default(), Totals::default());
+        (instance.own, instance.totals) = (LocalUsage::default(), UsageTotals::default());
         (instance.awaits_answer, instance.is_up) = (false, true);
         instance.forwarding.clear();
         instance.equal_shares.clear();
--- a/tests/quota_fleet/instance.rs
+++ b/tests/quota_fleet/instance.rs
@@ -2,7 +2,7 @@
 
 use lockloft::decision::quota::equal_share::EqualShare;
 use lockloft::decision::quota::local_usage::LocalUsage;
-use lockloft::decision::quota::totals::Totals;
+use lockloft::decision::quota::totals::UsageTotals;
 use lockloft::model::member::{Capacity, Member};
 use rand::Rng;
 use rand::rngs::StdRng;
@@ -15,7 +15,7 @@
     pub(super) hall: String,
     pub(super) peer: SocketAddr,
     pub(super) own: LocalUsage,
-    pub(super) totals: Totals,
+    pub(super) totals: UsageTotals,
     pub(super) equal_shares: HashMap<Rc<str>, EqualShare>,
     /// When the next report is due, milliseconds.
     pub(super) next_report: u64,
@@ -41,7 +41,7 @@
             hall: format!("h-{}", number % halls),
             peer: ([127, 0, 0, 1], 1_000 + number as u16).into(),
             own: LocalUsage::default(),
-            totals: Totals::default(),
+            totals: UsageTotals::default(),
             equal_shares: HashMap::new(),
             next_report: random.random_range(0..200),
             last_report: None,
--- a/tests/quota_fleet/reports.rs
+++ b/tests/quota_fleet/reports.rs
@@ -2,7 +2,7 @@
 
 use super::{Fleet, WINDOW};
 use lockloft::decision::quota::heads::heads;
-use lockloft::decision::quota::totals::{Place, Rules};
+use lockloft::decision::quota::totals::{InstanceIdentity, QuotaContext};
 use lockloft::decision::quota::{FORWARD_INTERVAL, MIN_REPORT_INTERVAL, REPORT_INTERVAL};
 use lockloft::model::usage::UsageReport;
 
@@ -43,14 +43,14 @@
     pub(super) fn forward(&mut self, number: usize) {
         let now = self.instant();
         let instance = &mut self.instances[number];
-        let rules = Rules {
+        let context = QuotaContext {
             tenants: &self.tenants,
             members: &self.members,
             window: WINDOW,
             slack: self.slack,
-            own: Place { name: &instance.name, hall: &instance.hall },
+            own: InstanceIdentity { name: &instance.name, hall: &instance.hall },
         };
-        if instance.totals.is_urgent(rules) {
+        if instance.totals.is_forward_urgent(context) {
             let gap = MIN_REPORT_INTERVAL.as_millis() as u64;
             let earliest = (instance.next_forward + gap).saturating_sub(FORWARD_INTERVAL.as_millis() as u64);
             instance.next_forward = instance.next_forward.min(earliest.max(self.now));
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -5,7 +5,7 @@
 use lockloft::decision::quota::heads::heads;
 use lockloft::decision::quota::local_usage::{Admission, LocalUsage, MAX_ANSWER_AGE};
 use lockloft::decision::quota::tenant_window::{SharedQuota, TenantWindow};
-use lockloft::decision::quota::totals::{Place, Rules, Totals};
+use lockloft::decision::quota::totals::{InstanceIdentity, QuotaContext, UsageTotals};
 use lockloft::decision::registry::members::Members;
 use lockloft::model::config::{ApiKey, Quota, Tenant, TenantError, Tenants};
 use lockloft::model::member::{Capacity, Member};
@@ -250,8 +250,8 @@
 }
 
 /// Inputs of the instance `e-1`.
-fn rules<'a>(tenants: &'a Tenants, members: &'a Members) -> Rules<'a> {
-    Rules { tenants, members, window: WINDOW, slack: 0.0, own: Place { name: "e-1", hall: "a" } }
+fn context<'a>(tenants: &'a Tenants, members: &'a Members) -> QuotaContext<'a> {
+    QuotaContext { tenants, members, window: WINDOW, slack: 0.0, own: InstanceIdentity { name: "e-1", hall: "a" } }
 }
 
 fn report(from: &str, hall: &str, count: u32) -> UsageReport {
@@ -271,25 +271,25 @@
 fn a_head_aggregates_all_halls_and_leaves_the_shares_of_unreachable_instances() {
     let start = Instant::now();
     let (tenants, members) = (tenants(), members(start));
-    let rules = rules(&tenants, &members);
-    let mut totals = Totals::default();
-    assert!(totals.take(&report("e-1", "a", 5), rules, start).passes.iter().all(|(name, _)| name == "t"));
-    assert!(totals.is_alone(rules, start));
-    totals.take(&report("e-2", "a", 5), rules, start);
-    let answer = totals.take(&report("e-3", "b", 65), rules, start);
+    let context = context(&tenants, &members);
+    let mut totals = UsageTotals::default();
+    assert!(totals.record_report(&report("e-1", "a", 5), context, start).passes.iter().all(|(name, _)| name == "t"));
+    assert!(totals.is_isolated(context, start));
+    totals.record_report(&report("e-2", "a", 5), context, start);
+    let answer = totals.record_report(&report("e-3", "b", 65), context, start);
     assert_eq!(answer.passes, [("t".to_owned(), 0.0)]);
     assert_eq!(totals.window("t").unwrap().used(|_| true), 75.0);
-    assert!(totals.window("free").is_none() && !totals.is_alone(rules, start));
+    assert!(totals.window("free").is_none() && !totals.is_isolated(context, start));
     // Once e-2 and the other hall are unreachable, a quarter of the quota is left: 17.5 in a window, of
     // which the own hall used 10.
     let mut now = start;
     for _ in 0..20 {
         now += Duration::from_millis(100);
-        totals.take(&report("e-1", "a", 0), rules, now);
+        totals.record_report(&report("e-1", "a", 0), context, now);
     }
     let demand =
         UsageReport { tenants: vec![("t".to_owned(), Usage { admitted: 0, offered: 20 })], ..report("e-1", "a", 0) };
-    let answer = totals.take(&demand, rules, now);
+    let answer = totals.record_report(&demand, context, now);
     // 12.5 requests admitted before this instance became head are unknown, and leave at 2.5 per second;
     // the window is over-full by 5.
     let allowed = 2.5 - 5.0;
@@ -302,23 +302,23 @@
 fn usage_is_forwarded_to_another_hall_once_and_kept_if_that_fails() {
     let start = Instant::now();
     let (tenants, members) = (tenants(), members(start));
-    let rules = Rules {
+    let context = QuotaContext {
         tenants: &tenants,
         members: &members,
         window: WINDOW,
         slack: 0.0,
-        own: Place { name: "e-1", hall: "a" },
+        own: InstanceIdentity { name: "e-1", hall: "a" },
     };
-    let mut totals = Totals::default();
-    totals.take(&report("e-1", "a", 3), rules, start);
-    totals.take(&report("e-2", "a", 4), rules, start);
-    totals.take(&report("e-3", "b", 50), rules, start);
+    let mut totals = UsageTotals::default();
+    totals.record_report(&report("e-1", "a", 3), context, start);
+    totals.record_report(&report("e-2", "a", 4), context, start);
+    totals.record_report(&report("e-3", "b", 50), context, start);
     let count = |usage: &[(String, Usage)]| usage.iter().find(|(name, _)| name == "t").map(|(_, usage)| usage.offered);
     let forwarded = totals.begin_forward("b", start).0;
     assert_eq!(count(&forwarded), Some(7));
     assert!(totals.begin_forward("b", start).0.is_empty() && totals.begin_forward("a", start).0.is_empty());
     totals.restore_forward("b", forwarded, start);
-    totals.take(&report("e-2", "a", 1), rules, start);
+    totals.record_report(&report("e-2", "a", 1), context, start);
     assert_eq!(count(&totals.begin_forward("b", start).0), Some(8));
 }
 
@@ -326,19 +326,19 @@
 fn a_head_without_reports_for_a_while_starts_with_empty_totals() {
     let start = Instant::now();
     let (tenants, members) = (tenants(), members(start));
-    let rules = Rules {
+    let context = QuotaContext {
         tenants: &tenants,
         members: &members,
         window: WINDOW,
         slack: 0.0,
-        own: Place { name: "e-1", hall: "a" },
+        own: InstanceIdentity { name: "e-1", hall: "a" },
     };
-    let mut totals = Totals::default();
-    totals.take(&report("e-2", "a", 1), rules, start);
+    let mut totals = UsageTotals::default();
+    totals.record_report(&report("e-2", "a", 1), context, start);
     assert!(totals.is_head(start));
     let later = start + seconds(30.0);
     assert!(!totals.is_head(later));
-    totals.take(&report("e-2", "a", 0), rules, later);
+    totals.record_report(&report("e-2", "a", 0), context, later);
     assert_eq!(totals.window("t").unwrap().used(|_| true), 0.0);
 }
 
@@ -385,9 +385,9 @@
         members.remove(name, start);
     }
     assert_eq!((members.count(), members.recent_count(start)), (1, 4));
-    let mut totals = Totals::default();
-    totals.take(&report("e-1", "a", 5), rules(&tenants, &members), start);
-    assert!(totals.is_alone(rules(&tenants, &members), start), "the others may still run");
+    let mut totals = UsageTotals::default();
+    totals.record_report(&report("e-1", "a", 5), context(&tenants, &members), start);
+    assert!(totals.is_isolated(context(&tenants, &members), start), "the others may still run");
     members.insert("e-2".to_owned(), member(b'2'.into(), "a"), start + seconds(1.0));
     assert_eq!(members.recent_count(start + seconds(2.0)), 4);
     let later = start + seconds(10.1);
