--- a/src/decision/quota/hall_demand.rs
+++ b/src/decision/quota/hall_demand.rs
@@ -89,7 +89,7 @@
 
 impl HallDemands {
     /// Demand at the head of the hall `own`, before any report.
-    pub fn of_hall(own: &str) -> Self {
+    pub fn for_hall(own: &str) -> Self {
         Self { own: Some(own.to_owned()), halls: BTreeMap::new() }
     }
 
@@ -113,7 +113,7 @@
     /// The demand expected of all reachable halls, in requests per second, and the number of requests
     /// estimated to have arrived in the other halls since their last reports. `free` is the part of
     /// the window that is left, 0 to 1.
-    pub fn expected(&self, is_reachable: impl Fn(&str) -> bool, free: f64, now: Instant) -> (f64, f64) {
+    pub fn estimate(&self, is_reachable: impl Fn(&str) -> bool, free: f64, now: Instant) -> (f64, f64) {
         let Some(own) = self.own.as_deref() else { return (0.0, 0.0) };
         let headroom = (free / AMPLE_FREE_PART).min(1.0);
         let deviations = GROWTH_DEVIATIONS * headroom;
--- a/src/decision/quota/outboxes.rs
+++ b/src/decision/quota/outboxes.rs
@@ -28,7 +28,7 @@
 
 impl Outboxes {
     /// Adds usage to be sent to a hall, and drops what has been waiting too long.
-    pub fn keep(&mut self, hall: &str, tenants: &[(String, Usage)], now: Instant) {
+    pub fn add(&mut self, hall: &str, tenants: &[(String, Usage)], now: Instant) {
         if tenants.is_empty() {
             return;
         }
--- a/src/decision/quota/tenant_window.rs
+++ b/src/decision/quota/tenant_window.rs
@@ -49,7 +49,7 @@
 
 /// A tenant's quota as a limit on the requests in a window.
 #[derive(Clone, Copy, Debug)]
-pub struct SharedQuota {
+pub struct WindowLimit {
     /// The tenant's quota.
     pub quota: Quota,
     /// Length of the operators' window.
@@ -57,18 +57,18 @@
     /// Additional requests in a window, for late reports.
     pub slack: f64,
     /// Part of the quota that the head grants, 0 to 1; unreachable instances use the rest.
-    pub part: f64,
+    pub reachable_fraction: f64,
 }
 
-impl SharedQuota {
+impl WindowLimit {
     /// Most requests in a window, including the slack.
-    pub fn most(&self) -> f64 {
-        self.quota() + self.slack * self.part
+    pub fn max_requests(&self) -> f64 {
+        self.requests_without_slack() + self.slack * self.reachable_fraction
     }
 
     /// Most requests in a window, without the slack.
-    fn quota(&self) -> f64 {
-        (self.quota.rate * self.window.as_secs_f64() + self.quota.burst) * self.part
+    fn requests_without_slack(&self) -> f64 {
+        (self.quota.rate * self.window.as_secs_f64() + self.quota.burst) * self.reachable_fraction
     }
 }
 
@@ -132,13 +132,13 @@
     }
 
     /// An empty window at the head of `hall`, which expects growth in its own hall to occur in others too.
-    pub fn of_hall(hall: &str, now: Instant) -> Self {
-        Self { by_hall: HallDemands::of_hall(hall), ..Self::new(now) }
+    pub fn for_hall(hall: &str, now: Instant) -> Self {
+        Self { by_hall: HallDemands::for_hall(hall), ..Self::new(now) }
     }
 
     /// Counts requests that a hall reported, and which arrived within the last `over`.
-    pub fn record(&mut self, hall: &str, usage: Usage, over: Duration, shared: SharedQuota, now: Instant) {
-        self.advance(shared, now);
+    pub fn record(&mut self, hall: &str, usage: Usage, over: Duration, limit: WindowLimit, now: Instant) {
+        self.advance(limit, now);
         let slot = self.current_slot();
         if !self.halls.contains_key(hall) {
             self.halls.insert(hall.to_owned(), HallCounts::default());
@@ -154,25 +154,29 @@
 
     /// Part of the tenant's requests to admit now, 0 to 1. `is_reachable` states whether a hall is
     /// reachable, `known_for` for how long this head has known all admitted requests.
-    pub fn pass(
+    pub fn admit_ratio(
         &mut self,
-        shared: SharedQuota,
+        limit: WindowLimit,
         is_reachable: impl Fn(&str) -> bool,
         known_for: Duration,
         now: Instant,
     ) -> f64 {
-        self.advance(shared, now);
-        let rate = shared.quota.rate * shared.part;
-        let unknown = (shared.quota() - rate * known_for.as_secs_f64()).max(0.0);
+        self.advance(limit, now);
+        let rate = limit.quota.rate * limit.reachable_fraction;
+        let unknown = (limit.requests_without_slack() - rate * known_for.as_secs_f64()).max(0.0);
         // Half of the slack is left for requests admitted before this instance became head.
-        let most = if unknown > 0.0 { (shared.quota() + shared.most()) / 2.0 } else { shared.most() };
+        let most = if unknown > 0.0 {
+            (limit.requests_without_slack() + limit.max_requests()) / 2.0
+        } else {
+            limit.max_requests()
+        };
         let reported = self.used(&is_reachable) + unknown;
         let free = if most > 0.0 { (1.0 - reported / most).clamp(0.0, 1.0) } else { 0.0 };
-        let (expected, unreported) = self.by_hall.expected(&is_reachable, free, now);
+        let (expected, unreported) = self.by_hall.estimate(&is_reachable, free, now);
         let used = reported + unreported * self.last_ratio;
         let remaining = most - used;
         let unknown_expiring = if unknown > 0.0 { rate } else { 0.0 };
-        let expiring = (self.expiring_rate(is_reachable) + unknown_expiring).min(used / shared.window.as_secs_f64());
+        let expiring = (self.expiring_rate(is_reachable) + unknown_expiring).min(used / limit.window.as_secs_f64());
         let allowed = expiring + remaining / FILL_TIME.as_secs_f64();
         let demand = self.demand().max(expected);
         self.last_ratio = if allowed >= demand { 1.0 } else { (allowed / demand).max(0.0) };
@@ -204,11 +208,11 @@
     }
 
     /// Advances the window to `now`, and drops the requests that have left it.
-    fn advance(&mut self, shared: SharedQuota, now: Instant) {
+    fn advance(&mut self, limit: WindowLimit, now: Instant) {
         let elapsed = now.saturating_duration_since(self.updated_at).as_secs_f64();
         self.updated_at = now;
         self.demand *= (-elapsed / DEMAND_TIME_CONSTANT.as_secs_f64()).exp();
-        self.slot_time = shared.window.as_secs_f64() / SLOTS as f64;
+        self.slot_time = limit.window.as_secs_f64() / SLOTS as f64;
         let slot = (now.saturating_duration_since(self.started_at).as_secs_f64() / self.slot_time) as u64;
         let first = self.slot + 1;
         let last = slot.min(self.slot + SLOTS as u64 + 1);
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -17,7 +17,7 @@
 
 use crate::clock::Instant;
 use crate::decision::quota::outboxes::Outboxes;
-use crate::decision::quota::tenant_window::{SharedQuota, TenantWindow};
+use crate::decision::quota::tenant_window::{TenantWindow, WindowLimit};
 use crate::decision::registry::members::Members;
 use crate::model::config::{Quota, Tenants};
 use crate::model::usage::{Usage, UsageAnswer, UsageReport};
@@ -113,14 +113,14 @@
             true => self.member_reports.insert(report.from.clone(), now),
             false => self.hall_reports.insert(report.hall.clone(), now),
         };
-        let part = self.reachability(context, now).fraction;
+        let reachable_fraction = self.reachability(context, now).fraction;
         for (name, usage) in &report.tenants {
-            let Some(shared) = shared(name, context, part) else { continue };
+            let Some(limit) = window_limit(name, context, reachable_fraction) else { continue };
             if !self.windows.contains_key(name) {
-                self.windows.insert(name.clone(), TenantWindow::of_hall(context.own.hall, now));
+                self.windows.insert(name.clone(), TenantWindow::for_hall(context.own.hall, now));
             }
             if let Some(window) = self.windows.get_mut(name) {
-                window.record(&report.hall, *usage, over, shared, now);
+                window.record(&report.hall, *usage, over, limit, now);
             }
         }
         if is_of_hall && !report.is_forwarded {
@@ -131,14 +131,14 @@
 
     /// The ratios at which tenants' requests are to be admitted now.
     pub fn answer(&mut self, context: QuotaContext<'_>, now: Instant) -> UsageAnswer {
-        let part = self.reachability(context, now).fraction;
+        let reachable_fraction = self.reachability(context, now).fraction;
         let known_for = self.complete_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
         let unreachable = self.reachability.as_ref().map_or(&[][..], |reachability| &reachability.unreachable_halls);
         let is_reachable = |hall: &str| !unreachable.iter().any(|unreachable| unreachable == hall);
         let mut passes = Vec::new();
         for (name, window) in &mut self.windows {
-            let Some(shared) = shared(name, context, part) else { continue };
-            let ratio = window.pass(shared, is_reachable, known_for, now);
+            let Some(limit) = window_limit(name, context, reachable_fraction) else { continue };
+            let ratio = window.admit_ratio(limit, is_reachable, known_for, now);
             if ratio < 1.0 {
                 passes.push((name.clone(), ratio as f32));
             }
@@ -168,7 +168,7 @@
 
     /// Puts back usage that could not be sent to a hall.
     pub fn restore_forward(&mut self, hall: &str, tenants: Vec<(String, Usage)>, now: Instant) {
-        self.outboxes.keep(hall, &tenants, now);
+        self.outboxes.add(hall, &tenants, now);
     }
 
     /// Whether this instance became head so recently that its answers rest on few reports.
@@ -213,7 +213,7 @@
     fn add_for_other_halls(&mut self, tenants: &[(String, Usage)], now: Instant) {
         let halls = self.reachability.as_ref().map_or_else(Vec::new, |reachability| reachability.halls.clone());
         for hall in halls {
-            self.outboxes.keep(&hall, tenants, now);
+            self.outboxes.add(&hall, tenants, now);
         }
     }
 
@@ -264,11 +264,11 @@
     context.tenants.find(name)?.quota
 }
 
-fn shared(name: &str, context: QuotaContext<'_>, part: f64) -> Option<SharedQuota> {
-    Some(SharedQuota {
+fn window_limit(name: &str, context: QuotaContext<'_>, reachable_fraction: f64) -> Option<WindowLimit> {
+    Some(WindowLimit {
         quota: quota(name, context)?,
         window: context.window,
         slack: GRANTED_SLACK * context.slack,
-        part,
+        reachable_fraction,
     })
 }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -4,7 +4,7 @@
 use lockloft::decision::quota::equal_share::{EqualShare, FleetSize};
 use lockloft::decision::quota::heads::heads;
 use lockloft::decision::quota::local_usage::{Admission, LocalUsage, MAX_ANSWER_AGE};
-use lockloft::decision::quota::tenant_window::{SharedQuota, TenantWindow};
+use lockloft::decision::quota::tenant_window::{TenantWindow, WindowLimit};
 use lockloft::decision::quota::totals::{InstanceIdentity, QuotaContext, UsageTotals};
 use lockloft::decision::registry::members::Members;
 use lockloft::model::config::{ApiKey, Quota, Tenant, TenantError, Tenants};
@@ -19,7 +19,7 @@
 const WINDOW: Duration = Duration::from_secs(5);
 /// Time that each report covers.
 const OVER: Duration = Duration::from_millis(200);
-const WHOLE: SharedQuota = SharedQuota { quota: QUOTA, window: WINDOW, slack: 0.0, part: 1.0 };
+const WHOLE: WindowLimit = WindowLimit { quota: QUOTA, window: WINDOW, slack: 0.0, reachable_fraction: 1.0 };
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -30,8 +30,8 @@
 }
 
 /// The admit ratio of a window of which all requests are known.
-fn pass(window: &mut TenantWindow, shared: SharedQuota, now: Instant) -> f64 {
-    window.pass(shared, |_| true, WINDOW, now)
+fn admit_ratio(window: &mut TenantWindow, limit: WindowLimit, now: Instant) -> f64 {
+    window.admit_ratio(limit, |_| true, WINDOW, now)
 }
 
 #[test]
@@ -40,11 +40,11 @@
     let mut window = TenantWindow::new(start);
     window.record("a", all_admitted(30), OVER, WHOLE, start);
     let next = start + seconds(1.0);
-    assert_eq!(pass(&mut window, WHOLE, next), 1.0);
+    assert_eq!(admit_ratio(&mut window, WHOLE, next), 1.0);
     window.record("a", all_admitted(50), OVER, WHOLE, next);
-    assert_eq!((window.used(|_| true), pass(&mut window, WHOLE, next)), (80.0, 0.0));
+    assert_eq!((window.used(|_| true), admit_ratio(&mut window, WHOLE, next)), (80.0, 0.0));
     let later = next + seconds(5.5);
-    assert_eq!((pass(&mut window, WHOLE, later), window.used(|_| true)), (1.0, 0.0));
+    assert_eq!((admit_ratio(&mut window, WHOLE, later), window.used(|_| true)), (1.0, 0.0));
 }
 
 #[test]
@@ -54,9 +54,9 @@
         let mut window = TenantWindow::new(start);
         let at = start + Duration::from_millis(10 * offset);
         window.record("a", all_admitted(1), OVER, WHOLE, at);
-        pass(&mut window, WHOLE, at + seconds(4.99));
+        admit_ratio(&mut window, WHOLE, at + seconds(4.99));
         assert_eq!(window.used(|_| true), 1.0);
-        pass(&mut window, WHOLE, at + seconds(5.51));
+        admit_ratio(&mut window, WHOLE, at + seconds(5.51));
         assert_eq!(window.used(|_| true), 0.0);
     }
 }
@@ -66,9 +66,9 @@
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
     window.record("a", Usage { admitted: 0, offered: 14 }, OVER, WHOLE, start);
-    let ratio = window.pass(WHOLE, |_| true, Duration::ZERO, start);
+    let ratio = window.admit_ratio(WHOLE, |_| true, Duration::ZERO, start);
     assert!((ratio - 10.0 / window.demand()).abs() < 0.01, "{ratio}");
-    let known = window.pass(WHOLE, |_| true, 2 * WINDOW, start);
+    let known = window.admit_ratio(WHOLE, |_| true, 2 * WINDOW, start);
     // The rest of the window is used up in 1.2 s.
     assert!((known - 70.0 / 1.2 / window.demand()).abs() < 0.01, "{known}");
 }
@@ -79,11 +79,11 @@
     let mut window = TenantWindow::new(start);
     window.record("a", all_admitted(30), OVER, WHOLE, start);
     window.record("b", all_admitted(60), OVER, WHOLE, start);
-    assert_eq!(pass(&mut window, WHOLE, start), 0.0);
-    let half = SharedQuota { part: 0.5, ..WHOLE };
+    assert_eq!(admit_ratio(&mut window, WHOLE, start), 0.0);
+    let half = WindowLimit { reachable_fraction: 0.5, ..WHOLE };
     assert_eq!(window.used(|hall| hall == "a"), 30.0);
-    assert!(window.pass(half, |hall| hall == "a", 2 * WINDOW, start) > 0.0);
-    assert_eq!(window.pass(half, |hall| hall == "b", 2 * WINDOW, start), 0.0);
+    assert!(window.admit_ratio(half, |hall| hall == "a", 2 * WINDOW, start) > 0.0);
+    assert_eq!(window.admit_ratio(half, |hall| hall == "b", 2 * WINDOW, start), 0.0);
 }
 
 #[test]
@@ -106,7 +106,7 @@
         let mut admitted: Vec<(Instant, f64)> = Vec::new();
         for (wait, offered) in steps {
             now += Duration::from_millis(wait);
-            let ratio = pass(&mut window, WHOLE, now);
+            let ratio = admit_ratio(&mut window, WHOLE, now);
             let count = (f64::from(offered) * ratio) as u32;
             window.record("a", Usage { admitted: count as i32, offered }, OVER, WHOLE, now);
             admitted.push((now, count.into()));
@@ -114,7 +114,7 @@
             let in_window: f64 = in_window.sum();
             // One ratio decides on all requests of one moment, and on all that replace those that leave the
             // window at one moment: the requests of two moments may be too many.
-            prop_assert!(in_window <= WHOLE.most() + 2.0 * 11.0, "{in_window} of {}", WHOLE.most());
+            prop_assert!(in_window <= WHOLE.max_requests() + 2.0 * 11.0, "{in_window} of {}", WHOLE.max_requests());
         }
     }
 
