--- a/src/decision/refusal/held_answers.rs
+++ b/src/decision/refusal/held_answers.rs
@@ -28,32 +28,32 @@
 const TOTAL_DIVISOR: u64 = 10;
 /// Longest time for which a caller may read nothing of a complete response once its deadline has passed, so
 /// that unresponsive callers do not keep memory in use indefinitely.
-pub const SILENT_CALLER: Duration = Duration::from_secs(30);
+pub const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 /// Time for which a response still counts as under way after its last part was passed on: the caller can
 /// receive that part before a planned stop ends the process.
-pub const LAST_PART: Duration = Duration::from_millis(500);
+pub const LAST_PART_GRACE: Duration = Duration::from_millis(500);
 /// Wait of a caller that is refused because too many bytes are held, before jitter: other callers read a
 /// part of them in that time.
-pub const HELD_WAIT: Duration = Duration::from_millis(600);
+pub const HELD_ANSWERS_WAIT: Duration = Duration::from_millis(600);
 
 /// Bounds on the bytes held of responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldLimits {
+pub struct HeldAnswerLimits {
     /// Bound for one response, bytes.
     answer: u64,
     /// Bound for all responses and buffered request bodies, bytes.
     total: u64,
 }
 
-impl HeldLimits {
+impl HeldAnswerLimits {
     /// The bounds of an instance with a memory limit of `memory` bytes.
-    pub fn of_memory(memory: u64) -> Self {
+    pub fn for_memory(memory: u64) -> Self {
         Self { answer: MAX_BYTES_PER_ANSWER, total: memory / TOTAL_DIVISOR }
     }
 
     /// Whether more may be read of a response of which `own` bytes are held, of `total` in all. `most` is the
     /// largest number of its bytes that were held while there was room.
-    pub fn reads_on(&self, own: u64, total: u64, most: u64, caller_waits: bool) -> bool {
+    pub fn may_read(&self, own: u64, total: u64, most: u64, caller_waits: bool) -> bool {
         let is_caller_reading = own < most || own == 0 && caller_waits;
         is_caller_reading || self.has_room(own, total)
     }
@@ -69,7 +69,7 @@
     }
 
     /// Whether a request with a large response may be sent while `total` bytes are held.
-    pub fn takes_large_answers(&self, total: u64) -> bool {
+    pub fn admits_large_answers(&self, total: u64) -> bool {
         total < self.total
     }
 }
--- a/src/decision/refusal/retry_after.rs
+++ b/src/decision/refusal/retry_after.rs
@@ -34,12 +34,12 @@
 pub const LIMIT_WAIT: Duration = Duration::from_secs(1);
 
 /// Wait until a service with this median latency, in seconds, is likely to have capacity, before jitter.
-pub fn until_room(median_latency: f64) -> Duration {
+pub fn base_wait(median_latency: f64) -> Duration {
     let wait = Duration::try_from_secs_f64(WAIT_LATENCIES * median_latency).unwrap_or(DEFAULT_WAIT);
     wait.clamp(MIN_WAIT, MAX_WAIT)
 }
 
 /// Applies jitter: 0.5 to 1.5 times `wait`, for `random` in [0, 1).
-pub fn spread(wait: Duration, random: f64) -> Duration {
+pub fn with_jitter(wait: Duration, random: f64) -> Duration {
     wait.mul_f64(0.5 + random)
 }
--- a/src/decision/refusal/stop.rs
+++ b/src/decision/refusal/stop.rs
@@ -29,7 +29,7 @@
 
 /// Whether a request that arrives now, and has to end within `allowed`, is served rather than refused.
 /// `stop` is `bounds.stop_s`; `stopping_for` is the time since the signal, `None` while the instance runs.
-pub fn takes_requests(stopping_for: Option<Duration>, stop: Duration, allowed: Duration) -> bool {
+pub fn accepts_request(stopping_for: Option<Duration>, stop: Duration, allowed: Duration) -> bool {
     let Some(elapsed) = stopping_for else { return true };
     elapsed < stop.mul_f64(SERVING_FRACTION) || elapsed + allowed + END_MARGIN <= stop
 }
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -13,7 +13,7 @@
 pub use reader::Reader;
 pub use shared::{Progress, Shared};
 
-use crate::decision::refusal::held_answers::HeldLimits;
+use crate::decision::refusal::held_answers::HeldAnswerLimits;
 use crate::net::buffered_bytes::BufferTotal;
 use crate::net::request_body::BodyError;
 use crate::platform::Platform;
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug)]
 pub struct Holding {
     /// Bounds.
-    pub limits: HeldLimits,
+    pub limits: HeldAnswerLimits,
     /// Bytes held of all answers and request bodies.
     pub total: Rc<BufferTotal>,
     /// Counts answers that their callers did not get whole.
@@ -41,7 +41,7 @@
     /// That of an instance.
     pub fn new<P: Platform>(instance: &Instance<P>) -> Self {
         Self {
-            limits: HeldLimits::of_memory(instance.settings.borrow().memory),
+            limits: HeldAnswerLimits::for_memory(instance.settings.borrow().memory),
             total: instance.requests.buffer_counter().clone(),
             broken: instance.metrics.answers_broken.clone(),
         }
@@ -49,7 +49,7 @@
 
     /// Whether a request with a large answer may begin.
     pub fn takes_large_answers(&self) -> bool {
-        self.limits.takes_large_answers(self.total.get())
+        self.limits.admits_large_answers(self.total.get())
     }
 }
 
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_answer/reader.rs
@@ -7,7 +7,7 @@
 
 use crate::clock::{Instant, sleep, timeout_at};
 use crate::decision::capacity::in_flight::InFlight;
-use crate::decision::refusal::held_answers::{LAST_PART, SILENT_CALLER};
+use crate::decision::refusal::held_answers::{CALLER_IDLE_TIMEOUT, LAST_PART_GRACE};
 use crate::decision::registry::target::Target;
 use crate::net::request_body::BodyError;
 use crate::proxy::answer_body::Reuse;
@@ -72,7 +72,7 @@
         drop(in_flight);
         end.holding.total.wake_next();
         end.wait_until_taken(deadline).await;
-        sleep(LAST_PART).await;
+        sleep(LAST_PART_GRACE).await;
         drop(counted);
     }
 
@@ -123,7 +123,7 @@
                 () = total.freed(), if !limits.is_full(own) => {}
             }
         }
-        if limits.takes_large_answers(total.get()) {
+        if limits.admits_large_answers(total.get()) {
             total.wake_next();
         }
     }
@@ -145,12 +145,12 @@
 impl End {
     /// Keeps what is held until the caller has it, or takes nothing for too long.
     async fn wait_until_taken(self, deadline: Instant) {
-        let mut latest = deadline.max(Instant::now()) + SILENT_CALLER;
+        let mut latest = deadline.max(Instant::now()) + CALLER_IDLE_TIMEOUT;
         while !self.shared.is_taken() {
             if timeout_at(latest, self.shared.taken()).await.is_err() {
                 return self.give_up();
             }
-            latest = latest.max(Instant::now() + SILENT_CALLER);
+            latest = latest.max(Instant::now() + CALLER_IDLE_TIMEOUT);
         }
     }
 
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_answer/shared.rs
@@ -3,7 +3,7 @@
 //! Owns the answer's bytes and how it ended at the target. Wakes the caller's side when bytes or the end
 //! come, and the reader when the caller took some or waits.
 
-use crate::decision::refusal::held_answers::HeldLimits;
+use crate::decision::refusal::held_answers::HeldAnswerLimits;
 use crate::net::buffered_bytes::BufferTotal;
 use crate::net::request_body::BodyError;
 use crate::proxy::held_answer::buffer::AnswerBuffer;
@@ -92,13 +92,13 @@
     }
 
     /// Whether it is read on within these bounds.
-    pub fn reads_on(&self, limits: &HeldLimits) -> bool {
+    pub fn reads_on(&self, limits: &HeldAnswerLimits) -> bool {
         let mut state = self.state.borrow_mut();
         let (own, total) = (state.buffer.len(), state.buffer.total());
         if limits.has_room(own, total) {
             state.most = state.most.max(own);
         }
-        limits.reads_on(own, total, state.most, state.waiting.is_some())
+        limits.may_read(own, total, state.most, state.waiting.is_some())
     }
 
     /// Returns once the caller's side took bytes or began to wait.
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -6,9 +6,9 @@
 
 use crate::clock::{Instant, timeout_at};
 use crate::decision::quota::local_usage::Admission;
-use crate::decision::refusal::held_answers::HELD_WAIT;
-use crate::decision::refusal::retry_after::{LIMIT_WAIT, QUOTA_WAIT, spread, until_room};
-use crate::decision::refusal::stop::takes_requests;
+use crate::decision::refusal::held_answers::HELD_ANSWERS_WAIT;
+use crate::decision::refusal::retry_after::{LIMIT_WAIT, QUOTA_WAIT, base_wait, with_jitter};
+use crate::decision::refusal::stop::accepts_request;
 use crate::model::config::{Config, Route, Tenant};
 use crate::model::fingerprint::{Fingerprint, RequestIdentity};
 use crate::net::headers::remove_hop_by_hop;
@@ -87,19 +87,19 @@
 /// tenant's quota.
 fn return_in<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
     if refusal == Refusal::OverQuota {
-        return spread(QUOTA_WAIT, rand::random());
+        return with_jitter(QUOTA_WAIT, rand::random());
     }
     if refusal == Refusal::HeldAnswers {
-        return spread(HELD_WAIT, rand::random());
+        return with_jitter(HELD_ANSWERS_WAIT, rand::random());
     }
     if let Some(wait) = record.wait {
-        return wait + spread(LIMIT_WAIT, rand::random());
+        return wait + with_jitter(LIMIT_WAIT, rand::random());
     }
     let median = match &record.service {
         Some(service) => instance.routing.borrow().median_latency(service),
         None => f64::INFINITY,
     };
-    spread(until_room(median), rand::random())
+    with_jitter(base_wait(median), rand::random())
 }
 
 /// Understands a request and tries it at targets.
@@ -122,7 +122,7 @@
     let deadline = deadline(request.headers(), &instance.names.deadline_ms, route, started)?;
     let stop = instance.settings.borrow().stop;
     let allowed = deadline.saturating_duration_since(Instant::now());
-    if !takes_requests(instance.lifecycle.stopping_for(), stop, allowed) {
+    if !accepts_request(instance.lifecycle.stopping_for(), stop, allowed) {
         return Err(Refusal::Stopping);
     }
     if route.large_answers && !Holding::new(instance).takes_large_answers() {
--- a/tests/held_answers.rs
+++ b/tests/held_answers.rs
@@ -1,7 +1,7 @@
 //! Answers that are held for callers: their bytes, their count, and the bounds.
 
 use bytes::Bytes;
-use lockloft::decision::refusal::held_answers::HeldLimits;
+use lockloft::decision::refusal::held_answers::HeldAnswerLimits;
 use lockloft::net::buffered_bytes::BufferTotal;
 use lockloft::proxy::held_answer::buffer::{AnswerBuffer, PART};
 use proptest::prelude::*;
@@ -74,28 +74,28 @@
     fn bytes_beyond_a_bound_are_read_only_as_the_caller_takes_them(
         own in 0..3 * MIB, others in 0..40 * MIB, most in 0..MIB,
     ) {
-        let limits = HeldLimits::of_memory(160 * MIB);
+        let limits = HeldAnswerLimits::for_memory(160 * MIB);
         let total = own + others;
         let has_room = limits.has_room(own, total);
         prop_assert_eq!(has_room, own < MIB && total < 16 * MIB);
-        prop_assert_eq!(limits.reads_on(own, total, most, false), has_room || own < most);
-        prop_assert_eq!(limits.reads_on(own, total, most, true), has_room || own < most || own == 0);
+        prop_assert_eq!(limits.may_read(own, total, most, false), has_room || own < most);
+        prop_assert_eq!(limits.may_read(own, total, most, true), has_room || own < most || own == 0);
     }
 }
 
 #[test]
 fn an_answer_whose_caller_waits_is_read_on_however_much_is_held_for_others() {
-    let limits = HeldLimits::of_memory(160 * MIB);
-    assert!(limits.reads_on(0, u64::MAX, 0, true));
-    assert!(!limits.reads_on(0, 16 * MIB, 0, false));
-    assert!(!limits.reads_on(1, 16 * MIB, 1, true));
+    let limits = HeldAnswerLimits::for_memory(160 * MIB);
+    assert!(limits.may_read(0, u64::MAX, 0, true));
+    assert!(!limits.may_read(0, 16 * MIB, 0, false));
+    assert!(!limits.may_read(1, 16 * MIB, 1, true));
 }
 
 #[test]
 fn large_answers_begin_below_the_bound_of_all_only() {
-    let limits = HeldLimits::of_memory(160 * MIB);
-    assert!(limits.takes_large_answers(16 * MIB - 1));
-    assert!(!limits.takes_large_answers(16 * MIB));
+    let limits = HeldAnswerLimits::for_memory(160 * MIB);
+    assert!(limits.admits_large_answers(16 * MIB - 1));
+    assert!(!limits.admits_large_answers(16 * MIB));
 }
 
 #[test]
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -12,7 +12,7 @@
 use lockloft::decision::failure::next_try::{Next, Reason, Tries, TryOutcome, next_try};
 use lockloft::decision::failure::retry::{RetryBudget, budget};
 use lockloft::decision::failure::shedding::has_free_slot;
-use lockloft::decision::refusal::retry_after::{spread, until_room};
+use lockloft::decision::refusal::retry_after::{base_wait, with_jitter};
 use lockloft::decision::registry::target::Target;
 use lockloft::decision::registry::target_key::TargetKey;
 use lockloft::decision::selection::choice::{NoTarget, Query, choose};
@@ -336,7 +336,7 @@
     /// Sends a caller away, who returns once when it was told to.
     fn refuse(&mut self, request: Request, refusal: Refusal, instance: usize, at: Duration) {
         let median = self.instances[instance].0.routing.median_latency("shop");
-        let room_in = spread(until_room(median), self.random.random());
+        let room_in = with_jitter(base_wait(median), self.random.random());
         let wait = refusal.retry_after(room_in);
         match wait.filter(|_| !request.is_return) {
             Some(wait) => self.agenda.plan(at + wait, Event::Arrival(Request { is_return: true, ..request })),
--- a/tests/retry_after.rs
+++ b/tests/retry_after.rs
@@ -1,6 +1,6 @@
 //! Retry-After of refusals for lack of capacity.
 
-use lockloft::decision::refusal::retry_after::{spread, until_room};
+use lockloft::decision::refusal::retry_after::{base_wait, with_jitter};
 use proptest::prelude::*;
 use std::time::Duration;
 
@@ -10,20 +10,20 @@
 
 #[test]
 fn the_wait_follows_the_median_latency() {
-    assert_eq!(until_room(0.15), ms(450));
-    assert_eq!(until_room(0.4), ms(1_200));
-    assert_eq!(until_room(0.001), ms(100), "no caller returns within a round trip");
-    assert_eq!(until_room(60.0), ms(2_000), "no caller waits longer than the time that it has");
-    assert_eq!(until_room(f64::INFINITY), ms(400), "no latency is known yet");
+    assert_eq!(base_wait(0.15), ms(450));
+    assert_eq!(base_wait(0.4), ms(1_200));
+    assert_eq!(base_wait(0.001), ms(100), "no caller returns within a round trip");
+    assert_eq!(base_wait(60.0), ms(2_000), "no caller waits longer than the time that it has");
+    assert_eq!(base_wait(f64::INFINITY), ms(400), "no latency is known yet");
 }
 
 proptest! {
     /// The wait is within its bounds for any latency, and callers return after 0.5 to 1.5 times the wait.
     #[test]
     fn waits_are_bounded_and_jittered(median in 0.0f64..1e12, random in 0.0f64..1.0) {
-        let wait = until_room(median);
+        let wait = base_wait(median);
         prop_assert!((ms(100)..=ms(2_000)).contains(&wait));
-        let spread = spread(wait, random);
-        prop_assert!(spread >= wait / 2 && spread <= wait * 3 / 2);
+        let jittered = with_jitter(wait, random);
+        prop_assert!(jittered >= wait / 2 && jittered <= wait * 3 / 2);
     }
 }
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -7,7 +7,7 @@
 use lockloft::decision::capacity::slow_start::{SlowStart, spacing};
 use lockloft::decision::failure::ejection::Ejection;
 use lockloft::decision::failure::latency::{Latency, median};
-use lockloft::decision::refusal::stop::takes_requests;
+use lockloft::decision::refusal::stop::accepts_request;
 use lockloft::decision::registry::members::Members;
 use lockloft::decision::selection::directory::{OwnInstance, instances_for};
 use lockloft::model::member::{Capacity, Member};
@@ -317,10 +317,10 @@
     // Time since the stop began, ms; whether a request is served that has 30 s.
     let table = [(None, true), (Some(0), true), (Some(2_999), true), (Some(3_000), false), (Some(6_000), false)];
     for (since, expected) in table {
-        assert_eq!(takes_requests(since.map(ms), stop, ms(30_000)), expected, "{since:?}");
+        assert_eq!(accepts_request(since.map(ms), stop, ms(30_000)), expected, "{since:?}");
     }
     // One that has 800 ms is served until 300 ms before the kill.
     for (since, expected) in [(3_000, true), (4_900, true), (4_901, false), (6_000, false), (7_000, false)] {
-        assert_eq!(takes_requests(Some(ms(since)), stop, ms(800)), expected, "{since}");
+        assert_eq!(accepts_request(Some(ms(since)), stop, ms(800)), expected, "{since}");
     }
 }
