--- a/src/decision/quota/equal_share.rs
+++ b/src/decision/quota/equal_share.rs
@@ -30,8 +30,8 @@
 }
 
 impl FleetSize {
-    /// Number of instances by which the quota is divided: at least 1, or 100 while this one is not a
-    /// member.
+    /// Number of instances by which the quota is divided: at least 1, and at least 100 while this one is
+    /// not a member.
     pub fn instances(self) -> f64 {
         let least = if self.is_member { 1 } else { DEFAULT_FLEET_SIZE };
         self.members.max(least) as f64
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -3,8 +3,8 @@
 //! ([`super::equal_share`]) while the answer is too old, or once too many requests were admitted since.
 //!
 //! **Inputs**
-//! - Admit ratios by tenant, from the last answer of a head; up to `MAX_ANSWER_AGE` (1 s) old. All requests of a
-//!   tenant that the answer does not name are admitted.
+//! - Admit ratios by tenant, from the last answer of a head; up to `MAX_ANSWER_AGE` (1 s) old. All
+//!   requests of a tenant that the answer does not name are admitted.
 //! - Requests of each tenant that arrived here, and those admitted since, counted at once.
 //! - The quota, from the configuration in force, and the number of instances; as old as the view.
 //!
@@ -64,7 +64,7 @@
 /// One tenant's requests at this instance.
 #[derive(Debug)]
 struct TenantUsage {
-    /// Requests that no head was told of yet.
+    /// Requests that were not reported to a head yet.
     unreported: Usage,
     /// Requests in a report that is not answered yet.
     in_report: Usage,
