--- /dev/null
+++ b/src/decision/quota/local_usage.rs
@@ -0,0 +1,246 @@
+//! Admission by quota: an instance admits a tenant's requests, evenly spaced, at the ratio that the
+//! head of its hall last answered. It admits only its equal share of the quota
+//! ([`super::equal_share`]) while the answer is too old, or once too many requests were admitted since.
+//!
+//! **Inputs**
+//! - Admit ratios by tenant, from the last answer of a head; up to `MAX_ANSWER_AGE` (1 s) old. All
+//!   requests of a tenant that the answer does not name are admitted.
+//! - Requests of each tenant that arrived here, and those admitted since, counted at once.
+//! - The quota, from the configuration in force, and the number of instances; as old as the view.
+//!
+//! **Why.** When a tenant suddenly sends a multiple of its usual requests, the head has to know before
+//! the burst is used up. Requests far above the usual number are therefore reported at once, and until
+//! an answer arrives an instance admits five times that number and then only its equal share.
+//!
+//! **Guards** the promises that a tenant's requests stay within its quota, and that a request is
+//! refused immediately instead of being held. **Test**: `tests/quotas.rs`, `tests/quota_replay.rs`.
+
+use crate::clock::Instant;
+use crate::decision::quota::equal_share::{EqualShare, FleetSize};
+use crate::model::config::Quota;
+use crate::model::usage::{Usage, UsageAnswer};
+use std::collections::HashMap;
+use std::rc::Rc;
+use std::time::Duration;
+
+/// Age of an answer up to which its ratios apply: four times the report interval, so that one lost
+/// report and the change to another head have no effect.
+pub const MAX_ANSWER_AGE: Duration = Duration::from_secs(1);
+/// Least number of a tenant's unreported requests that is reported at once, however few are usual:
+/// with a lower one, most reports of small tenants would be sent at once.
+const MIN_SURGE_REQUESTS: f64 = 2.0;
+/// Factor on a tenant's usual requests between two reports from which its requests are reported at once.
+const SURGE_FACTOR: f64 = 2.0;
+/// Factor on the number that is reported at once, up to which requests are admitted before an answer,
+/// and least such limit: as many reports as may fail while an answer applies.
+const UNANSWERED_FACTOR: f64 = 5.0;
+/// See [`UNANSWERED_FACTOR`].
+const MIN_UNANSWERED: f64 = 8.0;
+/// The same for a tenant with an admit ratio below 1: its quota is used up, and every instance may admit as
+/// many requests.
+const LIMITED_UNANSWERED_FACTOR: f64 = 1.0;
+/// See [`LIMITED_UNANSWERED_FACTOR`].
+const MIN_LIMITED_UNANSWERED: f64 = 2.0;
+/// Requests of a tenant that are admitted before the first answer: all instances may be starting, and
+/// none of them knows what was admitted before.
+const MAX_BEFORE_FIRST_ANSWER: f64 = 3.0;
+/// Most that a tenant's admit ratio rises with one answer: to this factor times the last one plus
+/// [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
+const RATIO_RISE_FACTOR: f64 = 1.5;
+/// See [`RATIO_RISE_FACTOR`].
+const RATIO_RISE_STEP: f64 = 0.1;
+/// Weight of the last answered report in the average number of requests in a report (no unit).
+const AVERAGE_WEIGHT: f64 = 0.3;
+
+/// Decision on a request by its tenant's quota.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Admission {
+    /// The request may be sent to a target.
+    Admitted,
+    /// The tenant's quota is used up; the request is refused.
+    Refused,
+}
+
+/// One tenant's requests at this instance.
+#[derive(Debug)]
+struct TenantUsage {
+    /// Requests that were not reported to a head yet.
+    unreported: Usage,
+    /// Requests in a report that is not answered yet.
+    in_report: Usage,
+    /// Average number of requests in an answered report.
+    average_offered: f64,
+    /// Part of the requests that is admitted, 0 to 1.
+    admit_ratio: f64,
+    /// Fraction of a request carried over from earlier ones, below 1.
+    credit: f64,
+    equal_share: EqualShare,
+}
+
+impl TenantUsage {
+    /// `credit` is random, so that instances do not admit their first requests at the same moment.
+    fn new(admit_ratio: f64, credit: f64) -> Self {
+        Self {
+            unreported: Usage::default(),
+            in_report: Usage::default(),
+            average_offered: 0.0,
+            admit_ratio,
+            credit,
+            equal_share: EqualShare::default(),
+        }
+    }
+
+    /// Number of unreported requests from which they are reported at once.
+    fn surge_threshold(&self) -> f64 {
+        (SURGE_FACTOR * self.average_offered).max(MIN_SURGE_REQUESTS)
+    }
+
+    fn has_surge(&self) -> bool {
+        f64::from(self.unreported.offered) >= self.surge_threshold()
+    }
+
+    /// Whether as many requests were admitted as are allowed before the next answer.
+    fn is_unanswered_limit_reached(&self, is_first: bool) -> bool {
+        let admitted = self.unreported.admitted.saturating_add(self.in_report.admitted);
+        let most = match (is_first, self.admit_ratio < 1.0) {
+            (true, _) => MAX_BEFORE_FIRST_ANSWER,
+            (false, true) => {
+                (LIMITED_UNANSWERED_FACTOR * self.admit_ratio * self.surge_threshold()).max(MIN_LIMITED_UNANSWERED)
+            }
+            (false, false) => (UNANSWERED_FACTOR * self.surge_threshold()).max(MIN_UNANSWERED),
+        };
+        f64::from(admitted) >= most
+    }
+
+    fn take_credit(&mut self) -> bool {
+        self.credit += self.admit_ratio;
+        let is_admitted = self.credit >= 1.0;
+        if is_admitted {
+            self.credit -= 1.0;
+        }
+        is_admitted
+    }
+}
+
+/// All tenants' requests at this instance, and the ratios at which they are admitted.
+#[derive(Debug, Default)]
+pub struct LocalUsage {
+    tenants: HashMap<Rc<str>, TenantUsage>,
+    /// The ratios of the last answer, including those of tenants without a request here so far.
+    admit_ratios: HashMap<String, f64>,
+    /// When the last answered report was started; later requests are not reported yet.
+    reported_until: Option<Instant>,
+    /// When the report was started that is not answered yet.
+    report_started_at: Option<Instant>,
+    /// Whether a head has answered since the process started.
+    was_answered: bool,
+    /// When a head last answered; before the first answer, the time of the first request.
+    answered_at: Option<Instant>,
+}
+
+impl LocalUsage {
+    /// Admits or refuses a request of a tenant, and counts it. `random` is a random number from 0 to 1.
+    pub fn admit(&mut self, tenant: &Rc<str>, quota: Quota, fleet: FleetSize, random: f64, now: Instant) -> Admission {
+        let answered_at = *self.answered_at.get_or_insert(now);
+        let is_answered = now.saturating_duration_since(answered_at) < MAX_ANSWER_AGE;
+        let is_first = !self.was_answered;
+        let admit_ratios = &self.admit_ratios;
+        let new = || TenantUsage::new(admit_ratios.get(&**tenant).copied().unwrap_or(1.0), random);
+        let usage = self.tenants.entry(tenant.clone()).or_insert_with(new);
+        usage.unreported.offered = usage.unreported.offered.saturating_add(1);
+        let is_admitted = match (is_answered, usage.is_unanswered_limit_reached(is_first)) {
+            (true, false) => usage.take_credit(),
+            // The burst is for an instance without a current answer: here all others may admit as much.
+            (true, true) => usage.equal_share.try_take(Quota { burst: 0.0, ..quota }, fleet, now),
+            (false, _) => usage.equal_share.try_take(quota, fleet, now),
+        };
+        if !is_admitted {
+            return Admission::Refused;
+        }
+        usage.unreported.admitted = usage.unreported.admitted.saturating_add(1);
+        Admission::Admitted
+    }
+
+    /// Withdraws the count of an admitted request that no target ran.
+    pub fn release(&mut self, tenant: &str) {
+        if let Some(usage) = self.tenants.get_mut(tenant) {
+            usage.unreported.admitted = usage.unreported.admitted.saturating_sub(1);
+        }
+    }
+
+    /// Whether the tenant's unreported requests are so many that they should be reported at once.
+    pub fn has_surge(&self, tenant: &str) -> bool {
+        self.tenants.get(tenant).is_some_and(TenantUsage::has_surge)
+    }
+
+    /// Time in which the unreported requests arrived; 0 before the first request.
+    pub fn unreported_for(&self, now: Instant) -> Duration {
+        self.reported_until.or(self.answered_at).map_or(Duration::ZERO, |at| now.saturating_duration_since(at))
+    }
+
+    /// Starts a report: returns the unreported usage by tenant, which is in the report until
+    /// [`Self::take_answer`], [`Self::forget_report`] or [`Self::restore_report`] is called.
+    pub fn begin_report(&mut self, now: Instant) -> Vec<(String, Usage)> {
+        self.report_started_at = Some(now);
+        let mut report = Vec::new();
+        for (name, usage) in &mut self.tenants {
+            let unreported = std::mem::take(&mut usage.unreported);
+            usage.in_report = unreported;
+            if !unreported.is_empty() {
+                report.push((name.to_string(), unreported));
+            }
+        }
+        report
+    }
+
+    /// Adds the usage of a report that was not answered to the next one. It is counted twice if the
+    /// head had received the report.
+    pub fn restore_report(&mut self) {
+        for usage in self.tenants.values_mut() {
+            let in_report = std::mem::take(&mut usage.in_report);
+            usage.unreported.add(in_report);
+        }
+    }
+
+    /// Completes a report that was counted but whose answer is not to be used: the ratios stay as they
+    /// were, and the last answer ages.
+    pub fn forget_report(&mut self) {
+        self.reported_until = self.report_started_at.take();
+        for usage in self.tenants.values_mut() {
+            usage.in_report = Usage::default();
+        }
+    }
+
+    /// Applies the answer to the last report.
+    pub fn take_answer(&mut self, answer: &UsageAnswer, now: Instant) {
+        self.answered_at = Some(now);
+        self.was_answered = true;
+        self.reported_until = self.report_started_at.take();
+        let clamped = |ratio: f32| f64::from(ratio).clamp(0.0, 1.0);
+        self.admit_ratios = answer.passes.iter().map(|(name, ratio)| (name.clone(), clamped(*ratio))).collect();
+        for (name, usage) in &mut self.tenants {
+            let in_report = std::mem::take(&mut usage.in_report);
+            usage.average_offered += AVERAGE_WEIGHT * (f64::from(in_report.offered) - usage.average_offered);
+            // A new head may not know yet of a tenant whose ratio its predecessor had reduced.
+            let most = RATIO_RISE_FACTOR * usage.admit_ratio + RATIO_RISE_STEP;
+            usage.admit_ratio = self.admit_ratios.get(&**name).copied().unwrap_or(1.0).min(most);
+        }
+    }
+
+    /// Time since a head last answered, or since the first request before the first answer; `None` before
+    /// the first request.
+    pub fn answer_age(&self, now: Instant) -> Option<Duration> {
+        self.answered_at.map(|at| now.saturating_duration_since(at))
+    }
+
+    /// Part of the tenant's requests that the last answer admits, 0 to 1; 1 where it does not name the
+    /// tenant.
+    pub fn admit_ratio(&self, tenant: &str) -> f64 {
+        self.admit_ratios.get(tenant).copied().unwrap_or(1.0)
+    }
+
+    /// Removes the tenants for which `is_there` does not hold.
+    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
+        self.tenants.retain(|name, _| is_there(name));
+    }
+}
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -5,9 +5,9 @@
 
 use super::Instance;
 use crate::clock::Instant;
-use crate::decision::quota::own_use::{Admission, OwnUse};
-use crate::decision::quota::part::Fleet;
-use crate::decision::quota::totals::{Place, Rules, Totals};
+use crate::decision::quota::equal_share::FleetSize;
+use crate::decision::quota::local_usage::{Admission, LocalUsage};
+use crate::decision::quota::totals::{InstanceIdentity, QuotaContext, UsageTotals};
 use crate::model::config::{Tenant, Tenants};
 use crate::model::usage::{Usage, UsageAnswer, UsageReport};
 use crate::platform::Platform;
@@ -18,8 +18,8 @@
 /// The quotas of tenants.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    own: RefCell<OwnUse>,
-    totals: RefCell<Totals>,
+    own: RefCell<LocalUsage>,
+    totals: RefCell<UsageTotals>,
     /// Whether a tenant of the configuration in force has a quota.
     is_needed: Cell<bool>,
     report_due: Notify,
@@ -50,7 +50,7 @@
     /// What is to be told of the own requests, and the time in which they arrived.
     pub fn begin_report(&self) -> (Vec<(String, Usage)>, Duration) {
         let (mut own, now) = (self.own.borrow_mut(), Instant::now());
-        let over = own.untold_for(now);
+        let over = own.unreported_for(now);
         (own.begin_report(now), over)
     }
 
@@ -87,12 +87,12 @@
     }
 
     /// The own requests, for operators.
-    pub fn own(&self) -> Ref<'_, OwnUse> {
+    pub fn own(&self) -> Ref<'_, LocalUsage> {
         self.own.borrow()
     }
 
     /// What this instance knows as a head, for operators.
-    pub fn totals(&self) -> Ref<'_, Totals> {
+    pub fn totals(&self) -> Ref<'_, UsageTotals> {
         self.totals.borrow()
     }
 
@@ -113,16 +113,16 @@
         let mut own = self.quotas.own.borrow_mut();
         let admission = own.admit(&tenant.name, quota, fleet, rand::random(), Instant::now());
         self.metrics.count_quota(&tenant.name, admission == Admission::Admitted);
-        if own.is_unusual(&tenant.name) {
+        if own.has_surge(&tenant.name) {
             self.quotas.report_due.notify_one();
         }
         admission
     }
 
     /// Who shares the quotas.
-    pub fn fleet(&self) -> Fleet {
+    pub fn fleet(&self) -> FleetSize {
         let members = &self.routing.borrow().members;
-        Fleet {
+        FleetSize {
             members: members.recent_count(Instant::now()),
             is_member: members.contains_key(&self.settings.borrow().name),
         }
@@ -130,7 +130,7 @@
 
     /// Takes a report as the head of a hall, and gives the answer to it.
     pub fn take_usage(&self, report: &UsageReport) -> UsageAnswer {
-        let answer = self.with_rules(|totals, rules| totals.take(report, rules, Instant::now()));
+        let answer = self.with_rules(|totals, rules| totals.record_report(report, rules, Instant::now()));
         UsageAnswer { loads: self.exchange_loads(report), ..answer.unwrap_or_default() }
     }
 
@@ -138,26 +138,26 @@
     /// from, so that the answer would be that of one that is cut off.
     pub fn take_own_usage(&self, report: &UsageReport) -> Option<UsageAnswer> {
         let answer = self.with_rules(|totals, rules| {
-            let answer = totals.take(report, rules, Instant::now());
-            (!totals.is_alone(rules, Instant::now())).then_some(answer)
+            let answer = totals.record_report(report, rules, Instant::now());
+            (!totals.is_isolated(rules, Instant::now())).then_some(answer)
         })?;
         Some(UsageAnswer { loads: self.exchange_loads(report), ..answer? })
     }
 
     /// Changes the totals; `None` before the first configuration.
-    fn with_rules<T>(&self, change: impl FnOnce(&mut Totals, Rules<'_>) -> T) -> Option<T> {
+    fn with_rules<T>(&self, change: impl FnOnce(&mut UsageTotals, QuotaContext<'_>) -> T) -> Option<T> {
         let (settings, routing) = (self.settings(), self.routing.borrow());
         let config = routing.config.as_ref()?;
-        let rules = Rules {
+        let rules = QuotaContext {
             tenants: &config.tenants,
             members: &routing.members,
             window: settings.quota_window,
             slack: settings.quota_slack,
-            own: Place { name: &settings.name, hall: &settings.hall },
+            own: InstanceIdentity { name: &settings.name, hall: &settings.hall },
         };
         let mut totals = self.quotas.totals.borrow_mut();
         let changed = change(&mut totals, rules);
-        if totals.is_urgent(rules) {
+        if totals.is_forward_urgent(rules) {
             self.quotas.forward_due.notify_one();
         }
         Some(changed)
