--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -26,7 +26,7 @@
 impl<P: Platform> Handler for DirectoryListener<P> {
     type Body = AnswerBody;
 
-    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
+    async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
         let (path, query) = (request.uri().path(), request.uri().query().unwrap_or(""));
         if path == P::ready_path() {
             let status = if self.0.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
@@ -54,8 +54,8 @@
     }
 
     fn limits(&self) -> ConnectionLimits {
-        ConnectionLimits::INNER
+        ConnectionLimits::INTERNAL
     }
 
-    fn connections(&self, _: i64) {}
+    fn count_connections(&self, _: i64) {}
 }
--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -89,7 +89,7 @@
 impl<P: Platform> Handler for PeerListener<P> {
     type Body = AnswerBody;
 
-    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
+    async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
         match request.uri().path() {
             peers::CHANGES_PATH => self.changes(&request).await,
             METRICS_PATH => self.metrics(),
@@ -103,8 +103,8 @@
     }
 
     fn limits(&self) -> ConnectionLimits {
-        ConnectionLimits::INNER
+        ConnectionLimits::INTERNAL
     }
 
-    fn connections(&self, _: i64) {}
+    fn count_connections(&self, _: i64) {}
 }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -43,9 +43,9 @@
     let mut builder = http1::Builder::new();
     builder.max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER));
     let connection = pin!(builder.serve_connection(stream, service));
-    handler.connections(1);
+    handler.count_connections(1);
     run(connection, &progress, &limits).await;
-    handler.connections(-1);
+    handler.count_connections(-1);
 }
 
 /// The answer that is under way, or a new one.
@@ -54,12 +54,12 @@
     begun: Option<Begun<H>>,
     request: Request<CallerBody>,
 ) -> Response<H::Body> {
-    let Some(begun) = begun else { return handler.answer(request).await };
+    let Some(begun) = begun else { return handler.handle(request).await };
     match begun.answer().await {
         Ok(response) => response,
         Err(error) => {
             tracing::error!(event = "early_request_failed", %error, "the request is begun anew; report the error");
-            handler.answer(request).await
+            handler.handle(request).await
         }
     }
 }
--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -12,11 +12,11 @@
     /// The body of an answer.
     type Body: Body<Data = Bytes, Error: std::error::Error + Send + Sync> + Unpin;
     /// Answers a request.
-    fn answer(self: Rc<Self>, request: Request<CallerBody>) -> impl Future<Output = Response<Self::Body>>;
+    fn handle(self: Rc<Self>, request: Request<CallerBody>) -> impl Future<Output = Response<Self::Body>>;
     /// Bounds on its connections, asked for each new one.
     fn limits(&self) -> ConnectionLimits;
     /// Called when a connection opens (1) and closes (-1).
-    fn connections(&self, change: i64);
+    fn count_connections(&self, change: i64);
     /// Whether a request without a body may begin before those ahead of it on its connection are
     /// answered: only one that may run more than once.
     fn may_begin_early(&self, _head: &Parts) -> bool {
@@ -24,7 +24,7 @@
     }
     /// Whether requests behind this one may begin before it is answered: only where it may run more
     /// than once, since its caller may rely on the order otherwise.
-    fn may_be_overtaken(&self, _head: &Parts) -> bool {
+    fn allows_pipelining(&self, _head: &Parts) -> bool {
         false
     }
     /// Whether connections close with the answer to the last request that was read.
@@ -33,5 +33,5 @@
     }
     /// Called when a request was read before its turn (1), and when its answer is ready at its
     /// turn, it begins at its turn, or it is broken off (-1).
-    fn unanswered(&self, _change: i64) {}
+    fn count_unanswered(&self, _change: i64) {}
 }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -31,7 +31,7 @@
 pub async fn listen<H: Handler>(listener: TcpListener, handler: Rc<H>) {
     let open = Rc::new(Cell::new(0));
     loop {
-        if open.get() >= handler.limits().connections {
+        if open.get() >= handler.limits().max_connections {
             sleep(ACCEPT_PAUSE).await;
             continue;
         }
--- a/src/net/server/read_ahead/begun.rs
+++ b/src/net/server/read_ahead/begun.rs
@@ -25,14 +25,14 @@
 impl<H: Handler> Unanswered<H> {
     /// Counts one.
     pub fn new(handler: Rc<H>) -> Self {
-        handler.unanswered(1);
+        handler.count_unanswered(1);
         Self(handler)
     }
 }
 
 impl<H: Handler> Drop for Unanswered<H> {
     fn drop(&mut self) {
-        self.0.unanswered(-1);
+        self.0.count_unanswered(-1);
     }
 }
 
@@ -51,7 +51,7 @@
         let (method, uri, headers) = (parts.method.clone(), parts.uri.clone(), parts.headers.clone());
         parts.extensions.insert(Arrival { read_at, is_early: true });
         let request = Request::from_parts(parts, CallerBody::Empty);
-        let task = spawn_local(handler.clone().answer(request));
+        let task = spawn_local(handler.clone().handle(request));
         Self { method, uri, headers, task, _counted: Unanswered::new(handler.clone()) }
     }
 
--- a/src/net/server/read_ahead/queue.rs
+++ b/src/net/server/read_ahead/queue.rs
@@ -175,7 +175,7 @@
         self.given = HeadEnd::default();
         self.has_answer = false;
         self.is_over |= head::closes(&parts.headers);
-        self.may_overtake = head::may_be_overtaken(parts) && self.handler.may_be_overtaken(parts);
+        self.may_overtake = head::may_be_overtaken(parts) && self.handler.allows_pipelining(parts);
         let read = self.given_read.take();
         let begun = self.begun.pop_front().filter(|begun| begun.is(parts));
         if begun.is_none() {
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -65,7 +65,7 @@
 impl<P: Platform> Handler for CallerListener<P> {
     type Body = AnswerBody;
 
-    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
+    async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
         let _active = Active::new(&self.0);
         request::answer(&self.0, request).await
     }
@@ -79,11 +79,11 @@
             head_bytes: limits.head_bytes,
             head_time: limits.head_time,
             idle_time: limits.idle_time,
-            connections: (self.0.settings.borrow().descriptors / CALLER_DIVISOR).max(1),
+            max_connections: (self.0.settings.borrow().descriptors / CALLER_DIVISOR).max(1),
         }
     }
 
-    fn connections(&self, change: i64) {
+    fn count_connections(&self, change: i64) {
         self.0.metrics.connections.add(change);
     }
 
@@ -93,7 +93,7 @@
         !self.is_stopping() && self.has_early_room() && self.is_on_route(head, may_begin)
     }
 
-    fn may_be_overtaken(&self, head: &Parts) -> bool {
+    fn allows_pipelining(&self, head: &Parts) -> bool {
         self.is_on_route(head, is_repeatable)
     }
 
@@ -101,7 +101,7 @@
         self.0.lifecycle.is_stopping()
     }
 
-    fn unanswered(&self, change: i64) {
+    fn count_unanswered(&self, change: i64) {
         self.0.requests.count_unanswered(change);
     }
 }
--- a/tests/pipelined/mod.rs
+++ b/tests/pipelined/mod.rs
@@ -134,7 +134,7 @@
 impl Handler for Answers {
     type Body = Full<Bytes>;
 
-    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<Full<Bytes>> {
+    async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<Full<Bytes>> {
         let path = request.uri().path().to_owned();
         let now = Instant::now();
         let read_at = request.extensions().get::<Arrival>().map_or(now, |arrival| arrival.read_at);
@@ -159,16 +159,16 @@
 
     fn limits(&self) -> ConnectionLimits {
         let Bounds { head_time, idle_time } = self.bounds;
-        ConnectionLimits { head_bytes: 16 * 1024, head_time, idle_time, connections: 1 }
+        ConnectionLimits { head_bytes: 16 * 1024, head_time, idle_time, max_connections: 1 }
     }
 
-    fn connections(&self, _: i64) {}
+    fn count_connections(&self, _: i64) {}
 
     fn may_begin_early(&self, head: &Parts) -> bool {
         !self.is_stopping.get() && head.uri.path().starts_with("/safe/")
     }
 
-    fn may_be_overtaken(&self, head: &Parts) -> bool {
+    fn allows_pipelining(&self, head: &Parts) -> bool {
         head.uri.path().starts_with("/safe/")
     }
 
@@ -176,7 +176,7 @@
         self.is_stopping.get()
     }
 
-    fn unanswered(&self, change: i64) {
+    fn count_unanswered(&self, change: i64) {
         self.unanswered.set(self.unanswered.get() + change);
     }
 }
