--- a/src/instance/sweep.rs
+++ b/src/instance/sweep.rs
@@ -25,7 +25,7 @@
         let routing = instance.routing.borrow();
         routing.share_connections();
         for target in routing.targets() {
-            target.pool.sweep(now);
+            target.pool.close_expired(now);
         }
     }
 }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -50,9 +50,9 @@
     /// No byte of it was sent; here it is.
     Unsent(Box<Request<RequestBody>>),
     /// The connection ended before an answer began; the request may have arrived.
-    Lost,
+    ConnectionLost,
     /// Bytes came that are no answer; the request may have arrived.
-    Unreadable,
+    InvalidResponse,
 }
 
 /// Idle connections to one address.
@@ -106,8 +106,8 @@
             Ok(response) => Ok(response),
             Err(mut error) => match error.take_message() {
                 Some(request) => Err(SendError::Unsent(Box::new(request))),
-                None if error.error().is_parse() => Err(SendError::Unreadable),
-                None => Err(SendError::Lost),
+                None if error.error().is_parse() => Err(SendError::InvalidResponse),
+                None => Err(SendError::ConnectionLost),
             },
         }
     }
@@ -126,7 +126,7 @@
 
     /// Whether the address refuses connections: no process listens there any more. False where
     /// that does not show within `PROBE_TIMEOUT`, or the address cannot be reached.
-    pub async fn is_refused(&self) -> bool {
+    pub async fn refuses_connections(&self) -> bool {
         let Ok(Err(error)) = timeout(PROBE_TIMEOUT, dial::connect(self.address)).await else { return false };
         matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset)
     }
@@ -164,7 +164,7 @@
 
     /// Keeps a connection whose last answer was read to its end, for as long as the
     /// target does.
-    pub fn keep(&self, connection: Connection, keep_alive: KeepAlive) {
+    pub fn put_idle(&self, connection: Connection, keep_alive: KeepAlive) {
         let idle_time = idle_time(keep_alive);
         let mut idle = self.idle.borrow_mut();
         if !connection.sender.is_closed() && idle.len() < self.max_idle.get() && !idle_time.is_zero() {
@@ -181,7 +181,7 @@
     }
 
     /// Closes connections that were idle for too long.
-    pub fn sweep(&self, now: Instant) {
+    pub fn close_expired(&self, now: Instant) {
         self.idle.borrow_mut().retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
     }
 
--- a/src/proxy/answer_body.rs
+++ b/src/proxy/answer_body.rs
@@ -55,7 +55,7 @@
     /// Returns the connection to the pool where that is safe, closes it otherwise.
     pub fn settle(self, in_flight: &InFlight<Target>) {
         if self.sent.get() {
-            in_flight.target().pool.keep(self.connection, self.keep_alive);
+            in_flight.target().pool.put_idle(self.connection, self.keep_alive);
         }
     }
 }
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -143,8 +143,8 @@
             match connection.send(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(SendError::Unsent(unsent)) => request = *unsent,
-                Err(SendError::Lost) => return Err(self.fail(TryError::NoAnswer)),
-                Err(SendError::Unreadable) => return Err(self.fail(TryError::Lost)),
+                Err(SendError::ConnectionLost) => return Err(self.fail(TryError::NoAnswer)),
+                Err(SendError::InvalidResponse) => return Err(self.fail(TryError::Lost)),
             }
         }
         self.send_anew(request).await
@@ -161,8 +161,8 @@
         match connection.send(request).await {
             Ok(response) => Ok((response, connection)),
             Err(SendError::Unsent(unsent)) => Err(TryError::Unreachable(unsent)),
-            Err(SendError::Lost) => Err(self.fail(TryError::NoAnswer)),
-            Err(SendError::Unreadable) => Err(self.fail(TryError::Lost)),
+            Err(SendError::ConnectionLost) => Err(self.fail(TryError::NoAnswer)),
+            Err(SendError::InvalidResponse) => Err(self.fail(TryError::Lost)),
         }
     }
 
--- a/src/proxy/strikes.rs
+++ b/src/proxy/strikes.rs
@@ -36,7 +36,7 @@
 pub async fn record_end<P: Platform>(request: &CallerRequest<'_, P>, target: &Rc<Target>, strikes: u32) {
     let (instance, fingerprint) = (request.instance, request.fingerprint);
     let is_in_use = instance.routing.borrow().is_in_use(target);
-    if !is_in_use || !target.pool.is_refused().await {
+    if !is_in_use || !target.pool.refuses_connections().await {
         return;
     }
     let now = Instant::now();
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -14,7 +14,7 @@
     let pool = Pool::new(listener.local_addr().unwrap());
     let connection = pool.connect().await.unwrap();
     let _accepted = listener.accept().await.unwrap();
-    pool.keep(connection, keep_alive);
+    pool.put_idle(connection, keep_alive);
     pause();
     advance(Duration::from_millis(idle_ms)).await;
     let is_used = pool.take_idle().await.is_some();
@@ -52,12 +52,12 @@
         let pool = Pool::new(listener.local_addr().unwrap());
         let (before, after) = (pool.connect().await.unwrap(), pool.connect().await.unwrap());
         let _accepted = (listener.accept().await.unwrap(), listener.accept().await.unwrap());
-        pool.keep(before, KeepAlive::Unspecified);
+        pool.put_idle(before, KeepAlive::Unspecified);
         pause();
         advance(Duration::from_millis(1)).await;
         let sent = Instant::now();
         advance(Duration::from_millis(1)).await;
-        pool.keep(after, KeepAlive::Unspecified);
+        pool.put_idle(after, KeepAlive::Unspecified);
         pool.close_idle_since(sent);
         assert!(pool.take_idle().await.is_some(), "the one that was used since is kept");
         assert!(pool.take_idle().await.is_none(), "the other is closed");
@@ -69,7 +69,7 @@
 async fn an_address_refuses_once_nothing_listens_there() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let pool = Pool::new(listener.local_addr().unwrap());
-    assert!(!pool.is_refused().await);
+    assert!(!pool.refuses_connections().await);
     drop(listener);
-    assert!(pool.is_refused().await);
+    assert!(pool.refuses_connections().await);
 }
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -89,7 +89,7 @@
         let pool = Pool::new(listener.local_addr().unwrap());
         let connection = pool.connect().await.unwrap();
         let _accepted = listener.accept().await.unwrap();
-        pool.keep(connection, KeepAlive::For(Duration::from_secs(4)));
+        pool.put_idle(connection, KeepAlive::For(Duration::from_secs(4)));
         suspend(SUSPENDED);
         assert!(pool.take_idle().await.is_none());
     };
