--- a/src/net/buffered_bytes.rs
+++ b/src/net/buffered_bytes.rs
@@ -35,18 +35,18 @@
 #[derive(Debug)]
 pub struct BufferedBytes {
     total: Rc<BufferTotal>,
-    own: u64,
+    bytes: u64,
 }
 
 impl BufferedBytes {
     /// None yet, to be counted in `total`.
-    pub fn none(total: &Rc<BufferTotal>) -> Self {
-        Self { total: total.clone(), own: 0 }
+    pub fn new(total: &Rc<BufferTotal>) -> Self {
+        Self { total: total.clone(), bytes: 0 }
     }
 
     /// Bytes of this body.
-    pub fn own(&self) -> u64 {
-        self.own
+    pub fn bytes(&self) -> u64 {
+        self.bytes
     }
 
     /// Bytes of all bodies.
@@ -56,14 +56,14 @@
 
     /// Counts bytes that were read.
     pub fn add(&mut self, bytes: u64) {
-        self.own += bytes;
+        self.bytes += bytes;
         self.total.bytes.set(self.total.get() + bytes);
     }
 
     /// Counts bytes that were handed on; at most what is held.
     pub fn release(&mut self, bytes: u64) {
-        let bytes = bytes.min(self.own);
-        self.own -= bytes;
+        let bytes = bytes.min(self.bytes);
+        self.bytes -= bytes;
         self.total.bytes.set(self.total.get() - bytes);
         self.total.wake_next();
     }
@@ -71,6 +71,6 @@
 
 impl Drop for BufferedBytes {
     fn drop(&mut self) {
-        self.release(self.own);
+        self.release(self.bytes);
     }
 }
--- a/src/net/request_body.rs
+++ b/src/net/request_body.rs
@@ -30,7 +30,7 @@
     Broken(#[from] hyper::Error),
     /// It took too long.
     #[error("the body did not end in time")]
-    Late,
+    TimedOut,
     /// Nobody read it.
     #[error("the body was not read for too long; look at the caller's connection")]
     Unread,
@@ -44,7 +44,7 @@
     pub fn as_str(&self) -> &'static str {
         match self {
             BodyError::Broken(_) => "broken",
-            BodyError::Late => "late",
+            BodyError::TimedOut => "late",
             BodyError::Unread => "unread",
             BodyError::TooLarge => "too-large",
         }
@@ -91,11 +91,11 @@
     }
 
     /// The first bytes of what was read before it is sent, `most` of them.
-    pub fn head(&self, most: usize) -> impl Iterator<Item = &[u8]> {
-        let mut left = most;
+    pub fn prefix(&self, max_bytes: usize) -> impl Iterator<Item = &[u8]> {
+        let mut remaining = max_bytes;
         self.head.iter().map(move |chunk| {
-            let part = &chunk[..chunk.len().min(left)];
-            left -= part.len();
+            let part = &chunk[..chunk.len().min(remaining)];
+            remaining -= part.len();
             part
         })
     }
--- a/src/net/whole_body.rs
+++ b/src/net/whole_body.rs
@@ -28,7 +28,7 @@
 pub enum ReadError {
     /// It stalled, or took too long in all.
     #[error("{received} bytes came in time, but not the end")]
-    Slow {
+    TimedOut {
         /// Bytes that had come.
         received: usize,
     },
@@ -53,7 +53,7 @@
     loop {
         let latest = end.min(Instant::now() + limits.stall);
         let frame = timeout_at(latest, body.frame()).await;
-        let Some(frame) = frame.map_err(|_| ReadError::Slow { received: read.len() })? else { break };
+        let Some(frame) = frame.map_err(|_| ReadError::TimedOut { received: read.len() })? else { break };
         // Trailers are the only other frames; nobody here sends any.
         if let Ok(data) = frame?.into_data() {
             read.extend_from_slice(&data);
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_answer/buffer.rs
@@ -28,12 +28,12 @@
 impl AnswerBuffer {
     /// An empty buffer, counted in `total`.
     pub fn new(total: &Rc<BufferTotal>) -> Self {
-        Self { blocks: VecDeque::new(), tail: BytesMut::new(), held: BufferedBytes::none(total) }
+        Self { blocks: VecDeque::new(), tail: BytesMut::new(), held: BufferedBytes::new(total) }
     }
 
     /// Bytes that it holds.
     pub fn len(&self) -> u64 {
-        self.held.own()
+        self.held.bytes()
     }
 
     /// Whether it holds none.
@@ -79,7 +79,7 @@
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.tail = BytesMut::new();
-        self.held.release(self.held.own());
+        self.held.release(self.held.bytes());
     }
 
     fn copy(&mut self, chunk: &[u8]) {
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_answer/reader.rs
@@ -55,7 +55,7 @@
 impl Reader {
     /// Reads the answer, settles its connection, and keeps what is held until the caller has it.
     pub async fn run(mut self) {
-        let read = timeout_at(self.deadline, self.read()).await.unwrap_or(Err(BodyError::Late));
+        let read = timeout_at(self.deadline, self.read()).await.unwrap_or(Err(BodyError::TimedOut));
         let is_whole = read.is_ok();
         match read {
             Ok(()) => self.shared.complete(),
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -52,7 +52,7 @@
         body: CallerBody,
         deadline: Instant,
     ) -> Result<IncomingBody, Refusal> {
-        let mut held = BufferedBytes::none(instance.requests.buffer_counter());
+        let mut held = BufferedBytes::new(instance.requests.buffer_counter());
         let CallerBody::Streamed(mut incoming) = body else {
             return Ok(IncomingBody::Buffered { bytes: Bytes::new(), _held: held });
         };
@@ -72,7 +72,7 @@
                 chunks.push_back(chunk);
             }
         }
-        let allowance = max_bytes.checked_sub(held.own()).ok_or(Refusal::TooLarge)?;
+        let allowance = max_bytes.checked_sub(held.bytes()).ok_or(Refusal::TooLarge)?;
         Ok(IncomingBody::Streamed(Some(StreamedBody::new(chunks, held, incoming, allowance))))
     }
 
@@ -82,7 +82,7 @@
             IncomingBody::Buffered { bytes, .. } => Fingerprint::new(request, Some(bytes.len() as u64), [&bytes[..]]),
             IncomingBody::Streamed(streamed) => {
                 let length = streamed.as_ref().and_then(StreamedBody::length);
-                let head = streamed.iter().flat_map(|body| body.head(STREAMED_BYTES));
+                let head = streamed.iter().flat_map(|body| body.prefix(STREAMED_BYTES));
                 Fingerprint::new(request, length, head)
             }
         }
@@ -118,10 +118,10 @@
 /// is buffered, and of a larger one what its fingerprint is made of.
 fn may_hold_more(held: &BufferedBytes, least: u64, max_total: u64) -> bool {
     let is_buffered = least <= MAX_BUFFERED_BODY;
-    (is_buffered || held.own() < STREAMED_BYTES as u64) && has_room(held, max_total)
+    (is_buffered || held.bytes() < STREAMED_BYTES as u64) && has_room(held, max_total)
 }
 
 /// Whether more of this body may be buffered, with at most `max_total` bytes of all.
 fn has_room(held: &BufferedBytes, max_total: u64) -> bool {
-    held.own() <= MAX_BUFFERED_BODY && held.total() <= max_total
+    held.bytes() <= MAX_BUFFERED_BODY && held.total() <= max_total
 }
--- a/src/sync/peers/link.rs
+++ b/src/sync/peers/link.rs
@@ -59,7 +59,7 @@
 impl From<ReadError> for PeerError {
     fn from(error: ReadError) -> Self {
         match error {
-            ReadError::Slow { received } => PeerError::Slow { received },
+            ReadError::TimedOut { received } => PeerError::Slow { received },
             ReadError::Broken(error) => broken(error),
             ReadError::TooLarge(_) => broken(error),
         }
