--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -26,7 +26,7 @@
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time after which a connection is not used again where the target names no time of its own;
 /// less than targets are known to keep one (10 s).
-const USUAL_IDLE_TIME: Duration = Duration::from_secs(4);
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
 /// Longest such time where the target names one: bounds how many connections are held that have
 /// silently ended.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
@@ -35,14 +35,14 @@
 const CLOSE_MARGIN: Duration = Duration::from_secs(1);
 /// Most idle connections to one target; above an instance's share of its slots (3 to 6 slots, two
 /// requests a slot).
-const MAX_IDLE: usize = 16;
+const MAX_IDLE_CONNECTIONS: usize = 16;
 /// All instances together keep at most one in this many of a target's connections idle; the others
 /// are for requests and other callers.
-const IDLE_DIVISOR: usize = 2;
+const IDLE_CONNECTIONS_DIVISOR: usize = 2;
 
 /// Most bytes of an answer that are read at a time: bounds what a connection holds of an answer that
 /// its caller reads slowly.
-const READ_BUFFER: usize = 32 * 1024;
+const READ_BUFFER_SIZE: usize = 32 * 1024;
 
 /// Why a request got no answer.
 #[derive(Debug)]
@@ -67,8 +67,8 @@
 struct Idle {
     connection: Connection,
     /// When its last answer had been read.
-    since: Instant,
-    until: Instant,
+    idle_since: Instant,
+    usable_until: Instant,
 }
 
 /// One connection. Dropped, it is closed and what runs on it is cancelled.
@@ -91,7 +91,7 @@
     /// Any error of the operating system; a timeout after 0.4 s.
     pub async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let stream = timeout(CONNECT_TIMEOUT, dial::connect(address)).await.map_err(std::io::Error::other)??;
-        let builder = Builder::new().max_buf_size(READ_BUFFER).handshake(TokioIo::new(stream));
+        let builder = Builder::new().max_buf_size(READ_BUFFER_SIZE).handshake(TokioIo::new(stream));
         let (sender, connection) = builder.await.map_err(std::io::Error::other)?;
         let task = tokio::task::spawn_local(connection).abort_handle();
         Ok(Self { sender, task })
@@ -121,7 +121,7 @@
 impl Pool {
     /// An empty pool.
     pub fn new(address: SocketAddr) -> Self {
-        Self { address, idle: RefCell::new(Vec::new()), max_idle: Cell::new(MAX_IDLE) }
+        Self { address, idle: RefCell::new(Vec::new()), max_idle: Cell::new(MAX_IDLE_CONNECTIONS) }
     }
 
     /// Whether the address refuses connections: no process listens there any more. False where
@@ -139,16 +139,16 @@
     /// Bounds what is kept idle by this instance's share of the `max_connections` that
     /// the target takes from all `members` instances; 0 where it names none.
     pub fn share_connections(&self, max_connections: u32, members: usize) {
-        let share = max_connections as usize / IDLE_DIVISOR / members.max(1);
-        let max_idle = if max_connections == 0 { MAX_IDLE } else { share.clamp(1, MAX_IDLE) };
+        let share = max_connections as usize / IDLE_CONNECTIONS_DIVISOR / members.max(1);
+        let max_idle = if max_connections == 0 { MAX_IDLE_CONNECTIONS } else { share.clamp(1, MAX_IDLE_CONNECTIONS) };
         self.max_idle.set(max_idle);
     }
 
     /// An idle connection that should still be open.
     pub async fn take_idle(&self) -> Option<Connection> {
         loop {
-            let Idle { mut connection, until, .. } = self.idle.borrow_mut().pop()?;
-            if Instant::now() < until && connection.is_usable().await {
+            let Idle { mut connection, usable_until, .. } = self.idle.borrow_mut().pop()?;
+            if Instant::now() < usable_until && connection.is_usable().await {
                 return Some(connection);
             }
         }
@@ -168,8 +168,8 @@
         let idle_time = idle_time(keep_alive);
         let mut idle = self.idle.borrow_mut();
         if !connection.sender.is_closed() && idle.len() < self.max_idle.get() && !idle_time.is_zero() {
-            let since = Instant::now();
-            idle.push(Idle { connection, since, until: since + idle_time });
+            let idle_since = Instant::now();
+            idle.push(Idle { connection, idle_since, usable_until: idle_since + idle_time });
         }
     }
 
@@ -177,12 +177,12 @@
     /// got no answer was sent: open connections may go silent without a reset while new ones
     /// work, and these have shown nothing since.
     pub fn close_idle_since(&self, sent: Instant) {
-        self.idle.borrow_mut().retain(|idle| idle.since > sent);
+        self.idle.borrow_mut().retain(|idle| idle.idle_since > sent);
     }
 
     /// Closes connections that were idle for too long.
     pub fn close_expired(&self, now: Instant) {
-        self.idle.borrow_mut().retain(|idle| now < idle.until && !idle.connection.sender.is_closed());
+        self.idle.borrow_mut().retain(|idle| now < idle.usable_until && !idle.connection.sender.is_closed());
     }
 
     /// Closes all idle connections.
@@ -196,6 +196,6 @@
     match keep_alive {
         KeepAlive::Close => Duration::ZERO,
         KeepAlive::For(time) => time.saturating_sub(CLOSE_MARGIN).min(MAX_IDLE_TIME),
-        KeepAlive::Unspecified => USUAL_IDLE_TIME,
+        KeepAlive::Unspecified => DEFAULT_IDLE_TIME,
     }
 }
--- a/src/net/request_body.rs
+++ b/src/net/request_body.rs
@@ -19,7 +19,7 @@
 
 /// How long the rest of a body that was given up is read: long enough for a caller that is still
 /// sending to see the answer instead of a reset, short enough not to hold connections.
-const DISCARD_FOR: Duration = Duration::from_secs(2);
+const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Why a body broke off. The connection that carries it reports this to its other side
 /// by closing; nothing else is sent.
@@ -65,9 +65,9 @@
 /// closes may never see the answer.
 #[derive(Debug)]
 pub struct StreamedBody {
-    head: VecDeque<Bytes>,
+    prefix: VecDeque<Bytes>,
     /// Counts the head while it is in memory.
-    held: BufferedBytes,
+    prefix_bytes: BufferedBytes,
     rest: Option<Incoming>,
     allowance: u64,
     finished: Rc<Cell<bool>>,
@@ -76,8 +76,8 @@
 impl StreamedBody {
     /// A body of which `head` was read already, counted by `held`, and of which at most
     /// `allowance` bytes may still arrive.
-    pub fn new(head: VecDeque<Bytes>, held: BufferedBytes, rest: Incoming, allowance: u64) -> Self {
-        Self { head, held, rest: Some(rest), allowance, finished: Rc::new(Cell::new(false)) }
+    pub fn new(prefix: VecDeque<Bytes>, prefix_bytes: BufferedBytes, rest: Incoming, allowance: u64) -> Self {
+        Self { prefix, prefix_bytes, rest: Some(rest), allowance, finished: Rc::new(Cell::new(false)) }
     }
 
     /// Set once the last byte was handed to the connection.
@@ -87,13 +87,13 @@
 
     /// Its length, bytes, where its sender declared it.
     pub fn length(&self) -> Option<u64> {
-        size_with_rest(&self.head, self.rest.as_ref().map_or_else(SizeHint::default, Body::size_hint)).exact()
+        size_with_rest(&self.prefix, self.rest.as_ref().map_or_else(SizeHint::default, Body::size_hint)).exact()
     }
 
     /// The first bytes of what was read before it is sent, `most` of them.
     pub fn prefix(&self, max_bytes: usize) -> impl Iterator<Item = &[u8]> {
         let mut remaining = max_bytes;
-        self.head.iter().map(move |chunk| {
+        self.prefix.iter().map(move |chunk| {
             let part = &chunk[..chunk.len().min(remaining)];
             remaining -= part.len();
             part
@@ -108,7 +108,7 @@
 impl Drop for StreamedBody {
     fn drop(&mut self) {
         if let Some(rest) = self.rest.take().filter(|rest| !rest.is_end_stream()) {
-            tokio::task::spawn_local(timeout(DISCARD_FOR, discard(rest)));
+            tokio::task::spawn_local(timeout(DISCARD_TIMEOUT, discard(rest)));
         }
     }
 }
@@ -132,7 +132,7 @@
     fn is_end_stream(&self) -> bool {
         match self {
             RequestBody::Buffered(full) => full.is_end_stream(),
-            RequestBody::Streamed(streamed) => streamed.head.is_empty() && streamed.is_rest_read(),
+            RequestBody::Streamed(streamed) => streamed.prefix.is_empty() && streamed.is_rest_read(),
         }
     }
 
@@ -141,7 +141,7 @@
             RequestBody::Buffered(full) => full.size_hint(),
             RequestBody::Streamed(streamed) => {
                 let rest = streamed.rest.as_ref().map_or_else(|| SizeHint::with_exact(0), Body::size_hint);
-                size_with_rest(&streamed.head, rest)
+                size_with_rest(&streamed.prefix, rest)
             }
         }
     }
@@ -149,8 +149,8 @@
 
 impl StreamedBody {
     fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
-        if let Some(chunk) = self.head.pop_front() {
-            self.held.release(chunk.len() as u64);
+        if let Some(chunk) = self.prefix.pop_front() {
+            self.prefix_bytes.release(chunk.len() as u64);
             self.mark_finished();
             return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
@@ -172,7 +172,7 @@
     }
 
     fn mark_finished(&mut self) {
-        if self.head.is_empty() && self.is_rest_read() {
+        if self.prefix.is_empty() && self.is_rest_read() {
             self.finished.set(true);
         }
     }
