--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -6,9 +6,9 @@
 use crate::net::server::handler::Handler;
 use crate::net::server::limits::ConnectionLimits;
 use crate::net::server::progress::{ObservedBody, Phase, Progress};
-use crate::net::server::read_ahead::begun::Begun;
+use crate::net::server::read_ahead::early_request::EarlyRequest;
 use crate::net::server::read_ahead::queue::Queue;
-use crate::net::server::read_ahead::stream::AheadStream;
+use crate::net::server::read_ahead::stream::ReadAheadStream;
 use crate::net::server::socket::Socket;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -19,29 +19,29 @@
 use std::rc::Rc;
 
 /// Smallest buffer for a request head that hyper accepts, bytes.
-const MIN_HEAD_BUFFER: usize = 8 * 1024;
+const MIN_HEAD_BUFFER_SIZE: usize = 8 * 1024;
 
 /// Serves one connection to its end.
 pub async fn serve<S: Socket, H: Handler>(socket: S, handler: Rc<H>) {
     let limits = handler.limits();
     let progress = Rc::new(Progress::new());
     let queue = Rc::new(RefCell::new(Queue::new(handler.clone())));
-    let stream = AheadStream::new(socket, progress.clone(), queue.clone());
+    let stream = ReadAheadStream::new(socket, progress.clone(), queue.clone());
     let service = service_fn(|request: Request<_>| {
         let (mut parts, body) = request.into_parts();
         // At once: hyper reads on before it asks for the answer.
         progress.enter(Phase::Busy);
-        let begun = queue.borrow_mut().enter(&mut parts, &body);
+        let early_request = queue.borrow_mut().record_request(&mut parts, &body);
         let request = Request::from_parts(parts, CallerBody::from(body));
         let (handler, progress, queue) = (handler.clone(), progress.clone(), queue.clone());
         async move {
-            let mut response = answer(handler, begun, request).await;
-            queue.borrow_mut().answered(&mut response);
+            let mut response = respond(handler, early_request, request).await;
+            queue.borrow_mut().record_response(&mut response);
             Ok::<_, Infallible>(response.map(|body| ObservedBody { body, progress }))
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER));
+    builder.max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER_SIZE));
     let connection = pin!(builder.serve_connection(stream, service));
     handler.count_connections(1);
     run(connection, &progress, &limits).await;
@@ -49,13 +49,13 @@
 }
 
 /// The answer that is under way, or a new one.
-async fn answer<H: Handler>(
+async fn respond<H: Handler>(
     handler: Rc<H>,
-    begun: Option<Begun<H>>,
+    early_request: Option<EarlyRequest<H>>,
     request: Request<CallerBody>,
 ) -> Response<H::Body> {
-    let Some(begun) = begun else { return handler.handle(request).await };
-    match begun.answer().await {
+    let Some(early_request) = early_request else { return handler.handle(request).await };
+    match early_request.response().await {
         Ok(response) => response,
         Err(error) => {
             tracing::error!(event = "early_request_failed", %error, "the request is begun anew; report the error");
@@ -70,10 +70,10 @@
 async fn run<C: Future>(mut connection: Pin<&mut C>, progress: &Progress, limits: &ConnectionLimits) {
     loop {
         let latest = Instant::now() + limits.head_time;
-        let look = progress.deadline(limits).map_or(latest, |deadline| deadline.min(latest));
+        let next_check = progress.deadline(limits).map_or(latest, |deadline| deadline.min(latest));
         tokio::select! {
             _ = connection.as_mut() => return,
-            () = sleep_until(look) => {}
+            () = sleep_until(next_check) => {}
         }
         if progress.deadline(limits).is_some_and(|deadline| deadline <= Instant::now()) {
             return;
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -25,24 +25,24 @@
 
 /// Wait before accepting again while no connection can be taken, so that a process without
 /// descriptors does not spin.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// Accepts and serves connections until the process ends.
 pub async fn listen<H: Handler>(listener: TcpListener, handler: Rc<H>) {
-    let open = Rc::new(Cell::new(0));
+    let open_connections = Rc::new(Cell::new(0));
     loop {
-        if open.get() >= handler.limits().max_connections {
-            sleep(ACCEPT_PAUSE).await;
+        if open_connections.get() >= handler.limits().max_connections {
+            sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         }
         match listener.accept().await {
             Ok((stream, _)) => {
-                let counted = OpenConnection::new(open.clone());
-                tokio::task::spawn_local(serve(stream, handler.clone(), counted));
+                let open_connection = OpenConnection::new(open_connections.clone());
+                tokio::task::spawn_local(serve(stream, handler.clone(), open_connection));
             }
             // The peer has gone already, or descriptors are used up until a connection
             // closes: both pass, and a line each 20 ms would only fill the log.
-            Err(_) => sleep(ACCEPT_PAUSE).await,
+            Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
--- a/src/net/server/progress.rs
+++ b/src/net/server/progress.rs
@@ -26,13 +26,13 @@
     phase: Cell<Phase>,
     since: Cell<Instant>,
     /// Whether bytes of the last answer may not be sent yet.
-    is_unsent: Cell<bool>,
+    has_unsent_response: Cell<bool>,
 }
 
 impl Progress {
     /// A connection that was just opened.
     pub fn new() -> Self {
-        Self { phase: Cell::new(Phase::Idle), since: Cell::new(Instant::now()), is_unsent: Cell::new(false) }
+        Self { phase: Cell::new(Phase::Idle), since: Cell::new(Instant::now()), has_unsent_response: Cell::new(false) }
     }
 
     /// Begins a phase.
@@ -40,7 +40,7 @@
         self.phase.set(phase);
         self.since.set(Instant::now());
         if phase == Phase::Busy {
-            self.is_unsent.set(true);
+            self.has_unsent_response.set(true);
         }
     }
 
@@ -50,13 +50,13 @@
     }
 
     /// Takes in that all bytes so far were sent; says whether that ended an answer.
-    pub fn flushed(&self) -> bool {
-        self.phase.get() != Phase::Busy && self.is_unsent.replace(false)
+    pub fn record_flush(&self) -> bool {
+        self.phase.get() != Phase::Busy && self.has_unsent_response.replace(false)
     }
 
     /// Whether the last request was answered and all of its answer sent.
-    pub fn is_answered(&self) -> bool {
-        self.phase.get() != Phase::Busy && !self.is_unsent.get()
+    pub fn is_response_sent(&self) -> bool {
+        self.phase.get() != Phase::Busy && !self.has_unsent_response.get()
     }
 
     /// When the connection is closed if its phase lasts; `None` while it is busy.
--- a/src/net/server/read_ahead/buffer.rs
+++ b/src/net/server/read_ahead/buffer.rs
@@ -7,19 +7,19 @@
 use std::collections::VecDeque;
 
 /// Moments that are kept; bytes beyond count as read with those before them.
-const MAX_MOMENTS: usize = 32;
+const MAX_READS: usize = 32;
 
 /// Bytes that were read ahead.
 #[derive(Debug, Default)]
-pub struct BytesAhead {
+pub struct ReadAheadBuffer {
     bytes: BytesMut,
     /// Where the bytes of one read end, and when it was.
     reads: VecDeque<(usize, Instant)>,
 }
 
-impl BytesAhead {
+impl ReadAheadBuffer {
     /// All of them.
-    pub fn all(&self) -> &[u8] {
+    pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
@@ -30,7 +30,7 @@
         }
         self.bytes.extend_from_slice(bytes);
         let mut read_at = now;
-        if self.reads.len() == MAX_MOMENTS {
+        if self.reads.len() == MAX_READS {
             read_at = self.reads.pop_back().map_or(now, |(_, at)| at);
         }
         self.reads.push_back((self.bytes.len(), read_at));
@@ -42,7 +42,7 @@
     }
 
     /// Drops the first bytes.
-    pub fn advance(&mut self, count: usize) {
+    pub fn consume(&mut self, count: usize) {
         self.bytes.advance(count);
         self.reads.retain_mut(|(end, _)| {
             *end = end.saturating_sub(count);
--- a/src/net/server/read_ahead/early_request.rs
+++ b/src/net/server/read_ahead/early_request.rs
@@ -20,9 +20,9 @@
 }
 
 /// Counts a request for as long as it was read and its answer is not under way to its caller.
-pub struct Unanswered<H: Handler>(Rc<H>);
+pub struct UnansweredGuard<H: Handler>(Rc<H>);
 
-impl<H: Handler> Unanswered<H> {
+impl<H: Handler> UnansweredGuard<H> {
     /// Counts one.
     pub fn new(handler: Rc<H>) -> Self {
         handler.count_unanswered(1);
@@ -30,33 +30,33 @@
     }
 }
 
-impl<H: Handler> Drop for Unanswered<H> {
+impl<H: Handler> Drop for UnansweredGuard<H> {
     fn drop(&mut self) {
         self.0.count_unanswered(-1);
     }
 }
 
 /// A request whose answer is under way.
-pub struct Begun<H: Handler> {
+pub struct EarlyRequest<H: Handler> {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     task: JoinHandle<Response<H::Body>>,
-    _counted: Unanswered<H>,
+    _unanswered: UnansweredGuard<H>,
 }
 
-impl<H: Handler> Begun<H> {
+impl<H: Handler> EarlyRequest<H> {
     /// Begins a request whose head was read at a moment.
     pub fn new(handler: &Rc<H>, mut parts: Parts, read_at: Instant) -> Self {
         let (method, uri, headers) = (parts.method.clone(), parts.uri.clone(), parts.headers.clone());
         parts.extensions.insert(Arrival { read_at, is_early: true });
         let request = Request::from_parts(parts, CallerBody::Empty);
         let task = spawn_local(handler.clone().handle(request));
-        Self { method, uri, headers, task, _counted: Unanswered::new(handler.clone()) }
+        Self { method, uri, headers, task, _unanswered: UnansweredGuard::new(handler.clone()) }
     }
 
     /// Whether it is the request that hyper read.
-    pub fn is(&self, parts: &Parts) -> bool {
+    pub fn matches(&self, parts: &Parts) -> bool {
         self.method == parts.method && self.uri == parts.uri && self.headers == parts.headers
     }
 
@@ -64,12 +64,12 @@
     ///
     /// # Errors
     /// Where answering it has panicked.
-    pub async fn answer(mut self) -> Result<Response<H::Body>, JoinError> {
+    pub async fn response(mut self) -> Result<Response<H::Body>, JoinError> {
         (&mut self.task).await
     }
 }
 
-impl<H: Handler> Drop for Begun<H> {
+impl<H: Handler> Drop for EarlyRequest<H> {
     fn drop(&mut self) {
         self.task.abort();
     }
--- a/src/net/server/read_ahead/framing.rs
+++ b/src/net/server/read_ahead/framing.rs
@@ -1,48 +1,52 @@
-//! Which bytes of a connection are given to hyper, and where a head ends.
+//! Decides how the next bytes of a connection are handled, and finds the end of a message head.
 //!
-//! Owns the place in a head. Relies on hyper for the length of a body: what hyper read from the
-//! head decides, so that both never differ. Tests: `tests/pipelined_framing.rs`.
+//! Owns the scanner's state within a head. Relies on hyper for the length of a body: the length that
+//! hyper parsed from the head is used here, so that the two never disagree about where a request
+//! ends. Tests: `tests/pipelined_framing.rs`.
 
-/// Whom the next bytes of a connection are for.
+/// How the next bytes of a connection are handled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Mode {
-    /// hyper, up to the end of a head.
+pub enum ReadMode {
+    /// Given to hyper up to the end of a head.
     Head,
-    /// hyper, so many bytes of a body.
-    Length(u64),
-    /// Nobody yet: hyper has all of the request in hand.
-    Ahead,
-    /// hyper, whatever comes: how much of it belongs to the request in hand is not known here.
-    Blind {
-        /// Whether the request in hand has a body.
+    /// Given to hyper until this many bytes of a body were given.
+    Body(u64),
+    /// Read ahead and kept here: hyper has all bytes of the current request.
+    ReadAhead,
+    /// Given to hyper without a limit: how many of them belong to the current request is not known
+    /// here.
+    PassThrough {
+        /// Whether the current request has a body.
         has_body: bool,
     },
 }
 
-/// How far the end of a head was seen: two line ends, with a carriage return or without.
+/// Searches a stream of bytes for the end of a head: an empty line. Lines end with a line feed, with
+/// or without a carriage return before it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum HeadEnd {
+pub enum HeadScanner {
     /// Within a line.
     #[default]
-    Line,
-    /// After a line.
-    Newline,
-    /// After a line and a carriage return.
-    Return,
+    InLine,
+    /// At the start of a line.
+    AfterNewline,
+    /// After a carriage return at the start of a line.
+    AfterCarriageReturn,
 }
 
-impl HeadEnd {
-    /// The number of bytes up to the end of the head; `None` where it is not among them.
-    pub fn find(&mut self, bytes: &[u8]) -> Option<usize> {
+impl HeadScanner {
+    /// The number of bytes up to and including the end of the head; `None` where the head does not
+    /// end in these bytes, and the search goes on with the next ones.
+    pub fn find_end(&mut self, bytes: &[u8]) -> Option<usize> {
         for (position, byte) in bytes.iter().enumerate() {
             *self = match (*self, byte) {
-                (HeadEnd::Newline | HeadEnd::Return, b'\n') => {
-                    *self = HeadEnd::Line;
+                (HeadScanner::AfterNewline | HeadScanner::AfterCarriageReturn, b'\n') => {
+                    *self = HeadScanner::InLine;
                     return Some(position + 1);
                 }
-                (_, b'\n') => HeadEnd::Newline,
-                (HeadEnd::Newline, b'\r') => HeadEnd::Return,
-                _ => HeadEnd::Line,
+                (_, b'\n') => HeadScanner::AfterNewline,
+                (HeadScanner::AfterNewline, b'\r') => HeadScanner::AfterCarriageReturn,
+                _ => HeadScanner::InLine,
             };
         }
         None
--- a/src/net/server/read_ahead/mod.rs
+++ b/src/net/server/read_ahead/mod.rs
@@ -8,13 +8,13 @@
 //! |---|---|
 //! | [`framing`] | whom bytes are for, where a head ends |
 //! | [`head`] | heads that were read ahead |
-//! | [`bytes_ahead`] | bytes that were read ahead, and when |
+//! | [`buffer`] | bytes that were read ahead, and when |
 //! | [`queue`] | which requests begin, and what of them is under way |
-//! | [`begun`] | one that was begun |
+//! | [`early_request`] | one that was begun |
 //! | [`stream`] | the stream between the socket and hyper |
 
-pub mod begun;
-pub mod bytes_ahead;
+pub mod buffer;
+pub mod early_request;
 pub mod framing;
 pub mod head;
 pub mod queue;
--- a/src/net/server/read_ahead/stream.rs
+++ b/src/net/server/read_ahead/stream.rs
@@ -8,7 +8,7 @@
 use crate::clock::{Instant, Sleep, sleep};
 use crate::net::server::handler::Handler;
 use crate::net::server::progress::{Phase, Progress};
-use crate::net::server::read_ahead::framing::Mode;
+use crate::net::server::read_ahead::framing::ReadMode;
 use crate::net::server::read_ahead::queue::Queue;
 use crate::net::server::socket::Socket;
 use hyper::rt::{Read, ReadBufCursor, Write};
@@ -23,66 +23,66 @@
 use tokio::io::ReadBuf;
 
 /// Bytes read from a socket at once.
-const READ_BYTES: usize = 16 * 1024;
+const READ_SIZE: usize = 16 * 1024;
 /// Time between looks whether a caller has left from whom nothing more is read.
-const LOOK_EVERY: Duration = Duration::from_millis(100);
+const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
 /// A connection's stream.
-pub struct AheadStream<S, H: Handler> {
+pub struct ReadAheadStream<S, H: Handler> {
     io: TokioIo<S>,
     progress: Rc<Progress>,
     queue: Rc<RefCell<Queue<H>>>,
     /// The next look whether the caller has left; `None` while its bytes are read.
-    look: Option<Pin<Box<Sleep>>>,
+    disconnect_check: Option<Pin<Box<Sleep>>>,
 }
 
-impl<S: Socket, H: Handler> AheadStream<S, H> {
+impl<S: Socket, H: Handler> ReadAheadStream<S, H> {
     /// Over a socket.
     pub fn new(socket: S, progress: Rc<Progress>, queue: Rc<RefCell<Queue<H>>>) -> Self {
-        Self { io: TokioIo::new(socket), progress, queue, look: None }
+        Self { io: TokioIo::new(socket), progress, queue, disconnect_check: None }
     }
 
-    /// Reads at most so many bytes and hands them to `take`; gives their number.
+    /// Reads at most `max_bytes` bytes and passes them to `consume`; returns their number.
     fn read_some(
         &mut self,
         context: &mut Context<'_>,
-        most: usize,
-        take: impl FnOnce(&mut Queue<H>, &[u8]),
+        max_bytes: usize,
+        consume: impl FnOnce(&mut Queue<H>, &[u8]),
     ) -> Poll<io::Result<usize>> {
-        let mut space = [MaybeUninit::uninit(); READ_BYTES];
-        let mut read = ReadBuf::uninit(&mut space[..most.min(READ_BYTES)]);
+        let mut space = [MaybeUninit::uninit(); READ_SIZE];
+        let mut read = ReadBuf::uninit(&mut space[..max_bytes.min(READ_SIZE)]);
         ready!(Pin::new(self.io.inner_mut()).poll_read(context, &mut read))?;
-        take(&mut self.queue.borrow_mut(), read.filled());
+        consume(&mut self.queue.borrow_mut(), read.filled());
         Poll::Ready(Ok(read.filled().len()))
     }
 
     /// Gives hyper bytes of a head.
     fn poll_head(&mut self, context: &mut Context<'_>, mut cursor: ReadBufCursor<'_>) -> Poll<io::Result<()>> {
-        let most = cursor.remaining();
-        if !self.queue.borrow().bytes.all().is_empty() {
+        let max_bytes = cursor.remaining();
+        if !self.queue.borrow().buffer.bytes().is_empty() {
             let mut queue = self.queue.borrow_mut();
-            let count = queue.give_head(most);
-            cursor.put_slice(&queue.bytes.all()[..count]);
-            queue.advance(count);
+            let count = queue.buffered_head_length(max_bytes);
+            cursor.put_slice(&queue.buffer.bytes()[..count]);
+            queue.consume(count);
             return Poll::Ready(Ok(()));
         }
-        let read = ready!(self.read_some(context, most, |queue, bytes| {
-            let count = queue.pass_head(bytes);
+        let read = ready!(self.read_some(context, max_bytes, |queue, bytes| {
+            let count = queue.received_head_length(bytes);
             cursor.put_slice(&bytes[..count]);
-            queue.bytes.add(&bytes[count..], Instant::now());
+            queue.buffer.add(&bytes[count..], Instant::now());
         }));
         Poll::Ready(read.map(drop))
     }
 
     /// Gives hyper whatever comes.
-    fn poll_blind(&mut self, context: &mut Context<'_>, mut cursor: ReadBufCursor<'_>) -> Poll<io::Result<()>> {
-        if self.queue.borrow().bytes.all().is_empty() {
+    fn poll_pass_through(&mut self, context: &mut Context<'_>, mut cursor: ReadBufCursor<'_>) -> Poll<io::Result<()>> {
+        if self.queue.borrow().buffer.bytes().is_empty() {
             return Pin::new(&mut self.io).poll_read(context, cursor);
         }
         let mut queue = self.queue.borrow_mut();
-        let given = queue.bytes.all().len().min(cursor.remaining());
-        cursor.put_slice(&queue.bytes.all()[..given]);
-        queue.advance(given);
+        let given = queue.buffer.bytes().len().min(cursor.remaining());
+        cursor.put_slice(&queue.buffer.bytes()[..given]);
+        queue.consume(given);
         Poll::Ready(Ok(()))
     }
 
@@ -93,41 +93,41 @@
         mut cursor: ReadBufCursor<'_>,
         left: u64,
     ) -> Poll<io::Result<()>> {
-        let most = cursor.remaining().min(usize::try_from(left).unwrap_or(usize::MAX));
+        let max_bytes = cursor.remaining().min(usize::try_from(left).unwrap_or(usize::MAX));
         let mut given = 0;
-        if !self.queue.borrow().bytes.all().is_empty() {
+        if !self.queue.borrow().buffer.bytes().is_empty() {
             let mut queue = self.queue.borrow_mut();
-            given = queue.bytes.all().len().min(most);
-            cursor.put_slice(&queue.bytes.all()[..given]);
-            queue.advance(given);
+            given = queue.buffer.bytes().len().min(max_bytes);
+            cursor.put_slice(&queue.buffer.bytes()[..given]);
+            queue.consume(given);
         } else {
             let read = ready!(self.read_some(context, cursor.remaining(), |queue, bytes| {
-                given = bytes.len().min(most);
+                given = bytes.len().min(max_bytes);
                 cursor.put_slice(&bytes[..given]);
-                queue.bytes.add(&bytes[given..], Instant::now());
+                queue.buffer.add(&bytes[given..], Instant::now());
             }));
             read?;
         }
         let left = left - given as u64;
-        self.queue.borrow_mut().mode = if left == 0 { Mode::Ahead } else { Mode::Length(left) };
+        self.queue.borrow_mut().mode = if left == 0 { ReadMode::ReadAhead } else { ReadMode::Body(left) };
         Poll::Ready(Ok(()))
     }
 
     /// Reads ahead; ready only at the end of the stream.
-    fn poll_ahead(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
+    fn poll_read_ahead(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
-            self.queue.borrow_mut().begin();
-            let drops = self.queue.borrow_mut().drops_bytes();
-            let room = if drops { READ_BYTES } else { self.queue.borrow().room() };
-            if room == 0 {
-                ready!(self.poll_left(context));
+            self.queue.borrow_mut().begin_early_requests();
+            let discards = self.queue.borrow_mut().discards_input();
+            let capacity = if discards { READ_SIZE } else { self.queue.borrow().remaining_capacity() };
+            if capacity == 0 {
+                ready!(self.poll_disconnect(context));
                 self.queue.borrow_mut().close();
                 return Poll::Ready(Ok(()));
             }
-            self.look = None;
-            let read = ready!(self.read_some(context, room, |queue, bytes| {
-                if !drops {
-                    queue.bytes.add(bytes, Instant::now());
+            self.disconnect_check = None;
+            let read = ready!(self.read_some(context, capacity, |queue, bytes| {
+                if !discards {
+                    queue.buffer.add(bytes, Instant::now());
                 }
             }));
             if !matches!(read, Ok(1..)) {
@@ -138,39 +138,39 @@
     }
 
     /// Ready once the caller has left, of whose bytes nothing is read meanwhile.
-    fn poll_left(&mut self, context: &mut Context<'_>) -> Poll<()> {
-        while !self.io.inner().has_left() {
-            let look = self.look.get_or_insert_with(|| Box::pin(sleep(LOOK_EVERY)));
-            ready!(look.as_mut().poll(context));
-            self.look = None;
+    fn poll_disconnect(&mut self, context: &mut Context<'_>) -> Poll<()> {
+        while !self.io.inner().is_read_closed() {
+            let check = self.disconnect_check.get_or_insert_with(|| Box::pin(sleep(DISCONNECT_CHECK_INTERVAL)));
+            ready!(check.as_mut().poll(context));
+            self.disconnect_check = None;
         }
         Poll::Ready(())
     }
 
     /// Whom the next bytes are for: an answer that was sent lets hyper have the next request, and
     /// hyper that reads while it is busy with a request without a body holds nothing unread.
-    fn mode(&self) -> Mode {
+    fn mode(&self) -> ReadMode {
         let queue = &mut self.queue.borrow_mut();
         queue.mode = match queue.mode {
-            Mode::Ahead if self.progress.is_answered() => Mode::Head,
-            Mode::Blind { has_body: false } if !self.progress.is_answered() => Mode::Ahead,
+            ReadMode::ReadAhead if self.progress.is_response_sent() => ReadMode::Head,
+            ReadMode::PassThrough { has_body: false } if !self.progress.is_response_sent() => ReadMode::ReadAhead,
             mode => mode,
         };
         queue.mode
     }
 }
 
-impl<S: Socket, H: Handler> Read for AheadStream<S, H> {
+impl<S: Socket, H: Handler> Read for ReadAheadStream<S, H> {
     fn poll_read(
         mut self: Pin<&mut Self>,
         context: &mut Context<'_>,
         cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
         let polled = match self.mode() {
-            Mode::Ahead => return self.poll_ahead(context),
-            Mode::Head => self.poll_head(context, cursor),
-            Mode::Length(left) => self.poll_body(context, cursor, left),
-            Mode::Blind { .. } => self.poll_blind(context, cursor),
+            ReadMode::ReadAhead => return self.poll_read_ahead(context),
+            ReadMode::Head => self.poll_head(context, cursor),
+            ReadMode::Body(left) => self.poll_body(context, cursor, left),
+            ReadMode::PassThrough { .. } => self.poll_pass_through(context, cursor),
         };
         if polled.is_ready() && self.progress.phase() == Phase::Idle {
             self.progress.enter(Phase::ReadingHead);
@@ -179,7 +179,7 @@
     }
 }
 
-impl<S: Socket, H: Handler> Write for AheadStream<S, H> {
+impl<S: Socket, H: Handler> Write for ReadAheadStream<S, H> {
     fn poll_write(mut self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
         Pin::new(&mut self.io).poll_write(context, bytes)
     }
@@ -187,7 +187,7 @@
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.io).poll_flush(context))?;
         // hyper reads on only when it is woken.
-        if self.progress.flushed() && !self.queue.borrow().bytes.all().is_empty() {
+        if self.progress.record_flush() && !self.queue.borrow().buffer.bytes().is_empty() {
             context.waker().wake_by_ref();
         }
         Poll::Ready(Ok(()))
--- a/src/net/server/socket.rs
+++ b/src/net/server/socket.rs
@@ -11,11 +11,11 @@
 /// A connection's bytes.
 pub trait Socket: AsyncRead + AsyncWrite + Unpin {
     /// Whether the other side is known to send no more, also where bytes are unread.
-    fn has_left(&self) -> bool;
+    fn is_read_closed(&self) -> bool;
 }
 
 impl Socket for TcpStream {
-    fn has_left(&self) -> bool {
+    fn is_read_closed(&self) -> bool {
         // Of the kinds of readiness this one is ready only where the reading side was closed.
         let closed = pin!(self.ready(Interest::PRIORITY));
         matches!(closed.poll(&mut Context::from_waker(Waker::noop())), Poll::Ready(Ok(ready)) if ready.is_read_closed())
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -13,7 +13,7 @@
 use crate::model::fingerprint::{Fingerprint, RequestIdentity};
 use crate::net::headers::remove_hop_by_hop;
 use crate::net::server::CallerBody;
-use crate::net::server::read_ahead::begun::Arrival;
+use crate::net::server::read_ahead::early_request::Arrival;
 use crate::platform::Platform;
 use crate::proxy::access_record::{AccessRecord, QuotaRecord, RequestEnd};
 use crate::proxy::answer_body::AnswerBody;
--- a/tests/pipelined/mod.rs
+++ b/tests/pipelined/mod.rs
@@ -7,7 +7,7 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
 use lockloft::clock::Instant;
-use lockloft::net::server::read_ahead::begun::Arrival;
+use lockloft::net::server::read_ahead::early_request::Arrival;
 use lockloft::net::server::{CallerBody, ConnectionLimits, Handler, Socket, serve_connection};
 use std::cell::{Cell, RefCell};
 use std::collections::HashSet;
@@ -55,7 +55,7 @@
     to_server: RefCell<Vec<u8>>,
     taken: Cell<usize>,
     to_caller: RefCell<Vec<u8>>,
-    has_left: Cell<bool>,
+    is_read_closed: Cell<bool>,
     /// Whether the caller reads nothing now.
     is_full: Cell<bool>,
     writer: RefCell<Option<Waker>>,
@@ -66,10 +66,10 @@
 
 impl AsyncRead for PipeEnd {
     fn poll_read(self: Pin<&mut Self>, context: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let Pipe { to_server, taken, has_left, reader, .. } = &*self.0;
+        let Pipe { to_server, taken, is_read_closed, reader, .. } = &*self.0;
         let bytes = to_server.borrow();
         let count = into.remaining().min(bytes.len() - taken.get());
-        if count == 0 && !has_left.get() {
+        if count == 0 && !is_read_closed.get() {
             reader.replace(Some(context.waker().clone()));
             return Poll::Pending;
         }
@@ -99,8 +99,8 @@
 }
 
 impl Socket for PipeEnd {
-    fn has_left(&self) -> bool {
-        self.0.has_left.get()
+    fn is_read_closed(&self) -> bool {
+        self.0.is_read_closed.get()
     }
 }
 
@@ -242,7 +242,7 @@
 
     /// The caller closes its connection.
     pub fn leave(&mut self) {
-        self.pipe.has_left.set(true);
+        self.pipe.is_read_closed.set(true);
         self.wake();
     }
 
--- a/tests/pipelined_order.rs
+++ b/tests/pipelined_order.rs
@@ -156,8 +156,8 @@
     let sent: Vec<String> = (0..600).map(|number| get(&format!("/safe/{number}"))).collect();
     play.send(&sent.concat());
     let (begun, read) = (play.begun().len(), play.bytes_read());
-    assert_eq!(begun, 1 + lockloft::net::server::read_ahead::queue::MAX_BEGUN);
-    assert!(read <= 16 * 1024 + lockloft::net::server::read_ahead::queue::MAX_BYTES, "{read}");
+    assert_eq!(begun, 1 + lockloft::net::server::read_ahead::queue::MAX_EARLY_REQUESTS);
+    assert!(read <= 16 * 1024 + lockloft::net::server::read_ahead::queue::MAX_BUFFERED_BYTES, "{read}");
     play.leave();
     play.pass(Duration::from_millis(200));
     assert!(play.is_closed());
