--- a/src/net/buffered_bytes.rs
+++ b/src/net/buffered_bytes.rs
@@ -1,13 +1,13 @@
-//! Bytes of bodies that an instance holds in memory, counted in a total of all.
+//! Counts the bytes of bodies that an instance holds in memory, per body and in total.
 //!
-//! Owns what one body adds to the total, and takes it off again; the total wakes who waits for room
-//! in it. Relies on nothing.
+//! Owns the share of one body in the total, which is subtracted when the body is released or dropped.
+//! The total wakes tasks that wait for bytes to be released. Relies on nothing.
 
 use std::cell::Cell;
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Bytes of all bodies in memory.
+/// Number of bytes of all bodies in memory.
 #[derive(Debug, Default)]
 pub struct BufferTotal {
     bytes: Cell<u64>,
@@ -15,17 +15,18 @@
 }
 
 impl BufferTotal {
-    /// Bytes of all bodies.
+    /// Number of bytes of all bodies in memory.
     pub fn get(&self) -> u64 {
         self.bytes.get()
     }
 
-    /// Returns once bytes were released or [`Self::wake_next`] was called; wakes one of those that wait.
+    /// Waits until bytes are released or [`Self::wake_next`] is called. Each of these events wakes one
+    /// waiting task.
     pub async fn freed(&self) {
         self.freed.notified().await;
     }
 
-    /// Wakes the next one that waits: there is room for it as well.
+    /// Wakes the next waiting task; called by a woken task if there is room for a further one.
     pub fn wake_next(&self) {
         self.freed.notify_one();
     }
@@ -39,28 +40,29 @@
 }
 
 impl BufferedBytes {
-    /// None yet, to be counted in `total`.
+    /// A body of which no bytes are held yet, counted in `total`.
     pub fn new(total: &Rc<BufferTotal>) -> Self {
         Self { total: total.clone(), bytes: 0 }
     }
 
-    /// Bytes of this body.
+    /// Number of bytes of this body in memory.
     pub fn bytes(&self) -> u64 {
         self.bytes
     }
 
-    /// Bytes of all bodies.
+    /// Number of bytes of all bodies in memory.
     pub fn total(&self) -> u64 {
         self.total.get()
     }
 
-    /// Counts bytes that were read.
+    /// Adds bytes that were read into memory.
     pub fn add(&mut self, bytes: u64) {
         self.bytes += bytes;
         self.total.bytes.set(self.total.get() + bytes);
     }
 
-    /// Counts bytes that were handed on; at most what is held.
+    /// Subtracts bytes that are no longer in memory, at most those of this body, and wakes a task that
+    /// waits for the total.
     pub fn release(&mut self, bytes: u64) {
         let bytes = bytes.min(self.bytes);
         self.bytes -= bytes;
--- a/src/net/headers.rs
+++ b/src/net/headers.rs
@@ -1,4 +1,4 @@
-//! Headers that concern one connection only (HTTP: hop-by-hop), and are not passed on.
+//! Hop-by-hop headers: they apply to a single connection and are not forwarded.
 
 use hyper::HeaderMap;
 use hyper::header::{
@@ -9,8 +9,9 @@
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 const PROXY_CONNECTION: HeaderName = HeaderName::from_static("proxy-connection");
 
-/// Removes the headers of one connection, those that `connection` names too. What
-/// cannot be read there names no header. The length is written anew from the body.
+/// Removes the hop-by-hop headers, including those that `connection` lists. Entries of that list that
+/// are not valid header names are ignored. `content-length` is removed as well: it is set again from
+/// the body.
 pub fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
--- a/src/net/keep_alive.rs
+++ b/src/net/keep_alive.rs
@@ -1,26 +1,26 @@
-//! What becomes of a connection after an answer, as the answer's headers say.
+//! How long a server keeps a connection open after a response, as the response's headers state it.
 
 use hyper::HeaderMap;
 use hyper::header::{CONNECTION, HeaderName};
 use std::time::Duration;
 
-/// Header in which a server names how long it keeps an idle connection (HTTP).
+/// Header in which a server states how long it keeps an idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
-/// How long the other side keeps an idle connection.
+/// How long a server keeps an idle connection open.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum KeepAlive {
-    /// It closes the connection after this answer.
+    /// The server closes the connection after this response.
     Close,
-    /// It keeps the connection for this long.
+    /// The server keeps the connection open for this long.
     For(Duration),
-    /// It does not say.
+    /// The response states no time.
     Unspecified,
 }
 
 impl From<&HeaderMap> for KeepAlive {
-    /// Reads an answer's headers. A time that cannot be read counts as not given:
-    /// the pool's own bound holds then, which is shorter than usual times.
+    /// Parses the headers of a response. A time that cannot be parsed counts as not stated: the pool's
+    /// own limit applies then, which is shorter than the usual times.
     fn from(headers: &HeaderMap) -> Self {
         if is_closing(headers) {
             return KeepAlive::Close;
@@ -34,7 +34,7 @@
     headers.get_all(CONNECTION).iter().any(|value| value.to_str().is_ok_and(has_close))
 }
 
-/// The time in `timeout=SECONDS`.
+/// The time in the parameter `timeout=SECONDS`.
 fn timeout(headers: &HeaderMap) -> Option<Duration> {
     let text = headers.get(KEEP_ALIVE)?.to_str().ok()?;
     let seconds =
--- a/src/net/mod.rs
+++ b/src/net/mod.rs
@@ -1,12 +1,13 @@
-//! Connections and HTTP below the rules. Owns sockets; relies on nothing else of lockloft.
+//! Connections and HTTP, below the routing decisions. Owns sockets; uses no other module of lockloft
+//! but the clock.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! |---|---|
-//! | [`server`] | connections that others open |
-//! | [`dial`], [`pool`], [`keep_alive`] | connections to others, and how long they are used |
-//! | [`request_body`], [`chunks`], [`buffered_bytes`] | bodies on their way to a target, and what is held of them |
-//! | [`headers`] | headers of one connection |
-//! | [`whole_body`], [`gzip`] | bodies read whole, and compressed ones |
+//! | [`server`] | incoming connections |
+//! | [`dial`], [`pool`], [`keep_alive`] | outgoing connections, and how long idle ones are reused |
+//! | [`request_body`], [`chunks`], [`buffered_bytes`] | bodies sent to a target, and the memory that bodies take |
+//! | [`headers`] | hop-by-hop headers |
+//! | [`whole_body`], [`gzip`] | bodies that are read completely, and compressed bodies |
 
 pub mod buffered_bytes;
 pub mod chunks;
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -1,7 +1,8 @@
-//! Connections to one target, used again while that is safe.
+//! Pool of connections to one target, which are reused while that is safe.
 //!
-//! Owns the idle connections to one address and their bounds in number and time.
-//! Relies on the target's word on how long it keeps one ([`KeepAlive`]).
+//! Owns the idle connections to one address and the limits on their number and idle time. Relies on
+//! what the target states about how long it keeps a connection open ([`KeepAlive`]).
+//! Tests: `tests/pool.rs`.
 
 use crate::clock::{Instant, timeout};
 use crate::net::dial;
@@ -17,41 +18,41 @@
 use std::time::Duration;
 use tokio::task::AbortHandle;
 
-/// Longest time to open a connection. Far more than a round trip between regions (some 25 ms), and
+/// Timeout for opening a connection: far longer than a round trip between regions (some 25 ms), and
 /// short enough that another target can be tried within a route's timeout (0.8 to 3 s).
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
-/// Longest time to find that an address refuses connections: three round trips between the regions
-/// that are farthest (70 ms). The request whose exchange ended waits for it, which takes one round
-/// trip unless the target's machine falls silent just then.
+/// Timeout for finding out that an address refuses connections: three round trips between the regions
+/// that are farthest apart (70 ms each). The request whose exchange ended waits for the result, which
+/// takes one round trip unless the target's machine stops responding at that moment.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
-/// Idle time after which a connection is not used again where the target names no time of its own;
-/// less than targets are known to keep one (10 s).
+/// Idle time after which a connection is not reused if the target states no time; less than targets
+/// are known to keep a connection open (10 s).
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
-/// Longest such time where the target names one: bounds how many connections are held that have
-/// silently ended.
+/// Upper limit on that time if the target states one: limits how many connections are kept that have
+/// ended without a notice.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
-/// How long before a target closes an idle connection it is not used any more: a close that crosses
-/// a request loses it.
+/// How long before the target closes an idle connection the connection is no longer reused: a request
+/// that is sent while the target closes the connection is lost.
 const CLOSE_MARGIN: Duration = Duration::from_secs(1);
-/// Most idle connections to one target; above an instance's share of its slots (3 to 6 slots, two
-/// requests a slot).
+/// Largest number of idle connections to one target; more than an instance's share of the target's
+/// slots needs (3 to 6 slots, two requests per slot).
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// All instances together keep at most one in this many of a target's connections idle; the others
-/// are for requests and other callers.
+/// All instances together keep at most one in this many of a target's connections idle. The others are
+/// left for requests and for the target's other callers.
 const IDLE_CONNECTIONS_DIVISOR: usize = 2;
 
-/// Most bytes of an answer that are read at a time: bounds what a connection holds of an answer that
+/// Largest read buffer of a connection, bytes: limits how much of a response a connection holds while
 /// its caller reads slowly.
 const READ_BUFFER_SIZE: usize = 32 * 1024;
 
-/// Why a request got no answer.
+/// Why a request got no response.
 #[derive(Debug)]
 pub enum SendError {
-    /// No byte of it was sent; here it is.
+    /// No byte of the request was sent; the request is returned.
     Unsent(Box<Request<RequestBody>>),
-    /// The connection ended before an answer began; the request may have arrived.
+    /// The connection ended before a response began. The target may have received the request.
     ConnectionLost,
-    /// Bytes came that are no answer; the request may have arrived.
+    /// The bytes received are not a valid HTTP response. The target may have received the request.
     InvalidResponse,
 }
 
@@ -66,12 +67,13 @@
 #[derive(Debug)]
 struct Idle {
     connection: Connection,
-    /// When its last answer had been read.
+    /// When its last response had been read.
     idle_since: Instant,
+    /// When it stops being reused.
     usable_until: Instant,
 }
 
-/// One connection. Dropped, it is closed and what runs on it is cancelled.
+/// One connection. Dropping it closes the connection and cancels the exchange that runs on it.
 #[derive(Debug)]
 pub struct Connection {
     sender: SendRequest<RequestBody>,
@@ -88,7 +90,7 @@
     /// Opens a connection.
     ///
     /// # Errors
-    /// Any error of the operating system; a timeout after 0.4 s.
+    /// Any error of the operating system or the HTTP handshake; a timeout after 0.4 s.
     pub async fn open(address: SocketAddr) -> std::io::Result<Self> {
         let stream = timeout(CONNECT_TIMEOUT, dial::connect(address)).await.map_err(std::io::Error::other)??;
         let builder = Builder::new().max_buf_size(READ_BUFFER_SIZE).handshake(TokioIo::new(stream));
@@ -97,10 +99,10 @@
         Ok(Self { sender, task })
     }
 
-    /// Sends a request and waits for the head of the answer.
+    /// Sends a request and waits for the head of the response.
     ///
     /// # Errors
-    /// [`SendError::Unsent`] only where no byte of the request was sent.
+    /// [`SendError`]; [`SendError::Unsent`] only if no byte of the request was sent.
     pub async fn send(&mut self, request: Request<RequestBody>) -> Result<Response<Incoming>, SendError> {
         match self.sender.try_send_request(request).await {
             Ok(response) => Ok(response),
@@ -112,39 +114,39 @@
         }
     }
 
-    /// Whether the other side still has it open. Why it closed makes no difference.
+    /// Whether the other side still has the connection open. The reason of a close is irrelevant here.
     async fn is_usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
 }
 
 impl Pool {
-    /// An empty pool.
+    /// Creates an empty pool of connections to `address`.
     pub fn new(address: SocketAddr) -> Self {
         Self { address, idle: RefCell::new(Vec::new()), max_idle: Cell::new(MAX_IDLE_CONNECTIONS) }
     }
 
-    /// Whether the address refuses connections: no process listens there any more. False where
-    /// that does not show within `PROBE_TIMEOUT`, or the address cannot be reached.
+    /// Whether the address refuses connections, which means that no process listens there any more.
+    /// False if the address is unreachable or there is no result within `PROBE_TIMEOUT`.
     pub async fn refuses_connections(&self) -> bool {
         let Ok(Err(error)) = timeout(PROBE_TIMEOUT, dial::connect(self.address)).await else { return false };
         matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset)
     }
 
-    /// The address that its connections go to.
+    /// The address that the connections of this pool go to.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Bounds what is kept idle by this instance's share of the `max_connections` that
-    /// the target takes from all `members` instances; 0 where it names none.
+    /// Limits the number of idle connections to this instance's share of `max_connections`, the number
+    /// that the target accepts from all `members` instances; 0 if its service sets none.
     pub fn share_connections(&self, max_connections: u32, members: usize) {
         let share = max_connections as usize / IDLE_CONNECTIONS_DIVISOR / members.max(1);
         let max_idle = if max_connections == 0 { MAX_IDLE_CONNECTIONS } else { share.clamp(1, MAX_IDLE_CONNECTIONS) };
         self.max_idle.set(max_idle);
     }
 
-    /// An idle connection that should still be open.
+    /// Takes an idle connection that is not expired and not known to be closed; `None` if there is none.
     pub async fn take_idle(&self) -> Option<Connection> {
         loop {
             let Idle { mut connection, usable_until, .. } = self.idle.borrow_mut().pop()?;
@@ -154,16 +156,16 @@
         }
     }
 
-    /// Opens a connection.
+    /// Opens a new connection, without using the idle ones.
     ///
     /// # Errors
-    /// Any error of the operating system; a timeout after 0.4 s.
+    /// Any error of the operating system or the HTTP handshake; a timeout after 0.4 s.
     pub async fn connect(&self) -> std::io::Result<Connection> {
         Connection::open(self.address).await
     }
 
-    /// Keeps a connection whose last answer was read to its end, for as long as the
-    /// target does.
+    /// Returns a connection whose last response was read to its end, to be reused for as long as the
+    /// target keeps it open. A connection that cannot be reused or exceeds the limit is closed.
     pub fn put_idle(&self, connection: Connection, keep_alive: KeepAlive) {
         let idle_time = idle_time(keep_alive);
         let mut idle = self.idle.borrow_mut();
@@ -173,14 +175,14 @@
         }
     }
 
-    /// Closes the connections that have been idle since `sent` or before, when a request that
-    /// got no answer was sent: open connections may go silent without a reset while new ones
-    /// work, and these have shown nothing since.
+    /// Closes the connections that have been idle since `sent` or longer, where `sent` is when a request
+    /// was sent that got no response. Open connections may stop working without a reset while new ones
+    /// work, and these connections have not been seen to work since.
     pub fn close_idle_since(&self, sent: Instant) {
         self.idle.borrow_mut().retain(|idle| idle.idle_since > sent);
     }
 
-    /// Closes connections that were idle for too long.
+    /// Closes the connections that were idle for too long or were closed by the target.
     pub fn close_expired(&self, now: Instant) {
         self.idle.borrow_mut().retain(|idle| now < idle.usable_until && !idle.connection.sender.is_closed());
     }
@@ -191,7 +193,7 @@
     }
 }
 
-/// How long an idle connection is used again; zero where it is closed.
+/// How long an idle connection may be reused; zero if it is to be closed.
 fn idle_time(keep_alive: KeepAlive) -> Duration {
     match keep_alive {
         KeepAlive::Close => Duration::ZERO,
--- a/src/net/request_body.rs
+++ b/src/net/request_body.rs
@@ -1,7 +1,8 @@
-//! Bodies of requests on their way to a target: buffered, or streamed.
+//! Bodies of requests that are forwarded to a target: buffered or streamed.
 //!
-//! Owns the head and the rest of a streamed body, and reads the rest for a while where it is
-//! given up. Relies on hyper, and on [`BufferedBytes`] for the count of the head.
+//! Owns the prefix of a streamed body, which was read before the request is sent, and the rest of it.
+//! If the body is dropped early, reads and discards the rest for a limited time. Relies on hyper, and
+//! on [`BufferedBytes`] to count the prefix.
 
 use crate::clock::timeout;
 use crate::net::buffered_bytes::BufferedBytes;
@@ -17,30 +18,30 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long the rest of a body that was given up is read: long enough for a caller that is still
-/// sending to see the answer instead of a reset, short enough not to hold connections.
+/// How long the rest of a dropped body is read and discarded: long enough for a caller that is still
+/// sending to receive the response instead of a reset, short enough not to occupy connections.
 const DISCARD_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Why a body broke off. The connection that carries it reports this to its other side
-/// by closing; nothing else is sent.
+/// Why a body was aborted. The other side of the connection that carries the body learns of it only
+/// by the close of the connection.
 #[derive(Debug, Error)]
 pub enum BodyError {
-    /// Its connection broke.
-    #[error("the body's connection broke: {0}")]
+    /// The connection that the body is read from failed.
+    #[error("the connection of the body failed: {0}")]
     Broken(#[from] hyper::Error),
-    /// It took too long.
-    #[error("the body did not end in time")]
+    /// The body was not complete by its deadline.
+    #[error("the body was not complete before its deadline")]
     TimedOut,
-    /// Nobody read it.
-    #[error("the body was not read for too long; look at the caller's connection")]
+    /// The caller read no more of it.
+    #[error("the caller did not read the body for too long; check the caller's connection")]
     Unread,
-    /// It is larger than allowed.
-    #[error("the body is larger than allowed")]
+    /// The body exceeds the limit on its size.
+    #[error("the body exceeds the size limit")]
     TooLarge,
 }
 
 impl BodyError {
-    /// Its name in log and metrics.
+    /// Name of the error in log lines and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
             BodyError::Broken(_) => "broken",
@@ -51,46 +52,47 @@
     }
 }
 
-/// A request's body for a target.
+/// Body of a request that is sent to a target.
 #[derive(Debug)]
 pub enum RequestBody {
-    /// Whole in memory, so that it can be sent again.
+    /// Completely in memory, so that it can be sent again.
     Buffered(Full<Bytes>),
-    /// Streamed as it arrives; sent once at most.
+    /// Forwarded as it arrives; can be sent once at most.
     Streamed(StreamedBody),
 }
 
-/// A streamed body, with a flag for its end. Where it is given up, the rest is read
-/// and thrown away for a while: a caller that is still sending when its connection
-/// closes may never see the answer.
+/// A streamed body, with a flag that is set at its end. If it is dropped before, the rest is read and
+/// discarded for a limited time: a caller that is still sending when its connection closes may never
+/// receive the response.
 #[derive(Debug)]
 pub struct StreamedBody {
     prefix: VecDeque<Bytes>,
-    /// Counts the head while it is in memory.
+    /// Counts the prefix while it is in memory.
     prefix_bytes: BufferedBytes,
     rest: Option<Incoming>,
+    /// Bytes of the rest that may still arrive.
     allowance: u64,
     finished: Rc<Cell<bool>>,
 }
 
 impl StreamedBody {
-    /// A body of which `head` was read already, counted by `held`, and of which at most
-    /// `allowance` bytes may still arrive.
+    /// A body of which `prefix` was already read, counted by `prefix_bytes`, and of which at most
+    /// `allowance` further bytes may arrive.
     pub fn new(prefix: VecDeque<Bytes>, prefix_bytes: BufferedBytes, rest: Incoming, allowance: u64) -> Self {
         Self { prefix, prefix_bytes, rest: Some(rest), allowance, finished: Rc::new(Cell::new(false)) }
     }
 
-    /// Set once the last byte was handed to the connection.
+    /// Flag that is set once the last byte was passed to the target's connection.
     pub fn finished(&self) -> Rc<Cell<bool>> {
         self.finished.clone()
     }
 
-    /// Its length, bytes, where its sender declared it.
+    /// Length of the body in bytes; `None` if the sender did not declare it.
     pub fn length(&self) -> Option<u64> {
         size_with_rest(&self.prefix, self.rest.as_ref().map_or_else(SizeHint::default, Body::size_hint)).exact()
     }
 
-    /// The first bytes of what was read before it is sent, `most` of them.
+    /// The first bytes of the prefix, at most `max_bytes`, in chunks.
     pub fn prefix(&self, max_bytes: usize) -> impl Iterator<Item = &[u8]> {
         let mut remaining = max_bytes;
         self.prefix.iter().map(move |chunk| {
@@ -113,7 +115,7 @@
     }
 }
 
-/// Reads a body to its end, or to its error: nobody waits for it any more.
+/// Reads a body to its end or its first error, and discards it.
 async fn discard(mut rest: Incoming) {
     while let Some(Ok(_)) = rest.frame().await {}
 }
--- a/src/net/whole_body.rs
+++ b/src/net/whole_body.rs
@@ -1,10 +1,10 @@
-//! Bodies read whole: given up where nothing more comes, not where they are large.
+//! Reads a body completely, and gives up if no more data arrives rather than if it takes long.
 //!
-//! A bound on the whole time cuts off a large body on a slow link however well it comes
-//! along; begun anew, it is cut off again. So the time without a byte is bounded, and the
-//! whole time only far above what any body needs.
+//! A limit on the total time alone would abort a large body on a slow link although data keeps
+//! arriving, and a repeated transfer would be aborted in the same way. So the time without data is
+//! limited, and the total time only far above what any body needs.
 //!
-//! Owns nothing beyond one read. Relies on the caller for the limits.
+//! Owns nothing beyond one read. The calling code sets the limits.
 
 use crate::clock::{Instant, timeout_at};
 use http_body_util::BodyExt;
@@ -12,30 +12,30 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long the read of a body may take.
+/// Limits on the time and size of a body that is read.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadLimits {
-    /// Longest time without a byte.
+    /// Longest time without data.
     pub stall: Duration,
-    /// Longest time for the whole body.
+    /// Longest time for the complete body.
     pub total: Duration,
-    /// Largest body, bytes.
+    /// Largest size of the body, bytes.
     pub size: usize,
 }
 
-/// Why a body was not read whole.
+/// Why a body was not read completely.
 #[derive(Debug, Error)]
 pub enum ReadError {
-    /// It stalled, or took too long in all.
-    #[error("{received} bytes came in time, but not the end")]
+    /// No data arrived for too long, or the complete body took too long.
+    #[error("timed out after {received} bytes of the body")]
     TimedOut {
-        /// Bytes that had come.
+        /// Number of bytes received until then.
         received: usize,
     },
-    /// It is larger than any body should be.
-    #[error("the body has more than {0} bytes; check the address")]
+    /// The body is larger than [`ReadLimits::size`], which is given here in bytes.
+    #[error("the body is larger than {0} bytes; check the address")]
     TooLarge(usize),
-    /// Its connection broke.
+    /// The connection failed.
     #[error(transparent)]
     Broken(#[from] hyper::Error),
 }
@@ -43,7 +43,7 @@
 /// Reads a body to its end.
 ///
 /// # Errors
-/// [`ReadError`]; the connection cannot be used again.
+/// [`ReadError`]; the connection cannot be reused after it.
 pub async fn read_whole<B>(mut body: B, limits: ReadLimits) -> Result<Bytes, ReadError>
 where
     B: Body<Data = Bytes, Error = hyper::Error> + Unpin,
@@ -54,7 +54,7 @@
         let latest = end.min(Instant::now() + limits.stall);
         let frame = timeout_at(latest, body.frame()).await;
         let Some(frame) = frame.map_err(|_| ReadError::TimedOut { received: read.len() })? else { break };
-        // Trailers are the only other frames; nobody here sends any.
+        // The only other frames are trailers, which no sender uses here; they are ignored.
         if let Ok(data) = frame?.into_data() {
             read.extend_from_slice(&data);
         }
