--- a/src/net/server/caller_body.rs
+++ b/src/net/server/caller_body.rs
@@ -1,18 +1,18 @@
-//! A request's body as its connection gives it.
+//! Body of a request as it is read from its connection.
 //!
-//! Owns nothing. Relies on hyper, whose body cannot be made by hand: a request that was read ahead
-//! has none.
+//! Owns nothing. Relies on hyper. hyper's body type cannot be constructed outside hyper, so a request
+//! that is processed before hyper has read it has an empty body.
 
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::pin::Pin;
 use std::task::{Context, Poll};
 
-/// The body of a request.
+/// Body of a request of a caller.
 #[derive(Debug)]
 pub enum CallerBody {
-    /// There is none.
+    /// The request has no body.
     Empty,
-    /// It is read from the connection.
+    /// The body is read from the connection.
     Streamed(Incoming),
 }
 
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -1,5 +1,5 @@
-//! One accepted connection: served until its end, or closed where it is idle or sends
-//! a head for too long.
+//! Serves one accepted connection until it ends. Closes it if it is idle for too long or a request head
+//! takes too long.
 
 use crate::clock::{Instant, sleep_until};
 use crate::net::server::caller_body::CallerBody;
@@ -18,10 +18,10 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 
-/// Smallest buffer for a request head that hyper accepts, bytes.
+/// Smallest read buffer that hyper accepts, bytes.
 const MIN_HEAD_BUFFER_SIZE: usize = 8 * 1024;
 
-/// Serves one connection to its end.
+/// Serves one connection until it ends.
 pub async fn serve<S: Socket, H: Handler>(socket: S, handler: Rc<H>) {
     let limits = handler.limits();
     let progress = Rc::new(Progress::new());
@@ -29,7 +29,7 @@
     let stream = ReadAheadStream::new(socket, progress.clone(), queue.clone());
     let service = service_fn(|request: Request<_>| {
         let (mut parts, body) = request.into_parts();
-        // At once: hyper reads on before it asks for the answer.
+        // Set before the future is polled: hyper reads on before it polls for the response.
         progress.enter(Phase::Busy);
         let early_request = queue.borrow_mut().record_request(&mut parts, &body);
         let request = Request::from_parts(parts, CallerBody::from(body));
@@ -48,7 +48,7 @@
     handler.count_connections(-1);
 }
 
-/// The answer that is under way, or a new one.
+/// The response of the early request, if there is one; otherwise of the request as hyper read it.
 async fn respond<H: Handler>(
     handler: Rc<H>,
     early_request: Option<EarlyRequest<H>>,
@@ -58,15 +58,15 @@
     match early_request.response().await {
         Ok(response) => response,
         Err(error) => {
-            tracing::error!(event = "early_request_failed", %error, "the request is begun anew; report the error");
+            tracing::error!(event = "early_request_failed", %error, "the request is processed again; report the error");
             handler.handle(request).await
         }
     }
 }
 
-/// Runs a connection until it ends or stays in a phase for too long. How it ended is
-/// not logged: others may close or break a connection whenever they like, and what
-/// that means for a request is logged with the request.
+/// Runs a connection until it ends or stays in a phase for too long. The reason is not logged: the other
+/// side may close or reset a connection at any time, and the effect on a request is logged with the
+/// request.
 async fn run<C: Future>(mut connection: Pin<&mut C>, progress: &Progress, limits: &ConnectionLimits) {
     loop {
         let latest = Instant::now() + limits.head_time;
--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -1,4 +1,4 @@
-//! What a listener relies on: answers, and bounds on its connections.
+//! The interface between a listener and the code that processes its requests and sets its limits.
 
 use crate::net::server::caller_body::CallerBody;
 use crate::net::server::limits::ConnectionLimits;
@@ -7,31 +7,32 @@
 use hyper::{Request, Response};
 use std::rc::Rc;
 
-/// What answers the requests of a listener.
+/// Processes the requests of a listener.
 pub trait Handler: 'static {
-    /// The body of an answer.
+    /// Type of the response body.
     type Body: Body<Data = Bytes, Error: std::error::Error + Send + Sync> + Unpin;
-    /// Answers a request.
+    /// Processes a request and returns its response.
     fn handle(self: Rc<Self>, request: Request<CallerBody>) -> impl Future<Output = Response<Self::Body>>;
-    /// Bounds on its connections, asked for each new one.
+    /// Limits on the listener's connections; read again for each new connection.
     fn limits(&self) -> ConnectionLimits;
-    /// Called when a connection opens (1) and closes (-1).
+    /// Called with 1 when a connection opens and with -1 when it closes.
     fn count_connections(&self, change: i64);
-    /// Whether a request without a body may begin before those ahead of it on its connection are
-    /// answered: only one that may run more than once.
+    /// Whether a request without a body may begin before the requests ahead of it on its connection
+    /// have their responses. True only for a request that may run more than once.
     fn may_begin_early(&self, _head: &Parts) -> bool {
         false
     }
-    /// Whether requests behind this one may begin before it is answered: only where it may run more
-    /// than once, since its caller may rely on the order otherwise.
+    /// Whether requests behind this one may begin before it has its response. True only for a request
+    /// that may run more than once: otherwise its caller may rely on the order.
     fn allows_pipelining(&self, _head: &Parts) -> bool {
         false
     }
-    /// Whether connections close with the answer to the last request that was read.
+    /// Whether the instance is stopping: connections then close with the response to the last request
+    /// that was read.
     fn is_stopping(&self) -> bool {
         false
     }
-    /// Called when a request was read before its turn (1), and when its answer is ready at its
-    /// turn, it begins at its turn, or it is broken off (-1).
+    /// Called with 1 when a request was read before its turn, and with -1 when its response is ready at
+    /// its turn, when it begins at its turn, or when it is cancelled.
     fn count_unanswered(&self, _change: i64) {}
 }
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -1,7 +1,7 @@
-//! Connections that others open to an instance: accepted, bounded and served.
+//! Accepts and serves incoming connections of an instance, within limits.
 //!
-//! Owns the open connections of a listener. What answers the requests, and within
-//! which bounds, is a [`Handler`]; relies on nothing else of lockloft.
+//! Owns the open connections of a listener. A [`Handler`] processes the requests and sets the limits;
+//! apart from the clock, nothing else of lockloft is used.
 
 mod caller_body;
 mod connection;
@@ -23,11 +23,12 @@
 use std::time::Duration;
 use tokio::net::{TcpListener, TcpStream};
 
-/// Wait before accepting again while no connection can be taken, so that a process without
-/// descriptors does not spin.
+/// Delay before the next accept while no connection can be accepted, so that a process that has run out
+/// of file descriptors does not spin.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// Accepts and serves connections until the process ends.
+/// Accepts and serves connections, at most [`ConnectionLimits::max_connections`] at a time, until the
+/// process ends.
 pub async fn listen<H: Handler>(listener: TcpListener, handler: Rc<H>) {
     let open_connections = Rc::new(Cell::new(0));
     loop {
@@ -40,20 +41,21 @@
                 let open_connection = OpenConnection::new(open_connections.clone());
                 tokio::task::spawn_local(serve(stream, handler.clone(), open_connection));
             }
-            // The peer has gone already, or descriptors are used up until a connection
-            // closes: both pass, and a line each 20 ms would only fill the log.
+            // The other side has already closed the connection, or the process is out of file
+            // descriptors until a connection closes. Both are temporary, and a line every 20 ms would
+            // flood the log.
             Err(_) => sleep(ACCEPT_RETRY_DELAY).await,
         }
     }
 }
 
 async fn serve<H: Handler>(stream: TcpStream, handler: Rc<H>, _counted: OpenConnection) {
-    // Fails only on a socket that is closed already, which its first read reports.
+    // Fails only on a socket that is already closed, which the first read reports.
     let _ = stream.set_nodelay(true);
     connection::serve(stream, handler).await;
 }
 
-/// Counts a connection for as long as it is open.
+/// Counts a connection as open until it is dropped.
 struct OpenConnection(Rc<Cell<u32>>);
 
 impl OpenConnection {
--- a/src/net/server/progress.rs
+++ b/src/net/server/progress.rs
@@ -1,5 +1,5 @@
-//! How far a connection is with its request, observed on its bytes and bodies, and
-//! when it is closed for that.
+//! Tracks the phase of a connection from its bytes and response bodies, and the deadline at which it is
+//! closed.
 
 use crate::clock::Instant;
 use crate::net::server::limits::ConnectionLimits;
@@ -9,33 +9,33 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// What a connection is doing.
+/// Phase of a connection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
     /// Between requests.
     Idle,
-    /// A head has begun to arrive.
+    /// The head of a request is arriving.
     ReadingHead,
-    /// A request is processed, or its answer sent.
+    /// A request is processed, or its response body is not finished.
     Busy,
 }
 
-/// The phase of one connection and when it began.
+/// Phase of one connection and when the phase began.
 #[derive(Debug)]
 pub struct Progress {
     phase: Cell<Phase>,
     since: Cell<Instant>,
-    /// Whether bytes of the last answer may not be sent yet.
+    /// Whether some bytes of the last response may still be unsent.
     has_unsent_response: Cell<bool>,
 }
 
 impl Progress {
-    /// A connection that was just opened.
+    /// Progress of a connection that was just opened.
     pub fn new() -> Self {
         Self { phase: Cell::new(Phase::Idle), since: Cell::new(Instant::now()), has_unsent_response: Cell::new(false) }
     }
 
-    /// Begins a phase.
+    /// Begins a phase, now.
     pub fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.since.set(Instant::now());
@@ -44,22 +44,22 @@
         }
     }
 
-    /// What the connection is doing.
+    /// The current phase.
     pub fn phase(&self) -> Phase {
         self.phase.get()
     }
 
-    /// Takes in that all bytes so far were sent; says whether that ended an answer.
+    /// Records that all bytes written so far were sent. Returns whether that completed a response.
     pub fn record_flush(&self) -> bool {
         self.phase.get() != Phase::Busy && self.has_unsent_response.replace(false)
     }
 
-    /// Whether the last request was answered and all of its answer sent.
+    /// Whether the response to the last request is complete and all of its bytes were sent.
     pub fn is_response_sent(&self) -> bool {
         self.phase.get() != Phase::Busy && !self.has_unsent_response.get()
     }
 
-    /// When the connection is closed if its phase lasts; `None` while it is busy.
+    /// When the connection is closed unless its phase changes; `None` while it is busy.
     pub fn deadline(&self, limits: &ConnectionLimits) -> Option<Instant> {
         match self.phase.get() {
             Phase::Idle => Some(self.since.get() + limits.idle_time),
@@ -69,11 +69,11 @@
     }
 }
 
-/// An answer's body that reports its end.
+/// Response body that reports its end: when it is dropped, the connection becomes idle.
 pub struct ObservedBody<B> {
-    /// The body.
+    /// The wrapped body.
     pub body: B,
-    /// Where it reports.
+    /// Progress of the connection that the body is sent on.
     pub progress: Rc<Progress>,
 }
 
--- a/src/net/server/read_ahead/buffer.rs
+++ b/src/net/server/read_ahead/buffer.rs
@@ -1,29 +1,30 @@
-//! Bytes of a connection that were read before their turn, and when each was read.
+//! Buffer of the bytes of a connection that were read ahead, with the time at which each was read.
 //!
-//! Owns them; holds no memory where there are none. Relies on nothing.
+//! Owns the bytes; an empty buffer takes no memory. Relies on nothing.
 
 use crate::clock::Instant;
 use bytes::{Buf, BytesMut};
 use std::collections::VecDeque;
 
-/// Moments that are kept; bytes beyond count as read with those before them.
+/// Largest number of reads whose times are kept; the bytes of further reads get the time of the last
+/// one that is kept.
 const MAX_READS: usize = 32;
 
-/// Bytes that were read ahead.
+/// Bytes that were read ahead and the times of the reads.
 #[derive(Debug, Default)]
 pub struct ReadAheadBuffer {
     bytes: BytesMut,
-    /// Where the bytes of one read end, and when it was.
+    /// For each read, the position in the buffer where its bytes end, and its time.
     reads: VecDeque<(usize, Instant)>,
 }
 
 impl ReadAheadBuffer {
-    /// All of them.
+    /// All bytes in the buffer.
     pub fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Adds what was read at a moment.
+    /// Appends bytes that were read at `now`.
     pub fn add(&mut self, bytes: &[u8], now: Instant) {
         if bytes.is_empty() {
             return;
@@ -36,12 +37,12 @@
         self.reads.push_back((self.bytes.len(), read_at));
     }
 
-    /// When the byte before `end` was read; `None` where there is no such byte.
+    /// When the byte before position `end` was read; `None` if the buffer ends before it.
     pub fn read_at(&self, end: usize) -> Option<Instant> {
         self.reads.iter().find(|(read, _)| *read >= end).map(|(_, at)| *at)
     }
 
-    /// Drops the first bytes.
+    /// Removes the first `count` bytes.
     pub fn consume(&mut self, count: usize) {
         self.bytes.advance(count);
         self.reads.retain_mut(|(end, _)| {
@@ -53,7 +54,7 @@
         }
     }
 
-    /// Drops all.
+    /// Removes all bytes and frees their memory.
     pub fn clear(&mut self) {
         *self = Self::default();
     }
--- a/src/net/server/read_ahead/early_request.rs
+++ b/src/net/server/read_ahead/early_request.rs
@@ -1,6 +1,6 @@
-//! A request that was begun before those ahead of it were answered.
+//! A request that began before the requests ahead of it on its connection had their responses.
 //!
-//! Owns the task that answers it, which ends with it: dropped, the request is broken off.
+//! Owns the task that processes the request. Dropping the value cancels the task.
 
 use crate::clock::Instant;
 use crate::net::server::caller_body::CallerBody;
@@ -10,20 +10,21 @@
 use std::rc::Rc;
 use tokio::task::{JoinError, JoinHandle, spawn_local};
 
-/// How a request arrived that was read ahead.
+/// When and how a request was received that was read ahead; an extension of the request.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
-    /// When its head was read.
+    /// When the last byte of its head was read.
     pub read_at: Instant,
-    /// Whether it was begun before its turn.
+    /// Whether the request began before its turn.
     pub is_early: bool,
 }
 
-/// Counts a request for as long as it was read and its answer is not under way to its caller.
+/// Counts a request that was read before its turn as unanswered ([`Handler::count_unanswered`]) until it
+/// is dropped.
 pub struct UnansweredGuard<H: Handler>(Rc<H>);
 
 impl<H: Handler> UnansweredGuard<H> {
-    /// Counts one.
+    /// Counts one request.
     pub fn new(handler: Rc<H>) -> Self {
         handler.count_unanswered(1);
         Self(handler)
@@ -36,7 +37,7 @@
     }
 }
 
-/// A request whose answer is under way.
+/// A request that is processed before its turn.
 pub struct EarlyRequest<H: Handler> {
     method: Method,
     uri: Uri,
@@ -46,7 +47,7 @@
 }
 
 impl<H: Handler> EarlyRequest<H> {
-    /// Begins a request whose head was read at a moment.
+    /// Begins a request without a body whose head was read at `read_at`.
     pub fn new(handler: &Rc<H>, mut parts: Parts, read_at: Instant) -> Self {
         let (method, uri, headers) = (parts.method.clone(), parts.uri.clone(), parts.headers.clone());
         parts.extensions.insert(Arrival { read_at, is_early: true });
@@ -55,15 +56,15 @@
         Self { method, uri, headers, task, _unanswered: UnansweredGuard::new(handler.clone()) }
     }
 
-    /// Whether it is the request that hyper read.
+    /// Whether this is the request that hyper has read: method, URI and headers are equal.
     pub fn matches(&self, parts: &Parts) -> bool {
         self.method == parts.method && self.uri == parts.uri && self.headers == parts.headers
     }
 
-    /// Its answer.
+    /// Waits for the response.
     ///
     /// # Errors
-    /// Where answering it has panicked.
+    /// [`JoinError`] if the handler panicked.
     pub async fn response(mut self) -> Result<Response<H::Body>, JoinError> {
         (&mut self.task).await
     }
--- a/src/net/server/read_ahead/head.rs
+++ b/src/net/server/read_ahead/head.rs
@@ -1,17 +1,17 @@
-//! Heads that were read ahead: what they ask, and whether their requests stand alone.
+//! Parses request heads that were read ahead, and decides whether their requests may begin early.
 //!
-//! Owns nothing. What a head says here is a hint: hyper reads it again when its turn comes.
+//! Owns nothing. The result is only a hint: hyper parses each head again at its turn.
 
 use hyper::header::{CONNECTION, CONTENT_LENGTH, EXPECT, HeaderName, HeaderValue, TRAILER, TRANSFER_ENCODING, UPGRADE};
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Request, Uri, Version};
 
-/// Fields of a head that is looked at; as many as hyper reads.
+/// Largest number of headers in a head that is parsed here; as many as hyper accepts.
 const MAX_HEADERS: usize = 100;
-/// Fields whose requests wait for their turn: what follows them may be no request.
+/// Headers whose requests wait for their turn: the bytes that follow the head may not be a request.
 const DEFERRING_HEADERS: [HeaderName; 5] = [CONTENT_LENGTH, TRANSFER_ENCODING, EXPECT, TRAILER, UPGRADE];
 
-/// Reads one whole head without a body; `None` where its request has to wait for its turn.
+/// Parses one complete head of a request without a body; `None` if the request has to wait for its turn.
 pub fn parse(bytes: &[u8]) -> Option<Parts> {
     let mut fields = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let mut head = httparse::Request::new(&mut fields);
@@ -36,19 +36,20 @@
     Some(headers)
 }
 
-/// Whether the request is over with its head, and only another request can follow.
+/// Whether the request ends with its head, so that only another request can follow.
 fn is_self_contained(parts: &Parts) -> bool {
     let is_plain = !DEFERRING_HEADERS.iter().any(|name| parts.headers.contains_key(name));
     is_plain && parts.method != Method::CONNECT && connection_options(&parts.headers).all(is_known_option)
 }
 
-/// Whether only another request can follow the end of this one.
+/// Whether only another request can follow the end of this one: it is HTTP/1.1 and cannot change the
+/// protocol of the connection.
 pub fn allows_pipelining(parts: &Parts) -> bool {
     let may_upgrade = parts.method == Method::CONNECT || parts.headers.contains_key(UPGRADE);
     parts.version == Version::HTTP_11 && !may_upgrade
 }
 
-/// Whether a head says that its connection closes: nothing that follows counts.
+/// Whether a head announces the close of its connection. All bytes that follow are ignored then.
 pub fn closes_connection(headers: &HeaderMap) -> bool {
     connection_options(headers).any(|option| option.eq_ignore_ascii_case("close"))
 }
@@ -57,7 +58,7 @@
     option.eq_ignore_ascii_case("close") || option.eq_ignore_ascii_case("keep-alive")
 }
 
-/// What a head says of its connection. An option that is not text is one that nobody knows.
+/// The options in the `connection` headers. A value that is not text counts as an unknown option.
 fn connection_options(headers: &HeaderMap) -> impl Iterator<Item = &str> {
     let values = headers.get_all(CONNECTION).iter();
     values.flat_map(|value| value.to_str().unwrap_or("?").split(',')).map(str::trim)
--- a/src/net/server/read_ahead/mod.rs
+++ b/src/net/server/read_ahead/mod.rs
@@ -1,16 +1,17 @@
-//! Requests that callers send before those ahead of them on their connection are answered.
+//! HTTP pipelining: requests that a caller sends before the requests ahead of them on the connection
+//! have their responses.
 //!
-//! **Load.** Some callers send further idempotent requests before the first is answered. Begun one
-//! after the other, each waits for all ahead of it; here they run side by side, and hyper sends the
-//! answers in the order of the requests.
+//! **Load.** Some callers send further idempotent requests before the first has its response. Processed
+//! one after the other, each would wait for all ahead of it. Here they run concurrently, and hyper sends
+//! the responses in the order of the requests.
 //!
-//! | module | its job |
+//! | module | purpose |
 //! |---|---|
-//! | [`framing`] | whom bytes are for, where a head ends |
-//! | [`head`] | heads that were read ahead |
-//! | [`buffer`] | bytes that were read ahead, and when |
-//! | [`queue`] | which requests begin, and what of them is under way |
-//! | [`early_request`] | one that was begun |
+//! | [`framing`] | how the next bytes are handled, where a head ends |
+//! | [`head`] | parses heads that were read ahead |
+//! | [`buffer`] | bytes that were read ahead, and when each was read |
+//! | [`queue`] | which requests begin early, and their tasks |
+//! | [`early_request`] | one request that began early |
 //! | [`stream`] | the stream between the socket and hyper |
 
 pub mod buffer;
--- a/src/net/server/read_ahead/queue.rs
+++ b/src/net/server/read_ahead/queue.rs
@@ -1,13 +1,14 @@
-//! The requests of a connection that were read before their turn.
+//! Queue of the requests of a connection that were read before their turn.
 //!
-//! **Load.** Callers send further idempotent requests before the first is answered. Those that may
-//! be repeated and have no body are begun as soon as they are read; one that has to wait, and all
-//! behind it, begin when those ahead are answered. Nothing begins behind a request in hand that may
-//! run once: its caller may rely on the order.
+//! **Load.** Callers send further idempotent requests before the first has its response. Requests that
+//! may be repeated and have no body begin as soon as they are read. A request that has to wait, and all
+//! behind it, begin when the requests ahead of them have their responses. Nothing begins behind a
+//! current request that may run only once: its caller may rely on the order.
 //!
-//! Inputs: heads as they were read; of no age. Owns the bytes and the answers under way, which end
-//! with it. Relies on [`Handler::may_begin_early`], and on hyper's reading of each head: an answer
-//! under way is used only for the request that it was begun for.
+//! Inputs: heads as they were read; they have no age. Owns the buffered bytes and the early requests,
+//! which are cancelled when the queue is dropped. Relies on [`Handler::may_begin_early`], and on how
+//! hyper parses each head: the response of an early request is used only if hyper reads the same
+//! request.
 //! Tests: `tests/pipelined_framing.rs`, `tests/pipelined_order.rs`, `standins/tests/pipelined_requests.rs`.
 
 use crate::clock::Instant;
@@ -23,39 +24,40 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Requests begun before their turn on one connection: bounds what the answers behind a slow one hold.
+/// Largest number of early requests of one connection: limits the memory of responses that wait behind a
+/// slow one.
 pub const MAX_EARLY_REQUESTS: usize = 16;
-/// Bytes read ahead of one connection: bounds what requests that wait hold.
+/// Largest number of bytes of one connection that are read ahead: limits the memory of waiting requests.
 pub const MAX_BUFFERED_BYTES: usize = 16 * 1024;
 
-/// What was read ahead of one connection.
+/// Requests and bytes that were read ahead on one connection.
 pub struct Queue<H: Handler> {
     handler: Rc<H>,
     pub(super) mode: ReadMode,
     pub(super) buffer: ReadAheadBuffer,
-    /// Place in the head that hyper is given.
+    /// State of the search for the end of the current head in the bytes that are given to hyper.
     head_scanner: HeadScanner,
-    /// When the last byte of that head was read, where it was read ahead.
+    /// When the last byte of that head was read; `None` if it was not read ahead.
     head_read_at: Option<Instant>,
-    /// Bytes that belong to queued requests.
+    /// Number of bytes at the start of the buffer that belong to queued requests.
     queued_bytes: usize,
-    /// Bytes in which the end of the next head was looked for, and the place in it.
+    /// Number of bytes already searched for the end of the next head, and the state of that search.
     searched: (usize, HeadScanner),
     early_requests: VecDeque<EarlyRequest<H>>,
-    /// The request that has to wait; nothing behind it begins.
+    /// Counts the request that has to wait for its turn; nothing behind it begins.
     deferred: Option<UnansweredGuard<H>>,
-    /// Whether a request was begun behind which nothing counts.
+    /// Whether the last early request closes the connection, so that all bytes behind it are ignored.
     has_closing_request: bool,
-    /// Whether the request in hand may be repeated.
+    /// Whether requests behind the current one may begin before it has its response.
     allows_pipelining: bool,
-    /// Whether the request in hand has its answer.
+    /// Whether the current request has its response.
     has_response: bool,
-    /// Whether nothing behind the request in hand counts.
+    /// Whether the connection closes after the current request, so that all bytes behind it are ignored.
     is_closing: bool,
 }
 
 impl<H: Handler> Queue<H> {
-    /// Of a connection that was just opened.
+    /// The queue of a connection that was just opened.
     pub fn new(handler: Rc<H>) -> Self {
         Self {
             handler,
@@ -74,13 +76,13 @@
         }
     }
 
-    /// Whether whole requests wait behind the one in hand.
+    /// Whether complete heads of further requests are queued behind the current request.
     fn has_queued_requests(&self) -> bool {
         self.deferred.is_some() || !self.early_requests.is_empty()
     }
 
-    /// Whether what the caller sends is read and dropped, since the answer to the request in hand
-    /// closes the connection.
+    /// Whether the caller's further bytes are read and discarded, because the connection closes with the
+    /// response to the current request. During a planned stop this closes the queue if nothing is queued.
     pub(super) fn discards_input(&mut self) -> bool {
         if self.handler.is_stopping() && !self.has_response && !self.has_queued_requests() {
             self.close();
@@ -88,7 +90,7 @@
         self.is_closing
     }
 
-    /// Bytes that may still be read ahead.
+    /// Number of bytes that may still be read ahead.
     pub(super) fn remaining_capacity(&self) -> usize {
         if self.handler.is_stopping() {
             return 0;
@@ -96,14 +98,14 @@
         MAX_BUFFERED_BYTES.saturating_sub(self.buffer.bytes().len())
     }
 
-    /// Drops all that was read ahead and breaks off what was begun; nothing begins any more.
+    /// Discards the buffered bytes and cancels the early requests; no further request begins.
     pub(super) fn close(&mut self) {
         self.is_closing = true;
         self.buffer.clear();
         self.cancel_early_requests();
     }
 
-    /// Breaks off what was begun.
+    /// Cancels the early requests and resets the search for the next one; the buffered bytes stay.
     fn cancel_early_requests(&mut self) {
         self.early_requests.clear();
         self.deferred = None;
@@ -111,7 +113,7 @@
         (self.queued_bytes, self.searched) = (0, (0, HeadScanner::default()));
     }
 
-    /// Begins what may begin of the requests that were read ahead.
+    /// Begins those requests that were read ahead and may begin.
     pub(super) fn begin_early_requests(&mut self) {
         while !self.is_closing
             && !self.has_closing_request
@@ -131,16 +133,16 @@
         }
     }
 
-    /// Where the next head ends.
+    /// Position in the buffer where the next head ends; `None` if it is incomplete.
     fn find_next_head(&mut self) -> Option<usize> {
         let (searched, scanner) = &mut self.searched;
-        let all = self.buffer.bytes();
-        let found = scanner.find_end(&all[*searched..]);
-        *searched = found.map_or(all.len(), |count| *searched + count);
+        let bytes = self.buffer.bytes();
+        let found = scanner.find_end(&bytes[*searched..]);
+        *searched = found.map_or(bytes.len(), |count| *searched + count);
         found.map(|_| *searched)
     }
 
-    /// The next head, where its request may begin before its turn.
+    /// The next head, which ends at `end`, if its request may begin before its turn.
     fn parse_early_request(&self, end: usize) -> Option<Parts> {
         if !self.allows_pipelining {
             return None;
@@ -149,31 +151,32 @@
         self.handler.may_begin_early(&parts).then_some(parts)
     }
 
-    /// The first bytes that were read ahead and are part of a head, `most` of them.
+    /// Scans the start of the buffer, and returns the number of bytes there that are part of the current
+    /// head, at most `max_bytes`.
     pub(super) fn buffered_head_length(&mut self, max_bytes: usize) -> usize {
-        let all = self.buffer.bytes();
-        let first = &all[..all.len().min(max_bytes)];
+        let bytes = self.buffer.bytes();
+        let first = &bytes[..bytes.len().min(max_bytes)];
         let found = self.head_scanner.find_end(first);
         let count = found.unwrap_or(first.len());
         self.head_read_at = found.and_then(|end| self.buffer.read_at(end));
         count
     }
 
-    /// How many bytes that come from the socket are part of a head.
+    /// Scans bytes just read from the socket, and returns how many of them are part of the current head.
     pub(super) fn received_head_length(&mut self, bytes: &[u8]) -> usize {
         self.head_read_at = None;
         self.head_scanner.find_end(bytes).unwrap_or(bytes.len())
     }
 
-    /// Drops bytes that were given to hyper.
+    /// Removes bytes that were given to hyper.
     pub(super) fn consume(&mut self, count: usize) {
         self.buffer.consume(count);
         self.queued_bytes = self.queued_bytes.saturating_sub(count);
         self.searched.0 = self.searched.0.saturating_sub(count);
     }
 
-    /// Takes in that hyper has read a head and what it says of the body. Gives the answer to the
-    /// request, where one is under way.
+    /// Records that hyper has read the head of the next request, which becomes the current one, and the
+    /// length of its body. Returns the request if it has begun early.
     pub fn record_request<B: Body>(&mut self, parts: &mut Parts, body: &B) -> Option<EarlyRequest<H>> {
         self.mode = self.mode_after_head(body);
         self.head_scanner = HeadScanner::default();
@@ -201,8 +204,8 @@
         }
     }
 
-    /// Takes in that the request in hand has its answer; the last one of a planned stop closes the
-    /// connection.
+    /// Records that the current request has its response. During a planned stop the response to the last
+    /// request closes the connection.
     pub fn record_response<B>(&mut self, response: &mut Response<B>) {
         self.has_response = true;
         if self.handler.is_stopping() && !self.has_queued_requests() {
--- a/src/net/server/read_ahead/stream.rs
+++ b/src/net/server/read_ahead/stream.rs
@@ -1,9 +1,9 @@
-//! The stream on which hyper serves a connection: gives it the bytes of one request at a time, and
-//! reads ahead while that one is in hand.
+//! The stream on which hyper serves a connection. Gives hyper the bytes of one request at a time, and
+//! reads ahead while hyper is busy with it.
 //!
-//! Owns the socket. While hyper is busy with a request of which it has all bytes, it reads only to
-//! see whether the caller has left: then the stream fills the [`Queue`], and gives hyper nothing but
-//! the end. Relies on `Progress` for when an answer was sent.
+//! Owns the socket. While hyper is busy with a request that it has read completely, it reads only to
+//! notice that the caller has closed the connection. During that time the stream fills the [`Queue`],
+//! and gives hyper only the end of the stream. Relies on `Progress` to know when a response was sent.
 
 use crate::clock::{Instant, Sleep, sleep};
 use crate::net::server::handler::Handler;
@@ -22,22 +22,22 @@
 use std::time::Duration;
 use tokio::io::ReadBuf;
 
-/// Bytes read from a socket at once.
+/// Largest number of bytes that are read from a socket at once.
 const READ_SIZE: usize = 16 * 1024;
-/// Time between looks whether a caller has left from whom nothing more is read.
+/// Interval between checks whether a caller has closed its connection, while nothing is read from it.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A connection's stream.
+/// Stream between the socket of a connection and hyper.
 pub struct ReadAheadStream<S, H: Handler> {
     io: TokioIo<S>,
     progress: Rc<Progress>,
     queue: Rc<RefCell<Queue<H>>>,
-    /// The next look whether the caller has left; `None` while its bytes are read.
+    /// Timer of the next check whether the caller has closed the connection; `None` while bytes are read.
     disconnect_check: Option<Pin<Box<Sleep>>>,
 }
 
 impl<S: Socket, H: Handler> ReadAheadStream<S, H> {
-    /// Over a socket.
+    /// Creates the stream of a connection on `socket`.
     pub fn new(socket: S, progress: Rc<Progress>, queue: Rc<RefCell<Queue<H>>>) -> Self {
         Self { io: TokioIo::new(socket), progress, queue, disconnect_check: None }
     }
@@ -56,7 +56,7 @@
         Poll::Ready(Ok(read.filled().len()))
     }
 
-    /// Gives hyper bytes of a head.
+    /// Gives hyper bytes of a head, and keeps those behind it.
     fn poll_head(&mut self, context: &mut Context<'_>, mut cursor: ReadBufCursor<'_>) -> Poll<io::Result<()>> {
         let max_bytes = cursor.remaining();
         if !self.queue.borrow().buffer.bytes().is_empty() {
@@ -74,7 +74,7 @@
         Poll::Ready(read.map(drop))
     }
 
-    /// Gives hyper whatever comes.
+    /// Gives hyper all bytes that arrive.
     fn poll_pass_through(&mut self, context: &mut Context<'_>, mut cursor: ReadBufCursor<'_>) -> Poll<io::Result<()>> {
         if self.queue.borrow().buffer.bytes().is_empty() {
             return Pin::new(&mut self.io).poll_read(context, cursor);
@@ -86,7 +86,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Gives hyper bytes of a body of which `left` are still to come.
+    /// Gives hyper bytes of a body of which `left` bytes are still to come, and keeps those behind it.
     fn poll_body(
         &mut self,
         context: &mut Context<'_>,
@@ -113,7 +113,7 @@
         Poll::Ready(Ok(()))
     }
 
-    /// Reads ahead; ready only at the end of the stream.
+    /// Reads ahead. Ready only at the end of the stream or on an error.
     fn poll_read_ahead(&mut self, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         loop {
             self.queue.borrow_mut().begin_early_requests();
@@ -137,7 +137,7 @@
         }
     }
 
-    /// Ready once the caller has left, of whose bytes nothing is read meanwhile.
+    /// Ready once the caller has closed the connection. Reads none of its bytes.
     fn poll_disconnect(&mut self, context: &mut Context<'_>) -> Poll<()> {
         while !self.io.inner().is_read_closed() {
             let check = self.disconnect_check.get_or_insert_with(|| Box::pin(sleep(DISCONNECT_CHECK_INTERVAL)));
@@ -147,8 +147,9 @@
         Poll::Ready(())
     }
 
-    /// Whom the next bytes are for: an answer that was sent lets hyper have the next request, and
-    /// hyper that reads while it is busy with a request without a body holds nothing unread.
+    /// Updates and returns the read mode. Once a response was sent, hyper gets the next request. If hyper
+    /// reads while it is busy with a request without a body, it has no unread bytes in its own buffer,
+    /// and reading ahead may begin.
     fn mode(&self) -> ReadMode {
         let queue = &mut self.queue.borrow_mut();
         queue.mode = match queue.mode {
@@ -186,7 +187,7 @@
 
     fn poll_flush(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<io::Result<()>> {
         ready!(Pin::new(&mut self.io).poll_flush(context))?;
-        // hyper reads on only when it is woken.
+        // hyper reads the buffered bytes only when it is woken.
         if self.progress.record_flush() && !self.queue.borrow().buffer.bytes().is_empty() {
             context.waker().wake_by_ref();
         }
