--- a/tests/gzip.rs
+++ b/tests/gzip.rs
@@ -1,4 +1,5 @@
-//! Compressed bodies between instances: what is accepted, and what damage does.
+//! Compression of bodies between instances: when gzip is accepted, and the errors for damaged and too
+//! large bodies.
 
 use hyper::HeaderMap;
 use hyper::header::{ACCEPT_ENCODING, HeaderValue};
@@ -11,24 +12,24 @@
 }
 
 #[test]
-fn a_body_is_the_same_after_both_ways() {
+fn a_body_is_unchanged_after_compression_and_decompression() {
     let body: Vec<u8> = (0..2_000_000u32).map(|number| (number / 7) as u8).collect();
-    let small = compress(&body);
-    assert!(small.len() < body.len() / 10, "{} bytes", small.len());
-    assert_eq!(decompress(&small).unwrap(), body);
+    let compressed = compress(&body);
+    assert!(compressed.len() < body.len() / 10, "{} bytes", compressed.len());
+    assert_eq!(decompress(&compressed).unwrap(), body);
 }
 
 #[test]
-fn only_who_names_gzip_takes_it() {
+fn gzip_is_accepted_only_if_the_headers_name_it() {
     assert!(accepts("gzip") && accepts("br, gzip"));
     assert!(!accepts("br") && !accepts("") && !is_accepted(&HeaderMap::new()));
 }
 
 #[test]
-fn a_damaged_or_endless_body_is_an_error() {
-    let whole = compress(&[7; 100_000]);
-    assert!(matches!(decompress(&whole[..whole.len() / 2]), Err(GzipError::Damaged(_))));
+fn a_damaged_or_too_large_body_is_an_error() {
+    let complete = compress(&[7; 100_000]);
+    assert!(matches!(decompress(&complete[..complete.len() / 2]), Err(GzipError::Damaged(_))));
     assert!(matches!(decompress(b"plain text"), Err(GzipError::Damaged(_))));
-    let endless = compress(&vec![0; 50 << 20]);
-    assert!(matches!(decompress(&endless), Err(GzipError::TooLarge)));
+    let too_large = compress(&vec![0; 50 << 20]);
+    assert!(matches!(decompress(&too_large), Err(GzipError::TooLarge)));
 }
--- a/tests/pipelined/mod.rs
+++ b/tests/pipelined/mod.rs
@@ -1,5 +1,5 @@
-//! A connection without a network: a test writes a caller's bytes, ends answers one by one, and
-//! reads what comes back. Time passes only when the test says so.
+//! A connection without a network. A test sends a caller's bytes, completes responses one by one, and
+//! reads what the caller receives. Time advances only when the test asks for it.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -21,8 +21,8 @@
 use tokio::sync::Notify;
 use tokio::task::{JoinHandle, LocalSet, yield_now};
 
-/// Turns after which all tasks have come to rest.
-const TURNS: usize = 64;
+/// Number of yields after which all tasks are idle.
+const SETTLE_YIELDS: usize = 64;
 
 /// A request without a body.
 pub fn get(path: &str) -> String {
@@ -34,54 +34,54 @@
     format!("POST {path} HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Bounds on a connection's rests.
+/// Timeouts of a connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Bounds {
-    /// Longest time of a head.
+pub struct Timeouts {
+    /// Longest time for a request head.
     pub head_time: Duration,
-    /// Longest rest.
+    /// Longest time between two requests.
     pub idle_time: Duration,
 }
 
-impl Default for Bounds {
+impl Default for Timeouts {
     fn default() -> Self {
         Self { head_time: Duration::from_secs(3), idle_time: Duration::from_secs(15) }
     }
 }
 
-/// What the caller and the connection have sent each other.
+/// Bytes that the caller and the server have sent each other, and the state of both sides.
 #[derive(Default)]
 struct Pipe {
     to_server: RefCell<Vec<u8>>,
-    taken: Cell<usize>,
+    bytes_read: Cell<usize>,
     to_caller: RefCell<Vec<u8>>,
     is_read_closed: Cell<bool>,
-    /// Whether the caller reads nothing now.
-    is_full: Cell<bool>,
+    /// Whether the caller has stopped reading.
+    is_reading_paused: Cell<bool>,
     writer: RefCell<Option<Waker>>,
     reader: RefCell<Option<Waker>>,
 }
 
-struct PipeEnd(Rc<Pipe>);
+struct ServerSide(Rc<Pipe>);
 
-impl AsyncRead for PipeEnd {
+impl AsyncRead for ServerSide {
     fn poll_read(self: Pin<&mut Self>, context: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let Pipe { to_server, taken, is_read_closed, reader, .. } = &*self.0;
+        let Pipe { to_server, bytes_read, is_read_closed, reader, .. } = &*self.0;
         let bytes = to_server.borrow();
-        let count = into.remaining().min(bytes.len() - taken.get());
+        let count = into.remaining().min(bytes.len() - bytes_read.get());
         if count == 0 && !is_read_closed.get() {
             reader.replace(Some(context.waker().clone()));
             return Poll::Pending;
         }
-        into.put_slice(&bytes[taken.get()..][..count]);
-        taken.set(taken.get() + count);
+        into.put_slice(&bytes[bytes_read.get()..][..count]);
+        bytes_read.set(bytes_read.get() + count);
         Poll::Ready(Ok(()))
     }
 }
 
-impl AsyncWrite for PipeEnd {
+impl AsyncWrite for ServerSide {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if self.0.is_full.get() {
+        if self.0.is_reading_paused.get() {
             self.0.writer.replace(Some(context.waker().clone()));
             return Poll::Pending;
         }
@@ -98,17 +98,18 @@
     }
 }
 
-impl Socket for PipeEnd {
+impl Socket for ServerSide {
     fn is_read_closed(&self) -> bool {
         self.0.is_read_closed.get()
     }
 }
 
-/// A handler whose answers the test ends.
-struct Answers {
-    bounds: Bounds,
+/// A handler whose responses are completed by the test.
+struct TestHandler {
+    timeouts: Timeouts,
+    /// Path of each request that began, and the time from reading its head until then.
     begun: RefCell<Vec<(String, Duration)>>,
-    broken_off: RefCell<Vec<String>>,
+    cancelled: RefCell<Vec<String>>,
     finished: RefCell<HashSet<String>>,
     finishes_all: Cell<bool>,
     changed: Notify,
@@ -116,22 +117,22 @@
     unanswered: Cell<i64>,
 }
 
-/// Records that a request was broken off, unless its answer was ready.
-struct Under<'a> {
-    answers: &'a Answers,
+/// Records that a request was cancelled, if it is dropped before its response was ready.
+struct CancellationRecorder<'a> {
+    handler: &'a TestHandler,
     path: String,
-    is_ready: bool,
+    is_complete: bool,
 }
 
-impl Drop for Under<'_> {
+impl Drop for CancellationRecorder<'_> {
     fn drop(&mut self) {
-        if !self.is_ready {
-            self.answers.broken_off.borrow_mut().push(self.path.clone());
+        if !self.is_complete {
+            self.handler.cancelled.borrow_mut().push(self.path.clone());
         }
     }
 }
 
-impl Handler for Answers {
+impl Handler for TestHandler {
     type Body = Full<Bytes>;
 
     async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<Full<Bytes>> {
@@ -139,7 +140,7 @@
         let now = Instant::now();
         let read_at = request.extensions().get::<Arrival>().map_or(now, |arrival| arrival.read_at);
         self.begun.borrow_mut().push((path.clone(), now - read_at));
-        let mut under = Under { answers: &self, path: path.clone(), is_ready: false };
+        let mut recorder = CancellationRecorder { handler: &self, path: path.clone(), is_complete: false };
         let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         loop {
             let changed = self.changed.notified();
@@ -148,7 +149,7 @@
             }
             changed.await;
         }
-        under.is_ready = true;
+        recorder.is_complete = true;
         let text = format!("{path}{}\n", String::from_utf8_lossy(&body).trim());
         let mut response = Response::new(Full::from(text));
         if path.ends_with("/close") {
@@ -158,7 +159,7 @@
     }
 
     fn limits(&self) -> ConnectionLimits {
-        let Bounds { head_time, idle_time } = self.bounds;
+        let Timeouts { head_time, idle_time } = self.timeouts;
         ConnectionLimits { head_bytes: 16 * 1024, head_time, idle_time, max_connections: 1 }
     }
 
@@ -182,26 +183,26 @@
 }
 
 /// One connection under test.
-pub struct Play {
+pub struct TestConnection {
     runtime: Runtime,
     tasks: LocalSet,
     pipe: Rc<Pipe>,
-    answers: Rc<Answers>,
+    handler: Rc<TestHandler>,
     served: JoinHandle<()>,
-    /// What came back, as text.
-    read: String,
+    /// All bytes that the caller received, as text.
+    received: String,
 }
 
-impl Play {
-    /// A connection that was just opened.
-    pub fn new(bounds: Bounds) -> Self {
+impl TestConnection {
+    /// Opens a connection with these timeouts.
+    pub fn new(timeouts: Timeouts) -> Self {
         let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
         let tasks = LocalSet::new();
         let pipe = Rc::new(Pipe::default());
-        let answers = Rc::new(Answers {
-            bounds,
+        let handler = Rc::new(TestHandler {
+            timeouts,
             begun: RefCell::default(),
-            broken_off: RefCell::default(),
+            cancelled: RefCell::default(),
             finished: RefCell::default(),
             finishes_all: Cell::new(false),
             changed: Notify::new(),
@@ -210,21 +211,21 @@
         });
         let served = {
             let _entered = runtime.enter();
-            tasks.spawn_local(serve_connection(PipeEnd(pipe.clone()), answers.clone()))
+            tasks.spawn_local(serve_connection(ServerSide(pipe.clone()), handler.clone()))
         };
-        let mut play = Self { runtime, tasks, pipe, answers, served, read: String::new() };
-        play.settle();
-        play
+        let mut connection = Self { runtime, tasks, pipe, handler, served, received: String::new() };
+        connection.settle();
+        connection
     }
 
-    /// Runs all tasks until they rest.
+    /// Runs all tasks until they are idle.
     fn settle(&mut self) {
         self.tasks.block_on(&self.runtime, async {
-            for _ in 0..TURNS {
+            for _ in 0..SETTLE_YIELDS {
                 yield_now().await;
             }
         });
-        self.read = String::from_utf8_lossy(&self.pipe.to_caller.borrow()).into_owned();
+        self.received = String::from_utf8_lossy(&self.pipe.to_caller.borrow()).into_owned();
     }
 
     fn wake(&mut self) {
@@ -234,91 +235,91 @@
         self.settle();
     }
 
-    /// The caller sends bytes.
+    /// Sends bytes of the caller.
     pub fn send(&mut self, text: &str) {
         self.pipe.to_server.borrow_mut().extend_from_slice(text.as_bytes());
         self.wake();
     }
 
-    /// The caller closes its connection.
-    pub fn leave(&mut self) {
+    /// Closes the caller's side of the connection.
+    pub fn disconnect(&mut self) {
         self.pipe.is_read_closed.set(true);
         self.wake();
     }
 
-    /// The caller stops reading what it gets, or goes on.
-    pub fn read_nothing(&mut self, is_full: bool) {
-        self.pipe.is_full.set(is_full);
+    /// Makes the caller stop or resume reading.
+    pub fn set_reading_paused(&mut self, is_paused: bool) {
+        self.pipe.is_reading_paused.set(is_paused);
         if let Some(waker) = self.pipe.writer.take() {
             waker.wake();
         }
         self.settle();
     }
 
-    /// A planned stop begins.
+    /// Begins a planned stop.
     pub fn stop(&mut self) {
-        self.answers.is_stopping.set(true);
+        self.handler.is_stopping.set(true);
     }
 
-    /// The answer to a path becomes ready.
+    /// Completes the response to the requests for `path`.
     pub fn finish(&mut self, path: &str) {
-        self.answers.finished.borrow_mut().insert(path.to_owned());
-        self.answers.changed.notify_waiters();
+        self.handler.finished.borrow_mut().insert(path.to_owned());
+        self.handler.changed.notify_waiters();
         self.settle();
     }
 
-    /// All answers are ready as soon as they are begun.
+    /// Completes all responses, now and later ones as soon as their requests begin.
     pub fn finish_all(&mut self) {
-        self.answers.finishes_all.set(true);
-        self.answers.changed.notify_waiters();
+        self.handler.finishes_all.set(true);
+        self.handler.changed.notify_waiters();
         self.settle();
     }
 
-    /// Time passes.
-    pub fn pass(&mut self, time: Duration) {
+    /// Advances the time.
+    pub fn advance(&mut self, time: Duration) {
         self.tasks.block_on(&self.runtime, async { tokio::time::sleep(time).await });
         self.settle();
     }
 
-    /// Paths of the requests that were begun, in order.
+    /// Paths of the requests that began, in order.
     pub fn begun(&self) -> Vec<String> {
-        self.answers.begun.borrow().iter().map(|(path, _)| path.clone()).collect()
+        self.handler.begun.borrow().iter().map(|(path, _)| path.clone()).collect()
     }
 
-    /// How long ago a request was read when it began.
+    /// Time from when the head of a request was read until the request began.
     pub fn age(&self, path: &str) -> Duration {
-        let begun = self.answers.begun.borrow();
+        let begun = self.handler.begun.borrow();
         begun.iter().find(|(begun, _)| begun == path).expect("it began").1
     }
 
-    /// Paths of the requests that were broken off, in order of their names.
-    pub fn broken_off(&self) -> Vec<String> {
-        let mut paths = self.answers.broken_off.borrow().clone();
+    /// Paths of the cancelled requests, sorted.
+    pub fn cancelled(&self) -> Vec<String> {
+        let mut paths = self.handler.cancelled.borrow().clone();
         paths.sort();
         paths
     }
 
-    /// Requests that were read before their turn and have no answer ready.
+    /// Number of requests that were read before their turn and do not have their response at it yet.
     pub fn unanswered(&self) -> i64 {
-        self.answers.unanswered.get()
+        self.handler.unanswered.get()
     }
 
-    /// Bytes taken from the caller.
+    /// Number of the caller's bytes that the server has read.
     pub fn bytes_read(&self) -> usize {
-        self.pipe.taken.get()
+        self.pipe.bytes_read.get()
     }
 
-    /// What the caller got.
+    /// All bytes that the caller received, as text.
     pub fn read(&self) -> &str {
-        &self.read
+        &self.received
     }
 
-    /// Bodies that the caller got, each of which is a path and what was sent to it.
+    /// Response bodies that the caller received, each of which is the path and the body of its request.
     pub fn bodies(&self) -> Vec<&str> {
-        self.read.lines().filter(|line| line.starts_with('/')).collect()
+        self.received.lines().filter(|line| line.starts_with('/')).collect()
     }
 
-    /// Whether the connection is over.
+    /// Whether the server has closed the connection.
     pub fn is_closed(&self) -> bool {
         self.served.is_finished()
     }
--- a/tests/pipelined_framing.rs
+++ b/tests/pipelined_framing.rs
@@ -1,21 +1,20 @@
-//! Bytes of callers that send requests before those ahead of them are answered, served without a
-//! network: however they are split, the same answers come in the same order, and what is no request
-//! begins nothing.
+//! Framing of pipelined requests, served without a network. Guards against responses that depend on how
+//! the caller's bytes are split, and against bytes that are not a request but are processed as one.
 
-// Some of it serves `pipelined_order.rs` only.
+// Parts of this module are used only by `pipelined_order.rs`.
 #[allow(dead_code)]
 mod pipelined;
 
-use pipelined::{Bounds, Play, get, post};
+use pipelined::{TestConnection, Timeouts, get, post};
 use proptest::prelude::*;
 use std::time::Duration;
 
-/// Answers as text, without the date.
+/// Status lines of the responses.
 fn statuses(text: &str) -> Vec<&str> {
     text.lines().filter(|line| line.starts_with("HTTP/1.1")).collect()
 }
 
-/// Requests of all kinds, the last of which closes the connection.
+/// Requests of all kinds; the last one closes the connection.
 fn mixed() -> String {
     let chunked = "POST /once/d HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let last = "GET /safe/g HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
@@ -32,18 +31,18 @@
 }
 
 #[test]
-fn a_broken_head_in_the_middle_is_answered_at_its_turn_and_nothing_begins_behind_it() {
-    let mut play = Play::new(Bounds::default());
-    play.send(&[get("/safe/a"), "GET /safe/b HTTP/1.1\r\nbad name: x\r\n\r\n".into(), get("/safe/c")].concat());
-    assert_eq!(play.begun(), ["/safe/a"]);
-    play.finish("/safe/a");
-    assert_eq!(statuses(play.read()), ["HTTP/1.1 200 OK", "HTTP/1.1 400 Bad Request"]);
-    assert!(play.is_closed());
-    assert_eq!(play.begun(), ["/safe/a"]);
+fn an_invalid_head_is_rejected_at_its_turn_and_no_later_request_begins() {
+    let mut connection = TestConnection::new(Timeouts::default());
+    connection.send(&[get("/safe/a"), "GET /safe/b HTTP/1.1\r\nbad name: x\r\n\r\n".into(), get("/safe/c")].concat());
+    assert_eq!(connection.begun(), ["/safe/a"]);
+    connection.finish("/safe/a");
+    assert_eq!(statuses(connection.read()), ["HTTP/1.1 200 OK", "HTTP/1.1 400 Bad Request"]);
+    assert!(connection.is_closed());
+    assert_eq!(connection.begun(), ["/safe/a"]);
 }
 
 #[test]
-fn a_request_smuggled_by_two_lengths_never_begins() {
+fn a_request_smuggled_by_conflicting_lengths_never_begins() {
     let hidden = get("/safe/hidden");
     let both = format!(
         "POST /safe/b HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{hidden}",
@@ -54,51 +53,51 @@
         hidden.len()
     );
     for smuggling in [two, both] {
-        let mut play = Play::new(Bounds::default());
-        play.send(&[get("/safe/a"), smuggling].concat());
-        assert_eq!(play.begun(), ["/safe/a"]);
+        let mut connection = TestConnection::new(Timeouts::default());
+        connection.send(&[get("/safe/a"), smuggling].concat());
+        assert_eq!(connection.begun(), ["/safe/a"]);
     }
 }
 
 #[test]
 fn all_kinds_of_requests_are_answered_in_order() {
-    let mut play = Play::new(Bounds::default());
-    play.finish_all();
-    play.send(&mixed());
+    let mut connection = TestConnection::new(Timeouts::default());
+    connection.finish_all();
+    connection.send(&mixed());
     let hidden = "/once/cGET /safe/x HTTP/1.1";
-    assert_eq!(play.bodies(), ["/safe/a", "/safe/b", hidden, "/once/dabc", "/safe/e", "/once/f", "/safe/g"]);
-    assert!(play.is_closed());
+    assert_eq!(connection.bodies(), ["/safe/a", "/safe/b", hidden, "/once/dabc", "/safe/e", "/once/f", "/safe/g"]);
+    assert!(connection.is_closed());
 }
 
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(256))]
 
     #[test]
-    fn however_the_bytes_are_split_the_same_answers_come_in_the_same_order(
+    fn responses_do_not_depend_on_how_the_bytes_are_split(
         cuts in proptest::collection::vec(any::<prop::sample::Index>(), 0..24),
         at_once in any::<bool>(),
     ) {
         let text = mixed();
-        let mut whole = Play::new(Bounds::default());
-        whole.finish_all();
-        whole.send(&text);
-        let mut places: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
-        places.extend([0, text.len()]);
-        places.sort();
-        let mut play = Play::new(Bounds::default());
+        let mut reference = TestConnection::new(Timeouts::default());
+        reference.finish_all();
+        reference.send(&text);
+        let mut positions: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
+        positions.extend([0, text.len()]);
+        positions.sort();
+        let mut connection = TestConnection::new(Timeouts::default());
         if at_once {
-            play.finish_all();
+            connection.finish_all();
         }
-        for pair in places.windows(2) {
-            play.send(&text[pair[0]..pair[1]]);
+        for pair in positions.windows(2) {
+            connection.send(&text[pair[0]..pair[1]]);
         }
-        play.finish_all();
-        prop_assert_eq!(play.bodies(), whole.bodies());
-        prop_assert_eq!(statuses(play.read()).len(), 7);
+        connection.finish_all();
+        prop_assert_eq!(connection.bodies(), reference.bodies());
+        prop_assert_eq!(statuses(connection.read()).len(), 7);
     }
 
     #[test]
-    fn bytes_that_are_no_requests_never_begin_more_than_was_sent(
+    fn invalid_bytes_never_begin_more_requests_than_were_sent(
         pieces in proptest::collection::vec(
             prop::sample::select(vec![
                 "GET /safe/a HTTP/1.1\r\n", "POST /once/b HTTP/1.1\r\n", "Host: h\r\n", "Content-Length: 3\r\n",
@@ -108,18 +107,18 @@
         ),
     ) {
         let text = pieces.concat();
-        let mut whole = Play::new(Bounds::default());
-        whole.finish_all();
-        whole.send(&text);
-        let mut play = Play::new(Bounds::default());
-        play.finish_all();
-        pieces.iter().for_each(|piece| play.send(piece));
-        prop_assert_eq!(play.bodies(), whole.bodies());
-        prop_assert!(whole.begun().len() <= text.matches("HTTP/1.1").count());
+        let mut reference = TestConnection::new(Timeouts::default());
+        reference.finish_all();
+        reference.send(&text);
+        let mut connection = TestConnection::new(Timeouts::default());
+        connection.finish_all();
+        pieces.iter().for_each(|piece| connection.send(piece));
+        prop_assert_eq!(connection.bodies(), reference.bodies());
+        prop_assert!(reference.begun().len() <= text.matches("HTTP/1.1").count());
     }
 }
 
-/// One request of a random row: its text, and the body of its answer.
+/// A random request: its text, and the body of its response.
 fn any_request() -> impl Strategy<Value = (String, String)> {
     let kind = prop_oneof![Just("safe"), Just("once")];
     let size = prop_oneof![3 => 1..60_usize, 1 => 1..40_000_usize];
@@ -141,28 +140,28 @@
     #![proptest_config(ProptestConfig::with_cases(128))]
 
     #[test]
-    fn any_row_of_requests_is_answered_whole_and_in_order(
-        row in proptest::collection::vec(any_request(), 1..40),
+    fn any_sequence_of_requests_is_answered_completely_and_in_order(
+        requests in proptest::collection::vec(any_request(), 1..40),
         cuts in proptest::collection::vec(any::<prop::sample::Index>(), 0..12),
         finished_after in 0..14_usize,
     ) {
-        let (texts, bodies): (Vec<String>, Vec<String>) = row.into_iter().unzip();
+        let (texts, bodies): (Vec<String>, Vec<String>) = requests.into_iter().unzip();
         let text = texts.concat();
-        let mut places: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
-        places.extend([0, text.len()]);
-        places.sort();
-        let mut play = Play::new(Bounds::default());
-        for (number, pair) in places.windows(2).enumerate() {
+        let mut positions: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
+        positions.extend([0, text.len()]);
+        positions.sort();
+        let mut connection = TestConnection::new(Timeouts::default());
+        for (number, pair) in positions.windows(2).enumerate() {
             if number == finished_after {
-                play.finish_all();
+                connection.finish_all();
             }
-            play.send(&text[pair[0]..pair[1]]);
+            connection.send(&text[pair[0]..pair[1]]);
         }
-        play.finish_all();
-        // The caller goes on reading: what was past a bound is read now.
-        (0..texts.len()).for_each(|_| play.pass(Duration::from_millis(1)));
-        prop_assert_eq!(play.bodies(), bodies);
-        prop_assert!(!play.is_closed());
-        prop_assert_eq!(play.unanswered(), 0);
+        connection.finish_all();
+        // Time for the connection to read the requests that exceeded a limit before.
+        (0..texts.len()).for_each(|_| connection.advance(Duration::from_millis(1)));
+        prop_assert_eq!(connection.bodies(), bodies);
+        prop_assert!(!connection.is_closed());
+        prop_assert_eq!(connection.unanswered(), 0);
     }
 }
--- a/tests/pool.rs
+++ b/tests/pool.rs
@@ -1,4 +1,4 @@
-//! How long idle connections to a target are used again.
+//! How long idle connections to a target are reused, and when an address counts as refusing connections.
 
 use lockloft::clock::Instant;
 use lockloft::net::keep_alive::KeepAlive;
@@ -8,8 +8,8 @@
 use tokio::task::LocalSet;
 use tokio::time::{advance, pause, resume};
 
-/// Whether a connection that was kept on a target's word is used again after a time.
-async fn is_used_after(keep_alive: KeepAlive, idle_ms: u64) -> bool {
+/// Whether a connection whose target stated `keep_alive` is reused after it was idle for `idle_ms`.
+async fn is_reused_after(keep_alive: KeepAlive, idle_ms: u64) -> bool {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let pool = Pool::new(listener.local_addr().unwrap());
     let connection = pool.connect().await.unwrap();
@@ -17,36 +17,36 @@
     pool.put_idle(connection, keep_alive);
     pause();
     advance(Duration::from_millis(idle_ms)).await;
-    let is_used = pool.take_idle().await.is_some();
+    let is_reused = pool.take_idle().await.is_some();
     resume();
-    is_used
+    is_reused
 }
 
 #[tokio::test]
-async fn a_connection_is_used_for_as_long_as_the_target_says_less_a_second() {
-    let says = |seconds| KeepAlive::For(Duration::from_secs(seconds));
+async fn an_idle_connection_is_reused_until_a_second_before_the_time_that_the_target_states() {
+    let stated = |seconds| KeepAlive::For(Duration::from_secs(seconds));
     let table = [
-        (says(10), 8_900, true),
-        (says(10), 9_100, false),
-        (says(2), 900, true),
-        (says(2), 1_100, false),
-        (says(1), 0, false),
-        (says(600), 29_900, true),
-        (says(600), 30_100, false),
+        (stated(10), 8_900, true),
+        (stated(10), 9_100, false),
+        (stated(2), 900, true),
+        (stated(2), 1_100, false),
+        (stated(1), 0, false),
+        (stated(600), 29_900, true),
+        (stated(600), 30_100, false),
         (KeepAlive::Unspecified, 3_900, true),
         (KeepAlive::Unspecified, 4_100, false),
         (KeepAlive::Close, 0, false),
     ];
     let check = async {
         for (keep_alive, idle_ms, expected) in table {
-            assert_eq!(is_used_after(keep_alive, idle_ms).await, expected, "{keep_alive:?} after {idle_ms} ms");
+            assert_eq!(is_reused_after(keep_alive, idle_ms).await, expected, "{keep_alive:?} after {idle_ms} ms");
         }
     };
     LocalSet::new().run_until(check).await;
 }
 
 #[tokio::test]
-async fn connections_that_were_idle_before_a_request_without_an_answer_are_closed() {
+async fn connections_that_were_idle_before_a_request_without_a_response_are_closed() {
     let check = async {
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let pool = Pool::new(listener.local_addr().unwrap());
@@ -59,14 +59,14 @@
         advance(Duration::from_millis(1)).await;
         pool.put_idle(after, KeepAlive::Unspecified);
         pool.close_idle_since(sent);
-        assert!(pool.take_idle().await.is_some(), "the one that was used since is kept");
-        assert!(pool.take_idle().await.is_none(), "the other is closed");
+        assert!(pool.take_idle().await.is_some(), "the connection used since then is kept");
+        assert!(pool.take_idle().await.is_none(), "the older connection is closed");
     };
     LocalSet::new().run_until(check).await;
 }
 
 #[tokio::test]
-async fn an_address_refuses_once_nothing_listens_there() {
+async fn an_address_refuses_connections_once_no_process_listens_there() {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let pool = Pool::new(listener.local_addr().unwrap());
     assert!(!pool.refuses_connections().await);
