--- a/src/net/server/read_ahead/queue.rs
+++ b/src/net/server/read_ahead/queue.rs
@@ -1,20 +1,21 @@
-//! The requests of a connection that were read before their turn.
+//! Queue of the requests of a connection that were read before their turn.
 //!
-//! **Load.** Callers send further idempotent requests before the first is answered. Those that may
-//! be repeated and have no body are begun as soon as they are read; one that has to wait, and all
-//! behind it, begin when those ahead are answered. Nothing begins behind a request in hand that may
-//! run once: its caller may rely on the order.
+//! **Load.** Callers send further idempotent requests before the first has its response. Requests that
+//! may be repeated and have no body begin as soon as they are read. A request that has to wait, and all
+//! behind it, begin when the requests ahead of them have their responses. Nothing begins behind a
+//! current request that may run only once: its caller may rely on the order.
 //!
-//! Inputs: heads as they were read; of no age. Owns the bytes and the answers under way, which end
-//! with it. Relies on [`Handler::may_begin_early`], and on hyper's reading of each head: an answer
-//! under way is used only for the request that it was begun for.
+//! Inputs: heads as they were read; they have no age. Owns the buffered bytes and the early requests,
+//! which are cancelled when the queue is dropped. Relies on [`Handler::may_begin_early`], and on how
+//! hyper parses each head: the response of an early request is used only if hyper reads the same
+//! request.
 //! Tests: `tests/pipelined_framing.rs`, `tests/pipelined_order.rs`, `standins/tests/pipelined_requests.rs`.
 
 use crate::clock::Instant;
 use crate::net::server::handler::Handler;
-use crate::net::server::read_ahead::begun::{Arrival, Begun, Unanswered};
-use crate::net::server::read_ahead::bytes_ahead::BytesAhead;
-use crate::net::server::read_ahead::framing::{HeadEnd, Mode};
+use crate::net::server::read_ahead::buffer::ReadAheadBuffer;
+use crate::net::server::read_ahead::early_request::{Arrival, EarlyRequest, UnansweredGuard};
+use crate::net::server::read_ahead::framing::{HeadScanner, ReadMode};
 use crate::net::server::read_ahead::head;
 use hyper::Response;
 use hyper::body::Body;
@@ -23,188 +24,194 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Requests begun before their turn on one connection: bounds what the answers behind a slow one hold.
-pub const MAX_BEGUN: usize = 16;
-/// Bytes read ahead of one connection: bounds what requests that wait hold.
-pub const MAX_BYTES: usize = 16 * 1024;
+/// Largest number of early requests of one connection: limits the memory of responses that wait behind a
+/// slow one.
+pub const MAX_EARLY_REQUESTS: usize = 16;
+/// Largest number of bytes of one connection that are read ahead: limits the memory of waiting requests.
+pub const MAX_BUFFERED_BYTES: usize = 16 * 1024;
 
-/// What was read ahead of one connection.
+/// Requests and bytes that were read ahead on one connection.
 pub struct Queue<H: Handler> {
     handler: Rc<H>,
-    pub(super) mode: Mode,
-    pub(super) bytes: BytesAhead,
-    /// Place in the head that hyper is given.
-    given: HeadEnd,
-    /// When the last byte of that head was read, where it was read ahead.
-    given_read: Option<Instant>,
-    /// Bytes that belong to queued requests.
-    known: usize,
-    /// Bytes in which the end of the next head was looked for, and the place in it.
-    searched: (usize, HeadEnd),
-    begun: VecDeque<Begun<H>>,
-    /// The request that has to wait; nothing behind it begins.
-    waiting: Option<Unanswered<H>>,
-    /// Whether a request was begun behind which nothing counts.
-    has_last: bool,
-    /// Whether the request in hand may be repeated.
-    may_overtake: bool,
-    /// Whether the request in hand has its answer.
-    has_answer: bool,
-    /// Whether nothing behind the request in hand counts.
-    is_over: bool,
+    pub(super) mode: ReadMode,
+    pub(super) buffer: ReadAheadBuffer,
+    /// State of the search for the end of the current head in the bytes that are given to hyper.
+    head_scanner: HeadScanner,
+    /// When the last byte of that head was read; `None` if it was not read ahead.
+    head_read_at: Option<Instant>,
+    /// Number of bytes at the start of the buffer that belong to queued requests.
+    queued_bytes: usize,
+    /// Number of bytes already searched for the end of the next head, and the state of that search.
+    searched: (usize, HeadScanner),
+    early_requests: VecDeque<EarlyRequest<H>>,
+    /// Counts the request that has to wait for its turn; nothing behind it begins.
+    deferred: Option<UnansweredGuard<H>>,
+    /// Whether the last early request closes the connection, so that all bytes behind it are ignored.
+    has_closing_request: bool,
+    /// Whether requests behind the current one may begin before it has its response.
+    allows_pipelining: bool,
+    /// Whether the current request has its response.
+    has_response: bool,
+    /// Whether the connection closes after the current request, so that all bytes behind it are ignored.
+    is_closing: bool,
 }
 
 impl<H: Handler> Queue<H> {
-    /// Of a connection that was just opened.
+    /// The queue of a connection that was just opened.
     pub fn new(handler: Rc<H>) -> Self {
         Self {
             handler,
-            mode: Mode::Head,
-            bytes: BytesAhead::default(),
-            given: HeadEnd::default(),
-            given_read: None,
-            known: 0,
-            searched: (0, HeadEnd::default()),
-            begun: VecDeque::new(),
-            waiting: None,
-            has_last: false,
-            may_overtake: false,
-            has_answer: false,
-            is_over: false,
+            mode: ReadMode::Head,
+            buffer: ReadAheadBuffer::default(),
+            head_scanner: HeadScanner::default(),
+            head_read_at: None,
+            queued_bytes: 0,
+            searched: (0, HeadScanner::default()),
+            early_requests: VecDeque::new(),
+            deferred: None,
+            has_closing_request: false,
+            allows_pipelining: false,
+            has_response: false,
+            is_closing: false,
         }
     }
 
-    /// Whether whole requests wait behind the one in hand.
-    fn has_more(&self) -> bool {
-        self.waiting.is_some() || !self.begun.is_empty()
+    /// Whether complete heads of further requests are queued behind the current request.
+    fn has_queued_requests(&self) -> bool {
+        self.deferred.is_some() || !self.early_requests.is_empty()
     }
 
-    /// Whether what the caller sends is read and dropped, since the answer to the request in hand
-    /// closes the connection.
-    pub(super) fn drops_bytes(&mut self) -> bool {
-        if self.handler.is_stopping() && !self.has_answer && !self.has_more() {
+    /// Whether the caller's further bytes are read and discarded, because the connection closes with the
+    /// response to the current request. During a planned stop this closes the queue if nothing is queued.
+    pub(super) fn discards_input(&mut self) -> bool {
+        if self.handler.is_stopping() && !self.has_response && !self.has_queued_requests() {
             self.close();
         }
-        self.is_over
+        self.is_closing
     }
 
-    /// Bytes that may still be read ahead.
-    pub(super) fn room(&self) -> usize {
+    /// Number of bytes that may still be read ahead.
+    pub(super) fn remaining_capacity(&self) -> usize {
         if self.handler.is_stopping() {
             return 0;
         }
-        MAX_BYTES.saturating_sub(self.bytes.all().len())
+        MAX_BUFFERED_BYTES.saturating_sub(self.buffer.bytes().len())
     }
 
-    /// Drops all that was read ahead and breaks off what was begun; nothing begins any more.
+    /// Discards the buffered bytes and cancels the early requests; no further request begins.
     pub(super) fn close(&mut self) {
-        self.is_over = true;
-        self.bytes.clear();
-        self.forget();
+        self.is_closing = true;
+        self.buffer.clear();
+        self.cancel_early_requests();
     }
 
-    /// Breaks off what was begun.
-    fn forget(&mut self) {
-        self.begun.clear();
-        self.waiting = None;
-        self.has_last = false;
-        (self.known, self.searched) = (0, (0, HeadEnd::default()));
+    /// Cancels the early requests and resets the search for the next one; the buffered bytes stay.
+    fn cancel_early_requests(&mut self) {
+        self.early_requests.clear();
+        self.deferred = None;
+        self.has_closing_request = false;
+        (self.queued_bytes, self.searched) = (0, (0, HeadScanner::default()));
     }
 
-    /// Begins what may begin of the requests that were read ahead.
-    pub(super) fn begin(&mut self) {
-        while !self.is_over && !self.has_last && self.waiting.is_none() && self.begun.len() < MAX_BEGUN {
-            let Some(end) = self.next_head() else { return };
-            let read_at = self.bytes.read_at(end).unwrap_or_else(Instant::now);
-            match self.early(end) {
+    /// Begins those requests that were read ahead and may begin.
+    pub(super) fn begin_early_requests(&mut self) {
+        while !self.is_closing
+            && !self.has_closing_request
+            && self.deferred.is_none()
+            && self.early_requests.len() < MAX_EARLY_REQUESTS
+        {
+            let Some(end) = self.find_next_head() else { return };
+            let read_at = self.buffer.read_at(end).unwrap_or_else(Instant::now);
+            match self.parse_early_request(end) {
                 Some(parts) => {
-                    self.has_last = head::closes(&parts.headers);
-                    self.begun.push_back(Begun::new(&self.handler, parts, read_at));
+                    self.has_closing_request = head::closes_connection(&parts.headers);
+                    self.early_requests.push_back(EarlyRequest::new(&self.handler, parts, read_at));
                 }
-                None => self.waiting = Some(Unanswered::new(self.handler.clone())),
+                None => self.deferred = Some(UnansweredGuard::new(self.handler.clone())),
             }
-            self.known = end;
+            self.queued_bytes = end;
         }
     }
 
-    /// Where the next head ends.
-    fn next_head(&mut self) -> Option<usize> {
-        let (searched, place) = &mut self.searched;
-        let all = self.bytes.all();
-        let found = place.find(&all[*searched..]);
-        *searched = found.map_or(all.len(), |count| *searched + count);
+    /// Position in the buffer where the next head ends; `None` if it is incomplete.
+    fn find_next_head(&mut self) -> Option<usize> {
+        let (searched, scanner) = &mut self.searched;
+        let bytes = self.buffer.bytes();
+        let found = scanner.find_end(&bytes[*searched..]);
+        *searched = found.map_or(bytes.len(), |count| *searched + count);
         found.map(|_| *searched)
     }
 
-    /// The next head, where its request may begin before its turn.
-    fn early(&self, end: usize) -> Option<Parts> {
-        if !self.may_overtake {
+    /// The next head, which ends at `end`, if its request may begin before its turn.
+    fn parse_early_request(&self, end: usize) -> Option<Parts> {
+        if !self.allows_pipelining {
             return None;
         }
-        let parts = head::read(&self.bytes.all()[self.known..end])?;
+        let parts = head::parse(&self.buffer.bytes()[self.queued_bytes..end])?;
         self.handler.may_begin_early(&parts).then_some(parts)
     }
 
-    /// The first bytes that were read ahead and are part of a head, `most` of them.
-    pub(super) fn give_head(&mut self, most: usize) -> usize {
-        let all = self.bytes.all();
-        let first = &all[..all.len().min(most)];
-        let found = self.given.find(first);
+    /// Scans the start of the buffer, and returns the number of bytes there that are part of the current
+    /// head, at most `max_bytes`.
+    pub(super) fn buffered_head_length(&mut self, max_bytes: usize) -> usize {
+        let bytes = self.buffer.bytes();
+        let first = &bytes[..bytes.len().min(max_bytes)];
+        let found = self.head_scanner.find_end(first);
         let count = found.unwrap_or(first.len());
-        self.given_read = found.and_then(|end| self.bytes.read_at(end));
+        self.head_read_at = found.and_then(|end| self.buffer.read_at(end));
         count
     }
 
-    /// How many bytes that come from the socket are part of a head.
-    pub(super) fn pass_head(&mut self, bytes: &[u8]) -> usize {
-        self.given_read = None;
-        self.given.find(bytes).unwrap_or(bytes.len())
+    /// Scans bytes just read from the socket, and returns how many of them are part of the current head.
+    pub(super) fn received_head_length(&mut self, bytes: &[u8]) -> usize {
+        self.head_read_at = None;
+        self.head_scanner.find_end(bytes).unwrap_or(bytes.len())
     }
 
-    /// Drops bytes that were given to hyper.
-    pub(super) fn advance(&mut self, count: usize) {
-        self.bytes.advance(count);
-        self.known = self.known.saturating_sub(count);
+    /// Removes bytes that were given to hyper.
+    pub(super) fn consume(&mut self, count: usize) {
+        self.buffer.consume(count);
+        self.queued_bytes = self.queued_bytes.saturating_sub(count);
         self.searched.0 = self.searched.0.saturating_sub(count);
     }
 
-    /// Takes in that hyper has read a head and what it says of the body. Gives the answer to the
-    /// request, where one is under way.
-    pub fn enter<B: Body>(&mut self, parts: &mut Parts, body: &B) -> Option<Begun<H>> {
-        self.mode = self.mode_of(body);
-        self.given = HeadEnd::default();
-        self.has_answer = false;
-        self.is_over |= head::closes(&parts.headers);
-        self.may_overtake = head::may_be_overtaken(parts) && self.handler.may_be_overtaken(parts);
-        let read = self.given_read.take();
-        let begun = self.begun.pop_front().filter(|begun| begun.is(parts));
-        if begun.is_none() {
-            self.forget();
+    /// Records that hyper has read the head of the next request, which becomes the current one, and the
+    /// length of its body. Returns the request if it has begun early.
+    pub fn record_request<B: Body>(&mut self, parts: &mut Parts, body: &B) -> Option<EarlyRequest<H>> {
+        self.mode = self.mode_after_head(body);
+        self.head_scanner = HeadScanner::default();
+        self.has_response = false;
+        self.is_closing |= head::closes_connection(&parts.headers);
+        self.allows_pipelining = head::allows_pipelining(parts) && self.handler.allows_pipelining(parts);
+        let head_read_at = self.head_read_at.take();
+        let early_request = self.early_requests.pop_front().filter(|early| early.matches(parts));
+        if early_request.is_none() {
+            self.cancel_early_requests();
         }
-        if let Some(read_at) = read {
+        if let Some(read_at) = head_read_at {
             parts.extensions.insert(Arrival { read_at, is_early: false });
         }
-        begun
+        early_request
     }
 
-    fn mode_of<B: Body>(&self, body: &B) -> Mode {
-        let is_blind = matches!(self.mode, Mode::Blind { .. });
+    fn mode_after_head<B: Body>(&self, body: &B) -> ReadMode {
+        let is_pass_through = matches!(self.mode, ReadMode::PassThrough { .. });
         match body.size_hint().exact() {
-            _ if body.is_end_stream() && is_blind => Mode::Blind { has_body: false },
-            _ if body.is_end_stream() => Mode::Ahead,
-            Some(length) if !is_blind => Mode::Length(length),
-            _ => Mode::Blind { has_body: true },
+            _ if body.is_end_stream() && is_pass_through => ReadMode::PassThrough { has_body: false },
+            _ if body.is_end_stream() => ReadMode::ReadAhead,
+            Some(length) if !is_pass_through => ReadMode::Body(length),
+            _ => ReadMode::PassThrough { has_body: true },
         }
     }
 
-    /// Takes in that the request in hand has its answer; the last one of a planned stop closes the
-    /// connection.
-    pub fn answered<B>(&mut self, response: &mut Response<B>) {
-        self.has_answer = true;
-        if self.handler.is_stopping() && !self.has_more() {
+    /// Records that the current request has its response. During a planned stop the response to the last
+    /// request closes the connection.
+    pub fn record_response<B>(&mut self, response: &mut Response<B>) {
+        self.has_response = true;
+        if self.handler.is_stopping() && !self.has_queued_requests() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
         }
-        if head::closes(response.headers()) {
+        if head::closes_connection(response.headers()) {
             self.close();
         }
     }
