--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -14,7 +14,7 @@
 use crate::decision::selection::directory::{self, OwnInstance};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
 use crate::platform::Platform;
-use crate::proxy::answer_body::AnswerBody;
+use crate::proxy::response_body::ResponseBody;
 use crate::state::Instance;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Request, Response, StatusCode};
@@ -24,15 +24,15 @@
 pub struct DirectoryListener<P: Platform>(pub Rc<Instance<P>>);
 
 impl<P: Platform> Handler for DirectoryListener<P> {
-    type Body = AnswerBody;
+    type Body = ResponseBody;
 
-    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
+    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
         let (path, query) = (request.uri().path(), request.uri().query().unwrap_or(""));
         if path == P::ready_path() {
             let status = if self.0.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
-            return AnswerBody::empty(status);
+            return ResponseBody::empty(status);
         }
-        let Some(place) = P::directory_question(path, query) else { return AnswerBody::empty(StatusCode::NOT_FOUND) };
+        let Some(place) = P::directory_question(path, query) else { return ResponseBody::empty(StatusCode::NOT_FOUND) };
         let settings = self.0.settings();
         let own = OwnInstance {
             name: &settings.name,
@@ -45,10 +45,10 @@
         let bytes = self.0.request_size.bytes();
         let instances = directory::instances_for(&place.region, own, &routing.members, bytes, rand::random);
         if instances.is_empty() {
-            return AnswerBody::empty(StatusCode::SERVICE_UNAVAILABLE);
+            return ResponseBody::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
         let answer = P::directory_answer(&instances, settings.directory_ttl);
-        let mut response = Response::new(AnswerBody::buffered(answer));
+        let mut response = Response::new(ResponseBody::buffered(answer));
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         response
     }
--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -7,7 +7,7 @@
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
 use crate::operator;
 use crate::platform::Platform;
-use crate::proxy::answer_body::AnswerBody;
+use crate::proxy::response_body::ResponseBody;
 use crate::state::Instance;
 use crate::sync::peers::{self, AnswerCache, ChangesQuestion, ServedChanges};
 use crate::sync::{limits, usage};
@@ -30,34 +30,34 @@
         Self { instance, cache: AnswerCache::default() }
     }
 
-    async fn changes(&self, request: &Request<CallerBody>) -> Response<AnswerBody> {
+    async fn changes(&self, request: &Request<CallerBody>) -> Response<ResponseBody> {
         let query = request.uri().query().unwrap_or("");
         let takes_gzip = gzip::is_accepted(request.headers());
         let asked = ChangesQuestion { query, takes_gzip };
         changes_response(peers::serve_changes(&self.instance, &self.cache, asked).await)
     }
 
-    async fn usage(&self, request: Request<CallerBody>) -> Response<AnswerBody> {
+    async fn usage(&self, request: Request<CallerBody>) -> Response<ResponseBody> {
         match usage::serve(&self.instance, request.into_body()).await {
-            Ok(answer) => Response::new(AnswerBody::buffered(answer)),
+            Ok(answer) => Response::new(ResponseBody::buffered(answer)),
             Err(error) => {
                 tracing::warn!(event = "usage_refused", %error);
-                AnswerBody::empty(StatusCode::BAD_REQUEST)
+                ResponseBody::empty(StatusCode::BAD_REQUEST)
             }
         }
     }
 
-    async fn take_limits(&self, request: Request<CallerBody>) -> Response<AnswerBody> {
+    async fn take_limits(&self, request: Request<CallerBody>) -> Response<ResponseBody> {
         match limits::serve(&self.instance, request.into_body()).await {
-            Ok(answer) => Response::new(AnswerBody::buffered(answer)),
+            Ok(answer) => Response::new(ResponseBody::buffered(answer)),
             Err(error) => {
                 tracing::warn!(event = "limits_refused", %error);
-                AnswerBody::empty(StatusCode::BAD_REQUEST)
+                ResponseBody::empty(StatusCode::BAD_REQUEST)
             }
         }
     }
 
-    fn metrics(&self) -> Response<AnswerBody> {
+    fn metrics(&self) -> Response<ResponseBody> {
         let Self { instance, .. } = self;
         let metrics = &instance.metrics;
         metrics.held_bytes.set(instance.requests.buffered_bytes() as i64);
@@ -69,12 +69,12 @@
         let at = instance.store_copy.view().at();
         metrics.view_revision.set(at.revision as i64);
         metrics.view_era.set(at.era.0 as i64);
-        Response::new(AnswerBody::buffered(metrics.text()))
+        Response::new(ResponseBody::buffered(metrics.text()))
     }
 }
 
-fn changes_response(served: ServedChanges) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::buffered(served.body.bytes));
+fn changes_response(served: ServedChanges) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(served.body.bytes));
     let headers = response.headers_mut();
     headers.insert(peers::COMPUTED_AFTER, served.computed_after_ms.into());
     if served.is_receiving {
@@ -87,9 +87,9 @@
 }
 
 impl<P: Platform> Handler for PeerListener<P> {
-    type Body = AnswerBody;
+    type Body = ResponseBody;
 
-    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
+    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
         match request.uri().path() {
             peers::CHANGES_PATH => self.changes(&request).await,
             METRICS_PATH => self.metrics(),
@@ -97,7 +97,7 @@
             limits::LIMITS_PATH if request.method() == Method::POST => self.take_limits(request).await,
             _ => {
                 let answered = operator::answer(&self.instance, request).await;
-                answered.unwrap_or_else(|| AnswerBody::empty(StatusCode::NOT_FOUND))
+                answered.unwrap_or_else(|| ResponseBody::empty(StatusCode::NOT_FOUND))
             }
         }
     }
--- a/src/operator/mod.rs
+++ b/src/operator/mod.rs
@@ -30,7 +30,7 @@
 
 use crate::net::server::CallerBody;
 use crate::platform::Platform;
-use crate::proxy::answer_body::AnswerBody;
+use crate::proxy::response_body::ResponseBody;
 use crate::state::Instance;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
@@ -38,7 +38,10 @@
 use serde::Serialize;
 
 /// Answers an operator; `None` for a method and path that are not theirs.
-pub async fn answer<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Option<Response<AnswerBody>> {
+pub async fn answer<P: Platform>(
+    instance: &Instance<P>,
+    request: Request<CallerBody>,
+) -> Option<Response<ResponseBody>> {
     let answered = match (request.method(), request.uri().path()) {
         (&Method::GET, "/status") => json(&status::status(instance)),
         (&Method::GET, "/targets") => json(&targets::targets(instance)),
@@ -54,13 +57,13 @@
     Some(answered.unwrap_or_else(|refusal| respond(refusal.status(), refusal.body())))
 }
 
-fn json<T: Serialize>(value: &T) -> Result<Response<AnswerBody>, Refusal> {
+fn json<T: Serialize>(value: &T) -> Result<Response<ResponseBody>, Refusal> {
     let body = serde_json::to_vec(value).map_err(Refusal::Answer)?;
     Ok(respond(StatusCode::OK, body))
 }
 
-fn respond(status: StatusCode, body: Vec<u8>) -> Response<AnswerBody> {
-    let mut response = Response::new(AnswerBody::buffered(body));
+fn respond(status: StatusCode, body: Vec<u8>) -> Response<ResponseBody> {
+    let mut response = Response::new(ResponseBody::buffered(body));
     *response.status_mut() = status;
     response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
     response
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -15,13 +15,13 @@
 use crate::net::request_body::RequestBody;
 use crate::platform::Platform;
 use crate::proxy::access_record::AccessRecord;
-use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::exchange::Exchange;
 use crate::proxy::held_answer::Holding;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::outgoing_request::{TargetIdError, outgoing_request};
 use crate::proxy::refusal::Refusal;
+use crate::proxy::response_body::ResponseBody;
 use crate::proxy::strikes::{admit, record_answer, record_end, report_unanswered};
 use crate::proxy::target_choice::TargetChoice;
 use crate::proxy::try_error::TryError;
@@ -61,7 +61,7 @@
     ///
     /// # Errors
     /// [`Refusal`] where no target's answer can be passed on.
-    pub async fn run(mut self, record: &mut AccessRecord) -> Result<Response<AnswerBody>, Refusal> {
+    pub async fn run(mut self, record: &mut AccessRecord) -> Result<Response<ResponseBody>, Refusal> {
         record.affinity = Some(self.choice.affinity());
         let answered = self.try_targets(record).await;
         if answered.is_err() {
@@ -70,7 +70,7 @@
         answered
     }
 
-    async fn try_targets(&mut self, record: &mut AccessRecord) -> Result<Response<AnswerBody>, Refusal> {
+    async fn try_targets(&mut self, record: &mut AccessRecord) -> Result<Response<ResponseBody>, Refusal> {
         loop {
             let costs_retry = match next_try(&self.tries, self.request.route.into()) {
                 TryDecision::Try { costs_retry } => costs_retry,
@@ -143,7 +143,11 @@
         paid
     }
 
-    async fn send(&self, request: Request<RequestBody>, target: &Rc<Target>) -> Result<Response<AnswerBody>, TryError> {
+    async fn send(
+        &self,
+        request: Request<RequestBody>,
+        target: &Rc<Target>,
+    ) -> Result<Response<ResponseBody>, TryError> {
         let sent = match request.body() {
             RequestBody::Streamed(streamed) => streamed.finished(),
             RequestBody::Buffered(_) => Rc::new(Cell::new(true)),
@@ -169,7 +173,7 @@
     }
 
     /// Notes how long a second target took to answer, or that it did not within the time.
-    fn record_second(&self, target: &Target, sent: &Result<Response<AnswerBody>, TryError>, took: Duration) {
+    fn record_second(&self, target: &Target, sent: &Result<Response<ResponseBody>, TryError>, took: Duration) {
         if matches!(sent, Ok(_) | Err(TryError::TimedOut)) {
             self.request.instance.routing.borrow().record_second(&target.service, took);
         }
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -17,11 +17,11 @@
 use crate::net::pool::{Connection, SendError};
 use crate::net::request_body::RequestBody;
 use crate::platform::HeaderNames;
-use crate::proxy::answer_body::{AnswerBody, Reuse};
 use crate::proxy::answer_check::{self, AnswerError};
 use crate::proxy::buffered_answer::{ReadBody, read_body};
-use crate::proxy::held_answer::buffer::PART;
+use crate::proxy::held_answer::buffer::PART_SIZE;
 use crate::proxy::held_answer::{HeldAnswer, Holding, Progress, Reader, Shared};
+use crate::proxy::response_body::{ResponseBody, Reuse};
 use crate::proxy::try_error::TryError;
 use crate::state::Requests;
 use crate::telemetry::metrics::Metrics;
@@ -58,7 +58,7 @@
     ///
     /// # Errors
     /// [`TryError`]; what it means for the target is recorded there already.
-    pub async fn run(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, TryError> {
+    pub async fn run(self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, TryError> {
         let (deadline, started) = (self.deadline, self.started);
         let target = self.in_flight.target().clone();
         match timeout_at(deadline, self.dispatch(request)).await {
@@ -71,7 +71,7 @@
         }
     }
 
-    async fn dispatch(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, TryError> {
+    async fn dispatch(self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, TryError> {
         let (response, connection) = self.send(request).await?;
         let checked = answer_check::check(self.names, self.request_id, &response);
         let report = self.load_report(&response);
@@ -186,7 +186,7 @@
         self,
         response: Response<Incoming>,
         connection: Connection,
-    ) -> Result<Response<AnswerBody>, TryError> {
+    ) -> Result<Response<ResponseBody>, TryError> {
         let keep_alive = KeepAlive::from(response.headers());
         let (mut parts, incoming) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
@@ -200,19 +200,19 @@
             self.in_flight.target().record_success(self.started.elapsed(), Instant::now());
         }
         let reuse = Reuse { connection, keep_alive, sent: self.sent.clone() };
-        Ok(Response::from_parts(parts, self.answer_body(read, reuse)))
+        Ok(Response::from_parts(parts, self.response_body(read, reuse)))
     }
 
     /// The body for the caller. Of a large one, the connection and the place at the target go with its
     /// reader.
-    fn answer_body(self, read: ReadBody, reuse: Reuse) -> AnswerBody {
+    fn response_body(self, read: ReadBody, reuse: Reuse) -> ResponseBody {
         let (holding, counted) = (self.holding, || self.requests.count());
         match read {
             ReadBody::Buffered(bytes) => {
                 reuse.settle(&self.in_flight);
                 match bytes.len() {
-                    0..=PART => AnswerBody::buffered(bytes),
-                    _ => AnswerBody::Held(Box::new(HeldAnswer::whole(bytes, &holding.total, counted()))),
+                    0..=PART_SIZE => ResponseBody::buffered(bytes),
+                    _ => ResponseBody::Held(Box::new(HeldAnswer::whole(bytes, &holding.total, counted()))),
                 }
             }
             ReadBody::Streamed(head, rest) => {
@@ -221,7 +221,7 @@
                 let (in_flight, deadline, request_id) = (self.in_flight, self.deadline, self.request_id.cloned());
                 let counted = counted();
                 let reader = Reader { shared, rest, reuse, in_flight, deadline, holding, request_id, counted };
-                AnswerBody::Held(Box::new(HeldAnswer::read_by(reader)))
+                ResponseBody::Held(Box::new(HeldAnswer::read_by(reader)))
             }
         }
     }
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_answer/buffer.rs
@@ -11,10 +11,10 @@
 
 /// Most bytes that are handed on at a time: bounds what the caller's connection holds uncounted. Also the
 /// size of blocks of small chunks.
-pub const PART: usize = 32 * 1024;
+pub const PART_SIZE: usize = 32 * 1024;
 /// Chunks below this size are copied together while others wait: a small chunk may keep a whole read
 /// buffer in memory.
-const SMALL_CHUNK: usize = PART / 2;
+const SMALL_CHUNK: usize = PART_SIZE / 2;
 
 /// Bytes that came from a target and were not handed on.
 #[derive(Debug)]
@@ -61,13 +61,13 @@
         }
     }
 
-    /// Takes the next bytes, `PART` at most; `None` where there are none.
-    pub fn take(&mut self) -> Option<Bytes> {
+    /// Takes the next bytes, `PART_SIZE` at most; `None` where there are none.
+    pub fn take_part(&mut self) -> Option<Bytes> {
         if self.blocks.is_empty() {
             self.close_tail();
         }
         let block = self.blocks.front_mut()?;
-        let part = block.split_to(block.len().min(PART));
+        let part = block.split_to(block.len().min(PART_SIZE));
         if block.is_empty() {
             self.blocks.pop_front();
         }
@@ -83,11 +83,11 @@
     }
 
     fn copy(&mut self, chunk: &[u8]) {
-        if self.tail.len() + chunk.len() > PART {
+        if self.tail.len() + chunk.len() > PART_SIZE {
             self.close_tail();
         }
         if self.tail.is_empty() {
-            self.tail.reserve(PART);
+            self.tail.reserve(PART_SIZE);
         }
         self.tail.extend_from_slice(chunk);
     }
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_answer/shared.rs
@@ -109,7 +109,7 @@
     /// The next frame for the caller.
     pub fn poll_frame(&self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let mut state = self.state.borrow_mut();
-        if let Some(part) = state.buffer.take() {
+        if let Some(part) = state.buffer.take_part() {
             self.taken.notify_one();
             return Poll::Ready(Some(Ok(Frame::data(part))));
         }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -6,9 +6,9 @@
 use crate::model::config::{Repeat, Route};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
 use crate::platform::Platform;
-use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::buffered_answer::MAX_BUFFERED_ANSWER;
 use crate::proxy::request;
+use crate::proxy::response_body::ResponseBody;
 use crate::state::Instance;
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
@@ -63,9 +63,9 @@
 }
 
 impl<P: Platform> Handler for CallerListener<P> {
-    type Body = AnswerBody;
+    type Body = ResponseBody;
 
-    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
+    async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
         let _active = Active::new(&self.0);
         request::answer(&self.0, request).await
     }
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -18,7 +18,7 @@
 //!    ([`crate::net::pool`]). [`answer_check`] says whether the answer may be passed on,
 //!    [`try_error`] why there is none; [`buffered_answer`] reads a small answer whole, so
 //!    that one that breaks off can be replaced.
-//! 6. [`answer_body`] carries the answer to the caller; a large one is taken off its target at once, and
+//! 6. [`response_body`] carries the answer to the caller; a large one is taken off its target at once, and
 //!    is a [`held_answer`] while the caller reads it. A [`refusal`] is the answer where
 //!    no target's can be passed on.
 //!
@@ -37,7 +37,6 @@
 //! and the places it held are free.
 
 pub mod access_record;
-pub mod answer_body;
 pub mod answer_check;
 pub mod attempts;
 pub mod buffered_answer;
@@ -50,6 +49,7 @@
 pub mod outgoing_request;
 pub mod refusal;
 pub mod request;
+pub mod response_body;
 pub mod strikes;
 pub mod target_choice;
 pub mod try_error;
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -5,7 +5,7 @@
 
 use crate::decision::failure::next_try::FailureReason;
 use crate::decision::failure::quarantine::FIRST_PROBE_DELAY;
-use crate::proxy::answer_body::AnswerBody;
+use crate::proxy::response_body::ResponseBody;
 use hyper::header::{CONTENT_TYPE, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 use std::time::Duration;
@@ -171,13 +171,13 @@
 
     /// The answer for the caller; `room_in` is the time after which there is probably room at
     /// the service.
-    pub fn answer(self, room_in: Duration) -> Response<AnswerBody> {
+    pub fn answer(self, room_in: Duration) -> Response<ResponseBody> {
         let mut builder = Response::builder().status(self.status()).header(CONTENT_TYPE, "text/plain");
         if let Some(wait) = self.retry_after(room_in) {
             let seconds = wait.as_millis() as f64 / 1_000.0;
             builder = builder.header(RETRY_AFTER, seconds.to_string());
         }
-        builder.body(AnswerBody::buffered(self.to_string())).expect("the headers are constant and valid")
+        builder.body(ResponseBody::buffered(self.to_string())).expect("the headers are constant and valid")
     }
 }
 
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -16,13 +16,13 @@
 use crate::net::server::read_ahead::begun::Arrival;
 use crate::platform::Platform;
 use crate::proxy::access_record::{AccessRecord, QuotaRecord, RequestEnd};
-use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::attempts::Attempts;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::caller_tenant::{CallerTenant, write_tenant};
 use crate::proxy::held_answer::Holding;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
+use crate::proxy::response_body::ResponseBody;
 use crate::state::Instance;
 use hyper::body::Body;
 use hyper::header::{HOST, HeaderName};
@@ -55,7 +55,7 @@
 }
 
 /// Answers a caller's request, whatever comes of it.
-pub async fn answer<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<AnswerBody> {
+pub async fn answer<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<ResponseBody> {
     let now = Instant::now();
     instance.requests.mark_arrival(now);
     let arrival = request.extensions().get().copied().unwrap_or(Arrival { read_at: now, is_early: false });
@@ -108,7 +108,7 @@
     request: Request<CallerBody>,
     started: Instant,
     record: &mut AccessRecord,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     if instance.lifecycle.is_ending() {
         return Err(Refusal::Stopping);
     }
@@ -164,7 +164,7 @@
         self,
         request: Request<CallerBody>,
         record: &mut AccessRecord,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let Self { instance, config, route, caller, started, deadline } = self;
         let (mut parts, incoming) = request.into_parts();
         let body = IncomingBody::read(instance, config.limits.body_bytes, incoming, deadline).await?;
--- a/src/proxy/answer_body.rs
+++ b/src/proxy/response_body.rs
@@ -20,24 +20,24 @@
 use std::task::{Context, Poll};
 
 /// The body of an answer to a caller.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// Whole in memory.
     Buffered(Full<Bytes>),
     /// Held while the caller reads it.
     Held(Box<HeldAnswer>),
 }
 
-impl AnswerBody {
+impl ResponseBody {
     /// An answer without a body.
     pub fn empty(status: StatusCode) -> Response<Self> {
-        let mut response = Response::new(AnswerBody::buffered(""));
+        let mut response = Response::new(ResponseBody::buffered(""));
         *response.status_mut() = status;
         response
     }
 
     /// A body that is whole in memory.
     pub fn buffered(bytes: impl Into<Bytes>) -> Self {
-        AnswerBody::Buffered(Full::new(bytes.into()))
+        ResponseBody::Buffered(Full::new(bytes.into()))
     }
 }
 
@@ -60,28 +60,28 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = BodyError;
 
     fn poll_frame(self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         match self.get_mut() {
-            AnswerBody::Buffered(full) => Pin::new(full).poll_frame(context).map_err(|never| match never {}),
-            AnswerBody::Held(held) => Pin::new(held.as_mut()).poll_frame(context),
+            ResponseBody::Buffered(full) => Pin::new(full).poll_frame(context).map_err(|never| match never {}),
+            ResponseBody::Held(held) => Pin::new(held.as_mut()).poll_frame(context),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            AnswerBody::Buffered(full) => full.is_end_stream(),
-            AnswerBody::Held(held) => held.is_end_stream(),
+            ResponseBody::Buffered(full) => full.is_end_stream(),
+            ResponseBody::Held(held) => held.is_end_stream(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            AnswerBody::Buffered(full) => full.size_hint(),
-            AnswerBody::Held(held) => held.size_hint(),
+            ResponseBody::Buffered(full) => full.size_hint(),
+            ResponseBody::Held(held) => held.size_hint(),
         }
     }
 }
--- a/tests/held_answers.rs
+++ b/tests/held_answers.rs
@@ -3,7 +3,7 @@
 use bytes::Bytes;
 use lockloft::decision::refusal::held_answers::HeldLimits;
 use lockloft::net::buffered_bytes::BufferTotal;
-use lockloft::proxy::held_answer::buffer::{AnswerBuffer, PART};
+use lockloft::proxy::held_answer::buffer::{AnswerBuffer, PART_SIZE};
 use proptest::prelude::*;
 use std::rc::Rc;
 
@@ -17,7 +17,7 @@
 }
 
 fn step() -> impl Strategy<Value = Step> {
-    let size = prop_oneof![0usize..300, 0..3 * PART, Just(PART / 2), Just(PART)];
+    let size = prop_oneof![0usize..300, 0..3 * PART_SIZE, Just(PART_SIZE / 2), Just(PART_SIZE)];
     prop_oneof![size.prop_map(Step::Push), Just(Step::Take)]
 }
 
@@ -39,17 +39,17 @@
                     pushed += size;
                 }
                 Step::Take => {
-                    let part = buffer.take();
+                    let part = buffer.take_part();
                     prop_assert_eq!(part.is_none(), pushed == taken.len());
                     let part = part.unwrap_or_default();
-                    prop_assert!(part.len() <= PART);
+                    prop_assert!(part.len() <= PART_SIZE);
                     taken.extend_from_slice(&part);
                 }
             }
             prop_assert_eq!(total.get(), (pushed - taken.len()) as u64);
             prop_assert_eq!(buffer.len(), total.get());
         }
-        while let Some(part) = buffer.take() {
+        while let Some(part) = buffer.take_part() {
             taken.extend_from_slice(&part);
         }
         prop_assert!(taken == chunk(0, pushed));
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn the_total_is_that_of_all_buffers_and_goes_with_them(sizes in prop::collection::vec(0usize..2 * PART, 1..20)) {
+    fn the_total_is_that_of_all_buffers_and_goes_with_them(sizes in prop::collection::vec(0usize..2 * PART_SIZE, 1..20)) {
         let total = Rc::new(BufferTotal::default());
         let buffers: Vec<AnswerBuffer> = sizes.iter().map(|size| {
             let mut buffer = AnswerBuffer::new(&total);
@@ -102,21 +102,21 @@
 fn what_is_given_up_is_no_longer_counted() {
     let total = Rc::new(BufferTotal::default());
     let mut buffer = AnswerBuffer::new(&total);
-    buffer.push(chunk(0, PART));
-    buffer.push(chunk(PART, 10));
+    buffer.push(chunk(0, PART_SIZE));
+    buffer.push(chunk(PART_SIZE, 10));
     buffer.clear();
-    assert_eq!((total.get(), buffer.take()), (0, None));
+    assert_eq!((total.get(), buffer.take_part()), (0, None));
 }
 
 #[tokio::test]
 async fn whoever_waits_for_room_hears_of_bytes_that_are_released() {
     let total = Rc::new(BufferTotal::default());
     let mut buffer = AnswerBuffer::new(&total);
-    buffer.push(chunk(0, PART));
+    buffer.push(chunk(0, PART_SIZE));
     let freed = total.freed();
     tokio::pin!(freed);
     assert!(is_pending(freed.as_mut()).await, "nothing was released yet");
-    buffer.take();
+    buffer.take_part();
     freed.await;
 }
 
