--- a/src/proxy/access_record.rs
+++ b/src/proxy/access_record.rs
@@ -20,7 +20,7 @@
     /// Whether it was begun before those ahead of it on its connection were answered.
     pub is_early: bool,
     /// How long it waited for its turn on its connection.
-    pub waited: Duration,
+    pub queue_time: Duration,
     /// Name of its route.
     pub route: Option<Rc<str>>,
     /// Name of the caller's tenant.
@@ -42,9 +42,9 @@
     /// Fingerprint of the request; `None` where its body was not read.
     pub fingerprint: Option<Fingerprint>,
     /// How long the last try took, with the way to the target and back.
-    pub last_try: Option<Duration>,
+    pub last_try_time: Option<Duration>,
     /// Time until a target may want requests again, where all want none now.
-    pub wait: Option<Duration>,
+    pub pause_wait: Option<Duration>,
     /// Names of the policies that had a part in the choice.
     pub policies: Vec<String>,
 }
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaRecord {
     /// Share of the tenant's requests that might pass.
-    pub share: f64,
+    pub admit_ratio: f64,
     /// Time since a head answered that.
     pub answer_age: Option<Duration>,
 }
@@ -66,7 +66,7 @@
     /// Status of the answer.
     pub status: StatusCode,
     /// Time from the request's head to the head of the answer.
-    pub took: Duration,
+    pub duration: Duration,
     /// Age of this instance's view of the store; `None` before the first list.
     pub view_age: Option<Duration>,
     /// What that age was proved by; `None` before the first list.
@@ -81,10 +81,10 @@
             event = "request",
             id = self.id.as_ref().and_then(|id| id.to_str().ok()),
             early = self.is_early.then_some(true),
-            waited_ms = Some(self.waited.as_millis() as u64).filter(|ms| *ms > 0),
+            waited_ms = Some(self.queue_time.as_millis() as u64).filter(|ms| *ms > 0),
             route = self.route.as_deref(),
             tenant = self.tenant.as_deref(),
-            quota_share = self.quota.map(|quota| quota.share),
+            quota_share = self.quota.map(|quota| quota.admit_ratio),
             quota_age_ms = self.quota.and_then(|quota| quota.answer_age).map(|age| age.as_millis() as u64),
             service = self.service.as_deref(),
             target = self.target.as_ref().map(|target| &*target.id),
@@ -92,7 +92,7 @@
             load = self.load,
             key = self.affinity.map(|affinity| format!("{affinity:016x}")),
             fingerprint = self.fingerprint.map(|fingerprint| fingerprint.to_string()),
-            try_ms = self.last_try.map(|took| took.as_millis() as u64),
+            try_ms = self.last_try_time.map(|took| took.as_millis() as u64),
             sends = self.sends,
             config = self.config,
             policies = (!self.policies.is_empty()).then(|| self.policies.join(",")),
@@ -100,7 +100,7 @@
             view_proof = end.view_proof.map(Proof::as_str),
             outcome = end.outcome,
             status = end.status.as_u16(),
-            took_ms = end.took.as_millis() as u64,
+            took_ms = end.duration.as_millis() as u64,
         );
     }
 }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -17,12 +17,12 @@
 use crate::proxy::access_record::AccessRecord;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::exchange::Exchange;
-use crate::proxy::held_answer::Holding;
+use crate::proxy::held_answer::HeldAnswerContext;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::outgoing_request::{TargetIdError, outgoing_request};
 use crate::proxy::refusal::Refusal;
 use crate::proxy::response_body::ResponseBody;
-use crate::proxy::strikes::{admit, record_answer, record_end, report_unanswered};
+use crate::proxy::strikes::{admit, record_lost_connection, record_response, report_pending};
 use crate::proxy::target_choice::TargetChoice;
 use crate::proxy::try_error::TryError;
 use hyper::{Request, Response};
@@ -31,7 +31,7 @@
 use std::time::Duration;
 
 /// A try that may be made.
-struct Prepared {
+struct PreparedTry {
     chosen: Chosen,
     request: Request<RequestBody>,
     /// Strikes against the request that are known as it begins.
@@ -63,11 +63,11 @@
     /// [`Refusal`] where no target's answer can be passed on.
     pub async fn run(mut self, record: &mut AccessRecord) -> Result<Response<ResponseBody>, Refusal> {
         record.affinity = Some(self.choice.affinity());
-        let answered = self.try_targets(record).await;
-        if answered.is_err() {
-            report_unanswered(self.request);
+        let result = self.try_targets(record).await;
+        if result.is_err() {
+            report_pending(self.request);
         }
-        answered
+        result
     }
 
     async fn try_targets(&mut self, record: &mut AccessRecord) -> Result<Response<ResponseBody>, Refusal> {
@@ -76,28 +76,28 @@
                 TryDecision::Try { costs_retry } => costs_retry,
                 TryDecision::Refuse(reason) => return Err(reason.into()),
             };
-            let Prepared { chosen: Chosen { target, is_second }, request, strikes } =
-                self.prepare(costs_retry, record)?;
+            let PreparedTry { chosen: Chosen { target, is_second }, request, strikes } =
+                self.prepare_try(costs_retry, record)?;
             self.tried.push(target.key);
             record.load = target.load(Instant::now());
             record.target = Some(target.clone());
             let started = Instant::now();
-            let sent = self.send(request, &target).await;
-            record.last_try = Some(started.elapsed());
+            let result = self.send(request, &target).await;
+            record.last_try_time = Some(started.elapsed());
             if is_second {
-                self.record_second(&target, &sent, started.elapsed());
+                self.record_second_latency(&target, &result, started.elapsed());
             }
-            match sent {
+            match result {
                 Ok(response) => {
                     record.sends = self.tries.sends + 1;
-                    record_answer(self.request);
+                    record_response(self.request);
                     return Ok(response);
                 }
                 Err(error) => {
-                    if matches!(error, TryError::NoAnswer) {
-                        record_end(self.request, &target, strikes).await;
+                    if matches!(error, TryError::NoResponse) {
+                        record_lost_connection(self.request, &target, strikes).await;
                     }
-                    self.take_failure(error, &target);
+                    self.record_failure(error, &target);
                     record.sends = self.tries.sends;
                 }
             }
@@ -106,41 +106,43 @@
 
     /// A target and the request for it. The order of the checks decides what the
     /// caller is answered. The budget is charged last: what is paid for is sent.
-    fn prepare(&mut self, costs_retry: bool, record: &mut AccessRecord) -> Result<Prepared, Refusal> {
-        self.request.check_key().map_err(|own| self.refusal(UnmetPrecondition::InvalidKey, own))?;
-        let strikes = admit(self.request).map_err(|own| self.refusal(UnmetPrecondition::Quarantined, own))?;
+    fn prepare_try(&mut self, costs_retry: bool, record: &mut AccessRecord) -> Result<PreparedTry, Refusal> {
+        self.request.check_key().map_err(|own| self.refusal_for(UnmetPrecondition::InvalidKey, own))?;
+        let strikes = admit(self.request).map_err(|own| self.refusal_for(UnmetPrecondition::Quarantined, own))?;
         // A streamed body that is gone with an earlier try is no error: the request's own
         // line gives the failure that stands.
-        let body =
-            self.body.send().ok_or_else(|| self.refusal(UnmetPrecondition::RequestUnavailable, Refusal::NoTarget))?;
+        let body = self
+            .body
+            .for_try()
+            .ok_or_else(|| self.refusal_for(UnmetPrecondition::RequestUnavailable, Refusal::NoTarget))?;
         let chosen = self.choice.choose(&self.tried, record);
-        let chosen = chosen.map_err(|refusal| self.refusal(UnmetPrecondition::NoTarget, refusal))?;
+        let chosen = chosen.map_err(|refusal| self.refusal_for(UnmetPrecondition::NoTarget, refusal))?;
         if !has_time(self.request.deadline.saturating_duration_since(Instant::now())) {
-            return Err(self.refusal(UnmetPrecondition::TooLate, Refusal::TooLate));
+            return Err(self.refusal_for(UnmetPrecondition::TooLate, Refusal::TooLate));
         }
         let request = outgoing_request(self.request, body, &chosen.target).map_err(|error| {
-            self.log_unnamed(&error, &chosen.target);
-            self.refusal(UnmetPrecondition::RequestUnavailable, Refusal::NoTarget)
+            self.log_invalid_target_id(&error, &chosen.target);
+            self.refusal_for(UnmetPrecondition::RequestUnavailable, Refusal::NoTarget)
         })?;
-        if costs_retry && !self.spend_retry() {
-            return Err(self.refusal(UnmetPrecondition::OverBudget, Refusal::NoTarget));
+        if costs_retry && !self.withdraw_retry() {
+            return Err(self.refusal_for(UnmetPrecondition::OverBudget, Refusal::NoTarget));
         }
-        Ok(Prepared { chosen, request, strikes })
+        Ok(PreparedTry { chosen, request, strikes })
     }
 
     /// The refusal where the next try cannot be made: that of an earlier failure, or
     /// the unmet precondition's `own`.
-    fn refusal(&self, unmet: UnmetPrecondition, own: Refusal) -> Refusal {
+    fn refusal_for(&self, unmet: UnmetPrecondition, own: Refusal) -> Refusal {
         earlier_failure_reason(&self.tries, unmet).map_or(own, Refusal::from)
     }
 
     /// Pays for one more send; false where the budget does not reach.
-    fn spend_retry(&self) -> bool {
+    fn withdraw_retry(&self) -> bool {
         let instance = self.request.instance;
-        let paid = instance.retries.borrow_mut().withdraw(self.choice.service(), rand::random());
-        let counter = if paid { &instance.metrics.retries } else { &instance.metrics.retries_denied };
+        let is_granted = instance.retries.borrow_mut().withdraw(self.choice.service(), rand::random());
+        let counter = if is_granted { &instance.metrics.retries } else { &instance.metrics.retries_denied };
         counter.inc();
-        paid
+        is_granted
     }
 
     async fn send(
@@ -148,7 +150,7 @@
         request: Request<RequestBody>,
         target: &Rc<Target>,
     ) -> Result<Response<ResponseBody>, TryError> {
-        let sent = match request.body() {
+        let request_sent = match request.body() {
             RequestBody::Streamed(streamed) => streamed.finished(),
             RequestBody::Buffered(_) => Rc::new(Cell::new(true)),
         };
@@ -162,25 +164,30 @@
             in_flight,
             request_id: self.request.id(),
             deadline: self.request.deadline,
-            sent,
-            holding: Holding::new(instance),
+            request_sent,
+            held_answers: HeldAnswerContext::new(instance),
             requests: &instance.requests,
             started,
         };
-        let answered = exchange.run(request).await;
+        let result = exchange.run(request).await;
         instance.follow_limit(target, had_limit);
-        answered
+        result
     }
 
     /// Notes how long a second target took to answer, or that it did not within the time.
-    fn record_second(&self, target: &Target, sent: &Result<Response<ResponseBody>, TryError>, took: Duration) {
-        if matches!(sent, Ok(_) | Err(TryError::TimedOut)) {
+    fn record_second_latency(
+        &self,
+        target: &Target,
+        result: &Result<Response<ResponseBody>, TryError>,
+        took: Duration,
+    ) {
+        if matches!(result, Ok(_) | Err(TryError::TimedOut)) {
             self.request.instance.routing.borrow().record_second(&target.service, took);
         }
     }
 
     /// Logs and counts a failed try. A body of which nothing was sent is kept.
-    fn take_failure(&mut self, error: TryError, target: &Target) {
+    fn record_failure(&mut self, error: TryError, target: &Target) {
         let outcome = error.outcome();
         self.log_failure(outcome, target);
         self.tries.record(outcome);
@@ -207,7 +214,7 @@
 
     /// Logs a target that no request can name; one line for a request, and the log's
     /// rate bounds them all.
-    fn log_unnamed(&self, error: &TargetIdError, target: &Target) {
+    fn log_invalid_target_id(&self, error: &TargetIdError, target: &Target) {
         tracing::warn!(
             event = "target_id_invalid",
             id = self.request.id_text(),
--- a/src/proxy/buffered_answer.rs
+++ b/src/proxy/buffered_response.rs
@@ -9,7 +9,7 @@
 
 /// Largest answer that is read whole before it is passed on, bytes. Above usual answers (30 kB);
 /// bounded for memory.
-pub const MAX_BUFFERED_ANSWER: usize = 64 * 1024;
+pub const MAX_BUFFERED_RESPONSE: usize = 64 * 1024;
 
 /// An answer's body as far as it was read.
 pub enum ReadBody {
@@ -24,7 +24,7 @@
 /// # Errors
 /// Any error of the connection before that is known.
 pub async fn read_body(mut incoming: Incoming) -> Result<ReadBody, hyper::Error> {
-    if incoming.size_hint().lower() > MAX_BUFFERED_ANSWER as u64 {
+    if incoming.size_hint().lower() > MAX_BUFFERED_RESPONSE as u64 {
         return Ok(ReadBody::Streamed(VecDeque::new(), incoming));
     }
     let mut chunks = VecDeque::new();
@@ -34,7 +34,7 @@
         let Ok(chunk) = frame?.into_data() else { continue };
         size += chunk.len();
         chunks.push_back(chunk);
-        if size > MAX_BUFFERED_ANSWER {
+        if size > MAX_BUFFERED_RESPONSE {
             return Ok(ReadBody::Streamed(chunks, incoming));
         }
     }
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -17,11 +17,11 @@
 use crate::net::pool::{Connection, SendError};
 use crate::net::request_body::RequestBody;
 use crate::platform::HeaderNames;
-use crate::proxy::answer_check::{self, AnswerError};
-use crate::proxy::buffered_answer::{ReadBody, read_body};
+use crate::proxy::buffered_response::{ReadBody, read_body};
 use crate::proxy::held_answer::buffer::PART_SIZE;
-use crate::proxy::held_answer::{HeldAnswer, Holding, Progress, Reader, Shared};
-use crate::proxy::response_body::{ResponseBody, Reuse};
+use crate::proxy::held_answer::{HeldAnswer, HeldAnswerContext, Progress, Reader, SharedAnswer};
+use crate::proxy::response_body::{ResponseBody, ReusableConnection};
+use crate::proxy::response_check::{self, ResponseError};
 use crate::proxy::try_error::TryError;
 use crate::state::Requests;
 use crate::telemetry::metrics::Metrics;
@@ -44,9 +44,9 @@
     /// When an answer is no longer of use; an answer's body is broken off then.
     pub deadline: Instant,
     /// Set once the request's body was sent whole.
-    pub sent: Rc<Cell<bool>>,
+    pub request_sent: Rc<Cell<bool>>,
     /// What is held of the answer is bounded and counted by it.
-    pub holding: Holding,
+    pub held_answers: HeldAnswerContext,
     /// Counts an answer that is held as under way.
     pub requests: &'a Requests,
     /// When it was sent.
@@ -61,7 +61,7 @@
     pub async fn run(self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, TryError> {
         let (deadline, started) = (self.deadline, self.started);
         let target = self.in_flight.target().clone();
-        match timeout_at(deadline, self.dispatch(request)).await {
+        match timeout_at(deadline, self.send_and_check(request)).await {
             Ok(result) => result,
             Err(_) => {
                 target.record_latency(started.elapsed(), Instant::now());
@@ -71,24 +71,25 @@
         }
     }
 
-    async fn dispatch(self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, TryError> {
+    async fn send_and_check(self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, TryError> {
         let (response, connection) = self.send(request).await?;
-        let checked = answer_check::check(self.names, self.request_id, &response);
+        let checked = response_check::check(self.names, self.request_id, &response);
         let report = self.load_report(&response);
-        if let Some(report) = report.filter(|_| checked != Err(AnswerError::Foreign)) {
+        if let Some(report) = report.filter(|_| checked != Err(ResponseError::WrongRequestId)) {
             self.in_flight.target().report(report, Instant::now());
         }
-        if !matches!(checked, Err(AnswerError::Foreign | AnswerError::Misdirected | AnswerError::Unsigned)) {
-            self.take_statements(&response);
+        if !matches!(checked, Err(ResponseError::WrongRequestId | ResponseError::Misdirected | ResponseError::Unsigned))
+        {
+            self.apply_signals(&response);
         }
         checked.map_err(|error| self.reject(error, report))?;
-        self.finish(response, connection).await
+        self.read_response(response, connection).await
     }
 
     /// The load that the target reports. One that cannot be read is counted, and logged once a
     /// target; the requests counted here stand in for it.
     fn load_report(&self, response: &Response<Incoming>) -> Option<LoadReport> {
-        answer_check::load_report(self.names, response.headers()).unwrap_or_else(|error| {
+        response_check::load_report(self.names, response.headers()).unwrap_or_else(|error| {
             self.metrics.load_reports_ignored.with_label_values(&[error.as_str()]).inc();
             self.in_flight.target().log_unreadable("load report");
             None
@@ -96,19 +97,19 @@
     }
 
     /// Takes in what the target says of itself.
-    fn take_statements(&self, response: &Response<Incoming>) {
+    fn apply_signals(&self, response: &Response<Incoming>) {
         let target = self.in_flight.target();
-        let stated = answer_check::stated(self.names, response);
-        if stated.limit == StatedLimit::Unreadable {
+        let signals = response_check::response_signals(self.names, response);
+        if signals.limit == StatedLimit::Unreadable {
             target.log_unreadable("rate limit");
         }
-        if stated.leaving == StatedLeaving::Unreadable {
+        if signals.leaving == StatedLeaving::Unreadable {
             target.log_unreadable("leaving");
         }
-        if stated.pause == PauseSignal::Unreadable {
+        if signals.pause == PauseSignal::Unreadable {
             target.log_unreadable("pause");
         }
-        let change = target.take_statements(stated, rand::random(), self.started, Instant::now());
+        let change = target.take_statements(signals, rand::random(), self.started, Instant::now());
         if let Some(rate) = change.limit {
             tracing::info!(event = "target_limit", id = &*target.id, hall = &*target.hall, rate);
         }
@@ -122,16 +123,16 @@
     }
 
     /// What an answer that may not be passed on means for the target and the request.
-    fn reject(&self, error: AnswerError, report: Option<LoadReport>) -> TryError {
+    fn reject(&self, error: ResponseError, report: Option<LoadReport>) -> TryError {
         let target = self.in_flight.target();
         match error {
-            AnswerError::Misdirected => {
+            ResponseError::Misdirected => {
                 target.mark_replaced();
                 TryError::NotExecuted
             }
-            AnswerError::NotExecuted if has_free_slot(report) && !target.is_paused(Instant::now()) => TryError::Shed,
-            AnswerError::NotExecuted => TryError::NotExecuted,
-            AnswerError::Foreign | AnswerError::Unsigned => self.fail(TryError::Lost),
+            ResponseError::NotExecuted if has_free_slot(report) && !target.is_paused(Instant::now()) => TryError::Shed,
+            ResponseError::NotExecuted => TryError::NotExecuted,
+            ResponseError::WrongRequestId | ResponseError::Unsigned => self.fail(TryError::Lost),
         }
     }
 
@@ -143,16 +144,19 @@
             match connection.send(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(SendError::Unsent(unsent)) => request = *unsent,
-                Err(SendError::Lost) => return Err(self.fail(TryError::NoAnswer)),
+                Err(SendError::Lost) => return Err(self.fail(TryError::NoResponse)),
                 Err(SendError::Unreadable) => return Err(self.fail(TryError::Lost)),
             }
         }
-        self.send_anew(request).await
+        self.send_over_new_connection(request).await
     }
 
     /// Sends the request over a new connection. Why none could be opened changes
     /// nothing for the request; its line `try_failed` names the target.
-    async fn send_anew(&self, request: Request<RequestBody>) -> Result<(Response<Incoming>, Connection), TryError> {
+    async fn send_over_new_connection(
+        &self,
+        request: Request<RequestBody>,
+    ) -> Result<(Response<Incoming>, Connection), TryError> {
         let target = self.in_flight.target();
         let Ok(mut connection) = target.pool.connect().await else {
             self.record_failure();
@@ -161,7 +165,7 @@
         match connection.send(request).await {
             Ok(response) => Ok((response, connection)),
             Err(SendError::Unsent(unsent)) => Err(TryError::Unreachable(unsent)),
-            Err(SendError::Lost) => Err(self.fail(TryError::NoAnswer)),
+            Err(SendError::Lost) => Err(self.fail(TryError::NoResponse)),
             Err(SendError::Unreadable) => Err(self.fail(TryError::Lost)),
         }
     }
@@ -175,14 +179,14 @@
     /// Counts a failure of the target, and logs its ejection where that follows.
     fn record_failure(&self) {
         let target = self.in_flight.target();
-        if let Some(lasting) = target.record_failure(self.started, Instant::now()) {
-            let for_ms = lasting.as_millis() as u64;
+        if let Some(duration) = target.record_failure(self.started, Instant::now()) {
+            let for_ms = duration.as_millis() as u64;
             tracing::info!(event = "target_ejected", id = &*target.id, hall = &*target.hall, for_ms);
         }
     }
 
     /// Reads the answer's body if it is small, and makes the answer for the caller.
-    async fn finish(
+    async fn read_response(
         self,
         response: Response<Incoming>,
         connection: Connection,
@@ -199,29 +203,29 @@
         } else {
             self.in_flight.target().record_success(self.started.elapsed(), Instant::now());
         }
-        let reuse = Reuse { connection, keep_alive, sent: self.sent.clone() };
+        let reuse = ReusableConnection { connection, keep_alive, request_sent: self.request_sent.clone() };
         Ok(Response::from_parts(parts, self.response_body(read, reuse)))
     }
 
     /// The body for the caller. Of a large one, the connection and the place at the target go with its
     /// reader.
-    fn response_body(self, read: ReadBody, reuse: Reuse) -> ResponseBody {
-        let (holding, counted) = (self.holding, || self.requests.count());
+    fn response_body(self, read: ReadBody, reuse: ReusableConnection) -> ResponseBody {
+        let (held_answers, counted) = (self.held_answers, || self.requests.count());
         match read {
             ReadBody::Buffered(bytes) => {
-                reuse.settle(&self.in_flight);
+                reuse.release(&self.in_flight);
                 match bytes.len() {
                     0..=PART_SIZE => ResponseBody::buffered(bytes),
-                    _ => ResponseBody::Held(Box::new(HeldAnswer::whole(bytes, &holding.total, counted()))),
+                    _ => ResponseBody::Held(Box::new(HeldAnswer::buffered(bytes, &held_answers.total, counted()))),
                 }
             }
-            ReadBody::Streamed(head, rest) => {
-                let shared = Rc::new(Shared::new(&holding.total, Progress::Reading(rest.size_hint())));
+            ReadBody::Streamed(head, body) => {
+                let shared = Rc::new(SharedAnswer::new(&held_answers.total, Progress::Reading(body.size_hint())));
                 head.into_iter().for_each(|chunk| shared.push(chunk));
                 let (in_flight, deadline, request_id) = (self.in_flight, self.deadline, self.request_id.cloned());
                 let counted = counted();
-                let reader = Reader { shared, rest, reuse, in_flight, deadline, holding, request_id, counted };
-                ResponseBody::Held(Box::new(HeldAnswer::read_by(reader)))
+                let reader = Reader { shared, body, reuse, in_flight, deadline, held_answers, request_id, counted };
+                ResponseBody::Held(Box::new(HeldAnswer::streamed(reader)))
             }
         }
     }
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_answer/buffer.rs
@@ -51,12 +51,12 @@
         if chunk.is_empty() {
             return;
         }
-        let is_alone = self.is_empty();
+        let was_empty = self.is_empty();
         self.held.add(chunk.len() as u64);
-        if chunk.len() < SMALL_CHUNK && !is_alone {
-            self.copy(&chunk);
+        if chunk.len() < SMALL_CHUNK && !was_empty {
+            self.append_to_tail(&chunk);
         } else {
-            self.close_tail();
+            self.flush_tail();
             self.blocks.push_back(chunk);
         }
     }
@@ -64,7 +64,7 @@
     /// Takes the next bytes, `PART_SIZE` at most; `None` where there are none.
     pub fn take_part(&mut self) -> Option<Bytes> {
         if self.blocks.is_empty() {
-            self.close_tail();
+            self.flush_tail();
         }
         let block = self.blocks.front_mut()?;
         let part = block.split_to(block.len().min(PART_SIZE));
@@ -82,9 +82,9 @@
         self.held.release(self.held.own());
     }
 
-    fn copy(&mut self, chunk: &[u8]) {
+    fn append_to_tail(&mut self, chunk: &[u8]) {
         if self.tail.len() + chunk.len() > PART_SIZE {
-            self.close_tail();
+            self.flush_tail();
         }
         if self.tail.is_empty() {
             self.tail.reserve(PART_SIZE);
@@ -93,7 +93,7 @@
     }
 
     /// Makes a block of the small chunks.
-    fn close_tail(&mut self) {
+    fn flush_tail(&mut self) {
         if !self.tail.is_empty() {
             self.blocks.push_back(std::mem::take(&mut self.tail).freeze());
         }
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -11,7 +11,7 @@
 mod shared;
 
 pub use reader::Reader;
-pub use shared::{Progress, Shared};
+pub use shared::{Progress, SharedAnswer};
 
 use crate::decision::refusal::held_answers::HeldLimits;
 use crate::net::buffered_bytes::BufferTotal;
@@ -28,7 +28,7 @@
 
 /// What an instance holds answers by.
 #[derive(Clone, Debug)]
-pub struct Holding {
+pub struct HeldAnswerContext {
     /// Bounds.
     pub limits: HeldLimits,
     /// Bytes held of all answers and request bodies.
@@ -37,7 +37,7 @@
     pub broken: IntCounterVec,
 }
 
-impl Holding {
+impl HeldAnswerContext {
     /// That of an instance.
     pub fn new<P: Platform>(instance: &Instance<P>) -> Self {
         Self {
@@ -48,14 +48,14 @@
     }
 
     /// Whether a request with a large answer may begin.
-    pub fn takes_large_answers(&self) -> bool {
+    pub fn admits_large_answers(&self) -> bool {
         self.limits.takes_large_answers(self.total.get())
     }
 }
 
 /// An answer's body for its caller.
 pub struct HeldAnswer {
-    shared: Rc<Shared>,
+    shared: Rc<SharedAnswer>,
     reader: Option<AbortHandle>,
     /// Counts one without a reader.
     _counted: Option<Counted>,
@@ -63,14 +63,14 @@
 
 impl HeldAnswer {
     /// An answer that is whole in memory.
-    pub fn whole(bytes: Bytes, total: &Rc<BufferTotal>, counted: Counted) -> Self {
-        let shared = Rc::new(Shared::new(total, Progress::Whole));
+    pub fn buffered(bytes: Bytes, total: &Rc<BufferTotal>, counted: Counted) -> Self {
+        let shared = Rc::new(SharedAnswer::new(total, Progress::Complete));
         shared.push(bytes);
         Self { shared, reader: None, _counted: Some(counted) }
     }
 
     /// An answer that a reader takes off its target.
-    pub fn read_by(reader: Reader) -> Self {
+    pub fn streamed(reader: Reader) -> Self {
         let shared = reader.shared.clone();
         let task = tokio::task::spawn_local(reader.run()).abort_handle();
         Self { shared, reader: Some(task), _counted: None }
@@ -80,7 +80,7 @@
 impl Drop for HeldAnswer {
     fn drop(&mut self) {
         // Where the caller has all of it, the reader ends by itself.
-        if let Some(reader) = self.reader.as_ref().filter(|_| !self.shared.is_end()) {
+        if let Some(reader) = self.reader.as_ref().filter(|_| !self.shared.is_end_stream()) {
             reader.abort();
         }
     }
@@ -95,7 +95,7 @@
     }
 
     fn is_end_stream(&self) -> bool {
-        self.shared.is_end()
+        self.shared.is_end_stream()
     }
 
     fn size_hint(&self) -> SizeHint {
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_answer/reader.rs
@@ -10,9 +10,9 @@
 use crate::decision::refusal::held_answers::{LAST_PART, SILENT_CALLER};
 use crate::decision::registry::target::Target;
 use crate::net::request_body::BodyError;
-use crate::proxy::held_answer::Holding;
-use crate::proxy::held_answer::shared::Shared;
-use crate::proxy::response_body::Reuse;
+use crate::proxy::held_answer::HeldAnswerContext;
+use crate::proxy::held_answer::shared::SharedAnswer;
+use crate::proxy::response_body::ReusableConnection;
 use crate::state::Counted;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming};
@@ -25,17 +25,17 @@
 /// An answer that is taken off its target.
 pub struct Reader {
     /// Where it goes.
-    pub shared: Rc<Shared>,
+    pub shared: Rc<SharedAnswer>,
     /// What is still to come.
-    pub rest: Incoming,
+    pub body: Incoming,
     /// Its connection.
-    pub reuse: Reuse,
+    pub reuse: ReusableConnection,
     /// Its place at the target.
     pub in_flight: InFlight<Target>,
     /// When it is broken off.
     pub deadline: Instant,
     /// Bounds and counters.
-    pub holding: Holding,
+    pub held_answers: HeldAnswerContext,
     /// The caller's identity for the request.
     pub request_id: Option<HeaderValue>,
     /// Counts the answer as under way until its caller has it.
@@ -43,7 +43,7 @@
 }
 
 /// What came of a look for more of an answer.
-enum Next {
+enum ReadStep {
     /// The next frame.
     Frame(Frame<Bytes>),
     /// Its end.
@@ -59,19 +59,19 @@
         let is_whole = read.is_ok();
         match read {
             Ok(()) => self.shared.complete(),
-            Err(error) => self.log_broken(error),
+            Err(error) => self.abort_answer(error),
         }
-        let Self { shared, rest, reuse, in_flight, deadline, holding, request_id, counted } = self;
-        let end = End { shared, holding, request_id, target: in_flight.target().clone(), is_whole };
+        let Self { shared, body, reuse, in_flight, deadline, held_answers, request_id, counted } = self;
+        let finished = FinishedRead { shared, held_answers, request_id, target: in_flight.target().clone(), is_whole };
         if is_whole {
-            reuse.settle(&in_flight);
+            reuse.release(&in_flight);
         } else {
             // Closes the connection, which cancels what still runs at the target.
-            drop((reuse, rest));
+            drop((reuse, body));
         }
         drop(in_flight);
-        end.holding.total.wake_next();
-        end.wait_until_taken(deadline).await;
+        finished.held_answers.total.wake_next();
+        finished.wait_until_consumed(deadline).await;
         sleep(LAST_PART).await;
         drop(counted);
     }
@@ -79,20 +79,20 @@
     async fn read(&mut self) -> Result<(), BodyError> {
         loop {
             self.wait_for_room().await;
-            match self.next().await? {
-                Next::Frame(frame) => self.take(frame),
-                Next::End => return Ok(()),
-                Next::NoRoom => {}
+            match self.next_frame().await? {
+                ReadStep::Frame(frame) => self.store_frame(frame),
+                ReadStep::End => return Ok(()),
+                ReadStep::NoRoom => {}
             }
             // Before the caller's side runs, which may end with the last byte.
-            if self.rest.is_end_stream() {
+            if self.body.is_end_stream() {
                 return Ok(());
             }
         }
     }
 
-    fn take(&self, frame: Frame<Bytes>) {
-        self.shared.expect(self.rest.size_hint());
+    fn store_frame(&self, frame: Frame<Bytes>) {
+        self.shared.set_remaining(self.body.size_hint());
         match frame.into_data() {
             Ok(chunk) => self.shared.push(chunk),
             // The only other kind; told once the bytes before them are.
@@ -101,25 +101,25 @@
     }
 
     /// The next frame. Whether there is room is asked again when it has come: others may have used it up.
-    async fn next(&mut self) -> Result<Next, BodyError> {
-        let frame = poll_fn(|context| match self.shared.reads_on(&self.holding.limits) {
-            true => Pin::new(&mut self.rest).poll_frame(context).map(Some),
+    async fn next_frame(&mut self) -> Result<ReadStep, BodyError> {
+        let frame = poll_fn(|context| match self.shared.may_read(&self.held_answers.limits) {
+            true => Pin::new(&mut self.body).poll_frame(context).map(Some),
             false => Poll::Ready(None),
         });
         match frame.await {
-            Some(Some(frame)) => Ok(Next::Frame(frame?)),
-            Some(None) => Ok(Next::End),
-            None => Ok(Next::NoRoom),
+            Some(Some(frame)) => Ok(ReadStep::Frame(frame?)),
+            Some(None) => Ok(ReadStep::End),
+            None => Ok(ReadStep::NoRoom),
         }
     }
 
     /// Waits until the answer may be read on, and wakes the next one that waits where there is room left.
     async fn wait_for_room(&self) {
-        let Holding { limits, total, .. } = &self.holding;
-        while !self.shared.reads_on(&self.holding.limits) {
-            let (own, _) = self.shared.held();
+        let HeldAnswerContext { limits, total, .. } = &self.held_answers;
+        while !self.shared.may_read(&self.held_answers.limits) {
+            let (own, _) = self.shared.held_bytes();
             tokio::select! {
-                () = self.shared.taken() => {}
+                () = self.shared.consumed() => {}
                 () = total.freed(), if !limits.is_full(own) => {}
             }
         }
@@ -128,47 +128,53 @@
         }
     }
 
-    fn log_broken(&self, error: BodyError) {
-        log_broken(&self.holding, self.request_id.as_ref(), self.in_flight.target(), &self.shared, error);
+    fn abort_answer(&self, error: BodyError) {
+        abort_answer(&self.held_answers, self.request_id.as_ref(), self.in_flight.target(), &self.shared, error);
     }
 }
 
 /// An answer that is off its target, or broke off there.
-struct End {
-    shared: Rc<Shared>,
-    holding: Holding,
+struct FinishedRead {
+    shared: Rc<SharedAnswer>,
+    held_answers: HeldAnswerContext,
     request_id: Option<HeaderValue>,
     target: Rc<Target>,
     is_whole: bool,
 }
 
-impl End {
+impl FinishedRead {
     /// Keeps what is held until the caller has it, or takes nothing for too long.
-    async fn wait_until_taken(self, deadline: Instant) {
+    async fn wait_until_consumed(self, deadline: Instant) {
         let mut latest = deadline.max(Instant::now()) + SILENT_CALLER;
-        while !self.shared.is_taken() {
-            if timeout_at(latest, self.shared.taken()).await.is_err() {
-                return self.give_up();
+        while !self.shared.is_consumed() {
+            if timeout_at(latest, self.shared.consumed()).await.is_err() {
+                return self.drop_unread();
             }
             latest = latest.max(Instant::now() + SILENT_CALLER);
         }
     }
 
     /// Drops what is held. That an answer broke off is logged already.
-    fn give_up(self) {
-        let Self { shared, holding, request_id, target, is_whole } = self;
+    fn drop_unread(self) {
+        let Self { shared, held_answers, request_id, target, is_whole } = self;
         match is_whole {
-            true => log_broken(&holding, request_id.as_ref(), &target, &shared, BodyError::Unread),
-            false => shared.break_off(BodyError::Unread),
+            true => abort_answer(&held_answers, request_id.as_ref(), &target, &shared, BodyError::Unread),
+            false => shared.abort(BodyError::Unread),
         }
     }
 }
 
 /// Ends an answer that its caller does not get whole, and says why.
-fn log_broken(holding: &Holding, id: Option<&HeaderValue>, target: &Target, shared: &Shared, error: BodyError) {
-    let (held, _) = shared.held();
+fn abort_answer(
+    held_answers: &HeldAnswerContext,
+    id: Option<&HeaderValue>,
+    target: &Target,
+    shared: &SharedAnswer,
+    error: BodyError,
+) {
+    let (held, _) = shared.held_bytes();
     let fault = error.as_str();
-    holding.broken.with_label_values(&[fault]).inc();
+    held_answers.broken.with_label_values(&[fault]).inc();
     tracing::info!(
         event = "answer_broken",
         id = id.and_then(|id| id.to_str().ok()),
@@ -178,5 +184,5 @@
         held,
         error = %error,
     );
-    shared.break_off(error);
+    shared.abort(error);
 }
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_answer/shared.rs
@@ -21,7 +21,7 @@
     /// More is to come, of this size.
     Reading(SizeHint),
     /// It is whole.
-    Whole,
+    Complete,
     /// It broke off; taken when the caller's side reports it.
     Broken(Option<BodyError>),
 }
@@ -31,24 +31,24 @@
     buffer: AnswerBuffer,
     trailers: Option<HeaderMap>,
     /// Most bytes that were held while there was room.
-    most: u64,
+    max_held: u64,
     progress: Progress,
     /// The caller's side, where it waits for bytes.
-    waiting: Option<Waker>,
+    waker: Option<Waker>,
 }
 
 /// An answer between its target and its caller.
 #[derive(Debug)]
-pub struct Shared {
+pub struct SharedAnswer {
     state: RefCell<State>,
-    taken: Notify,
+    consumed: Notify,
 }
 
-impl Shared {
+impl SharedAnswer {
     /// An answer of which nothing was read yet.
     pub fn new(total: &Rc<BufferTotal>, progress: Progress) -> Self {
-        let state = State { buffer: AnswerBuffer::new(total), trailers: None, most: 0, progress, waiting: None };
-        Self { state: RefCell::new(state), taken: Notify::new() }
+        let state = State { buffer: AnswerBuffer::new(total), trailers: None, max_held: 0, progress, waker: None };
+        Self { state: RefCell::new(state), consumed: Notify::new() }
     }
 
     /// Adds bytes that were read.
@@ -64,19 +64,19 @@
     }
 
     /// Notes what is still to come.
-    pub fn expect(&self, rest: SizeHint) {
-        self.state.borrow_mut().progress = Progress::Reading(rest);
+    pub fn set_remaining(&self, remaining: SizeHint) {
+        self.state.borrow_mut().progress = Progress::Reading(remaining);
     }
 
     /// Ends it as whole.
     pub fn complete(&self) {
         let mut state = self.state.borrow_mut();
-        state.progress = Progress::Whole;
+        state.progress = Progress::Complete;
         wake(&mut state);
     }
 
     /// Ends it as broken; what is held is given up where no more of it is wanted.
-    pub fn break_off(&self, error: BodyError) {
+    pub fn abort(&self, error: BodyError) {
         let mut state = self.state.borrow_mut();
         if !matches!(error, BodyError::Broken(_)) {
             state.buffer.clear();
@@ -86,52 +86,52 @@
     }
 
     /// Bytes held of it, and of all.
-    pub fn held(&self) -> (u64, u64) {
+    pub fn held_bytes(&self) -> (u64, u64) {
         let state = self.state.borrow();
         (state.buffer.len(), state.buffer.total())
     }
 
     /// Whether it is read on within these bounds.
-    pub fn reads_on(&self, limits: &HeldLimits) -> bool {
+    pub fn may_read(&self, limits: &HeldLimits) -> bool {
         let mut state = self.state.borrow_mut();
         let (own, total) = (state.buffer.len(), state.buffer.total());
         if limits.has_room(own, total) {
-            state.most = state.most.max(own);
+            state.max_held = state.max_held.max(own);
         }
-        limits.reads_on(own, total, state.most, state.waiting.is_some())
+        limits.reads_on(own, total, state.max_held, state.waker.is_some())
     }
 
     /// Returns once the caller's side took bytes or began to wait.
-    pub async fn taken(&self) {
-        self.taken.notified().await;
+    pub async fn consumed(&self) {
+        self.consumed.notified().await;
     }
 
     /// The next frame for the caller.
     pub fn poll_frame(&self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let mut state = self.state.borrow_mut();
         if let Some(part) = state.buffer.take_part() {
-            self.taken.notify_one();
+            self.consumed.notify_one();
             return Poll::Ready(Some(Ok(Frame::data(part))));
         }
         match &mut state.progress {
             Progress::Reading(_) => {
-                state.waiting = Some(context.waker().clone());
-                self.taken.notify_one();
+                state.waker = Some(context.waker().clone());
+                self.consumed.notify_one();
                 Poll::Pending
             }
-            Progress::Whole => Poll::Ready(state.trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))),
+            Progress::Complete => Poll::Ready(state.trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))),
             Progress::Broken(error) => Poll::Ready(error.take().map(Err)),
         }
     }
 
     /// Whether the caller has all of it.
-    pub fn is_end(&self) -> bool {
+    pub fn is_end_stream(&self) -> bool {
         let state = self.state.borrow();
-        matches!(state.progress, Progress::Whole) && state.buffer.is_empty() && state.trailers.is_none()
+        matches!(state.progress, Progress::Complete) && state.buffer.is_empty() && state.trailers.is_none()
     }
 
     /// Whether the caller took all that there is and will be.
-    pub fn is_taken(&self) -> bool {
+    pub fn is_consumed(&self) -> bool {
         let state = self.state.borrow();
         !matches!(state.progress, Progress::Reading(_)) && state.buffer.is_empty()
     }
@@ -140,17 +140,17 @@
     pub fn size_hint(&self) -> SizeHint {
         let state = self.state.borrow();
         match &state.progress {
-            Progress::Reading(rest) => {
-                rest.exact().map_or_else(SizeHint::default, |rest| SizeHint::with_exact(rest + state.buffer.len()))
-            }
-            Progress::Whole => SizeHint::with_exact(state.buffer.len()),
+            Progress::Reading(remaining) => remaining
+                .exact()
+                .map_or_else(SizeHint::default, |remaining| SizeHint::with_exact(remaining + state.buffer.len())),
+            Progress::Complete => SizeHint::with_exact(state.buffer.len()),
             Progress::Broken(_) => SizeHint::default(),
         }
     }
 }
 
 fn wake(state: &mut State) {
-    if let Some(waker) = state.waiting.take() {
+    if let Some(waker) = state.waker.take() {
         waker.wake();
     }
 }
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -23,7 +23,7 @@
 const MAX_BUFFERED_BODY: u64 = 512 * 1024;
 /// Buffered bodies take at most one in this many bytes of the memory limit; peak memory beside them
 /// is 7 MB.
-const BUFFER_DIVISOR: u64 = 8;
+const BUFFERED_BODY_DIVISOR: u64 = 8;
 
 /// A request's body.
 #[derive(Debug)]
@@ -33,7 +33,7 @@
         /// Its bytes.
         bytes: Bytes,
         /// Counts them while they are in memory.
-        _held: BufferedBytes,
+        _buffered: BufferedBytes,
     },
     /// Streamed as it arrives; `None` once it was sent.
     Streamed(Option<StreamedBody>),
@@ -52,28 +52,28 @@
         body: CallerBody,
         deadline: Instant,
     ) -> Result<IncomingBody, Refusal> {
-        let mut held = BufferedBytes::none(instance.requests.buffer_counter());
+        let mut buffered = BufferedBytes::none(instance.requests.buffer_counter());
         let CallerBody::Streamed(mut incoming) = body else {
-            return Ok(IncomingBody::Buffered { bytes: Bytes::new(), _held: held });
+            return Ok(IncomingBody::Buffered { bytes: Bytes::new(), _buffered: buffered });
         };
-        let least = incoming.size_hint().lower();
-        if least > max_bytes {
+        let min_size = incoming.size_hint().lower();
+        if min_size > max_bytes {
             return Err(Refusal::TooLarge);
         }
         let mut chunks = VecDeque::new();
-        let max_total = instance.settings.borrow().memory / BUFFER_DIVISOR;
-        while may_hold_more(&held, least, max_total) {
+        let max_total = instance.settings.borrow().memory / BUFFERED_BODY_DIVISOR;
+        while may_buffer_more(&buffered, min_size, max_total) {
             let Some(frame) = next_frame(&mut incoming, deadline).await? else {
-                return Ok(IncomingBody::Buffered { bytes: chunks::join(chunks), _held: held });
+                return Ok(IncomingBody::Buffered { bytes: chunks::join(chunks), _buffered: buffered });
             };
             // Trailers are dropped: a buffered body has none.
             if let Ok(chunk) = frame.into_data() {
-                held.add(chunk.len() as u64);
+                buffered.add(chunk.len() as u64);
                 chunks.push_back(chunk);
             }
         }
-        let allowance = max_bytes.checked_sub(held.own()).ok_or(Refusal::TooLarge)?;
-        Ok(IncomingBody::Streamed(Some(StreamedBody::new(chunks, held, incoming, allowance))))
+        let allowance = max_bytes.checked_sub(buffered.own()).ok_or(Refusal::TooLarge)?;
+        Ok(IncomingBody::Streamed(Some(StreamedBody::new(chunks, buffered, incoming, allowance))))
     }
 
     /// The fingerprint of a request with this body, which was not sent yet.
@@ -89,7 +89,7 @@
     }
 
     /// The body for one target; `None` where it is gone.
-    pub fn send(&mut self) -> Option<RequestBody> {
+    pub fn for_try(&mut self) -> Option<RequestBody> {
         match self {
             IncomingBody::Buffered { bytes, .. } => Some(RequestBody::Buffered(Full::new(bytes.clone()))),
             IncomingBody::Streamed(streamed) => streamed.take().map(RequestBody::Streamed),
@@ -114,14 +114,14 @@
     }
 }
 
-/// Whether more of a body of at least `least` bytes is read before it is sent: all of one that
+/// Whether more of a body of at least `min_size` bytes is read before it is sent: all of one that
 /// is buffered, and of a larger one what its fingerprint is made of.
-fn may_hold_more(held: &BufferedBytes, least: u64, max_total: u64) -> bool {
-    let is_buffered = least <= MAX_BUFFERED_BODY;
-    (is_buffered || held.own() < STREAMED_BYTES as u64) && has_room(held, max_total)
+fn may_buffer_more(buffered: &BufferedBytes, min_size: u64, max_total: u64) -> bool {
+    let is_buffered = min_size <= MAX_BUFFERED_BODY;
+    (is_buffered || buffered.own() < STREAMED_BYTES as u64) && has_room(buffered, max_total)
 }
 
 /// Whether more of this body may be buffered, with at most `max_total` bytes of all.
-fn has_room(held: &BufferedBytes, max_total: u64) -> bool {
-    held.own() <= MAX_BUFFERED_BODY && held.total() <= max_total
+fn has_room(buffered: &BufferedBytes, max_total: u64) -> bool {
+    buffered.own() <= MAX_BUFFERED_BODY && buffered.total() <= max_total
 }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -6,7 +6,7 @@
 use crate::model::config::{Repeat, Route};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
 use crate::platform::Platform;
-use crate::proxy::buffered_answer::MAX_BUFFERED_ANSWER;
+use crate::proxy::buffered_response::MAX_BUFFERED_RESPONSE;
 use crate::proxy::request;
 use crate::proxy::response_body::ResponseBody;
 use crate::state::Instance;
@@ -16,19 +16,19 @@
 
 /// Callers' connections take at most one in this many of the descriptors: a request may need a
 /// connection to a target as well.
-const CALLER_DIVISOR: u32 = 2;
+const CALLER_CONNECTION_DIVISOR: u32 = 2;
 
 /// Answers that wait for those ahead of them on their connection take at most one in this many
 /// bytes of the memory limit.
-const EARLY_DIVISOR: u64 = 8;
+const EARLY_RESPONSE_DIVISOR: u64 = 8;
 
 /// Answers requests of callers.
 pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
 
 /// Counts a request for as long as it is processed.
-struct Active<'a, P: Platform>(&'a Instance<P>);
+struct ActiveRequest<'a, P: Platform>(&'a Instance<P>);
 
-impl<'a, P: Platform> Active<'a, P> {
+impl<'a, P: Platform> ActiveRequest<'a, P> {
     fn new(instance: &'a Instance<P>) -> Self {
         instance.requests.begin();
         instance.metrics.active.inc();
@@ -36,7 +36,7 @@
     }
 }
 
-impl<P: Platform> Drop for Active<'_, P> {
+impl<P: Platform> Drop for ActiveRequest<'_, P> {
     fn drop(&mut self) {
         self.0.requests.end();
         self.0.metrics.active.dec();
@@ -45,16 +45,16 @@
 
 impl<P: Platform> CallerListener<P> {
     /// Whether the answer to one more request may wait for those ahead of it.
-    fn has_early_room(&self) -> bool {
-        let most = self.0.settings.borrow().memory / EARLY_DIVISOR;
-        self.0.requests.unanswered().saturating_add(1).saturating_mul(MAX_BUFFERED_ANSWER as u64) <= most
+    fn has_memory_for_early_response(&self) -> bool {
+        let max_bytes = self.0.settings.borrow().memory / EARLY_RESPONSE_DIVISOR;
+        self.0.requests.unanswered().saturating_add(1).saturating_mul(MAX_BUFFERED_RESPONSE as u64) <= max_bytes
     }
 
     /// Whether a request has a route in the configuration in force of which this holds.
-    fn is_on_route(&self, head: &Parts, holds: impl FnOnce(&Route) -> bool) -> bool {
+    fn has_route_where(&self, head: &Parts, predicate: impl FnOnce(&Route) -> bool) -> bool {
         let routing = self.0.routing.borrow();
         let Some(config) = &routing.config else { return false };
-        request::find_route(config, &head.uri, &head.headers).is_ok_and(holds)
+        request::find_route(config, &head.uri, &head.headers).is_ok_and(predicate)
     }
 }
 
@@ -66,8 +66,8 @@
     type Body = ResponseBody;
 
     async fn answer(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
-        let _active = Active::new(&self.0);
-        request::answer(&self.0, request).await
+        let _active = ActiveRequest::new(&self.0);
+        request::handle(&self.0, request).await
     }
 
     fn limits(&self) -> ConnectionLimits {
@@ -79,7 +79,7 @@
             head_bytes: limits.head_bytes,
             head_time: limits.head_time,
             idle_time: limits.idle_time,
-            connections: (self.0.settings.borrow().descriptors / CALLER_DIVISOR).max(1),
+            connections: (self.0.settings.borrow().descriptors / CALLER_CONNECTION_DIVISOR).max(1),
         }
     }
 
@@ -90,11 +90,11 @@
     fn may_begin_early(&self, head: &Parts) -> bool {
         // A large answer that nobody reads yet would hold its target.
         let may_begin = |route: &Route| is_repeatable(route) && !route.large_answers;
-        !self.is_stopping() && self.has_early_room() && self.is_on_route(head, may_begin)
+        !self.is_stopping() && self.has_memory_for_early_response() && self.has_route_where(head, may_begin)
     }
 
     fn may_be_overtaken(&self, head: &Parts) -> bool {
-        self.is_on_route(head, is_repeatable)
+        self.has_route_where(head, is_repeatable)
     }
 
     fn is_stopping(&self) -> bool {
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -15,8 +15,8 @@
 //!    target, [`outgoing_request`] builds the request for it. What the tries show of requests that
 //!    end targets goes to [`strikes`].
 //! 5. [`exchange`] sends it to that target over a connection of its pool
-//!    ([`crate::net::pool`]). [`answer_check`] says whether the answer may be passed on,
-//!    [`try_error`] why there is none; [`buffered_answer`] reads a small answer whole, so
+//!    ([`crate::net::pool`]). [`response_check`] says whether the answer may be passed on,
+//!    [`try_error`] why there is none; [`buffered_response`] reads a small answer whole, so
 //!    that one that breaks off can be replaced.
 //! 6. [`response_body`] carries the answer to the caller; a large one is taken off its target at once, and
 //!    is a [`held_answer`] while the caller reads it. A [`refusal`] is the answer where
@@ -37,9 +37,8 @@
 //! and the places it held are free.
 
 pub mod access_record;
-pub mod answer_check;
 pub mod attempts;
-pub mod buffered_answer;
+pub mod buffered_response;
 pub mod caller_request;
 pub mod caller_tenant;
 pub mod exchange;
@@ -50,6 +49,7 @@
 pub mod refusal;
 pub mod request;
 pub mod response_body;
+pub mod response_check;
 pub mod strikes;
 pub mod target_choice;
 pub mod try_error;
--- a/src/proxy/outgoing_request.rs
+++ b/src/proxy/outgoing_request.rs
@@ -24,15 +24,15 @@
     body: RequestBody,
     target: &Target,
 ) -> Result<Request<RequestBody>, TargetIdError> {
-    let expected = HeaderValue::from_str(&target.id)?;
+    let expected_target = HeaderValue::from_str(&target.id)?;
     let mut request = Request::new(body);
     *request.method_mut() = caller.parts.method.clone();
     *request.uri_mut() = caller.parts.uri.clone();
     *request.version_mut() = Version::HTTP_11;
     *request.headers_mut() = caller.parts.headers.clone();
     let names = &caller.instance.names;
-    let left = caller.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
-    request.headers_mut().insert(&names.deadline_ms, HeaderValue::from(left));
-    request.headers_mut().insert(&names.expected_target, expected);
+    let remaining = caller.deadline.saturating_duration_since(Instant::now()).as_millis() as u64;
+    request.headers_mut().insert(&names.deadline_ms, HeaderValue::from(remaining));
+    request.headers_mut().insert(&names.expected_target, expected_target);
     Ok(request)
 }
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -148,19 +148,19 @@
     }
 
     /// Whether no target ran the request and none will.
-    pub fn means_not_run(self) -> bool {
+    pub fn is_not_run(self) -> bool {
         !matches!(self, Refusal::Lost | Refusal::TimedOut)
     }
 
-    /// How long the caller should wait before it tries again, where waiting helps; `room_in`
+    /// How long the caller should wait before it tries again, where waiting helps; `capacity_wait`
     /// is the time after which there is probably room.
-    pub fn retry_after(self, room_in: Duration) -> Option<Duration> {
+    pub fn retry_after(self, capacity_wait: Duration) -> Option<Duration> {
         match self {
             Refusal::Full | Refusal::Capped | Refusal::TurnedAway | Refusal::Unreachable | Refusal::TooLate => {
-                Some(room_in)
+                Some(capacity_wait)
             }
             Refusal::NoConfig | Refusal::NoTarget => Some(RETRY_AFTER_OUTAGE),
-            Refusal::OverQuota | Refusal::Limited | Refusal::HeldAnswers => Some(room_in),
+            Refusal::OverQuota | Refusal::Limited | Refusal::HeldAnswers => Some(capacity_wait),
             Refusal::Quarantined => Some(FIRST_PROBE_DELAY),
             Refusal::Stopping | Refusal::Shed | Refusal::KeyMoved | Refusal::StaleKeys | Refusal::StaleRoutes => {
                 Some(RETRY_AT_ONCE)
@@ -169,11 +169,11 @@
         }
     }
 
-    /// The answer for the caller; `room_in` is the time after which there is probably room at
+    /// The answer for the caller; `capacity_wait` is the time after which there is probably room at
     /// the service.
-    pub fn answer(self, room_in: Duration) -> Response<ResponseBody> {
+    pub fn response(self, capacity_wait: Duration) -> Response<ResponseBody> {
         let mut builder = Response::builder().status(self.status()).header(CONTENT_TYPE, "text/plain");
-        if let Some(wait) = self.retry_after(room_in) {
+        if let Some(wait) = self.retry_after(capacity_wait) {
             let seconds = wait.as_millis() as f64 / 1_000.0;
             builder = builder.header(RETRY_AFTER, seconds.to_string());
         }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -19,7 +19,7 @@
 use crate::proxy::attempts::Attempts;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::caller_tenant::{CallerTenant, write_tenant};
-use crate::proxy::held_answer::Holding;
+use crate::proxy::held_answer::HeldAnswerContext;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
 use crate::proxy::response_body::ResponseBody;
@@ -39,7 +39,7 @@
 /// How long a request waits for the first configuration. Longer than a large fleet needs
 /// that starts together: a caller who is refused comes back half a second later and has used up a
 /// retry.
-const FIRST_CONFIG: Duration = Duration::from_millis(600);
+const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long before the caller's deadline its answer is sent: one way between regions (12 ms) and some work.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(15);
 
@@ -55,7 +55,7 @@
 }
 
 /// Answers a caller's request, whatever comes of it.
-pub async fn answer<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<ResponseBody> {
+pub async fn handle<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<ResponseBody> {
     let now = Instant::now();
     instance.requests.mark_arrival(now);
     let arrival = request.extensions().get().copied().unwrap_or(Arrival { read_at: now, is_early: false });
@@ -63,36 +63,37 @@
     if arrival.is_early {
         instance.metrics.early_requests.inc();
     }
-    let asked = request.body().size_hint().lower();
+    let request_bytes = request.body().size_hint().lower();
     let id = request.headers().get(&instance.names.request_id).cloned();
-    let mut record = AccessRecord { id, is_early: arrival.is_early, waited: now - started, ..AccessRecord::default() };
+    let mut record =
+        AccessRecord { id, is_early: arrival.is_early, queue_time: now - started, ..AccessRecord::default() };
     let (outcome, response) = match process(instance, request, started, &mut record).await {
         Ok(response) => {
-            instance.request_size.observe(asked, response.body().size_hint().lower());
+            instance.request_size.observe(request_bytes, response.body().size_hint().lower());
             (ANSWERED, response)
         }
-        Err(refusal) => (refusal.as_str(), refusal.answer(return_in(instance, &record, refusal))),
+        Err(refusal) => (refusal.as_str(), refusal.response(retry_delay(instance, &record, refusal))),
     };
-    let took = started.elapsed();
+    let duration = started.elapsed();
     instance.metrics.requests.with_label_values(&[outcome]).inc();
-    instance.metrics.latency.with_label_values(&[outcome]).observe(took.as_secs_f64());
+    instance.metrics.latency.with_label_values(&[outcome]).observe(duration.as_secs_f64());
     if outcome != ANSWERED || instance.log.lines().takes_success(std::time::Instant::now()) {
         let (view_age, view_proof) = (instance.store_copy.view_age(), instance.store_copy.view_proof());
-        record.log(&RequestEnd { outcome, status: response.status(), took, view_age, view_proof });
+        record.log(&RequestEnd { outcome, status: response.status(), duration, view_age, view_proof });
     }
     response
 }
 
 /// When a refused caller may find room: at the service that was chosen for its request, or in its
 /// tenant's quota.
-fn return_in<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
+fn retry_delay<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
     if refusal == Refusal::OverQuota {
         return spread(QUOTA_WAIT, rand::random());
     }
     if refusal == Refusal::HeldAnswers {
         return spread(HELD_WAIT, rand::random());
     }
-    if let Some(wait) = record.wait {
+    if let Some(wait) = record.pause_wait {
         return wait + spread(LIMIT_WAIT, rand::random());
     }
     let median = match &record.service {
@@ -112,20 +113,20 @@
     if instance.lifecycle.is_ending() {
         return Err(Refusal::Stopping);
     }
-    let config = first_config(instance).await.ok_or(Refusal::NoConfig)?;
+    let config = wait_for_config(instance).await.ok_or(Refusal::NoConfig)?;
     record.config = config.version;
     let route = find_route(&config, request.uri(), request.headers());
-    let route = route.map_err(|refusal| while_stale(instance, refusal))?;
+    let route = route.map_err(|refusal| refusal_while_stale(instance, refusal))?;
     record.route = Some(route.name.clone());
     let caller = find_caller(instance, &config, route, request.headers())?;
     record.tenant = caller.as_ref().map(|caller| caller.tenant.name.clone());
     let deadline = deadline(request.headers(), &instance.names.deadline_ms, route, started)?;
     let stop = instance.settings.borrow().stop;
-    let allowed = deadline.saturating_duration_since(Instant::now());
-    if !takes_requests(instance.lifecycle.stopping_for(), stop, allowed) {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if !takes_requests(instance.lifecycle.stopping_for(), stop, remaining) {
         return Err(Refusal::Stopping);
     }
-    if route.large_answers && !Holding::new(instance).takes_large_answers() {
+    if route.large_answers && !HeldAnswerContext::new(instance).admits_large_answers() {
         return Err(Refusal::HeldAnswers);
     }
     let tenant = caller.as_ref().map(|caller| caller.tenant);
@@ -133,23 +134,23 @@
         record.quota = Some(quota_record(instance, tenant));
         return Err(Refusal::OverQuota);
     }
-    let understood = Understood { instance, config: &config, route, caller, started, deadline };
-    let answered = understood.send(request, record).await;
-    if let (Err(refusal), Some(tenant)) = (&answered, tenant)
-        && refusal.means_not_run()
+    let admitted = AdmittedRequest { instance, config: &config, route, caller, started, deadline };
+    let result = admitted.send(request, record).await;
+    if let (Err(refusal), Some(tenant)) = (&result, tenant)
+        && refusal.is_not_run()
     {
         instance.quotas.release(tenant);
     }
-    answered
+    result
 }
 
 fn quota_record<P: Platform>(instance: &Instance<P>, tenant: &Tenant) -> QuotaRecord {
-    let own = instance.quotas.own();
-    QuotaRecord { share: own.pass(&tenant.name), answer_age: own.answer_age(Instant::now()) }
+    let usage = instance.quotas.own();
+    QuotaRecord { admit_ratio: usage.pass(&tenant.name), answer_age: usage.answer_age(Instant::now()) }
 }
 
 /// A request of which all is known but its body.
-struct Understood<'a, P: Platform> {
+struct AdmittedRequest<'a, P: Platform> {
     instance: &'a Instance<P>,
     config: &'a Config,
     route: &'a Route,
@@ -158,7 +159,7 @@
     deadline: Instant,
 }
 
-impl<P: Platform> Understood<'_, P> {
+impl<P: Platform> AdmittedRequest<'_, P> {
     /// Reads the body, and tries the request at targets.
     async fn send(
         self,
@@ -170,7 +171,7 @@
         let body = IncomingBody::read(instance, config.limits.body_bytes, incoming, deadline).await?;
         let fingerprint = fingerprint(&parts, &instance.names.affinity_key, &body);
         record.fingerprint = Some(fingerprint);
-        clean(&mut parts)?;
+        prepare_for_target(&mut parts)?;
         let tenant = caller.as_ref().map(|caller| caller.tenant);
         write_tenant(&mut parts.headers, &instance.names, tenant)?;
         let request = CallerRequest { instance, config, route, caller, parts, fingerprint, started, deadline };
@@ -197,8 +198,8 @@
 
 /// The configuration in force. A process that has just started receives it within
 /// a few milliseconds; requests that arrive before wait for it.
-async fn first_config<P: Platform>(instance: &Instance<P>) -> Option<Rc<Config>> {
-    let until = Instant::now() + FIRST_CONFIG;
+async fn wait_for_config<P: Platform>(instance: &Instance<P>) -> Option<Rc<Config>> {
+    let until = Instant::now() + FIRST_CONFIG_TIMEOUT;
     loop {
         let changed = instance.store_copy.changed();
         if let Some(config) = &instance.routing.borrow().config {
@@ -211,8 +212,8 @@
 /// Whether keys may have been taken away for longer than the operators allow without word of it
 /// here. Only where they want keys to expire.
 fn has_stale_keys<P: Platform>(instance: &Instance<P>) -> bool {
-    let Some(longest) = instance.settings.borrow().keys_expire else { return false };
-    instance.store_copy.view_age().is_none_or(|age| age > longest)
+    let Some(max_age) = instance.settings.borrow().keys_expire else { return false };
+    instance.store_copy.view_age().is_none_or(|age| age > max_age)
 }
 
 /// The route of a request.
@@ -227,7 +228,7 @@
 
 /// What is refused in place of a missing route while the view is stale: 404 is for good, and the
 /// route may be there by now.
-fn while_stale<P: Platform>(instance: &Instance<P>, refusal: Refusal) -> Refusal {
+fn refusal_while_stale<P: Platform>(instance: &Instance<P>, refusal: Refusal) -> Refusal {
     match refusal {
         Refusal::NoRoute if !instance.store_copy.is_current() => Refusal::StaleRoutes,
         other => other,
@@ -256,15 +257,15 @@
 /// When an answer is no longer of use: the earlier of the caller's deadline and the
 /// route's timeout.
 fn deadline(headers: &HeaderMap, name: &HeaderName, route: &Route, started: Instant) -> Result<Instant, DeadlineError> {
-    let deadline = match milliseconds(headers, name)? {
-        Some(left) => started + left.saturating_sub(DEADLINE_MARGIN),
+    let deadline = match parse_milliseconds(headers, name)? {
+        Some(remaining) => started + remaining.saturating_sub(DEADLINE_MARGIN),
         None => started + DEFAULT_DEADLINE,
     };
     Ok(route.timeout.map_or(deadline, |timeout| deadline.min(started + timeout)))
 }
 
 /// A duration in milliseconds; `None` where the header is absent.
-fn milliseconds(headers: &HeaderMap, name: &HeaderName) -> Result<Option<Duration>, DeadlineError> {
+fn parse_milliseconds(headers: &HeaderMap, name: &HeaderName) -> Result<Option<Duration>, DeadlineError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let text = value.to_str().map_err(|_| DeadlineError)?;
     let number = text.trim().parse().map_err(|_| DeadlineError)?;
@@ -272,7 +273,7 @@
 }
 
 /// Leaves what travels on: no headers of one connection, the path alone.
-fn clean(parts: &mut Parts) -> Result<(), Refusal> {
+fn prepare_for_target(parts: &mut Parts) -> Result<(), Refusal> {
     remove_hop_by_hop(&mut parts.headers);
     if parts.uri.authority().is_some() {
         let path = parts.uri.path_and_query().ok_or(Refusal::Malformed)?.clone();
--- a/src/proxy/response_body.rs
+++ b/src/proxy/response_body.rs
@@ -42,19 +42,19 @@
 }
 
 /// What becomes of the connection after the whole answer.
-pub struct Reuse {
+pub struct ReusableConnection {
     /// The connection.
     pub connection: Connection,
     /// How long the target keeps it.
     pub keep_alive: KeepAlive,
     /// Whether the request's body was sent whole.
-    pub sent: Rc<Cell<bool>>,
+    pub request_sent: Rc<Cell<bool>>,
 }
 
-impl Reuse {
+impl ReusableConnection {
     /// Returns the connection to the pool where that is safe, closes it otherwise.
-    pub fn settle(self, in_flight: &InFlight<Target>) {
-        if self.sent.get() {
+    pub fn release(self, in_flight: &InFlight<Target>) {
+        if self.request_sent.get() {
             in_flight.target().pool.keep(self.connection, self.keep_alive);
         }
     }
--- a/src/proxy/answer_check.rs
+++ b/src/proxy/response_check.rs
@@ -14,9 +14,9 @@
 
 /// Why an answer may not be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum AnswerError {
+pub enum ResponseError {
     /// It bears the identity of another request.
-    Foreign,
+    WrongRequestId,
     /// Another target has taken over the address; nothing ran.
     Misdirected,
     /// The target says that it did not run the request.
@@ -28,29 +28,29 @@
 /// Checks the answer to the request with this identity.
 ///
 /// # Errors
-/// [`AnswerError`], the first that applies.
-pub fn check<B>(names: &HeaderNames, id: Option<&HeaderValue>, response: &Response<B>) -> Result<(), AnswerError> {
+/// [`ResponseError`], the first that applies.
+pub fn check<B>(names: &HeaderNames, id: Option<&HeaderValue>, response: &Response<B>) -> Result<(), ResponseError> {
     let headers = response.headers();
-    if !is_ours(names, id, headers) {
-        return Err(AnswerError::Foreign);
+    if !has_request_id(names, id, headers) {
+        return Err(ResponseError::WrongRequestId);
     }
     if response.status() == StatusCode::MISDIRECTED_REQUEST {
-        return Err(AnswerError::Misdirected);
+        return Err(ResponseError::Misdirected);
     }
     if headers.contains_key(&names.not_executed) {
-        return Err(AnswerError::NotExecuted);
+        return Err(ResponseError::NotExecuted);
     }
     if response.status().is_success() && !headers.contains_key(&names.signature) {
-        return Err(AnswerError::Unsigned);
+        return Err(ResponseError::Unsigned);
     }
     Ok(())
 }
 
 /// Whether the answer bears the request's identity. An answer without one can only
 /// say that nothing ran.
-fn is_ours(names: &HeaderNames, id: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
+fn has_request_id(names: &HeaderNames, id: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
     match (headers.get(&names.request_id), id) {
-        (Some(answered), Some(asked)) => answered == asked,
+        (Some(received), Some(sent)) => received == sent,
         (None, None) => true,
         (None, Some(_)) => headers.contains_key(&names.not_executed),
         (Some(_), None) => false,
@@ -69,7 +69,7 @@
 
 /// What the target says of itself with the answer. Only one that turns a request away says how long it
 /// wants no other.
-pub fn stated<B>(names: &HeaderNames, response: &Response<B>) -> Stated {
+pub fn response_signals<B>(names: &HeaderNames, response: &Response<B>) -> Stated {
     let values = |name| response.headers().get_all(name).iter().map(HeaderValue::as_bytes);
     let turns_away = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
     let pause = if turns_away { PauseSignal::parse(values(&RETRY_AFTER)) } else { PauseSignal::None };
--- a/src/proxy/strikes.rs
+++ b/src/proxy/strikes.rs
@@ -24,7 +24,7 @@
 }
 
 /// A target answered: the request does not end targets.
-pub fn record_answer<P: Platform>(request: &CallerRequest<'_, P>) {
+pub fn record_response<P: Platform>(request: &CallerRequest<'_, P>) {
     let (instance, fingerprint) = (request.instance, request.fingerprint);
     if instance.routing.borrow_mut().quarantine.record_response(fingerprint) {
         instance.strike_reports.add(fingerprint, Instant::now());
@@ -33,7 +33,7 @@
 
 /// The connection ended under a try that began with so many `strikes`. Where the target was in use
 /// and nothing listens at its address any more, it is one more.
-pub async fn record_end<P: Platform>(request: &CallerRequest<'_, P>, target: &Rc<Target>, strikes: u32) {
+pub async fn record_lost_connection<P: Platform>(request: &CallerRequest<'_, P>, target: &Rc<Target>, strikes: u32) {
     let (instance, fingerprint) = (request.instance, request.fingerprint);
     let is_in_use = instance.routing.borrow().is_in_use(target);
     if !is_in_use || !target.pool.is_refused().await {
@@ -53,7 +53,7 @@
 
 /// The request's tries are over without an answer: nothing may clear what they showed any more, so
 /// that the other instances hear of it now.
-pub fn report_unanswered<P: Platform>(request: &CallerRequest<'_, P>) {
+pub fn report_pending<P: Platform>(request: &CallerRequest<'_, P>) {
     let (instance, fingerprint, now) = (request.instance, request.fingerprint, Instant::now());
     if instance.routing.borrow().quarantine.pending_report(fingerprint, now).is_some() {
         instance.strike_reports.add(fingerprint, now);
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -22,7 +22,7 @@
 pub struct TargetChoice<'a, P: Platform> {
     request: &'a CallerRequest<'a, P>,
     affinity: u64,
-    picked: &'a WeightedService,
+    weighted_service: &'a WeightedService,
     charge: CapCharge,
 }
 
@@ -36,8 +36,8 @@
     /// Hashes the request's affinity and picks the service that is due.
     pub fn new(request: &'a CallerRequest<'a, P>) -> Self {
         let affinity = request.affinity();
-        let picked = request.instance.splits.borrow_mut().pick(request.route, affinity);
-        Self { request, affinity, picked, charge: CapCharge::default() }
+        let weighted_service = request.instance.splits.borrow_mut().pick(request.route, affinity);
+        Self { request, affinity, weighted_service, charge: CapCharge::default() }
     }
 
     /// Hash of the request's affinity key.
@@ -47,7 +47,7 @@
 
     /// The picked service.
     pub fn service(&self) -> &Rc<str> {
-        &self.picked.service
+        &self.weighted_service.service
     }
 
     /// A target of the picked service, none of those `tried`. What it cannot take is
@@ -59,50 +59,54 @@
         let instance = self.request.instance;
         let settings = instance.settings.borrow().clone();
         let snapshot = Snapshot { routing: &instance.routing.borrow(), settings: &settings };
-        let (chosen, policies) = self.of_service(&snapshot, tried);
+        let (chosen, policies) = self.choose_for_service(&snapshot, tried);
         record.policies = policies;
         match chosen {
             Ok(chosen) => {
-                record.service = Some(self.picked.service.clone());
+                record.service = Some(self.weighted_service.service.clone());
                 Ok(chosen)
             }
             Err(NoTarget::NoneUsable) => Err(Refusal::NoTarget),
             Err(NoTarget::Limited { first, wait }) => {
-                record.wait = Some(wait);
-                record_preferred(record, self.picked, first);
+                record.pause_wait = Some(wait);
+                record_preferred(record, self.weighted_service, first);
                 Err(Refusal::Limited)
             }
             Err(NoTarget::Full(preferred)) => {
-                record_preferred(record, self.picked, preferred);
+                record_preferred(record, self.weighted_service, preferred);
                 Err(Refusal::Full)
             }
             Err(NoTarget::Capped(preferred)) => {
-                record_preferred(record, self.picked, preferred);
+                record_preferred(record, self.weighted_service, preferred);
                 Err(Refusal::Capped)
             }
         }
     }
 
     /// A target of the picked service, and the names of the policies that had a part.
-    fn of_service(&self, snapshot: &Snapshot<'_>, tried: &[TargetKey]) -> (Result<Chosen, NoTarget>, Vec<String>) {
-        let active = self.active(snapshot);
+    fn choose_for_service(
+        &self,
+        snapshot: &Snapshot<'_>,
+        tried: &[TargetKey],
+    ) -> (Result<Chosen, NoTarget>, Vec<String>) {
+        let matched_policies = self.matched_policies(snapshot);
         let settings = snapshot.settings;
         let asked = Asked {
             route: self.request.route,
             tenant: self.request.tenant(),
-            service: &self.picked.service,
+            service: &self.weighted_service.service,
             affinity: self.affinity,
         };
-        let query = self.request.instance.query(settings, asked, active.as_ref(), tried);
+        let query = self.request.instance.query(settings, asked, matched_policies.as_ref(), tried);
         let chosen = choose(snapshot.routing, self.request.config, &query);
-        (chosen, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
+        (chosen, matched_policies.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
     }
 
     /// The operators' policies that select the request.
-    fn active(&self, snapshot: &Snapshot<'_>) -> Option<MatchedPolicies<'_>> {
+    fn matched_policies(&self, snapshot: &Snapshot<'_>) -> Option<MatchedPolicies<'_>> {
         let parts = &self.request.parts;
         let facts = RequestFacts {
-            service: &self.picked.service,
+            service: &self.weighted_service.service,
             route: &self.request.route.name,
             region: &snapshot.settings.region,
             hall: &snapshot.settings.hall,
--- a/src/proxy/try_error.rs
+++ b/src/proxy/try_error.rs
@@ -23,7 +23,7 @@
     Lost,
     /// The connection ended before an answer began; the request may have run.
     #[error("the connection ended without an answer and the request may have run; repeat it only if its route is safe")]
-    NoAnswer,
+    NoResponse,
     /// The deadline passed without an answer; the request may have run.
     #[error("no answer came before the deadline and the request may have run; give it more time")]
     TimedOut,
@@ -36,7 +36,7 @@
             TryError::Unreachable(_) => TryOutcome::Unreachable,
             TryError::NotExecuted => TryOutcome::NotExecuted,
             TryError::Shed => TryOutcome::Shed,
-            TryError::Lost | TryError::NoAnswer => TryOutcome::Lost,
+            TryError::Lost | TryError::NoResponse => TryOutcome::Lost,
             TryError::TimedOut => TryOutcome::TimedOut,
         }
     }
