--- a/src/proxy/access_record.rs
+++ b/src/proxy/access_record.rs
@@ -1,8 +1,9 @@
 //! The access log: one line for each request that has ended.
 //!
-//! [`AccessRecord`] collects what the line says while the request is processed. The
-//! event and field names are read back by `lockloft explain`
-//! ([`crate::telemetry::access_log::RequestLine`]). Relies on the target's identity and the names of proofs.
+//! [`AccessRecord`] collects the values of the line while the request is processed. `lockloft
+//! explain` reads the event and field names back
+//! ([`crate::telemetry::access_log::RequestLine`]). Relies on the target's identity and the names
+//! of [`Proof`].
 
 use crate::decision::registry::target::Target;
 use crate::model::fingerprint::Fingerprint;
@@ -12,70 +13,73 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// What is known of one request, filled in as it goes on.
+/// Values for the access log line of one request, filled in while it is processed.
 #[derive(Debug, Default)]
 pub struct AccessRecord {
-    /// The caller's identity for the request, where it sent one.
+    /// The caller's request id; `None` if it sent none.
     pub id: Option<HeaderValue>,
-    /// Whether it was begun before those ahead of it on its connection were answered.
+    /// Whether processing began before the requests ahead of it on its connection had a response.
     pub is_early: bool,
-    /// How long it waited for its turn on its connection.
+    /// Time for which it waited for its turn on its connection.
     pub queue_time: Duration,
-    /// Name of its route.
+    /// Name of the route; `None` if none matched.
     pub route: Option<Rc<str>>,
-    /// Name of the caller's tenant.
+    /// Name of the caller's tenant; `None` if the route needs none or none was found.
     pub tenant: Option<Rc<str>>,
-    /// What its tenant's quota was decided by, where that refused it.
+    /// Inputs of the quota decision, if the tenant's quota refused the request.
     pub quota: Option<QuotaRecord>,
-    /// The service chosen.
+    /// Name of the service chosen by the traffic split; `None` before a choice, and if no target of
+    /// the service is usable.
     pub service: Option<Rc<str>>,
-    /// The target it was last sent to; the preferred one where none had room.
+    /// Target of the last try; the preferred target if none had capacity.
     pub target: Option<Rc<Target>>,
-    /// Version of the configuration that decided; 0 before one is known.
+    /// Version of the configuration that applied; 0 before the first one is known.
     pub config: u64,
-    /// Tries that reached a target.
+    /// Number of tries that reached a target.
     pub sends: u32,
-    /// Requests that were probably running or waiting at that target before it.
+    /// Estimated requests running or waiting at that target before this one.
     pub load: f64,
-    /// Hash of its affinity key; of its identity where it has none.
+    /// Affinity hash ([`CallerRequest::affinity`]); `None` before the first try.
+    ///
+    /// [`CallerRequest::affinity`]: crate::proxy::caller_request::CallerRequest::affinity
     pub affinity: Option<u64>,
-    /// Fingerprint of the request; `None` where its body was not read.
+    /// Fingerprint of the request; `None` if its body was not read.
     pub fingerprint: Option<Fingerprint>,
-    /// How long the last try took, with the way to the target and back.
+    /// Duration of the last try, including the network round trip.
     pub last_try_time: Option<Duration>,
-    /// Time until a target may want requests again, where all want none now.
-    pub pause_wait: Option<Duration>,
-    /// Names of the policies that had a part in the choice.
+    /// Time until a target may accept requests again, if none accepts any now.
+    pub target_wait: Option<Duration>,
+    /// Names of the policies that affected the choice.
     pub policies: Vec<String>,
 }
 
-/// What a quota was decided by.
+/// Inputs of a quota decision.
 #[derive(Clone, Copy, Debug)]
 pub struct QuotaRecord {
-    /// Share of the tenant's requests that might pass.
+    /// Share of the tenant's requests that is admitted, 0 to 1.
     pub admit_ratio: f64,
-    /// Time since a head answered that.
+    /// Time since a head last answered; since the first request with a quota if none has.
     pub answer_age: Option<Duration>,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestEnd {
-    /// `answered`, or the refusal's name.
+    /// `answered`, or the name of the refusal.
     pub outcome: &'static str,
-    /// Status of the answer.
+    /// Status of the response.
     pub status: StatusCode,
-    /// Time from the request's head to the head of the answer.
+    /// Time from the arrival of the request's head to the head of the response.
     pub duration: Duration,
     /// Age of this instance's view of the store; `None` before the first list.
     pub view_age: Option<Duration>,
-    /// What that age was proved by; `None` before the first list.
+    /// What proved that the view was current at that age; `None` before the first list.
     pub view_proof: Option<Proof>,
 }
 
 impl AccessRecord {
-    /// Writes the line of a request that has ended. An identity that is not text
-    /// is left out: it could not be searched for.
+    /// Writes the line of a finished request. A request id that is not text is omitted, since
+    /// nobody could search for it.
     pub fn log(&self, end: &RequestEnd) {
         tracing::info!(
             event = "request",
@@ -92,7 +96,7 @@
             load = self.load,
             key = self.affinity.map(|affinity| format!("{affinity:016x}")),
             fingerprint = self.fingerprint.map(|fingerprint| fingerprint.to_string()),
-            try_ms = self.last_try_time.map(|took| took.as_millis() as u64),
+            try_ms = self.last_try_time.map(|time| time.as_millis() as u64),
             sends = self.sends,
             config = self.config,
             policies = (!self.policies.is_empty()).then(|| self.policies.join(",")),
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -1,9 +1,9 @@
-//! The tries of one request at targets, until one answers or none is left to make.
+//! Tries a request at targets until one responds or no further try is allowed.
 //!
-//! Whether there is another try is the rule of [`crate::decision::failure::next_try`]; which
-//! target gets it, [`crate::proxy::target_choice`]; one try is an
-//! [`crate::proxy::exchange`]. Owns the count of tries and the body between them;
-//! earns and spends the instance's retry budget.
+//! [`crate::decision::failure::next_try`] decides whether there is another try,
+//! [`crate::proxy::target_choice`] which target gets it, and [`crate::proxy::exchange`] carries out
+//! one try. Owns the count of tries, and the body between tries; deposits to and withdraws from the
+//! instance's retry budget.
 
 use crate::clock::Instant;
 use crate::decision::failure::next_try::{
@@ -30,11 +30,11 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A try that may be made.
+/// A try whose preconditions are met.
 struct PreparedTry {
     chosen: Chosen,
     request: Request<RequestBody>,
-    /// Strikes against the request that are known as it begins.
+    /// Strikes against the request that are known when the try begins.
     strikes: u32,
 }
 
@@ -45,22 +45,23 @@
     body: IncomingBody,
     /// Failed tries.
     tries: FailedTries,
-    /// Targets that were tried.
+    /// Targets that are not chosen again.
     tried: Vec<TargetKey>,
 }
 
 impl<'a, P: Platform> Attempts<'a, P> {
-    /// A request that was not tried yet; it earns its part of the retry budget.
+    /// Creates the state of a request that was not tried yet, and deposits its part of a retry in the
+    /// retry budget.
     pub fn new(request: &'a CallerRequest<'a, P>, body: IncomingBody) -> Self {
         let choice = TargetChoice::new(request);
         request.instance.retries.borrow_mut().deposit(choice.service());
         Self { request, choice, body, tries: FailedTries::default(), tried: Vec::new() }
     }
 
-    /// Tries the request at targets, and gives the answer of the first that has one.
+    /// Tries the request at targets, and returns the first response that can be passed on.
     ///
     /// # Errors
-    /// [`Refusal`] where no target's answer can be passed on.
+    /// [`Refusal`] if there is none.
     pub async fn run(mut self, record: &mut AccessRecord) -> Result<Response<ResponseBody>, Refusal> {
         record.affinity = Some(self.choice.affinity());
         let result = self.try_targets(record).await;
@@ -104,13 +105,15 @@
         }
     }
 
-    /// A target and the request for it. The order of the checks decides what the
-    /// caller is answered. The budget is charged last: what is paid for is sent.
+    /// Chooses a target and builds the request for it. The order of the checks determines which
+    /// refusal the caller gets. The retry budget is charged last, so that every withdrawal is
+    /// followed by a send.
     fn prepare_try(&mut self, costs_retry: bool, record: &mut AccessRecord) -> Result<PreparedTry, Refusal> {
-        self.request.check_key().map_err(|own| self.refusal_for(UnmetPrecondition::InvalidKey, own))?;
-        let strikes = admit(self.request).map_err(|own| self.refusal_for(UnmetPrecondition::Quarantined, own))?;
-        // A streamed body that is gone with an earlier try is no error: the request's own
-        // line gives the failure that stands.
+        self.request.check_key().map_err(|refusal| self.refusal_for(UnmetPrecondition::InvalidKey, refusal))?;
+        let strikes =
+            admit(self.request).map_err(|refusal| self.refusal_for(UnmetPrecondition::Quarantined, refusal))?;
+        // That an earlier try consumed a streamed body is not logged: the access log line has the
+        // failure of that try.
         let body = self
             .body
             .for_try()
@@ -130,13 +133,13 @@
         Ok(PreparedTry { chosen, request, strikes })
     }
 
-    /// The refusal where the next try cannot be made: that of an earlier failure, or
-    /// the unmet precondition's `own`.
-    fn refusal_for(&self, unmet: UnmetPrecondition, own: Refusal) -> Refusal {
-        earlier_failure_reason(&self.tries, unmet).map_or(own, Refusal::from)
+    /// The refusal if the next try cannot be made: that of an earlier failure, or else `default` for
+    /// the unmet precondition itself.
+    fn refusal_for(&self, unmet: UnmetPrecondition, default: Refusal) -> Refusal {
+        earlier_failure_reason(&self.tries, unmet).map_or(default, Refusal::from)
     }
 
-    /// Pays for one more send; false where the budget does not reach.
+    /// Withdraws one retry from the budget; false if the balance is too low.
     fn withdraw_retry(&self) -> bool {
         let instance = self.request.instance;
         let is_granted = instance.retries.borrow_mut().withdraw(self.choice.service(), rand::random());
@@ -174,25 +177,25 @@
         result
     }
 
-    /// Notes how long a second target took to answer, or that it did not within the time.
+    /// Records the latency of a second target: the time to its response, or to the timeout.
     fn record_second_latency(
         &self,
         target: &Target,
         result: &Result<Response<ResponseBody>, TryError>,
-        took: Duration,
+        elapsed: Duration,
     ) {
         if matches!(result, Ok(_) | Err(TryError::TimedOut)) {
-            self.request.instance.routing.borrow().record_second(&target.service, took);
+            self.request.instance.routing.borrow().record_second(&target.service, elapsed);
         }
     }
 
-    /// Logs and counts a failed try. A body of which nothing was sent is kept.
+    /// Logs and counts a failed try, and takes back a body of which nothing was sent.
     fn record_failure(&mut self, error: TryError, target: &Target) {
         let outcome = error.outcome();
         self.log_failure(outcome, target);
         self.tries.record(outcome);
         if outcome == TryOutcome::Shed {
-            // It ran nothing, and may be asked once more.
+            // The target did not run the request and had a free slot: it may be chosen again.
             self.tried.retain(|key| *key != target.key);
         }
         if let TryError::Unreachable(request) = error {
@@ -212,8 +215,8 @@
         );
     }
 
-    /// Logs a target that no request can name; one line for a request, and the log's
-    /// rate bounds them all.
+    /// Logs a target whose id is not a valid header value: at most one line for each request, and
+    /// limited by the rate of the log.
     fn log_invalid_target_id(&self, error: &TargetIdError, target: &Target) {
         tracing::warn!(
             event = "target_id_invalid",
--- a/src/proxy/buffered_response.rs
+++ b/src/proxy/buffered_response.rs
@@ -1,5 +1,5 @@
-//! Reads an answer's body whole where it is small, so that one that breaks off can
-//! still be replaced by another try.
+//! Reads small response bodies completely before they are passed on, so that the request can be
+//! tried again if the body breaks off.
 
 use crate::net::chunks;
 use bytes::Bytes;
@@ -7,22 +7,22 @@
 use hyper::body::{Body, Incoming};
 use std::collections::VecDeque;
 
-/// Largest answer that is read whole before it is passed on, bytes. Above usual answers (30 kB);
-/// bounded for memory.
+/// Largest response body that is read completely before it is passed on, bytes. Larger than usual
+/// responses (30 kB); limited to bound memory.
 pub const MAX_BUFFERED_RESPONSE: usize = 64 * 1024;
 
-/// An answer's body as far as it was read.
+/// A response body after [`read_body`].
 pub enum ReadBody {
-    /// All of it.
+    /// The complete body.
     Buffered(Bytes),
-    /// It is large: what was read, and the rest.
+    /// A large body: the chunks that were read, and the rest of the stream.
     Streamed(VecDeque<Bytes>, Incoming),
 }
 
-/// Reads a body whole unless it is large.
+/// Reads a body completely unless it is larger than [`MAX_BUFFERED_RESPONSE`].
 ///
 /// # Errors
-/// Any error of the connection before that is known.
+/// A connection error before the body ended or exceeded that size.
 pub async fn read_body(mut incoming: Incoming) -> Result<ReadBody, hyper::Error> {
     if incoming.size_hint().lower() > MAX_BUFFERED_RESPONSE as u64 {
         return Ok(ReadBody::Streamed(VecDeque::new(), incoming));
@@ -30,7 +30,7 @@
     let mut chunks = VecDeque::new();
     let mut size = 0;
     while let Some(frame) = incoming.frame().await {
-        // Trailers of a small answer are dropped.
+        // Trailers of a small response are dropped.
         let Ok(chunk) = frame?.into_data() else { continue };
         size += chunk.len();
         chunks.push_back(chunk);
--- a/src/proxy/caller_request.rs
+++ b/src/proxy/caller_request.rs
@@ -1,7 +1,7 @@
-//! A caller's request once it is understood: what all of its tries need.
+//! A caller's request after routing and authentication: the state that all of its tries share.
 //!
-//! Owns the head of the request; borrows the instance and the configuration with
-//! which it began. The body is apart ([`crate::proxy::incoming_body`]).
+//! Owns the head of the request; borrows the instance, and the configuration with which the
+//! request began. The body is separate ([`crate::proxy::incoming_body`]).
 
 use crate::clock::Instant;
 use crate::hash::hash_affinity;
@@ -14,47 +14,47 @@
 use hyper::header::HeaderValue;
 use hyper::http::request::Parts;
 
-/// A caller's request with its route and its deadline.
+/// A caller's request with its route and deadline.
 pub struct CallerRequest<'a, P: Platform> {
-    /// The instance that has it.
+    /// The instance that processes it.
     pub instance: &'a Instance<P>,
-    /// The configuration that decides.
+    /// The configuration in force when the request began.
     pub config: &'a Config,
-    /// Its route.
+    /// The route that matched it.
     pub route: &'a Route,
-    /// Its caller's tenant; `None` where none is asked for.
+    /// The caller's tenant and API key; `None` if the route is public or there are no tenants.
     pub caller: Option<CallerTenant<'a>>,
-    /// Its head, without headers of the caller's connection and without its key.
+    /// Its head, without hop-by-hop headers and without the caller's API key.
     pub parts: Parts,
-    /// What it asks for, as a hash.
+    /// Hash of what it asks for, under which strikes are counted.
     pub fingerprint: Fingerprint,
-    /// When its head had arrived.
+    /// When its head had been read.
     pub started: Instant,
-    /// When an answer is no longer of use.
+    /// When it times out.
     pub deadline: Instant,
 }
 
 impl<P: Platform> CallerRequest<'_, P> {
-    /// The caller's identity for it, where it sent one.
+    /// The caller's request id; `None` if it sent none.
     pub fn id(&self) -> Option<&HeaderValue> {
         self.parts.headers.get(&self.instance.names.request_id)
     }
 
-    /// The identity as text for the log; one that is not text is left out, since it
-    /// could not be searched for.
+    /// The request id as text for the log. One that is not text is omitted, since nobody could
+    /// search for it.
     pub fn id_text(&self) -> Option<&str> {
         self.id().and_then(|id| id.to_str().ok())
     }
 
-    /// Its caller's tenant; `None` where none is asked for.
+    /// The caller's tenant; `None` if the route is public or there are no tenants.
     pub fn tenant(&self) -> Option<&Tenant> {
         self.caller.as_ref().map(|caller| caller.tenant)
     }
 
-    /// Whether its key still opens what it opened when the request began.
+    /// Checks that a newer configuration still maps the caller's key to the same tenant.
     ///
     /// # Errors
-    /// The refusal where it does not.
+    /// [`Refusal::NoKey`] or [`Refusal::KeyMoved`], as [`CallerTenant::check`].
     pub fn check_key(&self) -> Result<(), Refusal> {
         let Some(caller) = &self.caller else { return Ok(()) };
         match &self.instance.routing.borrow().config {
@@ -63,8 +63,8 @@
         }
     }
 
-    /// The affinity key's hash; a hash of the request's identity where it has no key
-    /// or the route no affinity, and a random number where it has neither.
+    /// Hash of the affinity key. Without a key, or on a route without affinity, the hash of the
+    /// request id; without that either, a random number.
     pub fn affinity(&self) -> u64 {
         let key = self.parts.headers.get(&self.instance.names.affinity_key).filter(|_| self.route.affinity);
         match key.or_else(|| self.id()) {
--- a/src/proxy/caller_tenant.rs
+++ b/src/proxy/caller_tenant.rs
@@ -1,12 +1,14 @@
-//! The tenant of a caller, shown by its key; and the key's removal from what is sent on.
+//! Authenticates callers: finds the tenant that holds the API key of a request, and removes the
+//! key before the request is forwarded.
 //!
-//! Where the configuration has tenants, a request of a route that is not public needs one key that
-//! a tenant holds. Neither the key nor a tenant's name that the caller sent goes on to a target,
-//! whatever the route; the target is told the tenant that was found.
+//! If the configuration has tenants, a request on a route that is not public needs exactly one key
+//! that a tenant holds. Neither the key nor a tenant name sent by the caller reaches a target, on
+//! any route; the target receives the name of the tenant that was found.
 //!
-//! Owns the key for as long as the request takes: it is looked up again before each try, so that one
-//! that was taken away meanwhile opens nothing. Relies on the index in
-//! [`crate::model::config::Tenants`]. No line, error or metric here or elsewhere names a key.
+//! Owns the key while the request is processed: it is looked up again before each try, so that a
+//! key that was revoked in the meantime admits nothing. Relies on the index in
+//! [`crate::model::config::Tenants`]. No log line, error or metric contains a key, here or
+//! elsewhere.
 
 use crate::model::config::{Config, Route, Tenant};
 use crate::platform::HeaderNames;
@@ -14,18 +16,19 @@
 use hyper::HeaderMap;
 use hyper::header::{HeaderName, HeaderValue};
 
-/// The tenant of a request, and the key that shows it.
+/// The tenant of a request, and the API key that identified it.
 pub struct CallerTenant<'a> {
-    /// The tenant, from the configuration with which the request began.
+    /// The tenant, from the configuration in force when the request began.
     pub tenant: &'a Tenant,
     api_key: HeaderValue,
 }
 
 impl<'a> CallerTenant<'a> {
-    /// The tenant of a request with these headers; `None` where none is asked for.
+    /// Finds the tenant of a request with these headers; `None` if the route is public or there
+    /// are no tenants.
     ///
     /// # Errors
-    /// [`Refusal::NoKey`] where there is not exactly one key, or no tenant holds it.
+    /// [`Refusal::NoKey`] if there is not exactly one key, or no tenant holds it.
     pub fn find(
         config: &'a Config,
         route: &Route,
@@ -35,41 +38,43 @@
         if route.is_public || config.tenants.is_empty() {
             return Ok(None);
         }
-        let api_key = single(headers, &names.api_key).ok_or(Refusal::NoKey)?;
-        let tenant = holder(config, api_key).ok_or(Refusal::NoKey)?;
+        let api_key = single_value(headers, &names.api_key).ok_or(Refusal::NoKey)?;
+        let tenant = tenant_by_api_key(config, api_key).ok_or(Refusal::NoKey)?;
         Ok(Some(Self { tenant, api_key: api_key.clone() }))
     }
 
-    /// Whether a later configuration still lets the request go on.
+    /// Checks that the key still belongs to the same tenant in a later configuration, or that the
+    /// later configuration has no tenants.
     ///
     /// # Errors
-    /// [`Refusal::NoKey`] where no tenant holds the key any more, [`Refusal::KeyMoved`] where
-    /// another one does.
+    /// [`Refusal::NoKey`] if no tenant holds the key any more, [`Refusal::KeyMoved`] if another
+    /// one does.
     pub fn check(&self, later: &Config) -> Result<(), Refusal> {
         if later.tenants.is_empty() {
             return Ok(());
         }
-        let holder = holder(later, &self.api_key).ok_or(Refusal::NoKey)?;
-        if holder.name == self.tenant.name { Ok(()) } else { Err(Refusal::KeyMoved) }
+        let tenant = tenant_by_api_key(later, &self.api_key).ok_or(Refusal::NoKey)?;
+        if tenant.name == self.tenant.name { Ok(()) } else { Err(Refusal::KeyMoved) }
     }
 }
 
-/// The value of a header that is there once.
-fn single<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
+/// The value of a header; `None` if it is absent or repeated.
+fn single_value<'a>(headers: &'a HeaderMap, name: &HeaderName) -> Option<&'a HeaderValue> {
     let mut values = headers.get_all(name).iter();
     values.next().filter(|_| values.next().is_none())
 }
 
-/// The tenant that holds a key; one that is not text is held by none.
-fn holder<'a>(config: &'a Config, api_key: &HeaderValue) -> Option<&'a Tenant> {
+/// The tenant that holds a key; `None` if there is none or the key is not text.
+fn tenant_by_api_key<'a>(config: &'a Config, api_key: &HeaderValue) -> Option<&'a Tenant> {
     let key = config.tenants.holder(api_key.to_str().ok()?)?;
     Some(config.tenants.get(key))
 }
 
-/// Leaves no key in the headers, and of tenants the one that was found.
+/// Removes the API key and any tenant name that the caller sent, and sets the name of `tenant`.
 ///
 /// # Errors
-/// [`Refusal::Malformed`] where its name is no header value, which the platform's decoder refuses.
+/// [`Refusal::Malformed`] if the name is not a valid header value; the platform's decoder refuses
+/// such names.
 pub fn write_tenant(headers: &mut HeaderMap, names: &HeaderNames, tenant: Option<&Tenant>) -> Result<(), Refusal> {
     headers.remove(&names.api_key);
     headers.remove(&names.tenant);
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -1,8 +1,8 @@
-//! One request at one target: sent, checked, and its answer made ready to pass on.
+//! Sends one request to one target, checks the response and prepares it for the caller.
 //!
-//! Owns the request's place among those in flight at the target, and the connection,
-//! until the answer is whole or a [`Reader`] takes it off the target. Records successes, failures and load reports at the
-//! target; relies on its pool.
+//! Owns the request's in-flight count at the target, and the connection, until the response is
+//! complete or a [`Reader`] takes over both. Records successes, failures, signals and load reports
+//! at the target; relies on its connection pool.
 
 use crate::clock::{Instant, timeout_at};
 use crate::decision::capacity::in_flight::InFlight;
@@ -33,31 +33,31 @@
 
 /// A request ready to be sent.
 pub struct Exchange<'a> {
-    /// Header names.
+    /// Names of the platform's headers.
     pub names: &'a HeaderNames,
-    /// Counts load reports that cannot be read.
+    /// Counts invalid load reports.
     pub metrics: &'a Metrics,
-    /// Counts it as in flight at the target.
+    /// Counts the request as in flight at the target.
     pub in_flight: InFlight<Target>,
-    /// The caller's identity for it.
+    /// The caller's request id; `None` if it sent none.
     pub request_id: Option<&'a HeaderValue>,
-    /// When an answer is no longer of use; an answer's body is broken off then.
+    /// When the request times out; the body of a response is aborted then.
     pub deadline: Instant,
-    /// Set once the request's body was sent whole.
+    /// Set once the request's body was sent completely.
     pub request_sent: Rc<Cell<bool>>,
-    /// What is held of the answer is bounded and counted by it.
+    /// Limits and counters for a response that is held for the caller.
     pub held_answers: HeldAnswerContext,
-    /// Counts an answer that is held as under way.
+    /// Counts a held response as in flight until its caller has it.
     pub requests: &'a Requests,
-    /// When it was sent.
+    /// When the try began.
     pub started: Instant,
 }
 
 impl Exchange<'_> {
-    /// Sends the request and gives its answer.
+    /// Sends the request and returns the response.
     ///
     /// # Errors
-    /// [`TryError`]; what it means for the target is recorded there already.
+    /// [`TryError`]; its effect on the target is already recorded.
     pub async fn run(self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, TryError> {
         let (deadline, started) = (self.deadline, self.started);
         let target = self.in_flight.target().clone();
@@ -86,8 +86,8 @@
         self.read_response(response, connection).await
     }
 
-    /// The load that the target reports. One that cannot be read is counted, and logged once a
-    /// target; the requests counted here stand in for it.
+    /// The load that the target reports. An invalid report is counted, and logged once for each
+    /// target; the load is then estimated from the requests in flight of this instance.
     fn load_report(&self, response: &Response<Incoming>) -> Option<LoadReport> {
         response_check::load_report(self.names, response.headers()).unwrap_or_else(|error| {
             self.metrics.load_reports_ignored.with_label_values(&[error.as_str()]).inc();
@@ -96,7 +96,7 @@
         })
     }
 
-    /// Takes in what the target says of itself.
+    /// Applies the target's signals in the headers, and logs what they change.
     fn apply_signals(&self, response: &Response<Incoming>) {
         let target = self.in_flight.target();
         let signals = response_check::response_signals(self.names, response);
@@ -122,7 +122,7 @@
         }
     }
 
-    /// What an answer that may not be passed on means for the target and the request.
+    /// Records a response that may not be passed on at its target, and returns the error for it.
     fn reject(&self, error: ResponseError, report: Option<LoadReport>) -> TryError {
         let target = self.in_flight.target();
         match error {
@@ -136,7 +136,7 @@
         }
     }
 
-    /// Sends the request over an idle connection, else over a new one.
+    /// Sends the request over an idle connection, or over a new one if none is usable.
     async fn send(&self, request: Request<RequestBody>) -> Result<(Response<Incoming>, Connection), TryError> {
         let target = self.in_flight.target();
         let mut request = request;
@@ -151,8 +151,8 @@
         self.send_over_new_connection(request).await
     }
 
-    /// Sends the request over a new connection. Why none could be opened changes
-    /// nothing for the request; its line `try_failed` names the target.
+    /// Sends the request over a new connection. The reason why none could be opened is dropped: it
+    /// makes no difference to the request, and the event `try_failed` names the target.
     async fn send_over_new_connection(
         &self,
         request: Request<RequestBody>,
@@ -170,13 +170,13 @@
         }
     }
 
-    /// The error, which counts as a failure of the target.
+    /// Records a failure of the target, and returns `error`.
     fn fail(&self, error: TryError) -> TryError {
         self.record_failure();
         error
     }
 
-    /// Counts a failure of the target, and logs its ejection where that follows.
+    /// Records a failure of the target, and logs the ejection if one follows.
     fn record_failure(&self) {
         let target = self.in_flight.target();
         if let Some(duration) = target.record_failure(self.started, Instant::now()) {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Reads the answer's body if it is small, and makes the answer for the caller.
+    /// Reads the body if it is small, and builds the response for the caller.
     async fn read_response(
         self,
         response: Response<Incoming>,
@@ -203,28 +203,29 @@
         } else {
             self.in_flight.target().record_success(self.started.elapsed(), Instant::now());
         }
-        let reuse = ReusableConnection { connection, keep_alive, request_sent: self.request_sent.clone() };
-        Ok(Response::from_parts(parts, self.response_body(read, reuse)))
+        let connection = ReusableConnection { connection, keep_alive, request_sent: self.request_sent.clone() };
+        Ok(Response::from_parts(parts, self.response_body(read, connection)))
     }
 
-    /// The body for the caller. Of a large one, the connection and the place at the target go with its
-    /// reader.
-    fn response_body(self, read: ReadBody, reuse: ReusableConnection) -> ResponseBody {
-        let (held_answers, counted) = (self.held_answers, || self.requests.count());
+    /// The body for the caller. The reader of a large one takes over the connection and the in-flight
+    /// count at the target.
+    fn response_body(self, read: ReadBody, connection: ReusableConnection) -> ResponseBody {
+        let (held_answers, new_guard) = (self.held_answers, || self.requests.count());
         match read {
             ReadBody::Buffered(bytes) => {
-                reuse.release(&self.in_flight);
+                connection.release(&self.in_flight);
                 match bytes.len() {
                     0..=PART_SIZE => ResponseBody::buffered(bytes),
-                    _ => ResponseBody::Held(Box::new(HeldAnswer::buffered(bytes, &held_answers.total, counted()))),
+                    _ => ResponseBody::Held(Box::new(HeldAnswer::buffered(bytes, &held_answers.total, new_guard()))),
                 }
             }
-            ReadBody::Streamed(head, body) => {
+            ReadBody::Streamed(chunks, body) => {
                 let shared = Rc::new(SharedAnswer::new(&held_answers.total, Progress::Reading(body.size_hint())));
-                head.into_iter().for_each(|chunk| shared.push(chunk));
+                chunks.into_iter().for_each(|chunk| shared.push(chunk));
                 let (in_flight, deadline, request_id) = (self.in_flight, self.deadline, self.request_id.cloned());
-                let counted = counted();
-                let reader = Reader { shared, body, reuse, in_flight, deadline, held_answers, request_id, counted };
+                let request_guard = new_guard();
+                let reader =
+                    Reader { shared, body, connection, in_flight, deadline, held_answers, request_id, request_guard };
                 ResponseBody::Held(Box::new(HeldAnswer::streamed(reader)))
             }
         }
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_answer/buffer.rs
@@ -1,52 +1,53 @@
-//! The bytes of one answer between its target and its caller.
+//! Buffer for the bytes of one response between its target and its caller.
 //!
-//! Owns them, and their count in the total of the instance. What is counted is what is in memory, within a
-//! factor of two: a chunk that is small against the block it was read into is copied into a block of
-//! several, and its own is given up. Relies on [`BufferedBytes`]. Test: `tests/held_answers.rs`.
+//! Owns the bytes, and their count in the total of the instance. The count matches the memory used
+//! within a factor of two: a chunk that is much smaller than the read buffer it points into is
+//! copied into a block with others, which frees the read buffer. Relies on [`BufferedBytes`].
+//! Test: `tests/held_answers.rs`.
 
 use crate::net::buffered_bytes::{BufferTotal, BufferedBytes};
 use bytes::{Bytes, BytesMut};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Most bytes that are handed on at a time: bounds what the caller's connection holds uncounted. Also the
-/// size of blocks of small chunks.
+/// Most bytes that are handed to the caller's connection at a time, which limits the bytes that it
+/// holds uncounted. Also the size of the blocks into which small chunks are copied.
 pub const PART_SIZE: usize = 32 * 1024;
-/// Chunks below this size are copied together while others wait: a small chunk may keep a whole read
-/// buffer in memory.
+/// Chunks smaller than this, bytes, are copied into blocks unless the buffer is empty: a small chunk
+/// may keep a whole read buffer in memory.
 const SMALL_CHUNK: usize = PART_SIZE / 2;
 
-/// Bytes that came from a target and were not handed on.
+/// Bytes that were read from a target and not yet handed to the caller's connection.
 #[derive(Debug)]
 pub struct AnswerBuffer {
     blocks: VecDeque<Bytes>,
-    /// Small chunks behind the blocks.
+    /// Block under construction, of small chunks that follow `blocks`.
     tail: BytesMut,
     held: BufferedBytes,
 }
 
 impl AnswerBuffer {
-    /// An empty buffer, counted in `total`.
+    /// An empty buffer whose bytes are counted in `total`.
     pub fn new(total: &Rc<BufferTotal>) -> Self {
         Self { blocks: VecDeque::new(), tail: BytesMut::new(), held: BufferedBytes::none(total) }
     }
 
-    /// Bytes that it holds.
+    /// Bytes in this buffer.
     pub fn len(&self) -> u64 {
         self.held.own()
     }
 
-    /// Whether it holds none.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes that all buffers hold.
+    /// Bytes of all bodies that count towards the same total.
     pub fn total(&self) -> u64 {
         self.held.total()
     }
 
-    /// Adds a chunk at the end.
+    /// Appends a chunk.
     pub fn push(&mut self, chunk: Bytes) {
         if chunk.is_empty() {
             return;
@@ -61,7 +62,7 @@
         }
     }
 
-    /// Takes the next bytes, `PART_SIZE` at most; `None` where there are none.
+    /// Removes and returns the next bytes, [`PART_SIZE`] at most; `None` if the buffer is empty.
     pub fn take_part(&mut self) -> Option<Bytes> {
         if self.blocks.is_empty() {
             self.flush_tail();
@@ -75,7 +76,7 @@
         Some(part)
     }
 
-    /// Gives up all that it holds.
+    /// Drops all bytes.
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.tail = BytesMut::new();
@@ -92,7 +93,7 @@
         self.tail.extend_from_slice(chunk);
     }
 
-    /// Makes a block of the small chunks.
+    /// Moves the block under construction to `blocks`.
     fn flush_tail(&mut self) {
         if !self.tail.is_empty() {
             self.blocks.push_back(std::mem::take(&mut self.tail).freeze());
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -1,10 +1,12 @@
-//! Answers that are held for callers that read slowly.
+//! Held answers: responses that are kept in memory for callers that read slowly, so that they do
+//! not occupy their targets.
 //!
-//! `reader` takes an answer off its target in a task of its own, `shared` has its bytes in a [`buffer`],
-//! and [`HeldAnswer`] is the body that the caller's connection reads. Dropped before its end, it drops what is
-//! held and ends the task. The rule is [`crate::decision::refusal::held_answers`].
+//! `reader` reads a response from its target in a task of its own, `shared` keeps the bytes in a
+//! [`buffer`], and [`HeldAnswer`] is the body that the caller's connection reads. If it is dropped
+//! before its end, the held bytes are dropped and the task is aborted. The rule is
+//! [`crate::decision::refusal::held_answers`].
 //!
-//! Owns the answer's count among those under way, on which a planned stop waits.
+//! Owns the response's count among the requests in flight, for which a planned stop waits.
 
 pub mod buffer;
 mod reader;
@@ -26,19 +28,19 @@
 use std::task::{Context, Poll};
 use tokio::task::AbortHandle;
 
-/// What an instance holds answers by.
+/// Limits and counters for the held answers of an instance.
 #[derive(Clone, Debug)]
 pub struct HeldAnswerContext {
-    /// Bounds.
+    /// Limits on the held bytes of one response and of all.
     pub limits: HeldLimits,
-    /// Bytes held of all answers and request bodies.
+    /// Bytes in memory of all held answers and request bodies.
     pub total: Rc<BufferTotal>,
-    /// Counts answers that their callers did not get whole.
+    /// Counts responses that their callers did not get completely, by cause.
     pub broken: IntCounterVec,
 }
 
 impl HeldAnswerContext {
-    /// That of an instance.
+    /// The limits and counters of `instance`.
     pub fn new<P: Platform>(instance: &Instance<P>) -> Self {
         Self {
             limits: HeldLimits::of_memory(instance.settings.borrow().memory),
@@ -47,39 +49,39 @@
         }
     }
 
-    /// Whether a request with a large answer may begin.
+    /// Whether a request on a route with large responses may begin.
     pub fn admits_large_answers(&self) -> bool {
         self.limits.takes_large_answers(self.total.get())
     }
 }
 
-/// An answer's body for its caller.
+/// The body of a held answer, as the caller's connection reads it.
 pub struct HeldAnswer {
     shared: Rc<SharedAnswer>,
     reader: Option<AbortHandle>,
-    /// Counts one without a reader.
-    _counted: Option<Counted>,
+    /// Counts the response as in flight if there is no reader to do so.
+    _request_guard: Option<Counted>,
 }
 
 impl HeldAnswer {
-    /// An answer that is whole in memory.
-    pub fn buffered(bytes: Bytes, total: &Rc<BufferTotal>, counted: Counted) -> Self {
+    /// A response that is complete and in memory.
+    pub fn buffered(bytes: Bytes, total: &Rc<BufferTotal>, request_guard: Counted) -> Self {
         let shared = Rc::new(SharedAnswer::new(total, Progress::Complete));
         shared.push(bytes);
-        Self { shared, reader: None, _counted: Some(counted) }
+        Self { shared, reader: None, _request_guard: Some(request_guard) }
     }
 
-    /// An answer that a reader takes off its target.
+    /// A response that `reader` reads from its target in a new task.
     pub fn streamed(reader: Reader) -> Self {
         let shared = reader.shared.clone();
         let task = tokio::task::spawn_local(reader.run()).abort_handle();
-        Self { shared, reader: Some(task), _counted: None }
+        Self { shared, reader: Some(task), _request_guard: None }
     }
 }
 
 impl Drop for HeldAnswer {
     fn drop(&mut self) {
-        // Where the caller has all of it, the reader ends by itself.
+        // Once the caller has the complete response, the reader ends by itself.
         if let Some(reader) = self.reader.as_ref().filter(|_| !self.shared.is_end_stream()) {
             reader.abort();
         }
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_answer/reader.rs
@@ -1,9 +1,10 @@
-//! Takes an answer off its target: at once within the bounds, beyond them as the caller takes it.
+//! Reads a response from its target: as fast as it arrives within the limits, and at the caller's
+//! pace beyond them.
 //!
-//! Owns the target's connection and the request's place there until the answer is whole, broken off or
-//! late; both are settled then, whether or not the caller has read it. Aborted, it closes the
-//! connection, which cancels the request at the target. Relies on
-//! [`crate::decision::refusal::held_answers`] for the bounds.
+//! Owns the target's connection and the in-flight count there until the response is complete, has
+//! broken off or has timed out, and releases both then, whether or not the caller has read it. If
+//! the task is aborted, the connection closes, which cancels the request at the target. Relies on
+//! [`crate::decision::refusal::held_answers`] for the limits.
 
 use crate::clock::{Instant, sleep, timeout_at};
 use crate::decision::capacity::in_flight::InFlight;
@@ -22,58 +23,60 @@
 use std::rc::Rc;
 use std::task::Poll;
 
-/// An answer that is taken off its target.
+/// Reads one response from its target.
 pub struct Reader {
-    /// Where it goes.
+    /// Receives the bytes for the caller.
     pub shared: Rc<SharedAnswer>,
-    /// What is still to come.
+    /// The part of the body that was not read yet.
     pub body: Incoming,
-    /// Its connection.
-    pub reuse: ReusableConnection,
-    /// Its place at the target.
+    /// The connection to the target.
+    pub connection: ReusableConnection,
+    /// Counts the request as in flight at the target.
     pub in_flight: InFlight<Target>,
-    /// When it is broken off.
+    /// When the response is aborted.
     pub deadline: Instant,
-    /// Bounds and counters.
+    /// Limits and counters.
     pub held_answers: HeldAnswerContext,
-    /// The caller's identity for the request.
+    /// The caller's request id; `None` if it sent none.
     pub request_id: Option<HeaderValue>,
-    /// Counts the answer as under way until its caller has it.
-    pub counted: Counted,
+    /// Counts the request as in flight at this instance until the caller has the response.
+    pub request_guard: Counted,
 }
 
-/// What came of a look for more of an answer.
+/// Result of waiting for the next frame.
 enum ReadStep {
     /// The next frame.
     Frame(Frame<Bytes>),
-    /// Its end.
+    /// The end of the body.
     End,
-    /// There is no room now.
+    /// No more bytes may be held now.
     NoRoom,
 }
 
 impl Reader {
-    /// Reads the answer, settles its connection, and keeps what is held until the caller has it.
+    /// Reads the response, releases its connection, and keeps the held bytes until the caller has
+    /// them.
     pub async fn run(mut self) {
         let read = timeout_at(self.deadline, self.read()).await.unwrap_or(Err(BodyError::Late));
-        let is_whole = read.is_ok();
+        let is_complete = read.is_ok();
         match read {
             Ok(()) => self.shared.complete(),
             Err(error) => self.abort_answer(error),
         }
-        let Self { shared, body, reuse, in_flight, deadline, held_answers, request_id, counted } = self;
-        let finished = FinishedRead { shared, held_answers, request_id, target: in_flight.target().clone(), is_whole };
-        if is_whole {
-            reuse.release(&in_flight);
+        let Self { shared, body, connection, in_flight, deadline, held_answers, request_id, request_guard } = self;
+        let finished =
+            FinishedRead { shared, held_answers, request_id, target: in_flight.target().clone(), is_complete };
+        if is_complete {
+            connection.release(&in_flight);
         } else {
-            // Closes the connection, which cancels what still runs at the target.
-            drop((reuse, body));
+            // Closes the connection, which cancels the request at the target.
+            drop((connection, body));
         }
         drop(in_flight);
         finished.held_answers.total.wake_next();
         finished.wait_until_consumed(deadline).await;
         sleep(LAST_PART).await;
-        drop(counted);
+        drop(request_guard);
     }
 
     async fn read(&mut self) -> Result<(), BodyError> {
@@ -84,7 +87,7 @@
                 ReadStep::End => return Ok(()),
                 ReadStep::NoRoom => {}
             }
-            // Before the caller's side runs, which may end with the last byte.
+            // Checked before the caller's side runs, which may drop the body after the last byte.
             if self.body.is_end_stream() {
                 return Ok(());
             }
@@ -95,12 +98,13 @@
         self.shared.set_remaining(self.body.size_hint());
         match frame.into_data() {
             Ok(chunk) => self.shared.push(chunk),
-            // The only other kind; told once the bytes before them are.
+            // Frames are data or trailers; the caller gets trailers after all held bytes.
             Err(frame) => frame.into_trailers().into_iter().for_each(|trailers| self.shared.add_trailers(trailers)),
         }
     }
 
-    /// The next frame. Whether there is room is asked again when it has come: others may have used it up.
+    /// Waits for the next frame. The limits are checked again on each poll, since other responses may
+    /// have used up the room in the meantime.
     async fn next_frame(&mut self) -> Result<ReadStep, BodyError> {
         let frame = poll_fn(|context| match self.shared.may_read(&self.held_answers.limits) {
             true => Pin::new(&mut self.body).poll_frame(context).map(Some),
@@ -113,7 +117,8 @@
         }
     }
 
-    /// Waits until the answer may be read on, and wakes the next one that waits where there is room left.
+    /// Waits until more of the response may be read, and wakes the next waiting reader if there is
+    /// room left.
     async fn wait_for_room(&self) {
         let HeldAnswerContext { limits, total, .. } = &self.held_answers;
         while !self.shared.may_read(&self.held_answers.limits) {
@@ -133,38 +138,38 @@
     }
 }
 
-/// An answer that is off its target, or broke off there.
+/// A response that was read from its target to its end or its failure.
 struct FinishedRead {
     shared: Rc<SharedAnswer>,
     held_answers: HeldAnswerContext,
     request_id: Option<HeaderValue>,
     target: Rc<Target>,
-    is_whole: bool,
+    is_complete: bool,
 }
 
 impl FinishedRead {
-    /// Keeps what is held until the caller has it, or takes nothing for too long.
+    /// Keeps the held bytes until the caller has them, or has read nothing for too long.
     async fn wait_until_consumed(self, deadline: Instant) {
-        let mut latest = deadline.max(Instant::now()) + SILENT_CALLER;
+        let mut give_up_at = deadline.max(Instant::now()) + SILENT_CALLER;
         while !self.shared.is_consumed() {
-            if timeout_at(latest, self.shared.consumed()).await.is_err() {
+            if timeout_at(give_up_at, self.shared.consumed()).await.is_err() {
                 return self.drop_unread();
             }
-            latest = latest.max(Instant::now() + SILENT_CALLER);
+            give_up_at = give_up_at.max(Instant::now() + SILENT_CALLER);
         }
     }
 
-    /// Drops what is held. That an answer broke off is logged already.
+    /// Drops the held bytes, and logs it unless the failure of the response was already logged.
     fn drop_unread(self) {
-        let Self { shared, held_answers, request_id, target, is_whole } = self;
-        match is_whole {
+        let Self { shared, held_answers, request_id, target, is_complete } = self;
+        match is_complete {
             true => abort_answer(&held_answers, request_id.as_ref(), &target, &shared, BodyError::Unread),
             false => shared.abort(BodyError::Unread),
         }
     }
 }
 
-/// Ends an answer that its caller does not get whole, and says why.
+/// Ends a response that its caller does not get completely; logs and counts the cause.
 fn abort_answer(
     held_answers: &HeldAnswerContext,
     id: Option<&HeaderValue>,
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_answer/shared.rs
@@ -1,7 +1,7 @@
-//! What the reader of an answer and the body for its caller share.
+//! State shared by the reader of a response and the body for its caller.
 //!
-//! Owns the answer's bytes and how it ended at the target. Wakes the caller's side when bytes or the end
-//! come, and the reader when the caller took some or waits.
+//! Owns the bytes of the response and how it ended at the target. Wakes the caller's side when
+//! bytes or the end arrive, and the reader when the caller's side takes bytes or begins to wait.
 
 use crate::decision::refusal::held_answers::HeldLimits;
 use crate::net::buffered_bytes::BufferTotal;
@@ -15,14 +15,14 @@
 use std::task::{Context, Poll, Waker};
 use tokio::sync::Notify;
 
-/// How far the answer is off its target.
+/// How far the response was read from its target.
 #[derive(Debug)]
 pub enum Progress {
-    /// More is to come, of this size.
+    /// The body has not ended; size of the part that was not read yet.
     Reading(SizeHint),
-    /// It is whole.
+    /// It was read completely.
     Complete,
-    /// It broke off; taken when the caller's side reports it.
+    /// It was aborted; the error is taken when the caller's side reports it.
     Broken(Option<BodyError>),
 }
 
@@ -30,14 +30,14 @@
 struct State {
     buffer: AnswerBuffer,
     trailers: Option<HeaderMap>,
-    /// Most bytes that were held while there was room.
+    /// Most bytes that were held while the limits allowed more.
     max_held: u64,
     progress: Progress,
-    /// The caller's side, where it waits for bytes.
+    /// Waker of the caller's side while it waits for bytes.
     waker: Option<Waker>,
 }
 
-/// An answer between its target and its caller.
+/// A response between its target and its caller.
 #[derive(Debug)]
 pub struct SharedAnswer {
     state: RefCell<State>,
@@ -45,37 +45,38 @@
 }
 
 impl SharedAnswer {
-    /// An answer of which nothing was read yet.
+    /// A response without bytes yet, counted in `total`.
     pub fn new(total: &Rc<BufferTotal>, progress: Progress) -> Self {
         let state = State { buffer: AnswerBuffer::new(total), trailers: None, max_held: 0, progress, waker: None };
         Self { state: RefCell::new(state), consumed: Notify::new() }
     }
 
-    /// Adds bytes that were read.
+    /// Appends bytes that were read.
     pub fn push(&self, chunk: Bytes) {
         let mut state = self.state.borrow_mut();
         state.buffer.push(chunk);
         wake(&mut state);
     }
 
-    /// Adds the trailers.
+    /// Sets the trailers, which follow the held bytes.
     pub fn add_trailers(&self, trailers: HeaderMap) {
         self.state.borrow_mut().trailers = Some(trailers);
     }
 
-    /// Notes what is still to come.
+    /// Records the size of the part that was not read yet.
     pub fn set_remaining(&self, remaining: SizeHint) {
         self.state.borrow_mut().progress = Progress::Reading(remaining);
     }
 
-    /// Ends it as whole.
+    /// Marks the response as complete.
     pub fn complete(&self) {
         let mut state = self.state.borrow_mut();
         state.progress = Progress::Complete;
         wake(&mut state);
     }
 
-    /// Ends it as broken; what is held is given up where no more of it is wanted.
+    /// Marks the response as aborted. The held bytes are dropped, except if the target's connection
+    /// broke: the caller still gets the bytes that arrived before.
     pub fn abort(&self, error: BodyError) {
         let mut state = self.state.borrow_mut();
         if !matches!(error, BodyError::Broken(_)) {
@@ -85,13 +86,13 @@
         wake(&mut state);
     }
 
-    /// Bytes held of it, and of all.
+    /// Held bytes of this response, and of all bodies in memory.
     pub fn held_bytes(&self) -> (u64, u64) {
         let state = self.state.borrow();
         (state.buffer.len(), state.buffer.total())
     }
 
-    /// Whether it is read on within these bounds.
+    /// Whether more of the response may be read within these limits.
     pub fn may_read(&self, limits: &HeldLimits) -> bool {
         let mut state = self.state.borrow_mut();
         let (own, total) = (state.buffer.len(), state.buffer.total());
@@ -101,7 +102,7 @@
         limits.reads_on(own, total, state.max_held, state.waker.is_some())
     }
 
-    /// Returns once the caller's side took bytes or began to wait.
+    /// Returns once the caller's side has taken bytes or begun to wait.
     pub async fn consumed(&self) {
         self.consumed.notified().await;
     }
@@ -124,19 +125,19 @@
         }
     }
 
-    /// Whether the caller has all of it.
+    /// Whether the caller has the complete response, trailers included.
     pub fn is_end_stream(&self) -> bool {
         let state = self.state.borrow();
         matches!(state.progress, Progress::Complete) && state.buffer.is_empty() && state.trailers.is_none()
     }
 
-    /// Whether the caller took all that there is and will be.
+    /// Whether the caller has taken all bytes and no more will arrive.
     pub fn is_consumed(&self) -> bool {
         let state = self.state.borrow();
         !matches!(state.progress, Progress::Reading(_)) && state.buffer.is_empty()
     }
 
-    /// The size of what the caller does not have yet.
+    /// Size of the part that the caller does not have yet.
     pub fn size_hint(&self) -> SizeHint {
         let state = self.state.borrow();
         match &state.progress {
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -1,8 +1,8 @@
-//! A caller's request body as it arrives: buffered where that costs little, so that a
-//! request that did not run can go to another target; streamed otherwise.
+//! Receives the body of a caller's request: a small one is buffered, so that a request that did not
+//! run can be sent to another target; a large one is streamed.
 //!
-//! Owns the bounds on what is buffered of one body and of all, a part of `limits.memory_mb`.
-//! Relies on [`BufferedBytes`] for the counts; the total of all bodies is the instance's.
+//! Owns the limits on the buffered bytes of one body and of all bodies, a part of
+//! `limits.memory_mb`. Relies on [`BufferedBytes`] for the counts; the instance owns the total.
 
 use crate::clock::{Instant, timeout_at};
 use crate::model::fingerprint::{Fingerprint, RequestIdentity, STREAMED_BYTES};
@@ -19,23 +19,23 @@
 use hyper::body::{Body, Frame, Incoming};
 use std::collections::VecDeque;
 
-/// Largest request body that is buffered, bytes; above usual uploads (some 360 kB).
+/// Largest request body that is buffered, bytes; larger than usual uploads (about 360 kB).
 const MAX_BUFFERED_BODY: u64 = 512 * 1024;
-/// Buffered bodies take at most one in this many bytes of the memory limit; peak memory beside them
-/// is 7 MB.
+/// Buffered bodies take at most the memory limit divided by this; the peak memory beside them is
+/// 7 MB.
 const BUFFERED_BODY_DIVISOR: u64 = 8;
 
-/// A request's body.
+/// The body of a caller's request.
 #[derive(Debug)]
 pub enum IncomingBody {
-    /// All of it, in memory.
+    /// Complete and in memory.
     Buffered {
-        /// Its bytes.
+        /// The bytes of the body.
         bytes: Bytes,
-        /// Counts them while they are in memory.
+        /// Counts the bytes while they are in memory.
         _buffered: BufferedBytes,
     },
-    /// Streamed as it arrives; `None` once it was sent.
+    /// Streamed as it arrives; `None` once it was handed to a try.
     Streamed(Option<StreamedBody>),
 }
 
@@ -43,9 +43,9 @@
     /// Reads a body of at most `max_bytes`.
     ///
     /// # Errors
-    /// [`Refusal::TooLarge`] where it is larger, as far as that shows before it is
-    /// streamed; [`Refusal::BrokenBody`] where a body to be buffered breaks off or is
-    /// not whole by the deadline.
+    /// [`Refusal::TooLarge`] if it is larger, as far as that is known before it is streamed;
+    /// [`Refusal::BrokenBody`] if the body breaks off, or is not read by the deadline, while it is
+    /// buffered.
     pub async fn read<P: Platform>(
         instance: &Instance<P>,
         max_bytes: u64,
@@ -66,7 +66,7 @@
             let Some(frame) = next_frame(&mut incoming, deadline).await? else {
                 return Ok(IncomingBody::Buffered { bytes: chunks::join(chunks), _buffered: buffered });
             };
-            // Trailers are dropped: a buffered body has none.
+            // Trailers are dropped, since a buffered body cannot carry them.
             if let Ok(chunk) = frame.into_data() {
                 buffered.add(chunk.len() as u64);
                 chunks.push_back(chunk);
@@ -76,7 +76,7 @@
         Ok(IncomingBody::Streamed(Some(StreamedBody::new(chunks, buffered, incoming, allowance))))
     }
 
-    /// The fingerprint of a request with this body, which was not sent yet.
+    /// The fingerprint of a request with this body, before the body is handed to a try.
     pub fn fingerprint(&self, request: &RequestIdentity<'_>) -> Fingerprint {
         match self {
             IncomingBody::Buffered { bytes, .. } => Fingerprint::new(request, Some(bytes.len() as u64), [&bytes[..]]),
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The body for one target; `None` where it is gone.
+    /// The body for one try; `None` if an earlier try consumed it.
     pub fn for_try(&mut self) -> Option<RequestBody> {
         match self {
             IncomingBody::Buffered { bytes, .. } => Some(RequestBody::Buffered(Full::new(bytes.clone()))),
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Takes back a body of which nothing was sent.
+    /// Takes back the body of a request of which nothing was sent.
     pub fn restore(&mut self, request: Request<RequestBody>) {
         if let (IncomingBody::Streamed(slot), RequestBody::Streamed(streamed)) = (self, request.into_body()) {
             *slot = Some(streamed);
@@ -104,8 +104,8 @@
     }
 }
 
-/// The next part of a body. Whether it broke off or is late makes no difference to the
-/// caller, who has to send it again.
+/// The next frame of a body. The error is the same for a broken and a late body: the caller has to
+/// send it again in both cases.
 async fn next_frame(incoming: &mut Incoming, deadline: Instant) -> Result<Option<Frame<Bytes>>, Refusal> {
     match timeout_at(deadline, incoming.frame()).await {
         Ok(None) => Ok(None),
@@ -114,14 +114,14 @@
     }
 }
 
-/// Whether more of a body of at least `min_size` bytes is read before it is sent: all of one that
-/// is buffered, and of a larger one what its fingerprint is made of.
+/// Whether more of a body of at least `min_size` bytes is buffered: all of a small one, and of a
+/// larger one the prefix that its fingerprint covers.
 fn may_buffer_more(buffered: &BufferedBytes, min_size: u64, max_total: u64) -> bool {
     let is_buffered = min_size <= MAX_BUFFERED_BODY;
     (is_buffered || buffered.own() < STREAMED_BYTES as u64) && has_room(buffered, max_total)
 }
 
-/// Whether more of this body may be buffered, with at most `max_total` bytes of all.
+/// Whether more of this body may be buffered, with at most `max_total` bytes of all bodies.
 fn has_room(buffered: &BufferedBytes, max_total: u64) -> bool {
     buffered.own() <= MAX_BUFFERED_BODY && buffered.total() <= max_total
 }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -1,7 +1,7 @@
-//! The callers' listener: bounds on their connections, and the count of their requests
-//! in flight, on which a planned stop waits.
+//! The listener for callers: limits on their connections, and the count of their requests in
+//! flight, for which a planned stop waits.
 //!
-//! Hands each request to [`crate::proxy::request`]. Relies on the configuration's limits.
+//! Passes each request to [`crate::proxy::request`]. Relies on the limits of the configuration.
 
 use crate::model::config::{Repeat, Route};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
@@ -14,18 +14,18 @@
 use hyper::{Request, Response};
 use std::rc::Rc;
 
-/// Callers' connections take at most one in this many of the descriptors: a request may need a
+/// Callers' connections take at most the file descriptors divided by this: each request may need a
 /// connection to a target as well.
 const CALLER_CONNECTION_DIVISOR: u32 = 2;
 
-/// Answers that wait for those ahead of them on their connection take at most one in this many
-/// bytes of the memory limit.
+/// Responses that wait for those ahead of them on their connection take at most the memory limit
+/// divided by this, bytes.
 const EARLY_RESPONSE_DIVISOR: u64 = 8;
 
-/// Answers requests of callers.
+/// Handles the requests of callers.
 pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
 
-/// Counts a request for as long as it is processed.
+/// Counts a request as in flight until it is dropped.
 struct ActiveRequest<'a, P: Platform>(&'a Instance<P>);
 
 impl<'a, P: Platform> ActiveRequest<'a, P> {
@@ -44,13 +44,14 @@
 }
 
 impl<P: Platform> CallerListener<P> {
-    /// Whether the answer to one more request may wait for those ahead of it.
+    /// Whether there is memory for one more response that waits for those ahead of it on its
+    /// connection, each taken as [`MAX_BUFFERED_RESPONSE`].
     fn has_memory_for_early_response(&self) -> bool {
         let max_bytes = self.0.settings.borrow().memory / EARLY_RESPONSE_DIVISOR;
         self.0.requests.unanswered().saturating_add(1).saturating_mul(MAX_BUFFERED_RESPONSE as u64) <= max_bytes
     }
 
-    /// Whether a request has a route in the configuration in force of which this holds.
+    /// Whether a request matches a route of the configuration in force for which `predicate` holds.
     fn has_route_where(&self, head: &Parts, predicate: impl FnOnce(&Route) -> bool) -> bool {
         let routing = self.0.routing.borrow();
         let Some(config) = &routing.config else { return false };
@@ -72,8 +73,8 @@
 
     fn limits(&self) -> ConnectionLimits {
         let routing = self.0.routing.borrow();
-        // Before the first configuration there are none to apply: the defaults bound the
-        // few callers that arrive, whose requests wait for it.
+        // Before the first configuration, the defaults limit the few callers that arrive, whose
+        // requests wait for it.
         let limits = routing.config.as_ref().map(|config| config.limits).unwrap_or_default();
         ConnectionLimits {
             head_bytes: limits.head_bytes,
@@ -88,7 +89,7 @@
     }
 
     fn may_begin_early(&self, head: &Parts) -> bool {
-        // A large answer that nobody reads yet would hold its target.
+        // A large response that the caller cannot read yet would keep its target's slot occupied.
         let may_begin = |route: &Route| is_repeatable(route) && !route.large_answers;
         !self.is_stopping() && self.has_memory_for_early_response() && self.has_route_where(head, may_begin)
     }
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -1,7 +1,7 @@
-//! Answers that an instance makes itself, where no target's answer can be passed on.
+//! Responses that an instance generates itself if no target's response can be passed on.
 //!
-//! Owns the statuses, names and Retry-After times. A 503 means that no target ran the
-//! request, 502 and 504 that one may have.
+//! Owns their statuses, names and Retry-After times. A 503 means that no target ran the request;
+//! after a 502 or 504, one may have.
 
 use crate::decision::failure::next_try::FailureReason;
 use crate::decision::failure::quarantine::FIRST_PROBE_DELAY;
@@ -11,98 +11,98 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Retry-After where this instance has no configuration or no usable target: states that
-/// last longer than a full target. Worth at half and double differs by
-/// 0.002 at most: not sensitive.
+/// Retry-After if this instance has no configuration or no usable target, which lasts longer than a
+/// lack of capacity. Not sensitive: half and double the value change the worth that the benchmark
+/// reports by 0.002 at most.
 const RETRY_AFTER_OUTAGE: Duration = Duration::from_millis(500);
-/// Retry-After where waiting gains nothing: this instance stops and the others take the request,
-/// or its target sheds load beside free slots.
+/// Retry-After if there is no reason to wait: another instance takes the request, or the target shed
+/// it although it had free slots.
 const RETRY_AT_ONCE: Duration = Duration::ZERO;
 
-/// Why a request got no answer from a target.
+/// Why a caller gets no target's response.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
     /// No configuration is known yet.
     #[error("this instance has no configuration yet; send the request to another instance")]
     NoConfig,
-    /// No route takes the host and path.
+    /// No route matches the host and path.
     #[error("no route takes this host and path; correct them or add a route")]
     NoRoute,
-    /// No route that is known here takes the host and path, and this instance cannot tell whether
-    /// one was added.
+    /// No known route matches the host and path, and the view is too old to rule out that one was
+    /// added.
     #[error(
         "no route known here takes this host and path, and this instance has not heard of changes for too long; send the request to another instance"
     )]
     StaleRoutes,
-    /// No tenant holds the caller's key.
+    /// The request does not have exactly one key, or no tenant holds it.
     #[error("the request has no key that a tenant holds; send one valid key in one header")]
     NoKey,
     /// The key was given to another tenant while the request waited.
     #[error("the key was given to another tenant while the request waited; send the request again")]
     KeyMoved,
-    /// This instance cannot tell whether the key was taken away.
+    /// The view is too old to rule out that the key was revoked.
     #[error("this instance has not heard of changes to keys for too long; send the request to another instance")]
     StaleKeys,
-    /// Route and tenant allow no region in common.
+    /// The route and the tenant have no allowed region in common.
     #[error("the route and the tenant allow no region in common; have the operators correct one of them")]
     NoRegion,
-    /// The tenant sends more than its quota.
+    /// The tenant has exhausted its quota.
     #[error("the tenant's quota is used up; retry after the time in retry-after, or have the quota raised")]
     OverQuota,
-    /// The request cannot be understood.
+    /// The request is malformed: its host, deadline or path is invalid.
     #[error("the request cannot be understood; send it as docs/CALLERS.md says")]
     Malformed,
-    /// The body is larger than allowed.
+    /// The body is larger than the configuration allows.
     #[error("the body is too large; send a smaller one")]
     TooLarge,
-    /// The body did not arrive whole in time.
+    /// The body broke off, or was not complete by the deadline.
     #[error("the body did not arrive whole in time; send the request again")]
     BrokenBody,
-    /// No target may be used.
+    /// No target may be used for the request.
     #[error("no target may take this request now; retry after the time in retry-after")]
     NoTarget,
-    /// Targets take no more requests now, as they say themselves.
+    /// Targets accept no more requests now, by the limits or pauses that they announced.
     #[error("the targets take no more requests now; retry after the time in retry-after")]
     Limited,
-    /// The targets for its affinity key have no room.
+    /// The targets for its affinity key have no capacity.
     #[error("the targets for this affinity key have no room; retry after the time in retry-after")]
     Full,
-    /// A cap leaves no credit to move it to targets that have room.
+    /// A policy's cap leaves no credit to move the request to targets that have capacity.
     #[error("a policy's cap keeps the request from the targets that have room; retry after the time in retry-after")]
     Capped,
-    /// Targets turned it away without running it.
+    /// A target refused the request without running it.
     #[error("the targets refused the request and did not run it; retry after the time in retry-after")]
     TurnedAway,
-    /// A target with free slots turned it away without running it.
+    /// A target with free slots refused the request without running it.
     #[error("the targets shed load and did not run the request; retry at once")]
     Shed,
     /// No connection to a target could be made.
     #[error("no target could be reached; retry after the time in retry-after")]
     Unreachable,
-    /// Its time ran out before it was sent.
+    /// Too little time was left before the request was sent.
     #[error("the request's time ran out before it was sent; give it more time")]
     TooLate,
-    /// This instance holds as much of answers as it may.
+    /// This instance holds as many bytes of large responses as its memory limit allows.
     #[error("this instance holds as much of large answers as its memory allows; retry after the time in retry-after")]
     HeldAnswers,
-    /// Targets ended under it.
+    /// The request is in quarantine because targets crashed under it.
     #[error(
         "targets that ran this request ended; it was not sent on, correct it or retry after the time in retry-after"
     )]
     Quarantined,
-    /// This instance stops.
+    /// This instance is stopping.
     #[error("this instance is stopping; send the request to another instance")]
     Stopping,
-    /// The exchange broke after the request may have run.
+    /// The response was lost after the request may have run.
     #[error("the target's answer was lost; the request may have run")]
     Lost,
-    /// Its time ran out after it may have run.
+    /// The request timed out after it may have run.
     #[error("no answer came in time; the request may have run")]
     TimedOut,
 }
 
 impl Refusal {
-    /// Its name in log and metrics.
+    /// The name in the access log and in metrics (`outcome`).
     pub fn as_str(self) -> &'static str {
         match self {
             Refusal::NoConfig => "no-configuration",
@@ -132,7 +132,7 @@
         }
     }
 
-    /// The status of the answer.
+    /// The status of the response.
     pub fn status(self) -> StatusCode {
         match self {
             Refusal::NoRoute => StatusCode::NOT_FOUND,
@@ -147,13 +147,13 @@
         }
     }
 
-    /// Whether no target ran the request and none will.
-    pub fn is_not_run(self) -> bool {
+    /// Whether it is certain that no target ran the request or will run it.
+    pub fn guarantees_not_run(self) -> bool {
         !matches!(self, Refusal::Lost | Refusal::TimedOut)
     }
 
-    /// How long the caller should wait before it tries again, where waiting helps; `capacity_wait`
-    /// is the time after which there is probably room.
+    /// Time after which the caller should try again; `None` if a retry does not help. `capacity_wait`
+    /// is the time after which there is probably capacity.
     pub fn retry_after(self, capacity_wait: Duration) -> Option<Duration> {
         match self {
             Refusal::Full | Refusal::Capped | Refusal::TurnedAway | Refusal::Unreachable | Refusal::TooLate => {
@@ -169,8 +169,7 @@
         }
     }
 
-    /// The answer for the caller; `capacity_wait` is the time after which there is probably room at
-    /// the service.
+    /// The response for the caller; `capacity_wait` as for [`Self::retry_after`].
     pub fn response(self, capacity_wait: Duration) -> Response<ResponseBody> {
         let mut builder = Response::builder().status(self.status()).header(CONTENT_TYPE, "text/plain");
         if let Some(wait) = self.retry_after(capacity_wait) {
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -1,8 +1,8 @@
-//! A caller's request: understood, tried at targets, answered and logged.
+//! Handles a caller's request from its head to the response and the access log line.
 //!
-//! Finds the route, the deadline and the body, leaves what may travel on, and hands
-//! the request to [`crate::proxy::attempts`]. Counts each request by its outcome and
-//! writes its line in the access log. Relies on the configuration in force.
+//! Finds the route, the tenant and the deadline, reads the body, removes what must not be forwarded,
+//! and passes the request to [`crate::proxy::attempts`]. Counts each request by its outcome. Relies
+//! on the configuration in force.
 
 use crate::clock::{Instant, timeout_at};
 use crate::decision::quota::own_use::Admission;
@@ -32,20 +32,20 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The outcome of a request that a target answered, in metrics and log.
+/// Outcome of a request that got a target's response, in metrics and the access log.
 const ANSWERED: &str = "answered";
-/// Time of a request whose caller names no deadline.
+/// Deadline of a request whose caller sent none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// How long a request waits for the first configuration. Longer than a large fleet needs
-/// that starts together: a caller who is refused comes back half a second later and has used up a
-/// retry.
+/// How long a request waits for the first configuration. Longer than a large fleet that starts at
+/// once needs to receive it: a caller that is refused returns after 0.5 s and has used up a retry.
 const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(600);
-/// How long before the caller's deadline its answer is sent: one way between regions (12 ms) and some work.
+/// How long before the caller's deadline a request times out: the one-way latency between regions
+/// (12 ms) and some processing time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(15);
 
-/// Why a caller's deadline cannot be read.
+/// The caller's deadline header is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the deadline is no whole number of milliseconds; send one, or leave the header out")]
+#[error("the deadline is not a whole number of milliseconds; correct the header or omit it")]
 pub struct DeadlineError;
 
 impl From<DeadlineError> for Refusal {
@@ -54,7 +54,8 @@
     }
 }
 
-/// Answers a caller's request, whatever comes of it.
+/// Handles a caller's request: returns a target's response or a refusal, and records the outcome in
+/// the metrics and the access log.
 pub async fn handle<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<ResponseBody> {
     let now = Instant::now();
     instance.requests.mark_arrival(now);
@@ -84,8 +85,8 @@
     response
 }
 
-/// When a refused caller may find room: at the service that was chosen for its request, or in its
-/// tenant's quota.
+/// Time after which a refused caller probably finds capacity: in its tenant's quota, in the memory
+/// for held answers, or at the service that was chosen for its request.
 fn retry_delay<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
     if refusal == Refusal::OverQuota {
         return spread(QUOTA_WAIT, rand::random());
@@ -93,7 +94,7 @@
     if refusal == Refusal::HeldAnswers {
         return spread(HELD_WAIT, rand::random());
     }
-    if let Some(wait) = record.pause_wait {
+    if let Some(wait) = record.target_wait {
         return wait + spread(LIMIT_WAIT, rand::random());
     }
     let median = match &record.service {
@@ -103,7 +104,7 @@
     spread(until_room(median), rand::random())
 }
 
-/// Understands a request and tries it at targets.
+/// Routes, authenticates and admits a request, and tries it at targets.
 async fn process<P: Platform>(
     instance: &Instance<P>,
     request: Request<CallerBody>,
@@ -118,7 +119,7 @@
     let route = find_route(&config, request.uri(), request.headers());
     let route = route.map_err(|refusal| refusal_while_stale(instance, refusal))?;
     record.route = Some(route.name.clone());
-    let caller = find_caller(instance, &config, route, request.headers())?;
+    let caller = authenticate_caller(instance, &config, route, request.headers())?;
     record.tenant = caller.as_ref().map(|caller| caller.tenant.name.clone());
     let deadline = deadline(request.headers(), &instance.names.deadline_ms, route, started)?;
     let stop = instance.settings.borrow().stop;
@@ -137,7 +138,7 @@
     let admitted = AdmittedRequest { instance, config: &config, route, caller, started, deadline };
     let result = admitted.send(request, record).await;
     if let (Err(refusal), Some(tenant)) = (&result, tenant)
-        && refusal.is_not_run()
+        && refusal.guarantees_not_run()
     {
         instance.quotas.release(tenant);
     }
@@ -149,7 +150,7 @@
     QuotaRecord { admit_ratio: usage.pass(&tenant.name), answer_age: usage.answer_age(Instant::now()) }
 }
 
-/// A request of which all is known but its body.
+/// An admitted request whose body is not read yet.
 struct AdmittedRequest<'a, P: Platform> {
     instance: &'a Instance<P>,
     config: &'a Config,
@@ -160,7 +161,7 @@
 }
 
 impl<P: Platform> AdmittedRequest<'_, P> {
-    /// Reads the body, and tries the request at targets.
+    /// Reads the body and tries the request at targets.
     async fn send(
         self,
         request: Request<CallerBody>,
@@ -179,8 +180,9 @@
     }
 }
 
-/// The tenant of a caller that may send this request; `None` where none is asked for.
-fn find_caller<'a, P: Platform>(
+/// Finds the tenant of the caller and checks that it may send the request; `None` if the route is
+/// public or there are no tenants.
+fn authenticate_caller<'a, P: Platform>(
     instance: &Instance<P>,
     config: &'a Config,
     route: &Route,
@@ -196,38 +198,38 @@
     Ok(Some(caller))
 }
 
-/// The configuration in force. A process that has just started receives it within
-/// a few milliseconds; requests that arrive before wait for it.
+/// Waits for the configuration in force; `None` after [`FIRST_CONFIG_TIMEOUT`]. A new process
+/// receives it within a few milliseconds.
 async fn wait_for_config<P: Platform>(instance: &Instance<P>) -> Option<Rc<Config>> {
-    let until = Instant::now() + FIRST_CONFIG_TIMEOUT;
+    let deadline = Instant::now() + FIRST_CONFIG_TIMEOUT;
     loop {
         let changed = instance.store_copy.changed();
         if let Some(config) = &instance.routing.borrow().config {
             return Some(config.clone());
         }
-        timeout_at(until, changed).await.ok()?;
+        timeout_at(deadline, changed).await.ok()?;
     }
 }
 
-/// Whether keys may have been taken away for longer than the operators allow without word of it
-/// here. Only where they want keys to expire.
+/// Whether the view is older than the operators' limit on the time after which a revoked key may
+/// still be accepted (`bounds.keys_expire_ms`); false if they set none.
 fn has_stale_keys<P: Platform>(instance: &Instance<P>) -> bool {
     let Some(max_age) = instance.settings.borrow().keys_expire else { return false };
     instance.store_copy.view_age().is_none_or(|age| age > max_age)
 }
 
-/// The route of a request.
+/// Finds the route of a request.
 ///
 /// # Errors
-/// Where it names no host, or no route matches.
+/// [`Refusal::Malformed`] if it names no host, [`Refusal::NoRoute`] if no route matches.
 pub fn find_route<'a>(config: &'a Config, uri: &Uri, headers: &HeaderMap) -> Result<&'a Route, Refusal> {
     let host = host(uri, headers).ok_or(Refusal::Malformed)?;
     let key = config.find(host, uri.path()).ok_or(Refusal::NoRoute)?;
     Ok(config.route(key))
 }
 
-/// What is refused in place of a missing route while the view is stale: 404 is for good, and the
-/// route may be there by now.
+/// Replaces [`Refusal::NoRoute`] by [`Refusal::StaleRoutes`] while the view is stale: callers take a
+/// 404 as final, but the route may have been added in the meantime.
 fn refusal_while_stale<P: Platform>(instance: &Instance<P>, refusal: Refusal) -> Refusal {
     match refusal {
         Refusal::NoRoute if !instance.store_copy.is_current() => Refusal::StaleRoutes,
@@ -235,8 +237,8 @@
     }
 }
 
-/// The host asked for; `None` where there is none or it is not text, which no route
-/// can match: both are refused as malformed.
+/// The requested host; `None` if it is absent or not text. Both are refused as malformed, since no
+/// route can match them.
 fn host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> Option<&'a str> {
     match uri.host() {
         Some(host) => Some(host),
@@ -244,7 +246,7 @@
     }
 }
 
-/// What a request with this head and body asks of a target.
+/// The fingerprint of a request with this head and body.
 fn fingerprint(parts: &Parts, affinity_key: &HeaderName, body: &IncomingBody) -> Fingerprint {
     body.fingerprint(&RequestIdentity {
         method: parts.method.as_str(),
@@ -254,8 +256,8 @@
     })
 }
 
-/// When an answer is no longer of use: the earlier of the caller's deadline and the
-/// route's timeout.
+/// When the request times out: at the caller's deadline or the route's timeout, whichever is
+/// earlier.
 fn deadline(headers: &HeaderMap, name: &HeaderName, route: &Route, started: Instant) -> Result<Instant, DeadlineError> {
     let deadline = match parse_milliseconds(headers, name)? {
         Some(remaining) => started + remaining.saturating_sub(DEADLINE_MARGIN),
@@ -264,7 +266,7 @@
     Ok(route.timeout.map_or(deadline, |timeout| deadline.min(started + timeout)))
 }
 
-/// A duration in milliseconds; `None` where the header is absent.
+/// Parses a header as a duration in milliseconds; `None` if it is absent.
 fn parse_milliseconds(headers: &HeaderMap, name: &HeaderName) -> Result<Option<Duration>, DeadlineError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let text = value.to_str().map_err(|_| DeadlineError)?;
@@ -272,7 +274,7 @@
     Ok(Some(Duration::from_millis(number)))
 }
 
-/// Leaves what travels on: no headers of one connection, the path alone.
+/// Removes the hop-by-hop headers, and reduces the URI to path and query.
 fn prepare_for_target(parts: &mut Parts) -> Result<(), Refusal> {
     remove_hop_by_hop(&mut parts.headers);
     if parts.uri.authority().is_some() {
--- a/src/proxy/response_body.rs
+++ b/src/proxy/response_body.rs
@@ -1,8 +1,8 @@
-//! Bodies of answers on their way to a caller: small and whole, or held while the caller reads.
+//! Bodies of responses to callers: small ones in memory, larger ones held while the caller reads.
 //!
-//! Owns what becomes of a target's connection: it is used again only after the whole answer
-//! was read and the whole request sent; dropped before, it is closed, which cancels the
-//! request at the target. Relies on the target's pool.
+//! Owns the decision whether a target's connection is reused: only after the complete response
+//! was read and the complete request was sent. A connection that is dropped earlier is closed,
+//! which cancels the request at the target. Relies on the target's pool.
 
 use crate::decision::capacity::in_flight::InFlight;
 use crate::decision::registry::target::Target;
@@ -19,40 +19,40 @@
 use std::rc::Rc;
 use std::task::{Context, Poll};
 
-/// The body of an answer to a caller.
+/// The body of a response to a caller.
 pub enum ResponseBody {
-    /// Whole in memory.
+    /// Complete and in memory.
     Buffered(Full<Bytes>),
-    /// Held while the caller reads it.
+    /// Held while the caller reads it ([`HeldAnswer`]).
     Held(Box<HeldAnswer>),
 }
 
 impl ResponseBody {
-    /// An answer without a body.
+    /// A response with this status and an empty body.
     pub fn empty(status: StatusCode) -> Response<Self> {
         let mut response = Response::new(ResponseBody::buffered(""));
         *response.status_mut() = status;
         response
     }
 
-    /// A body that is whole in memory.
+    /// A body that is complete and in memory.
     pub fn buffered(bytes: impl Into<Bytes>) -> Self {
         ResponseBody::Buffered(Full::new(bytes.into()))
     }
 }
 
-/// What becomes of the connection after the whole answer.
+/// A connection to a target that may be reused after the complete response.
 pub struct ReusableConnection {
     /// The connection.
     pub connection: Connection,
-    /// How long the target keeps it.
+    /// How long the target keeps it open.
     pub keep_alive: KeepAlive,
-    /// Whether the request's body was sent whole.
+    /// Whether the request's body was sent completely.
     pub request_sent: Rc<Cell<bool>>,
 }
 
 impl ReusableConnection {
-    /// Returns the connection to the pool where that is safe, closes it otherwise.
+    /// Returns the connection to the pool if the request was sent completely; closes it otherwise.
     pub fn release(self, in_flight: &InFlight<Target>) {
         if self.request_sent.get() {
             in_flight.target().pool.keep(self.connection, self.keep_alive);
--- a/src/proxy/response_check.rs
+++ b/src/proxy/response_check.rs
@@ -1,8 +1,8 @@
-//! Whether an answer may be passed on: it is ours, its target ran the request, and a
-//! success is signed.
+//! Checks whether a response may be passed on: it belongs to the request, the target ran the
+//! request, and a success carries the target's signature.
 //!
-//! Looks at the head of the answer alone and changes nothing. What a failed check
-//! means for the target is [`crate::proxy::exchange`]'s business.
+//! Reads only the head of the response and changes no state. [`crate::proxy::exchange`] records
+//! what a failed check means for the target.
 
 use crate::decision::capacity::load_report::{LoadReport, LoadReportError};
 use crate::decision::capacity::rate_limit::StatedLimit;
@@ -12,20 +12,20 @@
 use hyper::header::{HeaderValue, RETRY_AFTER};
 use hyper::{HeaderMap, Response, StatusCode};
 
-/// Why an answer may not be passed on.
+/// Why a response may not be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseError {
-    /// It bears the identity of another request.
+    /// Its request id is not that of the request, or is missing although the request ran.
     WrongRequestId,
-    /// Another target has taken over the address; nothing ran.
+    /// Another target has taken over the address (421); the request did not run.
     Misdirected,
-    /// The target says that it did not run the request.
+    /// The target reports that it did not run the request.
     NotExecuted,
-    /// A success without the target's signature: something else answered.
+    /// A success without the target's signature: something other than the target responded.
     Unsigned,
 }
 
-/// Checks the answer to the request with this identity.
+/// Checks the response to the request with this id.
 ///
 /// # Errors
 /// [`ResponseError`], the first that applies.
@@ -46,8 +46,8 @@
     Ok(())
 }
 
-/// Whether the answer bears the request's identity. An answer without one can only
-/// say that nothing ran.
+/// Whether the response carries the request's id. A response without one is accepted only if it
+/// says that the request did not run.
 fn has_request_id(names: &HeaderNames, id: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
     match (headers.get(&names.request_id), id) {
         (Some(received), Some(sent)) => received == sent,
@@ -57,18 +57,18 @@
     }
 }
 
-/// The load that the target reports with an answer; `None` where it reports none.
+/// The load that the target reports in a response; `None` if it reports none.
 ///
 /// # Errors
-/// [`LoadReportError`] where it cannot be read.
+/// [`LoadReportError`] if the report is invalid.
 pub fn load_report(names: &HeaderNames, headers: &HeaderMap) -> Result<Option<LoadReport>, LoadReportError> {
     let Some(value) = headers.get(&names.load) else { return Ok(None) };
     let text = value.to_str().map_err(|_| LoadReportError::NoText)?;
     LoadReport::parse(text).map(Some)
 }
 
-/// What the target says of itself with the answer. Only one that turns a request away says how long it
-/// wants no other.
+/// The signals about the target in the headers of a response. `Retry-After` counts as a pause only
+/// if the target rejects the request (503 or 429).
 pub fn response_signals<B>(names: &HeaderNames, response: &Response<B>) -> Stated {
     let values = |name| response.headers().get_all(name).iter().map(HeaderValue::as_bytes);
     let turns_away = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
--- a/src/proxy/strikes.rs
+++ b/src/proxy/strikes.rs
@@ -1,8 +1,8 @@
-//! What a request's tries show of it: ends of targets, which count against all requests that ask
-//! for the same, and answers, which clear them.
+//! Records whether a request crashes targets: a crash under a try counts as a strike against all
+//! requests with the same fingerprint, a response clears the strikes.
 //!
-//! The rule is [`crate::decision::failure::quarantine`]. Owns the look whether a target is gone,
-//! the lines and the count of strikes; has them reported to the other instances.
+//! The rule is [`crate::decision::failure::quarantine`]. Owns the check whether a target has
+//! crashed, the log lines and the metric of strikes; schedules their report to the other instances.
 
 use crate::clock::Instant;
 use crate::decision::failure::quarantine::{Quarantined, report_delay};
@@ -12,10 +12,10 @@
 use crate::proxy::refusal::Refusal;
 use std::rc::Rc;
 
-/// The strikes against a request that are known, where it may be sent on.
+/// Checks whether a request may be sent, and returns the number of known strikes against it.
 ///
 /// # Errors
-/// [`Refusal::Quarantined`] where it may not.
+/// [`Refusal::Quarantined`] if it may not.
 pub fn admit<P: Platform>(request: &CallerRequest<'_, P>) -> Result<u32, Refusal> {
     let settings = request.instance.settings.borrow();
     let quarantine = &mut request.instance.routing.borrow_mut().quarantine;
@@ -23,7 +23,7 @@
     admitted.map_err(|Quarantined| Refusal::Quarantined)
 }
 
-/// A target answered: the request does not end targets.
+/// Records a response of a target, which shows that the request does not crash targets.
 pub fn record_response<P: Platform>(request: &CallerRequest<'_, P>) {
     let (instance, fingerprint) = (request.instance, request.fingerprint);
     if instance.routing.borrow_mut().quarantine.record_response(fingerprint) {
@@ -31,8 +31,8 @@
     }
 }
 
-/// The connection ended under a try that began with so many `strikes`. Where the target was in use
-/// and nothing listens at its address any more, it is one more.
+/// Records that the connection closed during a try that began with this number of `strikes`. Counts
+/// a strike if the target was in use and its address now refuses connections.
 pub async fn record_lost_connection<P: Platform>(request: &CallerRequest<'_, P>, target: &Rc<Target>, strikes: u32) {
     let (instance, fingerprint) = (request.instance, request.fingerprint);
     let is_in_use = instance.routing.borrow().is_in_use(target);
@@ -40,19 +40,19 @@
         return;
     }
     let now = Instant::now();
-    let counted = {
+    let new_count = {
         let quarantine = &mut instance.routing.borrow_mut().quarantine;
         quarantine.record_crash(target.key, now);
         quarantine.record_strike(fingerprint, strikes, now)
     };
-    let Some(strikes) = counted else { return };
+    let Some(strikes) = new_count else { return };
     instance.metrics.strikes.inc();
     log_strike(request, target, strikes);
     instance.strike_reports.add(fingerprint, now + report_delay(strikes));
 }
 
-/// The request's tries are over without an answer: nothing may clear what they showed any more, so
-/// that the other instances hear of it now.
+/// Schedules an immediate report of strikes that are not yet shared, after a request that got no
+/// response: none can clear them any more.
 pub fn report_pending<P: Platform>(request: &CallerRequest<'_, P>) {
     let (instance, fingerprint, now) = (request.instance, request.fingerprint, Instant::now());
     if instance.routing.borrow().quarantine.pending_report(fingerprint, now).is_some() {
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -1,8 +1,9 @@
-//! The target of a request's next try: the rules of [`crate::decision::selection::choice`] asked
-//! for the service that is due, one for all tries of the request.
+//! Chooses the target of a request's next try by the rules of
+//! [`crate::decision::selection::choice`]. The traffic split picks one service for all tries of the
+//! request.
 //!
-//! Owns what the operators' caps were charged for the request. Relies on the routing
-//! of the snapshot, read anew for each try.
+//! Owns the request's charge to the operators' caps. Relies on a snapshot of the routing state,
+//! taken again for each try.
 
 use crate::clock::Instant;
 use crate::decision::registry::routing::Routing;
@@ -18,43 +19,44 @@
 use crate::settings::Settings;
 use std::rc::Rc;
 
-/// What the choices for one request have in common.
+/// State that the choices for one request share.
 pub struct TargetChoice<'a, P: Platform> {
     request: &'a CallerRequest<'a, P>,
     affinity: u64,
     weighted_service: &'a WeightedService,
-    charge: CapCharge,
+    cap_charge: CapCharge,
 }
 
-/// What one choice sees.
+/// Inputs of one choice.
 struct Snapshot<'a> {
     routing: &'a Routing,
     settings: &'a Settings,
 }
 
 impl<'a, P: Platform> TargetChoice<'a, P> {
-    /// Hashes the request's affinity and picks the service that is due.
+    /// Hashes the request's affinity key and picks the service by the traffic split.
     pub fn new(request: &'a CallerRequest<'a, P>) -> Self {
         let affinity = request.affinity();
         let weighted_service = request.instance.splits.borrow_mut().pick(request.route, affinity);
-        Self { request, affinity, weighted_service, charge: CapCharge::default() }
+        Self { request, affinity, weighted_service, cap_charge: CapCharge::default() }
     }
 
-    /// Hash of the request's affinity key.
+    /// The affinity hash ([`CallerRequest::affinity`]).
     pub fn affinity(&self) -> u64 {
         self.affinity
     }
 
-    /// The picked service.
+    /// Name of the picked service.
     pub fn service(&self) -> &Rc<str> {
         &self.weighted_service.service
     }
 
-    /// A target of the picked service, none of those `tried`. What it cannot take is
-    /// refused and not offered to another service of the split: the weights bind.
+    /// Chooses a target of the picked service, except those `tried`. A request that the service
+    /// cannot take is refused and not sent to another service of the split, so that the split keeps
+    /// its weights.
     ///
     /// # Errors
-    /// [`Refusal`] where the service has no target for the request.
+    /// [`Refusal`] if the service has no target for the request.
     pub fn choose(&self, tried: &[TargetKey], record: &mut AccessRecord) -> Result<Chosen, Refusal> {
         let instance = self.request.instance;
         let settings = instance.settings.borrow().clone();
@@ -68,7 +70,7 @@
             }
             Err(NoTarget::NoneUsable) => Err(Refusal::NoTarget),
             Err(NoTarget::Limited { first, wait }) => {
-                record.pause_wait = Some(wait);
+                record.target_wait = Some(wait);
                 record_preferred(record, self.weighted_service, first);
                 Err(Refusal::Limited)
             }
@@ -83,7 +85,7 @@
         }
     }
 
-    /// A target of the picked service, and the names of the policies that had a part.
+    /// The choice for the picked service, and the names of the policies that affected it.
     fn choose_for_service(
         &self,
         snapshot: &Snapshot<'_>,
@@ -102,7 +104,7 @@
         (chosen, matched_policies.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
     }
 
-    /// The operators' policies that select the request.
+    /// The operators' policies that match the request.
     fn matched_policies(&self, snapshot: &Snapshot<'_>) -> Option<MatchedPolicies<'_>> {
         let parts = &self.request.parts;
         let facts = RequestFacts {
@@ -114,11 +116,11 @@
             uri: &parts.uri,
             headers: &parts.headers,
         };
-        MatchedPolicies::find(snapshot.routing.policies.as_ref()?, &facts, self.affinity, &self.charge)
+        MatchedPolicies::find(snapshot.routing.policies.as_ref()?, &facts, self.affinity, &self.cap_charge)
     }
 }
 
-/// The access log names the preferred target of a request that found no room.
+/// Records the preferred target for the access log if none had capacity for the request.
 fn record_preferred(record: &mut AccessRecord, weighted: &WeightedService, preferred: Rc<Target>) {
     record.load = preferred.load(Instant::now());
     record.service = Some(weighted.service.clone());
--- a/src/proxy/try_error.rs
+++ b/src/proxy/try_error.rs
@@ -1,36 +1,38 @@
-//! Why a try gave no answer that can be passed on.
+//! Errors of a single try.
 
 use crate::decision::failure::next_try::TryOutcome;
 use crate::net::request_body::RequestBody;
 use hyper::Request;
 use thiserror::Error;
 
-/// Why a target gave no answer that can be passed on. What is done then is the rule of
-/// [`crate::decision::failure::next_try`].
+/// Why a try gave no response that can be passed on. [`crate::decision::failure::next_try`] decides
+/// what happens next.
 #[derive(Debug, Error)]
 pub enum TryError {
-    /// No connection could be made; the request is given back.
+    /// No connection could be made; returns the request, of which nothing was sent.
     #[error("no connection could be made; another target can take the request")]
     Unreachable(Box<Request<RequestBody>>),
-    /// The target said that it did not run the request.
+    /// The target reported that it did not run the request.
     #[error("the target did not run the request; another target can take it")]
     NotExecuted,
-    /// The target said that it did not run the request, though it had a free slot.
+    /// The target reported that it did not run the request, although it had a free slot.
     #[error("the target sheds load and did not run the request; the same target can take it")]
     Shed,
-    /// What came is no answer that can be passed on; the request may have run.
-    #[error("the answer cannot be passed on and the request may have run; repeat it only if its route is safe")]
+    /// The response cannot be passed on; the request may have run.
+    #[error("the response cannot be passed on and the request may have run; repeat it only if its route is safe")]
     Lost,
-    /// The connection ended before an answer began; the request may have run.
-    #[error("the connection ended without an answer and the request may have run; repeat it only if its route is safe")]
+    /// The connection closed before a response began; the request may have run.
+    #[error(
+        "the connection closed without a response and the request may have run; repeat it only if its route is safe"
+    )]
     NoResponse,
-    /// The deadline passed without an answer; the request may have run.
-    #[error("no answer came before the deadline and the request may have run; give it more time")]
+    /// The deadline passed without a response; the request may have run.
+    #[error("no response arrived before the deadline and the request may have run; give it more time")]
     TimedOut,
 }
 
 impl TryError {
-    /// What it means for the request.
+    /// The outcome by which the retry rule decides.
     pub fn outcome(&self) -> TryOutcome {
         match self {
             TryError::Unreachable(_) => TryOutcome::Unreachable,
--- a/tests/held_answers.rs
+++ b/tests/held_answers.rs
@@ -1,4 +1,4 @@
-//! Answers that are held for callers: their bytes, their count, and the bounds.
+//! Held answers: the buffer, the count of held bytes, and the limits.
 
 use bytes::Bytes;
 use lockloft::decision::refusal::held_answers::HeldLimits;
@@ -9,7 +9,7 @@
 
 const MIB: u64 = 1024 * 1024;
 
-/// What is done to a buffer.
+/// An operation on a buffer.
 #[derive(Clone, Debug)]
 enum Step {
     Push(usize),
@@ -21,14 +21,14 @@
     prop_oneof![size.prop_map(Step::Push), Just(Step::Take)]
 }
 
-/// Bytes that differ by their place in the whole.
+/// `size` bytes whose values depend on their position, which starts at `from`.
 fn chunk(from: usize, size: usize) -> Bytes {
-    (from..from + size).map(|place| (place % 251) as u8).collect()
+    (from..from + size).map(|position| (position % 251) as u8).collect()
 }
 
 proptest! {
     #[test]
-    fn what_comes_out_is_what_went_in_and_is_counted_meanwhile(steps in prop::collection::vec(step(), 1..60)) {
+    fn parts_concatenate_to_the_pushed_chunks_and_held_bytes_are_counted(steps in prop::collection::vec(step(), 1..60)) {
         let total = Rc::new(BufferTotal::default());
         let mut buffer = AnswerBuffer::new(&total);
         let (mut pushed, mut taken) = (0, Vec::new());
@@ -58,7 +58,7 @@
     }
 
     #[test]
-    fn the_total_is_that_of_all_buffers_and_goes_with_them(sizes in prop::collection::vec(0usize..2 * PART_SIZE, 1..20)) {
+    fn the_total_covers_all_buffers_and_drops_to_zero_with_them(sizes in prop::collection::vec(0usize..2 * PART_SIZE, 1..20)) {
         let total = Rc::new(BufferTotal::default());
         let buffers: Vec<AnswerBuffer> = sizes.iter().map(|size| {
             let mut buffer = AnswerBuffer::new(&total);
@@ -71,20 +71,20 @@
     }
 
     #[test]
-    fn bytes_beyond_a_bound_are_read_only_as_the_caller_takes_them(
-        own in 0..3 * MIB, others in 0..40 * MIB, most in 0..MIB,
+    fn beyond_a_limit_bytes_are_read_only_as_the_caller_takes_them(
+        own in 0..3 * MIB, others in 0..40 * MIB, max_held in 0..MIB,
     ) {
         let limits = HeldLimits::of_memory(160 * MIB);
         let total = own + others;
         let has_room = limits.has_room(own, total);
         prop_assert_eq!(has_room, own < MIB && total < 16 * MIB);
-        prop_assert_eq!(limits.reads_on(own, total, most, false), has_room || own < most);
-        prop_assert_eq!(limits.reads_on(own, total, most, true), has_room || own < most || own == 0);
+        prop_assert_eq!(limits.reads_on(own, total, max_held, false), has_room || own < max_held);
+        prop_assert_eq!(limits.reads_on(own, total, max_held, true), has_room || own < max_held || own == 0);
     }
 }
 
 #[test]
-fn an_answer_whose_caller_waits_is_read_on_however_much_is_held_for_others() {
+fn a_response_whose_caller_waits_is_read_however_much_is_held_for_others() {
     let limits = HeldLimits::of_memory(160 * MIB);
     assert!(limits.reads_on(0, u64::MAX, 0, true));
     assert!(!limits.reads_on(0, 16 * MIB, 0, false));
@@ -92,14 +92,14 @@
 }
 
 #[test]
-fn large_answers_begin_below_the_bound_of_all_only() {
+fn large_answers_are_admitted_only_below_the_total_limit() {
     let limits = HeldLimits::of_memory(160 * MIB);
     assert!(limits.takes_large_answers(16 * MIB - 1));
     assert!(!limits.takes_large_answers(16 * MIB));
 }
 
 #[test]
-fn what_is_given_up_is_no_longer_counted() {
+fn cleared_bytes_are_no_longer_counted() {
     let total = Rc::new(BufferTotal::default());
     let mut buffer = AnswerBuffer::new(&total);
     buffer.push(chunk(0, PART_SIZE));
@@ -109,7 +109,7 @@
 }
 
 #[tokio::test]
-async fn whoever_waits_for_room_hears_of_bytes_that_are_released() {
+async fn released_bytes_wake_a_waiting_reader() {
     let total = Rc::new(BufferTotal::default());
     let mut buffer = AnswerBuffer::new(&total);
     buffer.push(chunk(0, PART_SIZE));
