--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -1,8 +1,8 @@
-//! One request at one target: sent, checked, and its answer made ready to pass on.
+//! Sends one request to one target, checks the response and prepares it for the caller.
 //!
-//! Owns the request's place among those in flight at the target, and the connection,
-//! until the answer is whole or a [`Reader`] takes it off the target. Records successes, failures and load reports at the
-//! target; relies on its pool.
+//! Owns the request's in-flight count at the target, and the connection, until the response is
+//! complete or a [`Reader`] takes over both. Records successes, failures, signals and load reports
+//! at the target; relies on its connection pool.
 
 use crate::clock::{Instant, timeout_at};
 use crate::decision::capacity::in_flight::InFlight;
@@ -17,11 +17,11 @@
 use crate::net::pool::{Connection, SendError};
 use crate::net::request_body::RequestBody;
 use crate::platform::HeaderNames;
-use crate::proxy::answer_body::{AnswerBody, Reuse};
-use crate::proxy::answer_check::{self, AnswerError};
-use crate::proxy::buffered_answer::{ReadBody, read_body};
-use crate::proxy::held_answer::buffer::PART;
-use crate::proxy::held_answer::{HeldAnswer, Holding, Progress, Reader, Shared};
+use crate::proxy::buffered_response::{ReadBody, read_body};
+use crate::proxy::held_answer::buffer::PART_SIZE;
+use crate::proxy::held_answer::{HeldAnswer, HeldAnswerContext, Progress, Reader, SharedAnswer};
+use crate::proxy::response_body::{ResponseBody, ReusableConnection};
+use crate::proxy::response_check::{self, ResponseError};
 use crate::proxy::try_error::TryError;
 use crate::state::Requests;
 use crate::telemetry::metrics::Metrics;
@@ -33,35 +33,35 @@
 
 /// A request ready to be sent.
 pub struct Exchange<'a> {
-    /// Header names.
+    /// Names of the platform's headers.
     pub names: &'a HeaderNames,
-    /// Counts load reports that cannot be read.
+    /// Counts invalid load reports.
     pub metrics: &'a Metrics,
-    /// Counts it as in flight at the target.
+    /// Counts the request as in flight at the target.
     pub in_flight: InFlight<Target>,
-    /// The caller's identity for it.
+    /// The caller's request id; `None` if it sent none.
     pub request_id: Option<&'a HeaderValue>,
-    /// When an answer is no longer of use; an answer's body is broken off then.
+    /// When the request times out; the body of a response is aborted then.
     pub deadline: Instant,
-    /// Set once the request's body was sent whole.
-    pub sent: Rc<Cell<bool>>,
-    /// What is held of the answer is bounded and counted by it.
-    pub holding: Holding,
-    /// Counts an answer that is held as under way.
+    /// Set once the request's body was sent completely.
+    pub request_sent: Rc<Cell<bool>>,
+    /// Limits and counters for a response that is held for the caller.
+    pub held_answers: HeldAnswerContext,
+    /// Counts a held response as in flight until its caller has it.
     pub requests: &'a Requests,
-    /// When it was sent.
+    /// When the try began.
     pub started: Instant,
 }
 
 impl Exchange<'_> {
-    /// Sends the request and gives its answer.
+    /// Sends the request and returns the response.
     ///
     /// # Errors
-    /// [`TryError`]; what it means for the target is recorded there already.
-    pub async fn run(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, TryError> {
+    /// [`TryError`]; its effect on the target is already recorded.
+    pub async fn run(self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, TryError> {
         let (deadline, started) = (self.deadline, self.started);
         let target = self.in_flight.target().clone();
-        match timeout_at(deadline, self.dispatch(request)).await {
+        match timeout_at(deadline, self.send_and_check(request)).await {
             Ok(result) => result,
             Err(_) => {
                 target.record_latency(started.elapsed(), Instant::now());
@@ -71,44 +71,45 @@
         }
     }
 
-    async fn dispatch(self, request: Request<RequestBody>) -> Result<Response<AnswerBody>, TryError> {
+    async fn send_and_check(self, request: Request<RequestBody>) -> Result<Response<ResponseBody>, TryError> {
         let (response, connection) = self.send(request).await?;
-        let checked = answer_check::check(self.names, self.request_id, &response);
+        let checked = response_check::check(self.names, self.request_id, &response);
         let report = self.load_report(&response);
-        if let Some(report) = report.filter(|_| checked != Err(AnswerError::Foreign)) {
+        if let Some(report) = report.filter(|_| checked != Err(ResponseError::WrongRequestId)) {
             self.in_flight.target().record_load_report(report, Instant::now());
         }
-        if !matches!(checked, Err(AnswerError::Foreign | AnswerError::Misdirected | AnswerError::Unsigned)) {
-            self.take_statements(&response);
+        if !matches!(checked, Err(ResponseError::WrongRequestId | ResponseError::Misdirected | ResponseError::Unsigned))
+        {
+            self.apply_signals(&response);
         }
         checked.map_err(|error| self.reject(error, report))?;
-        self.finish(response, connection).await
+        self.read_response(response, connection).await
     }
 
-    /// The load that the target reports. One that cannot be read is counted, and logged once a
-    /// target; the requests counted here stand in for it.
+    /// The load that the target reports. An invalid report is counted, and logged once for each
+    /// target; the load is then estimated from the requests in flight of this instance.
     fn load_report(&self, response: &Response<Incoming>) -> Option<LoadReport> {
-        answer_check::load_report(self.names, response.headers()).unwrap_or_else(|error| {
+        response_check::load_report(self.names, response.headers()).unwrap_or_else(|error| {
             self.metrics.load_reports_ignored.with_label_values(&[error.as_str()]).inc();
             self.in_flight.target().log_unreadable("load report");
             None
         })
     }
 
-    /// Takes in what the target says of itself.
-    fn take_statements(&self, response: &Response<Incoming>) {
+    /// Applies the target's signals in the headers, and logs what they change.
+    fn apply_signals(&self, response: &Response<Incoming>) {
         let target = self.in_flight.target();
-        let stated = answer_check::stated(self.names, response);
-        if stated.limit == LimitSignal::Unreadable {
+        let signals = response_check::response_signals(self.names, response);
+        if signals.limit == LimitSignal::Unreadable {
             target.log_unreadable("rate limit");
         }
-        if stated.leaving == LeavingSignal::Unreadable {
+        if signals.leaving == LeavingSignal::Unreadable {
             target.log_unreadable("leaving");
         }
-        if stated.pause == PauseSignal::Unreadable {
+        if signals.pause == PauseSignal::Unreadable {
             target.log_unreadable("pause");
         }
-        let change = target.apply_signals(stated, rand::random(), self.started, Instant::now());
+        let change = target.apply_signals(signals, rand::random(), self.started, Instant::now());
         if let Some(rate) = change.limit {
             tracing::info!(event = "target_limit", id = &*target.id, hall = &*target.hall, rate);
         }
@@ -121,21 +122,21 @@
         }
     }
 
-    /// What an answer that may not be passed on means for the target and the request.
-    fn reject(&self, error: AnswerError, report: Option<LoadReport>) -> TryError {
+    /// Records a response that may not be passed on at its target, and returns the error for it.
+    fn reject(&self, error: ResponseError, report: Option<LoadReport>) -> TryError {
         let target = self.in_flight.target();
         match error {
-            AnswerError::Misdirected => {
+            ResponseError::Misdirected => {
                 target.mark_replaced();
                 TryError::NotExecuted
             }
-            AnswerError::NotExecuted if has_free_slot(report) && !target.is_paused(Instant::now()) => TryError::Shed,
-            AnswerError::NotExecuted => TryError::NotExecuted,
-            AnswerError::Foreign | AnswerError::Unsigned => self.fail(TryError::Lost),
+            ResponseError::NotExecuted if has_free_slot(report) && !target.is_paused(Instant::now()) => TryError::Shed,
+            ResponseError::NotExecuted => TryError::NotExecuted,
+            ResponseError::WrongRequestId | ResponseError::Unsigned => self.fail(TryError::Lost),
         }
     }
 
-    /// Sends the request over an idle connection, else over a new one.
+    /// Sends the request over an idle connection, or over a new one if none is usable.
     async fn send(&self, request: Request<RequestBody>) -> Result<(Response<Incoming>, Connection), TryError> {
         let target = self.in_flight.target();
         let mut request = request;
@@ -143,16 +144,19 @@
             match connection.send(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(SendError::Unsent(unsent)) => request = *unsent,
-                Err(SendError::ConnectionLost) => return Err(self.fail(TryError::NoAnswer)),
+                Err(SendError::ConnectionLost) => return Err(self.fail(TryError::NoResponse)),
                 Err(SendError::InvalidResponse) => return Err(self.fail(TryError::Lost)),
             }
         }
-        self.send_anew(request).await
+        self.send_over_new_connection(request).await
     }
 
-    /// Sends the request over a new connection. Why none could be opened changes
-    /// nothing for the request; its line `try_failed` names the target.
-    async fn send_anew(&self, request: Request<RequestBody>) -> Result<(Response<Incoming>, Connection), TryError> {
+    /// Sends the request over a new connection. The reason why none could be opened is dropped: it
+    /// makes no difference to the request, and the event `try_failed` names the target.
+    async fn send_over_new_connection(
+        &self,
+        request: Request<RequestBody>,
+    ) -> Result<(Response<Incoming>, Connection), TryError> {
         let target = self.in_flight.target();
         let Ok(mut connection) = target.pool.connect().await else {
             self.record_failure();
@@ -161,32 +165,32 @@
         match connection.send(request).await {
             Ok(response) => Ok((response, connection)),
             Err(SendError::Unsent(unsent)) => Err(TryError::Unreachable(unsent)),
-            Err(SendError::ConnectionLost) => Err(self.fail(TryError::NoAnswer)),
+            Err(SendError::ConnectionLost) => Err(self.fail(TryError::NoResponse)),
             Err(SendError::InvalidResponse) => Err(self.fail(TryError::Lost)),
         }
     }
 
-    /// The error, which counts as a failure of the target.
+    /// Records a failure of the target, and returns `error`.
     fn fail(&self, error: TryError) -> TryError {
         self.record_failure();
         error
     }
 
-    /// Counts a failure of the target, and logs its ejection where that follows.
+    /// Records a failure of the target, and logs the ejection if one follows.
     fn record_failure(&self) {
         let target = self.in_flight.target();
-        if let Some(lasting) = target.record_failure(self.started, Instant::now()) {
-            let for_ms = lasting.as_millis() as u64;
+        if let Some(duration) = target.record_failure(self.started, Instant::now()) {
+            let for_ms = duration.as_millis() as u64;
             tracing::info!(event = "target_ejected", id = &*target.id, hall = &*target.hall, for_ms);
         }
     }
 
-    /// Reads the answer's body if it is small, and makes the answer for the caller.
-    async fn finish(
+    /// Reads the body if it is small, and builds the response for the caller.
+    async fn read_response(
         self,
         response: Response<Incoming>,
         connection: Connection,
-    ) -> Result<Response<AnswerBody>, TryError> {
+    ) -> Result<Response<ResponseBody>, TryError> {
         let keep_alive = KeepAlive::from(response.headers());
         let (mut parts, incoming) = response.into_parts();
         remove_hop_by_hop(&mut parts.headers);
@@ -199,29 +203,30 @@
         } else {
             self.in_flight.target().record_success(self.started.elapsed(), Instant::now());
         }
-        let reuse = Reuse { connection, keep_alive, sent: self.sent.clone() };
-        Ok(Response::from_parts(parts, self.answer_body(read, reuse)))
+        let connection = ReusableConnection { connection, keep_alive, request_sent: self.request_sent.clone() };
+        Ok(Response::from_parts(parts, self.response_body(read, connection)))
     }
 
-    /// The body for the caller. Of a large one, the connection and the place at the target go with its
-    /// reader.
-    fn answer_body(self, read: ReadBody, reuse: Reuse) -> AnswerBody {
-        let (holding, counted) = (self.holding, || self.requests.count());
+    /// The body for the caller. The reader of a large one takes over the connection and the in-flight
+    /// count at the target.
+    fn response_body(self, read: ReadBody, connection: ReusableConnection) -> ResponseBody {
+        let (held_answers, new_guard) = (self.held_answers, || self.requests.count());
         match read {
             ReadBody::Buffered(bytes) => {
-                reuse.settle(&self.in_flight);
+                connection.release(&self.in_flight);
                 match bytes.len() {
-                    0..=PART => AnswerBody::buffered(bytes),
-                    _ => AnswerBody::Held(Box::new(HeldAnswer::whole(bytes, &holding.total, counted()))),
+                    0..=PART_SIZE => ResponseBody::buffered(bytes),
+                    _ => ResponseBody::Held(Box::new(HeldAnswer::buffered(bytes, &held_answers.total, new_guard()))),
                 }
             }
-            ReadBody::Streamed(head, rest) => {
-                let shared = Rc::new(Shared::new(&holding.total, Progress::Reading(rest.size_hint())));
-                head.into_iter().for_each(|chunk| shared.push(chunk));
+            ReadBody::Streamed(chunks, body) => {
+                let shared = Rc::new(SharedAnswer::new(&held_answers.total, Progress::Reading(body.size_hint())));
+                chunks.into_iter().for_each(|chunk| shared.push(chunk));
                 let (in_flight, deadline, request_id) = (self.in_flight, self.deadline, self.request_id.cloned());
-                let counted = counted();
-                let reader = Reader { shared, rest, reuse, in_flight, deadline, holding, request_id, counted };
-                AnswerBody::Held(Box::new(HeldAnswer::read_by(reader)))
+                let request_guard = new_guard();
+                let reader =
+                    Reader { shared, body, connection, in_flight, deadline, held_answers, request_id, request_guard };
+                ResponseBody::Held(Box::new(HeldAnswer::streamed(reader)))
             }
         }
     }
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_answer/buffer.rs
@@ -1,73 +1,74 @@
-//! The bytes of one answer between its target and its caller.
+//! Buffer for the bytes of one response between its target and its caller.
 //!
-//! Owns them, and their count in the total of the instance. What is counted is what is in memory, within a
-//! factor of two: a chunk that is small against the block it was read into is copied into a block of
-//! several, and its own is given up. Relies on [`BufferedBytes`]. Test: `tests/held_answers.rs`.
+//! Owns the bytes, and their count in the total of the instance. The count matches the memory used
+//! within a factor of two: a chunk that is much smaller than the read buffer it points into is
+//! copied into a block with others, which frees the read buffer. Relies on [`BufferedBytes`].
+//! Test: `tests/held_answers.rs`.
 
 use crate::net::buffered_bytes::{BufferTotal, BufferedBytes};
 use bytes::{Bytes, BytesMut};
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Most bytes that are handed on at a time: bounds what the caller's connection holds uncounted. Also the
-/// size of blocks of small chunks.
-pub const PART: usize = 32 * 1024;
-/// Chunks below this size are copied together while others wait: a small chunk may keep a whole read
-/// buffer in memory.
-const SMALL_CHUNK: usize = PART / 2;
+/// Most bytes that are handed to the caller's connection at a time, which limits the bytes that it
+/// holds uncounted. Also the size of the blocks into which small chunks are copied.
+pub const PART_SIZE: usize = 32 * 1024;
+/// Chunks smaller than this, bytes, are copied into blocks unless the buffer is empty: a small chunk
+/// may keep a whole read buffer in memory.
+const SMALL_CHUNK: usize = PART_SIZE / 2;
 
-/// Bytes that came from a target and were not handed on.
+/// Bytes that were read from a target and not yet handed to the caller's connection.
 #[derive(Debug)]
 pub struct AnswerBuffer {
     blocks: VecDeque<Bytes>,
-    /// Small chunks behind the blocks.
+    /// Block under construction, of small chunks that follow `blocks`.
     tail: BytesMut,
     held: BufferedBytes,
 }
 
 impl AnswerBuffer {
-    /// An empty buffer, counted in `total`.
+    /// An empty buffer whose bytes are counted in `total`.
     pub fn new(total: &Rc<BufferTotal>) -> Self {
         Self { blocks: VecDeque::new(), tail: BytesMut::new(), held: BufferedBytes::new(total) }
     }
 
-    /// Bytes that it holds.
+    /// Bytes in this buffer.
     pub fn len(&self) -> u64 {
         self.held.bytes()
     }
 
-    /// Whether it holds none.
+    /// Whether the buffer is empty.
     pub fn is_empty(&self) -> bool {
         self.len() == 0
     }
 
-    /// Bytes that all buffers hold.
+    /// Bytes of all bodies that count towards the same total.
     pub fn total(&self) -> u64 {
         self.held.total()
     }
 
-    /// Adds a chunk at the end.
+    /// Appends a chunk.
     pub fn push(&mut self, chunk: Bytes) {
         if chunk.is_empty() {
             return;
         }
-        let is_alone = self.is_empty();
+        let was_empty = self.is_empty();
         self.held.add(chunk.len() as u64);
-        if chunk.len() < SMALL_CHUNK && !is_alone {
-            self.copy(&chunk);
+        if chunk.len() < SMALL_CHUNK && !was_empty {
+            self.append_to_tail(&chunk);
         } else {
-            self.close_tail();
+            self.flush_tail();
             self.blocks.push_back(chunk);
         }
     }
 
-    /// Takes the next bytes, `PART` at most; `None` where there are none.
-    pub fn take(&mut self) -> Option<Bytes> {
+    /// Removes and returns the next bytes, [`PART_SIZE`] at most; `None` if the buffer is empty.
+    pub fn take_part(&mut self) -> Option<Bytes> {
         if self.blocks.is_empty() {
-            self.close_tail();
+            self.flush_tail();
         }
         let block = self.blocks.front_mut()?;
-        let part = block.split_to(block.len().min(PART));
+        let part = block.split_to(block.len().min(PART_SIZE));
         if block.is_empty() {
             self.blocks.pop_front();
         }
@@ -75,25 +76,25 @@
         Some(part)
     }
 
-    /// Gives up all that it holds.
+    /// Drops all bytes.
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.tail = BytesMut::new();
         self.held.release(self.held.bytes());
     }
 
-    fn copy(&mut self, chunk: &[u8]) {
-        if self.tail.len() + chunk.len() > PART {
-            self.close_tail();
+    fn append_to_tail(&mut self, chunk: &[u8]) {
+        if self.tail.len() + chunk.len() > PART_SIZE {
+            self.flush_tail();
         }
         if self.tail.is_empty() {
-            self.tail.reserve(PART);
+            self.tail.reserve(PART_SIZE);
         }
         self.tail.extend_from_slice(chunk);
     }
 
-    /// Makes a block of the small chunks.
-    fn close_tail(&mut self) {
+    /// Moves the block under construction to `blocks`.
+    fn flush_tail(&mut self) {
         if !self.tail.is_empty() {
             self.blocks.push_back(std::mem::take(&mut self.tail).freeze());
         }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -1,34 +1,34 @@
-//! The callers' listener: bounds on their connections, and the count of their requests
-//! in flight, on which a planned stop waits.
+//! The listener for callers: limits on their connections, and the count of their requests in
+//! flight, for which a planned stop waits.
 //!
-//! Hands each request to [`crate::proxy::request`]. Relies on the configuration's limits.
+//! Passes each request to [`crate::proxy::request`]. Relies on the limits of the configuration.
 
 use crate::model::config::{Repeat, Route};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
 use crate::platform::Platform;
-use crate::proxy::answer_body::AnswerBody;
-use crate::proxy::buffered_answer::MAX_BUFFERED_ANSWER;
+use crate::proxy::buffered_response::MAX_BUFFERED_RESPONSE;
 use crate::proxy::request;
+use crate::proxy::response_body::ResponseBody;
 use crate::state::Instance;
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
 use std::rc::Rc;
 
-/// Callers' connections take at most one in this many of the descriptors: a request may need a
+/// Callers' connections take at most the file descriptors divided by this: each request may need a
 /// connection to a target as well.
-const CALLER_DIVISOR: u32 = 2;
+const CALLER_CONNECTION_DIVISOR: u32 = 2;
 
-/// Answers that wait for those ahead of them on their connection take at most one in this many
-/// bytes of the memory limit.
-const EARLY_DIVISOR: u64 = 8;
+/// Responses that wait for those ahead of them on their connection take at most the memory limit
+/// divided by this, bytes.
+const EARLY_RESPONSE_DIVISOR: u64 = 8;
 
-/// Answers requests of callers.
+/// Handles the requests of callers.
 pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
 
-/// Counts a request for as long as it is processed.
-struct Active<'a, P: Platform>(&'a Instance<P>);
+/// Counts a request as in flight until it is dropped.
+struct ActiveRequest<'a, P: Platform>(&'a Instance<P>);
 
-impl<'a, P: Platform> Active<'a, P> {
+impl<'a, P: Platform> ActiveRequest<'a, P> {
     fn new(instance: &'a Instance<P>) -> Self {
         instance.requests.begin();
         instance.metrics.active.inc();
@@ -36,7 +36,7 @@
     }
 }
 
-impl<P: Platform> Drop for Active<'_, P> {
+impl<P: Platform> Drop for ActiveRequest<'_, P> {
     fn drop(&mut self) {
         self.0.requests.end();
         self.0.metrics.active.dec();
@@ -44,17 +44,18 @@
 }
 
 impl<P: Platform> CallerListener<P> {
-    /// Whether the answer to one more request may wait for those ahead of it.
-    fn has_early_room(&self) -> bool {
-        let most = self.0.settings.borrow().memory / EARLY_DIVISOR;
-        self.0.requests.unanswered().saturating_add(1).saturating_mul(MAX_BUFFERED_ANSWER as u64) <= most
+    /// Whether there is memory for one more response that waits for those ahead of it on its
+    /// connection, each taken as [`MAX_BUFFERED_RESPONSE`].
+    fn has_memory_for_early_response(&self) -> bool {
+        let max_bytes = self.0.settings.borrow().memory / EARLY_RESPONSE_DIVISOR;
+        self.0.requests.unanswered().saturating_add(1).saturating_mul(MAX_BUFFERED_RESPONSE as u64) <= max_bytes
     }
 
-    /// Whether a request has a route in the configuration in force of which this holds.
-    fn is_on_route(&self, head: &Parts, holds: impl FnOnce(&Route) -> bool) -> bool {
+    /// Whether a request matches a route of the configuration in force for which `predicate` holds.
+    fn has_route_where(&self, head: &Parts, predicate: impl FnOnce(&Route) -> bool) -> bool {
         let routing = self.0.routing.borrow();
         let Some(config) = &routing.config else { return false };
-        request::find_route(config, &head.uri, &head.headers).is_ok_and(holds)
+        request::find_route(config, &head.uri, &head.headers).is_ok_and(predicate)
     }
 }
 
@@ -63,23 +64,23 @@
 }
 
 impl<P: Platform> Handler for CallerListener<P> {
-    type Body = AnswerBody;
+    type Body = ResponseBody;
 
-    async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<AnswerBody> {
-        let _active = Active::new(&self.0);
-        request::answer(&self.0, request).await
+    async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
+        let _active = ActiveRequest::new(&self.0);
+        request::handle(&self.0, request).await
     }
 
     fn limits(&self) -> ConnectionLimits {
         let routing = self.0.routing.borrow();
-        // Before the first configuration there are none to apply: the defaults bound the
-        // few callers that arrive, whose requests wait for it.
+        // Before the first configuration, the defaults limit the few callers that arrive, whose
+        // requests wait for it.
         let limits = routing.config.as_ref().map(|config| config.limits).unwrap_or_default();
         ConnectionLimits {
             head_bytes: limits.head_bytes,
             head_time: limits.head_time,
             idle_time: limits.idle_time,
-            max_connections: (self.0.settings.borrow().descriptors / CALLER_DIVISOR).max(1),
+            max_connections: (self.0.settings.borrow().descriptors / CALLER_CONNECTION_DIVISOR).max(1),
         }
     }
 
@@ -88,13 +89,13 @@
     }
 
     fn may_begin_early(&self, head: &Parts) -> bool {
-        // A large answer that nobody reads yet would hold its target.
+        // A large response that the caller cannot read yet would keep its target's slot occupied.
         let may_begin = |route: &Route| is_repeatable(route) && !route.large_answers;
-        !self.is_stopping() && self.has_early_room() && self.is_on_route(head, may_begin)
+        !self.is_stopping() && self.has_memory_for_early_response() && self.has_route_where(head, may_begin)
     }
 
     fn allows_pipelining(&self, head: &Parts) -> bool {
-        self.is_on_route(head, is_repeatable)
+        self.has_route_where(head, is_repeatable)
     }
 
     fn is_stopping(&self) -> bool {
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -1,8 +1,8 @@
-//! A caller's request: understood, tried at targets, answered and logged.
+//! Handles a caller's request from its head to the response and the access log line.
 //!
-//! Finds the route, the deadline and the body, leaves what may travel on, and hands
-//! the request to [`crate::proxy::attempts`]. Counts each request by its outcome and
-//! writes its line in the access log. Relies on the configuration in force.
+//! Finds the route, the tenant and the deadline, reads the body, removes what must not be forwarded,
+//! and passes the request to [`crate::proxy::attempts`]. Counts each request by its outcome. Relies
+//! on the configuration in force.
 
 use crate::clock::{Instant, timeout_at};
 use crate::decision::quota::local_usage::Admission;
@@ -16,13 +16,13 @@
 use crate::net::server::read_ahead::early_request::Arrival;
 use crate::platform::Platform;
 use crate::proxy::access_record::{AccessRecord, QuotaRecord, RequestEnd};
-use crate::proxy::answer_body::AnswerBody;
 use crate::proxy::attempts::Attempts;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::caller_tenant::{CallerTenant, write_tenant};
-use crate::proxy::held_answer::Holding;
+use crate::proxy::held_answer::HeldAnswerContext;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
+use crate::proxy::response_body::ResponseBody;
 use crate::state::Instance;
 use hyper::body::Body;
 use hyper::header::{HOST, HeaderName};
@@ -32,20 +32,20 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// The outcome of a request that a target answered, in metrics and log.
+/// Outcome of a request that got a target's response, in metrics and the access log.
 const ANSWERED: &str = "answered";
-/// Time of a request whose caller names no deadline.
+/// Deadline of a request whose caller sent none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// How long a request waits for the first configuration. Longer than a large fleet needs
-/// that starts together: a caller who is refused comes back half a second later and has used up a
-/// retry.
-const FIRST_CONFIG: Duration = Duration::from_millis(600);
-/// How long before the caller's deadline its answer is sent: one way between regions (12 ms) and some work.
+/// How long a request waits for the first configuration. Longer than a large fleet that starts at
+/// once needs to receive it: a caller that is refused returns after 0.5 s and has used up a retry.
+const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(600);
+/// How long before the caller's deadline a request times out: the one-way latency between regions
+/// (12 ms) and some processing time.
 const DEADLINE_MARGIN: Duration = Duration::from_millis(15);
 
-/// Why a caller's deadline cannot be read.
+/// The caller's deadline header is invalid.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the deadline is no whole number of milliseconds; send one, or leave the header out")]
+#[error("the deadline is not a whole number of milliseconds; correct the header or omit it")]
 pub struct DeadlineError;
 
 impl From<DeadlineError> for Refusal {
@@ -54,8 +54,9 @@
     }
 }
 
-/// Answers a caller's request, whatever comes of it.
-pub async fn answer<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<AnswerBody> {
+/// Handles a caller's request: returns a target's response or a refusal, and records the outcome in
+/// the metrics and the access log.
+pub async fn handle<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<ResponseBody> {
     let now = Instant::now();
     instance.requests.mark_arrival(now);
     let arrival = request.extensions().get().copied().unwrap_or(Arrival { read_at: now, is_early: false });
@@ -63,36 +64,37 @@
     if arrival.is_early {
         instance.metrics.early_requests.inc();
     }
-    let asked = request.body().size_hint().lower();
+    let request_bytes = request.body().size_hint().lower();
     let id = request.headers().get(&instance.names.request_id).cloned();
-    let mut record = AccessRecord { id, is_early: arrival.is_early, waited: now - started, ..AccessRecord::default() };
+    let mut record =
+        AccessRecord { id, is_early: arrival.is_early, queue_time: now - started, ..AccessRecord::default() };
     let (outcome, response) = match process(instance, request, started, &mut record).await {
         Ok(response) => {
-            instance.request_size.observe(asked, response.body().size_hint().lower());
+            instance.request_size.observe(request_bytes, response.body().size_hint().lower());
             (ANSWERED, response)
         }
-        Err(refusal) => (refusal.as_str(), refusal.answer(return_in(instance, &record, refusal))),
+        Err(refusal) => (refusal.as_str(), refusal.response(retry_delay(instance, &record, refusal))),
     };
-    let took = started.elapsed();
+    let duration = started.elapsed();
     instance.metrics.requests.with_label_values(&[outcome]).inc();
-    instance.metrics.latency.with_label_values(&[outcome]).observe(took.as_secs_f64());
+    instance.metrics.latency.with_label_values(&[outcome]).observe(duration.as_secs_f64());
     if outcome != ANSWERED || instance.log.lines().takes_success(std::time::Instant::now()) {
         let (view_age, view_proof) = (instance.store_copy.view_age(), instance.store_copy.view_proof());
-        record.log(&RequestEnd { outcome, status: response.status(), took, view_age, view_proof });
+        record.log(&RequestEnd { outcome, status: response.status(), duration, view_age, view_proof });
     }
     response
 }
 
-/// When a refused caller may find room: at the service that was chosen for its request, or in its
-/// tenant's quota.
-fn return_in<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
+/// Time after which a refused caller probably finds capacity: in its tenant's quota, in the memory
+/// for held answers, or at the service that was chosen for its request.
+fn retry_delay<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
     if refusal == Refusal::OverQuota {
         return with_jitter(QUOTA_WAIT, rand::random());
     }
     if refusal == Refusal::HeldAnswers {
         return with_jitter(HELD_ANSWERS_WAIT, rand::random());
     }
-    if let Some(wait) = record.wait {
+    if let Some(wait) = record.target_wait {
         return wait + with_jitter(LIMIT_WAIT, rand::random());
     }
     let median = match &record.service {
@@ -102,30 +104,30 @@
     with_jitter(base_wait(median), rand::random())
 }
 
-/// Understands a request and tries it at targets.
+/// Routes, authenticates and admits a request, and tries it at targets.
 async fn process<P: Platform>(
     instance: &Instance<P>,
     request: Request<CallerBody>,
     started: Instant,
     record: &mut AccessRecord,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     if instance.lifecycle.is_ending() {
         return Err(Refusal::Stopping);
     }
-    let config = first_config(instance).await.ok_or(Refusal::NoConfig)?;
+    let config = wait_for_config(instance).await.ok_or(Refusal::NoConfig)?;
     record.config = config.version;
     let route = find_route(&config, request.uri(), request.headers());
-    let route = route.map_err(|refusal| while_stale(instance, refusal))?;
+    let route = route.map_err(|refusal| refusal_while_stale(instance, refusal))?;
     record.route = Some(route.name.clone());
-    let caller = find_caller(instance, &config, route, request.headers())?;
+    let caller = authenticate_caller(instance, &config, route, request.headers())?;
     record.tenant = caller.as_ref().map(|caller| caller.tenant.name.clone());
     let deadline = deadline(request.headers(), &instance.names.deadline_ms, route, started)?;
     let stop = instance.settings.borrow().stop;
-    let allowed = deadline.saturating_duration_since(Instant::now());
-    if !accepts_request(instance.lifecycle.stopping_for(), stop, allowed) {
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    if !accepts_request(instance.lifecycle.stopping_for(), stop, remaining) {
         return Err(Refusal::Stopping);
     }
-    if route.large_answers && !Holding::new(instance).takes_large_answers() {
+    if route.large_answers && !HeldAnswerContext::new(instance).admits_large_answers() {
         return Err(Refusal::HeldAnswers);
     }
     let tenant = caller.as_ref().map(|caller| caller.tenant);
@@ -133,23 +135,23 @@
         record.quota = Some(quota_record(instance, tenant));
         return Err(Refusal::OverQuota);
     }
-    let understood = Understood { instance, config: &config, route, caller, started, deadline };
-    let answered = understood.send(request, record).await;
-    if let (Err(refusal), Some(tenant)) = (&answered, tenant)
-        && refusal.means_not_run()
+    let admitted = AdmittedRequest { instance, config: &config, route, caller, started, deadline };
+    let result = admitted.send(request, record).await;
+    if let (Err(refusal), Some(tenant)) = (&result, tenant)
+        && refusal.guarantees_not_run()
     {
         instance.quotas.release(tenant);
     }
-    answered
+    result
 }
 
 fn quota_record<P: Platform>(instance: &Instance<P>, tenant: &Tenant) -> QuotaRecord {
-    let own = instance.quotas.own();
-    QuotaRecord { share: own.admit_ratio(&tenant.name), answer_age: own.answer_age(Instant::now()) }
+    let usage = instance.quotas.own();
+    QuotaRecord { admit_ratio: usage.admit_ratio(&tenant.name), answer_age: usage.answer_age(Instant::now()) }
 }
 
-/// A request of which all is known but its body.
-struct Understood<'a, P: Platform> {
+/// An admitted request whose body is not read yet.
+struct AdmittedRequest<'a, P: Platform> {
     instance: &'a Instance<P>,
     config: &'a Config,
     route: &'a Route,
@@ -158,19 +160,19 @@
     deadline: Instant,
 }
 
-impl<P: Platform> Understood<'_, P> {
-    /// Reads the body, and tries the request at targets.
+impl<P: Platform> AdmittedRequest<'_, P> {
+    /// Reads the body and tries the request at targets.
     async fn send(
         self,
         request: Request<CallerBody>,
         record: &mut AccessRecord,
-    ) -> Result<Response<AnswerBody>, Refusal> {
+    ) -> Result<Response<ResponseBody>, Refusal> {
         let Self { instance, config, route, caller, started, deadline } = self;
         let (mut parts, incoming) = request.into_parts();
         let body = IncomingBody::read(instance, config.limits.body_bytes, incoming, deadline).await?;
         let fingerprint = fingerprint(&parts, &instance.names.affinity_key, &body);
         record.fingerprint = Some(fingerprint);
-        clean(&mut parts)?;
+        prepare_for_target(&mut parts)?;
         let tenant = caller.as_ref().map(|caller| caller.tenant);
         write_tenant(&mut parts.headers, &instance.names, tenant)?;
         let request = CallerRequest { instance, config, route, caller, parts, fingerprint, started, deadline };
@@ -178,8 +180,9 @@
     }
 }
 
-/// The tenant of a caller that may send this request; `None` where none is asked for.
-fn find_caller<'a, P: Platform>(
+/// Finds the tenant of the caller and checks that it may send the request; `None` if the route is
+/// public or there are no tenants.
+fn authenticate_caller<'a, P: Platform>(
     instance: &Instance<P>,
     config: &'a Config,
     route: &Route,
@@ -195,47 +198,47 @@
     Ok(Some(caller))
 }
 
-/// The configuration in force. A process that has just started receives it within
-/// a few milliseconds; requests that arrive before wait for it.
-async fn first_config<P: Platform>(instance: &Instance<P>) -> Option<Rc<Config>> {
-    let until = Instant::now() + FIRST_CONFIG;
+/// Waits for the configuration in force; `None` after [`FIRST_CONFIG_TIMEOUT`]. A new process
+/// receives it within a few milliseconds.
+async fn wait_for_config<P: Platform>(instance: &Instance<P>) -> Option<Rc<Config>> {
+    let deadline = Instant::now() + FIRST_CONFIG_TIMEOUT;
     loop {
         let changed = instance.store_copy.changed();
         if let Some(config) = &instance.routing.borrow().config {
             return Some(config.clone());
         }
-        timeout_at(until, changed).await.ok()?;
+        timeout_at(deadline, changed).await.ok()?;
     }
 }
 
-/// Whether keys may have been taken away for longer than the operators allow without word of it
-/// here. Only where they want keys to expire.
+/// Whether the view is older than the operators' limit on the time after which a revoked key may
+/// still be accepted (`bounds.keys_expire_ms`); false if they set none.
 fn has_stale_keys<P: Platform>(instance: &Instance<P>) -> bool {
-    let Some(longest) = instance.settings.borrow().keys_expire else { return false };
-    instance.store_copy.view_age().is_none_or(|age| age > longest)
+    let Some(max_age) = instance.settings.borrow().keys_expire else { return false };
+    instance.store_copy.view_age().is_none_or(|age| age > max_age)
 }
 
-/// The route of a request.
+/// Finds the route of a request.
 ///
 /// # Errors
-/// Where it names no host, or no route matches.
+/// [`Refusal::Malformed`] if it names no host, [`Refusal::NoRoute`] if no route matches.
 pub fn find_route<'a>(config: &'a Config, uri: &Uri, headers: &HeaderMap) -> Result<&'a Route, Refusal> {
     let host = host(uri, headers).ok_or(Refusal::Malformed)?;
     let key = config.find(host, uri.path()).ok_or(Refusal::NoRoute)?;
     Ok(config.route(key))
 }
 
-/// What is refused in place of a missing route while the view is stale: 404 is for good, and the
-/// route may be there by now.
-fn while_stale<P: Platform>(instance: &Instance<P>, refusal: Refusal) -> Refusal {
+/// Replaces [`Refusal::NoRoute`] by [`Refusal::StaleRoutes`] while the view is stale: callers take a
+/// 404 as final, but the route may have been added in the meantime.
+fn refusal_while_stale<P: Platform>(instance: &Instance<P>, refusal: Refusal) -> Refusal {
     match refusal {
         Refusal::NoRoute if !instance.store_copy.is_current() => Refusal::StaleRoutes,
         other => other,
     }
 }
 
-/// The host asked for; `None` where there is none or it is not text, which no route
-/// can match: both are refused as malformed.
+/// The requested host; `None` if it is absent or not text. Both are refused as malformed, since no
+/// route can match them.
 fn host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> Option<&'a str> {
     match uri.host() {
         Some(host) => Some(host),
@@ -243,7 +246,7 @@
     }
 }
 
-/// What a request with this head and body asks of a target.
+/// The fingerprint of a request with this head and body.
 fn fingerprint(parts: &Parts, affinity_key: &HeaderName, body: &IncomingBody) -> Fingerprint {
     body.fingerprint(&RequestIdentity {
         method: parts.method.as_str(),
@@ -253,26 +256,26 @@
     })
 }
 
-/// When an answer is no longer of use: the earlier of the caller's deadline and the
-/// route's timeout.
+/// When the request times out: at the caller's deadline or the route's timeout, whichever is
+/// earlier.
 fn deadline(headers: &HeaderMap, name: &HeaderName, route: &Route, started: Instant) -> Result<Instant, DeadlineError> {
-    let deadline = match milliseconds(headers, name)? {
-        Some(left) => started + left.saturating_sub(DEADLINE_MARGIN),
+    let deadline = match parse_milliseconds(headers, name)? {
+        Some(remaining) => started + remaining.saturating_sub(DEADLINE_MARGIN),
         None => started + DEFAULT_DEADLINE,
     };
     Ok(route.timeout.map_or(deadline, |timeout| deadline.min(started + timeout)))
 }
 
-/// A duration in milliseconds; `None` where the header is absent.
-fn milliseconds(headers: &HeaderMap, name: &HeaderName) -> Result<Option<Duration>, DeadlineError> {
+/// Parses a header as a duration in milliseconds; `None` if it is absent.
+fn parse_milliseconds(headers: &HeaderMap, name: &HeaderName) -> Result<Option<Duration>, DeadlineError> {
     let Some(value) = headers.get(name) else { return Ok(None) };
     let text = value.to_str().map_err(|_| DeadlineError)?;
     let number = text.trim().parse().map_err(|_| DeadlineError)?;
     Ok(Some(Duration::from_millis(number)))
 }
 
-/// Leaves what travels on: no headers of one connection, the path alone.
-fn clean(parts: &mut Parts) -> Result<(), Refusal> {
+/// Removes the hop-by-hop headers, and reduces the URI to path and query.
+fn prepare_for_target(parts: &mut Parts) -> Result<(), Refusal> {
     remove_hop_by_hop(&mut parts.headers);
     if parts.uri.authority().is_some() {
         let path = parts.uri.path_and_query().ok_or(Refusal::Malformed)?.clone();
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -1,8 +1,9 @@
-//! The target of a request's next try: the rules of [`crate::decision::selection::choice`] asked
-//! for the service that is due, one for all tries of the request.
+//! Chooses the target of a request's next try by the rules of
+//! [`crate::decision::selection::choice`]. The traffic split picks one service for all tries of the
+//! request.
 //!
-//! Owns what the operators' caps were charged for the request. Relies on the routing
-//! of the snapshot, read anew for each try.
+//! Owns the request's charge to the operators' caps. Relies on a snapshot of the routing state,
+//! taken again for each try.
 
 use crate::clock::Instant;
 use crate::decision::registry::routing::Routing;
@@ -18,95 +19,96 @@
 use crate::settings::Settings;
 use std::rc::Rc;
 
-/// What the choices for one request have in common.
+/// State that the choices for one request share.
 pub struct TargetChoice<'a, P: Platform> {
     request: &'a CallerRequest<'a, P>,
     affinity: u64,
-    picked: &'a WeightedService,
-    charge: CapCharge,
+    weighted_service: &'a WeightedService,
+    cap_charge: CapCharge,
 }
 
-/// What one choice sees.
+/// Inputs of one choice.
 struct Snapshot<'a> {
     routing: &'a Routing,
     settings: &'a Settings,
 }
 
 impl<'a, P: Platform> TargetChoice<'a, P> {
-    /// Hashes the request's affinity and picks the service that is due.
+    /// Hashes the request's affinity key and picks the service by the traffic split.
     pub fn new(request: &'a CallerRequest<'a, P>) -> Self {
         let affinity = request.affinity();
-        let picked = request.instance.splits.borrow_mut().pick(request.route, affinity);
-        Self { request, affinity, picked, charge: CapCharge::default() }
+        let weighted_service = request.instance.splits.borrow_mut().pick(request.route, affinity);
+        Self { request, affinity, weighted_service, cap_charge: CapCharge::default() }
     }
 
-    /// Hash of the request's affinity key.
+    /// The affinity hash ([`CallerRequest::affinity`]).
     pub fn affinity(&self) -> u64 {
         self.affinity
     }
 
-    /// The picked service.
+    /// Name of the picked service.
     pub fn service(&self) -> &Rc<str> {
-        &self.picked.service
+        &self.weighted_service.service
     }
 
-    /// A target of the picked service, none of those `tried`. What it cannot take is
-    /// refused and not offered to another service of the split: the weights bind.
+    /// Chooses a target of the picked service, except those `tried`. A request that the service
+    /// cannot take is refused and not sent to another service of the split, so that the split keeps
+    /// its weights.
     ///
     /// # Errors
-    /// [`Refusal`] where the service has no target for the request.
+    /// [`Refusal`] if the service has no target for the request.
     pub fn choose(&self, tried: &[TargetKey], record: &mut AccessRecord) -> Result<ChosenTarget, Refusal> {
         let instance = self.request.instance;
         let settings = instance.settings.borrow().clone();
         let snapshot = Snapshot { routing: &instance.routing.borrow(), settings: &settings };
-        let (chosen, policies) = self.of_service(&snapshot, tried);
+        let (chosen, policies) = self.choose_for_service(&snapshot, tried);
         record.policies = policies;
         match chosen {
             Ok(chosen) => {
-                record.service = Some(self.picked.service.clone());
+                record.service = Some(self.weighted_service.service.clone());
                 Ok(chosen)
             }
             Err(NoTarget::NoneUsable) => Err(Refusal::NoTarget),
             Err(NoTarget::Limited { first, wait }) => {
-                record.wait = Some(wait);
-                record_preferred(record, self.picked, first);
+                record.target_wait = Some(wait);
+                record_preferred(record, self.weighted_service, first);
                 Err(Refusal::Limited)
             }
             Err(NoTarget::Full(preferred)) => {
-                record_preferred(record, self.picked, preferred);
+                record_preferred(record, self.weighted_service, preferred);
                 Err(Refusal::Full)
             }
             Err(NoTarget::Capped(preferred)) => {
-                record_preferred(record, self.picked, preferred);
+                record_preferred(record, self.weighted_service, preferred);
                 Err(Refusal::Capped)
             }
         }
     }
 
-    /// A target of the picked service, and the names of the policies that had a part.
-    fn of_service(
+    /// The choice for the picked service, and the names of the policies that affected it.
+    fn choose_for_service(
         &self,
         snapshot: &Snapshot<'_>,
         tried: &[TargetKey],
     ) -> (Result<ChosenTarget, NoTarget>, Vec<String>) {
-        let active = self.active(snapshot);
+        let matched_policies = self.matched_policies(snapshot);
         let settings = snapshot.settings;
         let request = RoutedRequest {
             route: self.request.route,
             tenant: self.request.tenant(),
-            service: &self.picked.service,
+            service: &self.weighted_service.service,
             affinity: self.affinity,
         };
-        let query = self.request.instance.query(settings, request, active.as_ref(), tried);
+        let query = self.request.instance.query(settings, request, matched_policies.as_ref(), tried);
         let chosen = choose(snapshot.routing, self.request.config, &query);
-        (chosen, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
+        (chosen, matched_policies.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
     }
 
-    /// The operators' policies that select the request.
-    fn active(&self, snapshot: &Snapshot<'_>) -> Option<MatchedPolicies<'_>> {
+    /// The operators' policies that match the request.
+    fn matched_policies(&self, snapshot: &Snapshot<'_>) -> Option<MatchedPolicies<'_>> {
         let parts = &self.request.parts;
         let facts = RequestFacts {
-            service: &self.picked.service,
+            service: &self.weighted_service.service,
             route: &self.request.route.name,
             region: &snapshot.settings.region,
             hall: &snapshot.settings.hall,
@@ -114,11 +116,11 @@
             uri: &parts.uri,
             headers: &parts.headers,
         };
-        MatchedPolicies::find(snapshot.routing.policies.as_ref()?, &facts, self.affinity, &self.charge)
+        MatchedPolicies::find(snapshot.routing.policies.as_ref()?, &facts, self.affinity, &self.cap_charge)
     }
 }
 
-/// The access log names the preferred target of a request that found no room.
+/// Records the preferred target for the access log if none had capacity for the request.
 fn record_preferred(record: &mut AccessRecord, weighted: &WeightedService, preferred: Rc<Target>) {
     record.load = preferred.load(Instant::now());
     record.service = Some(weighted.service.clone());
