--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -175,7 +175,7 @@
         {
             return mask;
         }
-        let mask = policies.selecting(&self.facts());
+        let mask = policies.matching_target(&self.facts());
         self.selecting.set(Some((policies.revision, mask)));
         mask
     }
--- a/src/decision/selection/affinity.rs
+++ b/src/decision/selection/affinity.rs
@@ -27,7 +27,7 @@
 
 use crate::decision::registry::target::Target;
 use crate::hash::unit;
-use crate::policy::Order;
+use crate::policy::PolicyOrder;
 use std::cmp::Ordering;
 use std::rc::Rc;
 
@@ -42,7 +42,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// What policies say; compared first.
-    pub order: Order,
+    pub order: PolicyOrder,
     /// Its draw for the first place of its order.
     pub draw: f64,
     /// Its draw for the second place.
@@ -53,7 +53,7 @@
 
 impl Candidate<'_> {
     /// What candidates for the first place are compared by; the smallest is preferred.
-    pub fn key(&self) -> (Order, f64) {
+    pub fn key(&self) -> (PolicyOrder, f64) {
         (self.order, self.draw)
     }
 }
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -65,7 +65,7 @@
 
 impl Explanation {
     /// Decides on a query. `query.active` is made with
-    /// [`CapCharge::dry`](crate::policy::CapCharge::dry), or is spent from.
+    /// [`CapCharge::dry_run`](crate::policy::CapCharge::dry_run), or is spent from.
     pub fn new(routing: &Routing, config: &Config, query: &Query<'_>) -> Self {
         let choice = Choice::new(routing, config, query);
         let outcome = choice.decide();
@@ -78,7 +78,7 @@
 
 /// What the choice makes of each target of the service: the ranked ones first, in their
 /// order. Nothing is sent, and nothing earned or spent where `query.active` was made with
-/// [`CapCharge::dry`](crate::policy::CapCharge::dry).
+/// [`CapCharge::dry_run`](crate::policy::CapCharge::dry_run).
 pub fn explain(routing: &Routing, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     Explanation::new(routing, config, query).verdicts
 }
@@ -274,7 +274,7 @@
     /// Takes a target; the policies that led to it are noted for the log.
     fn take(&self, target: &Rc<Target>) -> Chosen {
         if let Some(active) = self.query.active {
-            active.note_choice(target.selecting(active.document()));
+            active.record_choice(target.selecting(active.policies()));
         }
         Chosen { target: target.clone(), is_second: !self.is_preferred(target) }
     }
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -146,7 +146,7 @@
             PolicyVerdict::Denied => Some(Exclusion::Denied),
             PolicyVerdict::NotAllowed => Some(Exclusion::NotAllowed),
             PolicyVerdict::Drained(_) => Some(Exclusion::Drained),
-            PolicyVerdict::Open(_) => None,
+            PolicyVerdict::Permitted(_) => None,
         }
     }
 
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -8,7 +8,7 @@
 use crate::decision::registry::target::Target;
 use crate::decision::registry::target_key::TargetKey;
 use crate::model::config::{Route, Tenant, Urgency};
-use crate::policy::{MatchedPolicies, Order, PolicyVerdict};
+use crate::policy::{MatchedPolicies, PolicyOrder, PolicyVerdict};
 
 /// What a request asks for, before anything is known of targets.
 #[derive(Clone, Copy, Debug)]
@@ -62,14 +62,14 @@
 
     /// What the operators' policies say of a target; `None` where none selects the request.
     pub fn policy_verdict(&self, target: &Target) -> Option<PolicyVerdict> {
-        self.active.map(|active| active.verdict(target.selecting(active.document())))
+        self.active.map(|active| active.verdict(target.selecting(active.policies())))
     }
 
     /// The order that policies give a target; smaller goes first.
-    pub fn policy_order(&self, target: &Target) -> Order {
+    pub fn policy_order(&self, target: &Target) -> PolicyOrder {
         match self.policy_verdict(target) {
-            Some(PolicyVerdict::Open(order) | PolicyVerdict::Drained(order)) => order,
-            _ => Order::default(),
+            Some(PolicyVerdict::Permitted(order) | PolicyVerdict::Drained(order)) => order,
+            _ => PolicyOrder::default(),
         }
     }
 }
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -70,7 +70,7 @@
 
 impl<P: Platform> DryRequest<'_, P> {
     fn of_service(&self, config: &Config, weighted: &WeightedService) -> WhyService {
-        let charge = CapCharge::dry();
+        let charge = CapCharge::dry_run();
         let facts = self.facts(&weighted.service);
         let policies = self.routing.policies.as_ref();
         let active = policies.and_then(|policies| MatchedPolicies::find(policies, &facts, self.affinity, &charge));
--- a/src/policy/cap_charge.rs
+++ b/src/policy/cap_charge.rs
@@ -22,36 +22,36 @@
 
 impl CapCharge {
     /// A charge that neither earns nor pays, for a decision that sends nothing.
-    pub fn dry() -> Self {
+    pub fn dry_run() -> Self {
         Self { is_dry: true, ..Self::default() }
     }
 
     /// Lets the caps that select the request earn for it, each the first time.
-    pub(super) fn earn(&self, policies: &Policies, caps: PolicySet) {
+    pub(super) fn deposit(&self, policies: &Policies, caps: PolicySet) {
         if self.is_dry {
             return;
         }
         self.follow(policies);
-        let due = caps.without(self.earned.get());
+        let due = caps.difference(self.earned.get());
         for position in due.positions() {
             let Some(cap) = policies.list[position].cap else { continue };
-            policies.credits[position].earn(cap);
+            policies.credits[position].deposit(cap);
         }
-        self.earned.set(self.earned.get().or(due));
+        self.earned.set(self.earned.get().union(due));
     }
 
     /// Pays for a move to the caps that select the request, each the first time.
     ///
     /// # Errors
     /// The position of the first cap that has no credit; nothing is spent then.
-    pub(super) fn pay(&self, policies: &Policies, caps: PolicySet) -> Result<(), usize> {
+    pub(super) fn withdraw(&self, policies: &Policies, caps: PolicySet) -> Result<(), usize> {
         if self.is_dry {
             return could_pay(policies, caps);
         }
         self.follow(policies);
-        let due = caps.without(self.paid.get());
+        let due = caps.difference(self.paid.get());
         spend(policies, due)?;
-        self.paid.set(self.paid.get().or(due));
+        self.paid.set(self.paid.get().union(due));
         Ok(())
     }
 
@@ -71,7 +71,7 @@
 fn spend(policies: &Policies, caps: PolicySet) -> Result<(), usize> {
     let mut spent = PolicySet::default();
     for position in caps.positions() {
-        if !policies.credits[position].spend() {
+        if !policies.credits[position].withdraw() {
             spent.positions().for_each(|position| policies.credits[position].refund());
             return Err(position);
         }
@@ -87,7 +87,7 @@
 fn could_pay(policies: &Policies, caps: PolicySet) -> Result<(), usize> {
     let falls_short = |position: &usize| {
         let cap = policies.list[*position].cap.unwrap_or(0.0);
-        !policies.credits[*position].reaches_with(cap)
+        !policies.credits[*position].can_withdraw_after(cap)
     };
     caps.positions().find(falls_short).map_or(Ok(()), Err)
 }
--- a/src/policy/credit.rs
+++ b/src/policy/credit.rs
@@ -42,18 +42,18 @@
 
 impl Credit {
     /// Earns for one selected request under `cap`, 0 to 1.
-    pub fn earn(&self, cap: f64) {
+    pub fn deposit(&self, cap: f64) {
         self.add(gain(cap));
     }
 
     /// Whether it would reach for a move after earning once more.
-    pub fn reaches_with(&self, cap: f64) -> bool {
+    pub fn can_withdraw_after(&self, cap: f64) -> bool {
         self.0.get() + gain(cap) >= ONE_MOVE
     }
 
     /// Spends for one moved request; false, and nothing spent, where the credit
     /// does not reach.
-    pub fn spend(&self) -> bool {
+    pub fn withdraw(&self) -> bool {
         let reaches = self.0.get() >= ONE_MOVE;
         if reaches {
             self.add(-ONE_MOVE);
@@ -61,7 +61,7 @@
         reaches
     }
 
-    /// Gives back what [`Self::spend`] took for a request that was not moved.
+    /// Gives back what [`Self::withdraw`] took for a request that was not moved.
     pub fn refund(&self) {
         self.add(ONE_MOVE);
     }
--- a/src/policy/label.rs
+++ b/src/policy/label.rs
@@ -70,7 +70,7 @@
     }
 
     /// The number of label names.
-    pub fn width(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 }
--- a/src/policy/labels.rs
+++ b/src/policy/labels.rs
@@ -57,7 +57,7 @@
 
 impl<'a> Builder<'a> {
     fn new(interner: &'a Interner) -> Self {
-        Self { interner, set: LabelSet::empty(interner.width()) }
+        Self { interner, set: LabelSet::empty(interner.key_count()) }
     }
 
     /// Sets a label that some selector tests; others can decide nothing.
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -7,7 +7,7 @@
 use super::facts::RequestFacts;
 use super::policies::Policies;
 use super::set::PolicySet;
-use super::verdict::{Order, PolicyVerdict};
+use super::verdict::{PolicyOrder, PolicyVerdict};
 use crate::hash::unit;
 use std::cell::Cell;
 use std::rc::Rc;
@@ -38,48 +38,48 @@
         affinity: u64,
         charge: &'a CapCharge,
     ) -> Option<Self> {
-        let set = policies.of_request(request);
+        let set = policies.matching_request(request);
         if set.is_empty() {
             return None;
         }
         let weight = pick_weight(policies, set, unit(affinity, WEIGHT_SEED));
         let matched = Self { policies: policies.clone(), set, weight, applied: Cell::default(), charge };
-        charge.earn(policies, matched.caps());
+        charge.deposit(policies, matched.caps());
         Some(matched)
     }
 
     /// The document that they belong to.
-    pub fn document(&self) -> &Policies {
+    pub fn policies(&self) -> &Policies {
         &self.policies
     }
 
     /// What the policies say of a target, which those in `selecting` select.
     pub fn verdict(&self, selecting: PolicySet) -> PolicyVerdict {
-        let selecting = selecting.and(self.set);
+        let selecting = selecting.intersection(self.set);
         let kinds = &self.policies.kinds;
-        let denials = selecting.and(kinds.denials);
+        let denials = selecting.intersection(kinds.denials);
         if !denials.is_empty() {
             self.note(denials);
             return PolicyVerdict::Denied;
         }
-        let allowances = self.set.and(kinds.allowances);
-        if !allowances.is_empty() && selecting.and(allowances).is_empty() {
+        let allowances = self.set.intersection(kinds.allowances);
+        if !allowances.is_empty() && selecting.intersection(allowances).is_empty() {
             self.note(allowances);
             return PolicyVerdict::NotAllowed;
         }
         let order = self.order(selecting);
-        let drains = selecting.and(kinds.drains);
+        let drains = selecting.intersection(kinds.drains);
         if !drains.is_empty() {
             self.note(drains);
             return PolicyVerdict::Drained(order);
         }
-        PolicyVerdict::Open(order)
+        PolicyVerdict::Permitted(order)
     }
 
-    fn order(&self, selecting: PolicySet) -> Order {
-        Order {
-            unwanted: self.weight.is_some_and(|position| !selecting.contains(position)),
-            rank: self.rank(selecting.and(self.policies.kinds.preferences)),
+    fn order(&self, selecting: PolicySet) -> PolicyOrder {
+        PolicyOrder {
+            outside_weight: self.weight.is_some_and(|position| !selecting.contains(position)),
+            rank: self.rank(selecting.intersection(self.policies.kinds.preferences)),
         }
     }
 
@@ -91,34 +91,34 @@
     /// Pays for a move out of the default target's hall; false where a cap leaves
     /// no credit for it. [`super::credit`] has the rule.
     pub fn charge_caps(&self) -> bool {
-        match self.charge.pay(&self.policies, self.caps()) {
+        match self.charge.withdraw(&self.policies, self.caps()) {
             Ok(()) => true,
             Err(exhausted) => {
-                self.note(PolicySet::only(exhausted));
+                self.note(PolicySet::single(exhausted));
                 false
             }
         }
     }
 
     /// Whether caps allow a move now; for a decision that sends nothing, whose charge is
-    /// [`CapCharge::dry`].
+    /// [`CapCharge::dry_run`].
     pub fn allows_move(&self) -> bool {
-        self.charge.pay(&self.policies, self.caps()).is_ok()
+        self.charge.withdraw(&self.policies, self.caps()).is_ok()
     }
 
     /// Notes the weight and the preferences that led to a target, which the policies
     /// in `selecting` select.
-    pub fn note_choice(&self, selecting: PolicySet) {
-        let selecting = selecting.and(self.set);
-        let preferences = selecting.and(self.policies.kinds.preferences);
+    pub fn record_choice(&self, selecting: PolicySet) {
+        let selecting = selecting.intersection(self.set);
+        let preferences = selecting.intersection(self.policies.kinds.preferences);
         let best = Action::Prefer(self.rank(preferences));
         for position in preferences.positions() {
             if self.policies.list[position].action == best {
-                self.note(PolicySet::only(position));
+                self.note(PolicySet::single(position));
             }
         }
         if let Some(position) = self.weight.filter(|position| selecting.contains(*position)) {
-            self.note(PolicySet::only(position));
+            self.note(PolicySet::single(position));
         }
     }
 
@@ -128,11 +128,11 @@
     }
 
     fn note(&self, set: PolicySet) {
-        self.applied.set(self.applied.get().or(set));
+        self.applied.set(self.applied.get().union(set));
     }
 
     fn caps(&self) -> PolicySet {
-        self.set.and(self.policies.kinds.caps)
+        self.set.intersection(self.policies.kinds.caps)
     }
 
     fn rank(&self, preferences: PolicySet) -> u16 {
@@ -148,7 +148,7 @@
 /// share the scale in name order.
 fn pick_weight(policies: &Policies, set: PolicySet, point: f64) -> Option<usize> {
     let mut start = 0.0;
-    for position in set.and(policies.kinds.weights).positions() {
+    for position in set.intersection(policies.kinds.weights).positions() {
         let Action::Weight(share) = policies.list[position].action else { continue };
         if point < start + share {
             return Some(position);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -61,4 +61,4 @@
 pub use policies::Policies;
 pub use set::PolicySet;
 pub use source::{Source, Sources};
-pub use verdict::{Order, PolicyVerdict};
+pub use verdict::{PolicyOrder, PolicyVerdict};
--- a/src/policy/policies.rs
+++ b/src/policy/policies.rs
@@ -62,19 +62,19 @@
     }
 
     /// The policies whose `places` select a target.
-    pub fn selecting(&self, target: &TargetFacts<'_>) -> PolicySet {
+    pub fn matching_target(&self, target: &TargetFacts<'_>) -> PolicySet {
         let labels = self.labels.of_target(&self.interner, target);
         self.selected(&labels, |policy| &policy.places)
     }
 
     /// The policies whose `requests` select a request.
-    pub(super) fn of_request(&self, request: &RequestFacts<'_>) -> PolicySet {
+    pub(super) fn matching_request(&self, request: &RequestFacts<'_>) -> PolicySet {
         let labels = self.labels.of_request(&self.interner, request);
         self.selected(&labels, |policy| &policy.requests)
     }
 
     fn selected(&self, labels: &LabelSet, selector: impl Fn(&Policy) -> &Selector) -> PolicySet {
-        let selecting = self.list.iter().enumerate().filter(|(_, policy)| selector(policy).selects(labels));
+        let selecting = self.list.iter().enumerate().filter(|(_, policy)| selector(policy).matches(labels));
         selecting.map(|(position, _)| position).collect()
     }
 
--- a/src/policy/read_policy.rs
+++ b/src/policy/read_policy.rs
@@ -43,7 +43,7 @@
 fn refuse_too_many_names(place: Place, selectors: [&RawSelector; 2], interner: &Interner) -> Checked<()> {
     let names = selectors.into_iter().flat_map(RawSelector::keys);
     let new: BTreeSet<&String> = names.filter(|name| interner.key(name).is_none()).collect();
-    match interner.width() + new.len() <= MAX_LABEL_NAMES {
+    match interner.key_count() + new.len() <= MAX_LABEL_NAMES {
         true => Ok(()),
         false => Err(PolicyError::TooMany { place, kind: "label names in selectors", most: MAX_LABEL_NAMES }),
     }
--- a/src/policy/selector.rs
+++ b/src/policy/selector.rs
@@ -97,7 +97,7 @@
     }
 
     /// Whether every test passes.
-    pub fn selects(&self, labels: &LabelSet) -> bool {
+    pub fn matches(&self, labels: &LabelSet) -> bool {
         self.tests.iter().all(|test| test.passes(labels))
     }
 
--- a/src/policy/set.rs
+++ b/src/policy/set.rs
@@ -12,7 +12,7 @@
 
 impl PolicySet {
     /// The set of one policy.
-    pub fn only(position: usize) -> Self {
+    pub fn single(position: usize) -> Self {
         Self(1 << position)
     }
 
@@ -22,17 +22,17 @@
     }
 
     /// What is in both.
-    pub fn and(self, other: Self) -> Self {
+    pub fn intersection(self, other: Self) -> Self {
         Self(self.0 & other.0)
     }
 
     /// What is in either.
-    pub fn or(self, other: Self) -> Self {
+    pub fn union(self, other: Self) -> Self {
         Self(self.0 | other.0)
     }
 
     /// What is in it and not in the other.
-    pub fn without(self, other: Self) -> Self {
+    pub fn difference(self, other: Self) -> Self {
         Self(self.0 & !other.0)
     }
 
@@ -61,6 +61,6 @@
 
 impl FromIterator<usize> for PolicySet {
     fn from_iter<T: IntoIterator<Item = usize>>(positions: T) -> Self {
-        positions.into_iter().map(Self::only).fold(Self::default(), Self::or)
+        positions.into_iter().map(Self::single).fold(Self::default(), Self::union)
     }
 }
--- a/tests/cap_charge.rs
+++ b/tests/cap_charge.rs
@@ -79,11 +79,11 @@
 #[test]
 fn a_dry_charge_says_what_the_next_request_can_pay_and_spends_nothing() {
     let policies = check(1, "[[policy]]\nname = \"all\"\ncap = 0.5\n");
-    assert!(!moves(&policies, "shop", &CapCharge::dry()));
+    assert!(!moves(&policies, "shop", &CapCharge::dry_run()));
     stays(&policies, "shop", &CapCharge::default());
     for _ in 0..3 {
-        assert!(moves(&policies, "shop", &CapCharge::dry()));
+        assert!(moves(&policies, "shop", &CapCharge::dry_run()));
     }
     assert!(moves(&policies, "shop", &CapCharge::default()));
-    assert!(!moves(&policies, "shop", &CapCharge::dry()));
+    assert!(!moves(&policies, "shop", &CapCharge::dry_run()));
 }
--- a/tests/cap_credit.rs
+++ b/tests/cap_credit.rs
@@ -15,8 +15,8 @@
     fn no_window_exceeds_the_cap(cap in 0.0f64..=1.0, wants in prop::collection::vec(any::<bool>(), 1..400)) {
         let credit = Credit::default();
         let moved: Vec<bool> = wants.iter().map(|wants| {
-            credit.earn(cap);
-            *wants && credit.spend()
+            credit.deposit(cap);
+            *wants && credit.withdraw()
         }).collect();
         for from in 0..moved.len() {
             for to in from + 1..=moved.len() {
@@ -35,11 +35,11 @@
         for (kind, cap) in steps {
             match kind {
                 0 => {
-                    credit.earn(cap);
+                    credit.deposit(cap);
                     sum = (sum + (cap * 1e6) as i64).min(1_000_000);
                 }
                 1 => {
-                    prop_assert_eq!(credit.spend(), sum >= 1_000_000);
+                    prop_assert_eq!(credit.withdraw(), sum >= 1_000_000);
                     sum -= if sum >= 1_000_000 { 1_000_000 } else { 0 };
                 }
                 _ => {
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -189,7 +189,7 @@
         "[[policy]]\nname = \"d\"\nplaces = { hall = \"a-1\" }\ndrain = true\n\
          [[policy]]\nname = \"n\"\nplaces = { hall = \"b-1\" }\ndeny = true\n",
     );
-    let (verdicts, _) = decide(&scene, &Asked::plain(), 7, &CapCharge::dry(), explain);
+    let (verdicts, _) = decide(&scene, &Asked::plain(), 7, &CapCharge::dry_run(), explain);
     let of = |id: &str| verdicts.iter().find(|(target, _)| &*target.id == id).unwrap().1;
     assert_eq!(verdicts.len(), 8);
     assert_eq!([of("t0"), of("t1")], [Verdict::Excluded(Exclusion::Drained); 2]);
@@ -303,9 +303,9 @@
         let positions = |mask: PolicySet| mask.positions().collect::<Vec<_>>();
         prop_assert_eq!(positions(mask(&one)), one.iter().copied().collect::<Vec<_>>());
         let both: Vec<usize> = one.intersection(&other).copied().collect();
-        prop_assert_eq!(positions(mask(&one).and(mask(&other))), both);
+        prop_assert_eq!(positions(mask(&one).intersection(mask(&other))), both);
         let either: Vec<usize> = one.union(&other).copied().collect();
-        prop_assert_eq!(positions(mask(&one).or(mask(&other))), either);
+        prop_assert_eq!(positions(mask(&one).union(mask(&other))), either);
         prop_assert_eq!(mask(&one).is_empty(), one.is_empty());
         prop_assert!((0..128).all(|position| mask(&one).contains(position) == one.contains(&position)));
     }
--- a/tests/selectors.rs
+++ b/tests/selectors.rs
@@ -46,7 +46,7 @@
 /// The labels of something that comes after the selectors were read: what no
 /// selector names is not interned.
 fn seen(interner: &Interner, labels: &RawLabels) -> LabelSet {
-    let mut set = LabelSet::empty(interner.width());
+    let mut set = LabelSet::empty(interner.key_count());
     for (name, value) in labels {
         if let Some(key) = interner.key(name) {
             set.set(key, interner.value(value));
@@ -80,8 +80,8 @@
         let declared = interned(&mut interner, &early);
         let compiled: Vec<Selector> = selectors.iter().map(|raw| Selector::compile(raw, &mut interner)).collect();
         for (raw, compiled) in selectors.iter().zip(&compiled) {
-            prop_assert_eq!(compiled.selects(&declared), naive(raw, &early), "{:?} of {:?}", raw, early);
-            prop_assert_eq!(compiled.selects(&seen(&interner, &late)), naive(raw, &late), "{:?} of {:?}", raw, late);
+            prop_assert_eq!(compiled.matches(&declared), naive(raw, &early), "{:?} of {:?}", raw, early);
+            prop_assert_eq!(compiled.matches(&seen(&interner, &late)), naive(raw, &late), "{:?} of {:?}", raw, late);
         }
     }
 
@@ -101,7 +101,7 @@
     assert_eq!(interner.value("unheard of"), Symbol::OTHER);
     assert_eq!(interner.key("unheard of"), None);
     let key = interner.intern_key("label");
-    assert_eq!(LabelSet::empty(interner.width()).get(key), Symbol::NONE);
+    assert_eq!(LabelSet::empty(interner.key_count()).get(key), Symbol::NONE);
 }
 
 #[test]
@@ -114,7 +114,7 @@
     let selects = |pairs: &[(&str, &str)]| {
         let mut interner = Interner::default();
         let selector = Selector::compile(&raw, &mut interner);
-        selector.selects(&seen(&interner, &labels(pairs)))
+        selector.matches(&seen(&interner, &labels(pairs)))
     };
     assert!(selects(&[("is", "x"), ("one-of", "y"), ("exists", "z")]));
     assert!(selects(&[("is", "x"), ("one-of", "y"), ("exists", "z"), ("not", "y")]));
@@ -129,7 +129,7 @@
     }
     let mut interner = Interner::default();
     assert!(
-        Selector::compile(&RawSelector::new(), &mut interner).selects(&LabelSet::default()),
+        Selector::compile(&RawSelector::new(), &mut interner).matches(&LabelSet::default()),
         "the empty one selects all"
     );
 }
