--- a/src/policy/document.rs
+++ b/src/policy/document.rs
@@ -33,7 +33,7 @@
     }
 
     /// The value for the store.
-    pub fn value(&self) -> Bytes {
+    pub fn to_json(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).expect("a document is plain strings"))
     }
 }
--- a/tests/governed/mod.rs
+++ b/tests/governed/mod.rs
@@ -27,7 +27,7 @@
     let sources = Sources::single("policies.toml", text);
     let document = PolicyDocument { revision: 1, id: "1".into(), by: "anna".into(), sources };
     Policies::try_from(&document).unwrap();
-    scene.put("policies", std::str::from_utf8(&document.value()).unwrap());
+    scene.put("policies", std::str::from_utf8(&document.to_json()).unwrap());
 }
 
 /// What becomes of a request about an object, with a tier where it has one.
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -40,7 +40,7 @@
 fn govern(scene: &mut Scene, revision: u64, text: &str) {
     let document = document(revision, text);
     Policies::try_from(&document).unwrap();
-    scene.put("policies", std::str::from_utf8(&document.value()).unwrap());
+    scene.put("policies", std::str::from_utf8(&document.to_json()).unwrap());
 }
 
 /// Chooses for an object, with the names of the policies that had a part.
--- a/tests/removed_policies.rs
+++ b/tests/removed_policies.rs
@@ -12,7 +12,7 @@
 /// A document of a revision, written at a revision of the store.
 fn put(revision: u64, at: u64) -> Event {
     let document = PolicyDocument { revision, id: "x".into(), by: "tom".into(), sources: Sources::default() };
-    Event::Put(Item { key: "policies".into(), value: document.value(), revision: at })
+    Event::Put(Item { key: "policies".into(), value: document.to_json(), revision: at })
 }
 
 fn broken(at: u64) -> Event {
--- a/tests/weights.rs
+++ b/tests/weights.rs
@@ -48,7 +48,7 @@
     let mut scene = Scene::new();
     let sources = Sources::single("p.toml", &text(&[("a", "{}", 0.7), ("b", "{}", 0.7)]));
     let document = PolicyDocument { revision: 4, id: "x".into(), by: "tom".into(), sources };
-    scene.put("policies", std::str::from_utf8(&document.value()).unwrap());
+    scene.put("policies", std::str::from_utf8(&document.to_json()).unwrap());
     assert_eq!(scene.routing.policies.as_ref().map(|policies| policies.iter().count()), Some(2));
 }
 
