--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -1,25 +1,25 @@
-//! A checked policy, and what it says. [`super`] has the order in which
-//! conflicts resolve.
+//! A checked policy and its action. [`super`] lists the order in which actions take
+//! precedence.
 
 use super::selector::Selector;
 
-/// Rank of a place that no `prefer` policy selects.
+/// Rank of a target that no `prefer` policy selects.
 pub const UNRANKED: u16 = u16::MAX;
 
-/// What a policy says.
+/// What a policy does with the targets that it selects, for the requests that it selects.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// The selected requests may go only to the places of allow policies.
+    /// The requests may be sent only to targets that allow policies select.
     Allow,
-    /// The selected requests may not go to the places.
+    /// The requests may not be sent to the targets.
     Deny,
-    /// The places get no new requests.
+    /// The targets get no new requests.
     Drain,
-    /// The places are ranked; the smaller number goes first.
+    /// The targets get this rank; a smaller rank is preferred.
     Prefer(u16),
-    /// This share of the selected requests, 0 to 1, goes to the places.
+    /// This share of the requests, 0 to 1, is sent to the targets.
     Weight(f64),
-    /// Nothing but its cap.
+    /// No action besides the policy's cap.
     Cap,
 }
 
@@ -28,12 +28,13 @@
 pub struct Policy {
     /// Name, unique among policies.
     pub name: String,
-    /// Which requests it concerns.
+    /// Selects requests by their labels.
     pub requests: Selector,
-    /// Which places it concerns.
+    /// Selects targets by their labels; empty if a policy that is only a cap omits it.
     pub places: Selector,
-    /// What it says.
+    /// What the policy does.
     pub action: Action,
-    /// Largest share of the selected requests that may be moved, 0 to 1.
+    /// Maximum share of the selected requests that may be moved to another hall, 0 to 1;
+    /// `None` where the policy has no cap.
     pub cap: Option<f64>,
 }
--- a/src/policy/cap_charge.rs
+++ b/src/policy/cap_charge.rs
@@ -1,93 +1,93 @@
-//! What one request has earned for the caps that select it, and paid to them. The rule
-//! is in [`super::credit`].
+//! The deposits and withdrawals that one request has made at the caps that select it.
+//! [`super::credit`] describes the rule.
 
 use super::policies::Policies;
 use super::set::PolicySet;
 use std::cell::Cell;
 
-/// What one request has earned and paid so far, over all its tries: at each service of a
-/// split other caps may select it. Begins anew under later policies.
+/// The deposits and withdrawals of one request over all its tries: at each service of a
+/// split, other caps may select it. Reset when the policies change between tries.
 #[derive(Debug, Default)]
 pub struct CapCharge {
-    /// Revision of the policies that the sets are of; 0 before the first.
+    /// Revision of the policies to which the sets below refer; 0 before the first try.
     revision: Cell<u64>,
-    /// The caps that have earned for it.
-    earned: Cell<PolicySet>,
-    /// The caps that it has paid for its move.
-    paid: Cell<PolicySet>,
-    /// Whether nothing is earned or paid: a move is allowed where a request that came now
-    /// could pay for it.
-    is_dry: bool,
+    /// Caps that have received a deposit for this request.
+    deposited: Cell<PolicySet>,
+    /// Caps from which a move of this request has been withdrawn.
+    withdrawn: Cell<PolicySet>,
+    /// Whether no credit is changed: a move is allowed if a request that arrived now
+    /// could be moved.
+    is_dry_run: bool,
 }
 
 impl CapCharge {
-    /// A charge that neither earns nor pays, for a decision that sends nothing.
+    /// A charge that changes no credit, for a decision that sends no request.
     pub fn dry_run() -> Self {
-        Self { is_dry: true, ..Self::default() }
+        Self { is_dry_run: true, ..Self::default() }
     }
 
-    /// Lets the caps that select the request earn for it, each the first time.
+    /// Deposits at the caps that select the request, once at each.
     pub(super) fn deposit(&self, policies: &Policies, caps: PolicySet) {
-        if self.is_dry {
+        if self.is_dry_run {
             return;
         }
-        self.follow(policies);
-        let due = caps.difference(self.earned.get());
+        self.reset_on_new_revision(policies);
+        let due = caps.difference(self.deposited.get());
         for position in due.positions() {
             let Some(cap) = policies.list[position].cap else { continue };
             policies.credits[position].deposit(cap);
         }
-        self.earned.set(self.earned.get().union(due));
+        self.deposited.set(self.deposited.get().union(due));
     }
 
-    /// Pays for a move to the caps that select the request, each the first time.
+    /// Withdraws a move from the caps that select the request, once from each.
     ///
     /// # Errors
-    /// The position of the first cap that has no credit; nothing is spent then.
+    /// The position of the first cap without enough credit; nothing is withdrawn then.
     pub(super) fn withdraw(&self, policies: &Policies, caps: PolicySet) -> Result<(), usize> {
-        if self.is_dry {
-            return could_pay(policies, caps);
+        if self.is_dry_run {
+            return check_credit(policies, caps);
         }
-        self.follow(policies);
-        let due = caps.difference(self.paid.get());
-        spend(policies, due)?;
-        self.paid.set(self.paid.get().union(due));
+        self.reset_on_new_revision(policies);
+        let due = caps.difference(self.withdrawn.get());
+        withdraw_from_all(policies, due)?;
+        self.withdrawn.set(self.withdrawn.get().union(due));
         Ok(())
     }
 
-    /// Begins anew where the policies are no longer those of the last try.
-    fn follow(&self, policies: &Policies) {
+    /// Clears the sets if the policies are of another revision than at the last try.
+    fn reset_on_new_revision(&self, policies: &Policies) {
         if self.revision.replace(policies.revision) != policies.revision {
-            self.earned.take();
-            self.paid.take();
+            self.deposited.take();
+            self.withdrawn.take();
         }
     }
 }
 
-/// Spends a move of each cap.
+/// Withdraws a move from each cap.
 ///
 /// # Errors
-/// The position of the first that has no credit; nothing is spent then.
-fn spend(policies: &Policies, caps: PolicySet) -> Result<(), usize> {
-    let mut spent = PolicySet::default();
+/// The position of the first cap without enough credit; nothing is withdrawn then.
+fn withdraw_from_all(policies: &Policies, caps: PolicySet) -> Result<(), usize> {
+    let mut withdrawn = PolicySet::default();
     for position in caps.positions() {
         if !policies.credits[position].withdraw() {
-            spent.positions().for_each(|position| policies.credits[position].refund());
+            withdrawn.positions().for_each(|position| policies.credits[position].refund());
             return Err(position);
         }
-        spent.insert(position);
+        withdrawn.insert(position);
     }
     Ok(())
 }
 
-/// Whether a request that came now could pay for a move.
+/// Checks whether a request that arrived now could be moved.
 ///
 /// # Errors
-/// The position of the first cap whose credit, with what the request earns, falls short.
-fn could_pay(policies: &Policies, caps: PolicySet) -> Result<(), usize> {
-    let falls_short = |position: &usize| {
+/// The position of the first cap without enough credit even after the request's deposit.
+fn check_credit(policies: &Policies, caps: PolicySet) -> Result<(), usize> {
+    let is_insufficient = |position: &usize| {
         let cap = policies.list[*position].cap.unwrap_or(0.0);
         !policies.credits[*position].can_withdraw_after(cap)
     };
-    caps.positions().find(falls_short).map_or(Ok(()), Err)
+    caps.positions().find(is_insufficient).map_or(Ok(()), Err)
 }
--- a/src/policy/check.rs
+++ b/src/policy/check.rs
@@ -1,21 +1,21 @@
-//! The check of a policy document: all files are read as if they were one, and
-//! the first fault ends it.
+//! The check of a policy document. All files are read as if they were one, and the first
+//! error ends the check.
 //!
-//! Regions, halls, services and targets come and go with the platform, so that a
-//! name in a selector may not exist yet and is no fault.
+//! A name in a selector need not exist: regions, halls, services and targets are added and
+//! removed by the platform at any time.
 //!
-//! A document that lies in the store was checked by whoever applied it, perhaps an older
-//! program. Weights in it that sum to more than 1 do not keep it from coming into force,
-//! so that all instances, of whatever version, follow the same policies: the last in name
-//! order get what is left of the scale.
+//! A document in the store was checked by the program that applied it, perhaps an older
+//! version. Weights in it that sum to more than 1 don't keep it from coming into force, so
+//! that instances of all versions apply the same policies: the weights that are last in
+//! name order get the rest of the scale.
 
 use super::action::Policy;
 use super::document::PolicyDocument;
-use super::error::{Place, PolicyError};
-use super::file::{Checked, File};
+use super::error::{Location, PolicyError};
+use super::file::{CheckResult, ParsedFile};
 use super::label::Interner;
 use super::labels::Labels;
-use super::names::Names;
+use super::names::UniqueNames;
 use super::policies::Policies;
 use super::raw::{RawFile, RawPolicy};
 use super::read_labels::LabelReader;
@@ -28,7 +28,7 @@
     type Error = PolicyError;
 
     fn try_from(document: &PolicyDocument) -> Result<Self, PolicyError> {
-        Ok(Draft::read(&document.sources)?.policies(document.revision))
+        Ok(ParsedDocument::read(&document.sources)?.into_policies(document.revision))
     }
 }
 
@@ -36,55 +36,56 @@
     /// Checks files as the policies of a revision.
     ///
     /// # Errors
-    /// The first fault found, with file, line, field and remedy.
+    /// The first error found, with file, line, field and remedy.
     pub fn check(revision: u64, sources: &Sources) -> Result<Self, PolicyError> {
-        let draft = Draft::read(sources)?;
-        check_weights(&draft.list)?;
-        Ok(draft.policies(revision))
+        let document = ParsedDocument::read(sources)?;
+        check_weights(&document.list)?;
+        Ok(document.into_policies(revision))
     }
 }
 
-/// Files, each item of which is checked.
-struct Draft {
+/// The items of a document's files, each checked by itself.
+struct ParsedDocument {
     labels: LabelReader,
     interner: Interner,
-    /// In name order, each with where it stands.
-    list: Vec<(Policy, Place)>,
+    /// Policies in name order, each with its location.
+    list: Vec<(Policy, Location)>,
 }
 
-impl Draft {
-    fn read(sources: &Sources) -> Checked<Self> {
-        let files: Vec<File<RawFile>> = sources.files.iter().map(File::read).collect::<Checked<_>>()?;
-        let mut draft = Draft { labels: LabelReader::default(), interner: Interner::default(), list: Vec::new() };
-        let mut names = Names::default();
+impl ParsedDocument {
+    fn read(sources: &Sources) -> CheckResult<Self> {
+        let files: Vec<ParsedFile<RawFile>> = sources.files.iter().map(ParsedFile::read).collect::<CheckResult<_>>()?;
+        let mut document =
+            ParsedDocument { labels: LabelReader::default(), interner: Interner::default(), list: Vec::new() };
+        let mut names = UniqueNames::default();
         for file in &files {
-            draft.read_file(file, &mut names)?;
+            document.read_file(file, &mut names)?;
         }
-        draft.list.sort_by(|(one, _), (other, _)| one.name.cmp(&other.name));
-        Ok(draft)
+        document.list.sort_by(|(one, _), (other, _)| one.name.cmp(&other.name));
+        Ok(document)
     }
 
-    fn read_file(&mut self, file: &File<RawFile>, names: &mut Names) -> Checked<()> {
+    fn read_file(&mut self, file: &ParsedFile<RawFile>, names: &mut UniqueNames) -> CheckResult<()> {
         self.labels.read(file)?;
         for raw in &file.raw.policy {
-            names.add(file, "policy", &raw.name)?;
-            refuse_too_many(file, raw, self.list.len())?;
+            names.insert(file, "policy", &raw.name)?;
+            check_count(file, raw, self.list.len())?;
             let policy = read_policy(file, raw, &mut self.interner)?;
-            self.list.push((policy, file.place("policy", &raw.name, "")));
+            self.list.push((policy, file.location("policy", &raw.name, "")));
         }
         Ok(())
     }
 
-    fn policies(self, revision: u64) -> Policies {
+    fn into_policies(self, revision: u64) -> Policies {
         let list = self.list.into_iter().map(|(policy, _)| policy).collect();
         Policies::new(revision, self.interner, Labels::from(self.labels), list)
     }
 }
 
-fn refuse_too_many(file: &File<RawFile>, raw: &RawPolicy, count: usize) -> Checked<()> {
+fn check_count(file: &ParsedFile<RawFile>, raw: &RawPolicy, count: usize) -> CheckResult<()> {
     if count < MAX_POLICIES {
         return Ok(());
     }
-    let place = file.place("policy", &raw.name, "");
-    Err(PolicyError::TooMany { place, kind: "policies", most: MAX_POLICIES })
+    let location = file.location("policy", &raw.name, "");
+    Err(PolicyError::TooMany { location, kind: "policies", max: MAX_POLICIES })
 }
--- a/src/policy/credit.rs
+++ b/src/policy/credit.rs
@@ -1,39 +1,39 @@
-//! Credit of caps: the account that pays for moves. A request is moved out of
-//! the hall of its default target only if every cap that selects it has credit
-//! for a whole move.
+//! The credit of caps, which bounds how many requests are moved. A request is moved out of
+//! the hall of its default target only if every cap that selects it has credit for a whole
+//! move.
 //!
-//! **Inputs.** The caps that select the request: each a share of the selected
-//! requests, 0 to 1. Each cap's [`Credit`]: this instance's own count, in
-//! moves, exact to the request; it begins at 0 with each revision of the
-//! policies. Whether the request has earned and paid before: its
-//! [`CapCharge`](super::CapCharge).
-//! What a move is, is decided by the caller: the target that would be sent to is
-//! in another hall than the default target, the one that the request would go to
-//! if no target had any trouble ([`crate::decision::selection::cap_moves`]).
+//! **Inputs.** The caps that select the request: each a share of the selected requests,
+//! 0 to 1. Each cap's [`Credit`]: this instance's own count, in moves, exact to the
+//! request; it starts at 0 with each revision of the policies. Whether the request has made
+//! a deposit or withdrawal before: its [`CapCharge`](super::CapCharge).
+//! The caller decides what a move is: the target that the request would be sent to is in
+//! another hall than the default target, which is the one that it would go to if no target
+//! were draining, drained, cold, full or ejected
+//! ([`crate::decision::selection::cap_moves`]).
 //!
-//! **Rule.** A request earns `cap` for each cap when this first selects it, and nothing
-//! for later tries; at the services of a split other caps may select it. A move spends 1
-//! of each cap, or of none where one of them has less; a request pays each cap for one
-//! move at most. Credit never exceeds 1. A request that is tried under a later revision
-//! earns and pays there as a new one.
+//! **Rule.** A request deposits `cap` at each cap when the cap first selects it, and nothing
+//! at later tries; at the services of a split, other caps may select it. A move withdraws 1
+//! from each cap, or from none if one of them has less; a request withdraws at most one move
+//! from each cap. Credit never exceeds 1. A request that is tried again under a later
+//! revision is treated as a new one.
 //!
-//! **Why.** Instances need no message to keep a share: any instance that keeps
-//! it for its own requests keeps it for the sum. The limit of 1 keeps quiet
-//! hours from saving up a burst of moves.
+//! **Reason.** Instances need no messages to keep a share: if each keeps it for its own
+//! requests, it holds for their sum. The limit of 1 prevents a burst of moves after quiet
+//! hours.
 //!
-//! **What it guards.** A shift never exceeds its cap: from the first request of a
-//! revision an instance moves at most `cap * requests`, and in any later window
-//! `cap * requests + 1`; all instances together obey the same bound, with one
-//! extra request for each instance.
+//! **What it guards.** The moved share never exceeds the cap: counted from the first request
+//! of a revision, an instance moves at most `cap * requests`, and in any later window at
+//! most `cap * requests + 1`. All instances together obey the same bound, with one extra
+//! request for each instance.
 //!
 //! **Tests.** `tests/cap_credit.rs` against plain sums, `tests/naive_choice.rs` against a
-//! naive decider, `tests/cap_moves.rs`;
-//! `what_is_moved_stays_within_the_cap` in `tests/policies.rs`.
+//! naive implementation, `tests/cap_moves.rs`;
+//! `moved_requests_stay_within_the_cap` in `tests/policies.rs`.
 
 use std::cell::Cell;
 
-/// Credit of one move, in units of credit. Whole numbers, so that many small gains add up without
-/// rounding; a millionth is the step in which a cap counts, and a finer cap is rounded down.
+/// Credit for one move. Credit is counted in whole millionths of a move, so that many small
+/// deposits add up without rounding errors; a cap with more digits is rounded down.
 const ONE_MOVE: i64 = 1_000_000;
 
 /// The credit of one cap at one instance.
@@ -41,36 +41,35 @@
 pub struct Credit(Cell<i64>);
 
 impl Credit {
-    /// Earns for one selected request under `cap`, 0 to 1.
+    /// Adds the deposit of one selected request under `cap`, 0 to 1.
     pub fn deposit(&self, cap: f64) {
-        self.add(gain(cap));
+        self.add(deposit_amount(cap));
     }
 
-    /// Whether it would reach for a move after earning once more.
+    /// Whether a move could be withdrawn after another deposit under `cap`.
     pub fn can_withdraw_after(&self, cap: f64) -> bool {
-        self.0.get() + gain(cap) >= ONE_MOVE
+        self.0.get() + deposit_amount(cap) >= ONE_MOVE
     }
 
-    /// Spends for one moved request; false, and nothing spent, where the credit
-    /// does not reach.
+    /// Withdraws one move; returns false and withdraws nothing if the credit is too low.
     pub fn withdraw(&self) -> bool {
-        let reaches = self.0.get() >= ONE_MOVE;
-        if reaches {
+        let is_sufficient = self.0.get() >= ONE_MOVE;
+        if is_sufficient {
             self.add(-ONE_MOVE);
         }
-        reaches
+        is_sufficient
     }
 
-    /// Gives back what [`Self::withdraw`] took for a request that was not moved.
+    /// Returns what [`Self::withdraw`] took for a request that was not moved.
     pub fn refund(&self) {
         self.add(ONE_MOVE);
     }
 
-    fn add(&self, gain: i64) {
-        self.0.set((self.0.get() + gain).min(ONE_MOVE));
+    fn add(&self, amount: i64) {
+        self.0.set((self.0.get() + amount).min(ONE_MOVE));
     }
 }
 
-fn gain(cap: f64) -> i64 {
+fn deposit_amount(cap: f64) -> i64 {
     (cap * ONE_MOVE as f64) as i64
 }
--- a/src/policy/document.rs
+++ b/src/policy/document.rs
@@ -1,39 +1,39 @@
-//! The document that holds the operators' policies in the store, as JSON.
+//! The JSON document that holds the operators' policies in the store.
 
 use super::source::Sources;
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use thiserror::Error;
 
-/// One revision of the operators' policies, as it is stored.
+/// One revision of the operators' policies, as stored.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct PolicyDocument {
-    /// Rises by one with each change; the first is 1. Not the store's own revision.
+    /// Starts at 1 and rises by one with each change. Independent of the store's revision.
     pub revision: u64,
-    /// Random id of the apply that wrote it.
+    /// Random id of the apply that wrote the document.
     pub id: String,
-    /// Who applied it.
+    /// Name of the operator who applied it.
     pub by: String,
     /// The operators' files.
     pub sources: Sources,
 }
 
-/// A value of the store that is no policy document.
+/// A stored value that can't be parsed as a policy document.
 #[derive(Debug, Error)]
 #[error(transparent)]
 pub struct DocumentError(#[from] serde_json::Error);
 
 impl PolicyDocument {
-    /// Reads a value of the store. The policies in it are not checked.
+    /// Parses a stored value. The policies in it are not checked.
     ///
     /// # Errors
-    /// [`DocumentError`] where it has not this form.
+    /// [`DocumentError`] if it is not the JSON of a document.
     pub fn read(value: &[u8]) -> Result<Self, DocumentError> {
         Ok(serde_json::from_slice(value)?)
     }
 
-    /// The value for the store.
+    /// The value that is written to the store.
     pub fn to_json(&self) -> Bytes {
-        Bytes::from(serde_json::to_vec(self).expect("a document is plain strings"))
+        Bytes::from(serde_json::to_vec(self).expect("a document consists of numbers and strings"))
     }
 }
--- a/src/policy/error.rs
+++ b/src/policy/error.rs
@@ -1,10 +1,10 @@
-//! What can be wrong with the operators' files, each kind with its remedy.
+//! Errors in the operators' policy files; each message ends with a remedy.
 
 use thiserror::Error;
 
-/// Where in the operators' files a fault stands.
+/// Where in the operators' files an error is.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Place {
+pub struct Location {
     /// File name as given.
     pub file: String,
     /// Line, counted from 1.
@@ -13,91 +13,91 @@
     pub field: String,
 }
 
-impl std::fmt::Display for Place {
+impl std::fmt::Display for Location {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         write!(f, "{}:{}: {}", self.file, self.line, self.field)
     }
 }
 
-/// A refused policy document. Nothing of it is applied.
+/// Why a policy document is rejected. No part of it is applied.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum PolicyError {
-    /// The text is not TOML of the documented shape.
+    /// The text is not TOML, or has other fields or types than documented.
     #[error("{file}:{line}: {text}; remedy: write only the fields that docs/POLICIES.md lists")]
     Syntax {
         /// File name as given.
         file: String,
         /// Line, counted from 1.
         line: usize,
-        /// What is wrong.
+        /// Message of the TOML parser, on one line.
         text: String,
     },
     /// Two items of one kind have the same name.
-    #[error("{place}: the name {name:?} is taken by another {kind}; remedy: give one of them another name")]
-    Duplicate {
-        /// Where it stands.
-        place: Place,
-        /// What the items are.
+    #[error("{location}: the name {name:?} is taken by another {kind}; remedy: give one of them another name")]
+    DuplicateName {
+        /// Location of the second item.
+        location: Location,
+        /// Kind of the items, such as `hall` or `policy`.
         kind: &'static str,
-        /// The name.
+        /// The name that both have.
         name: String,
     },
-    /// A number is out of its range.
-    #[error("{place}: {value} is out of range; remedy: give {range}")]
-    Range {
-        /// Where it stands.
-        place: Place,
+    /// A number or name is out of its range.
+    #[error("{location}: {value} is out of range; remedy: give {range}")]
+    OutOfRange {
+        /// Location of the value.
+        location: Location,
         /// The value as written.
         value: String,
-        /// What may be given.
+        /// The permitted values, in words.
         range: &'static str,
     },
-    /// A policy says nothing, or two things at once.
+    /// A policy has no action, or more than one.
     #[error(
-        "{place}: a policy says exactly one of allow, deny, drain, prefer, weight, limit, priority, or a cap alone; remedy: {remedy}"
+        "{location}: a policy says exactly one of allow, deny, drain, prefer, weight, limit, priority, or a cap alone; remedy: {remedy}"
     )]
-    Action {
-        /// Where it stands.
-        place: Place,
-        /// What to do.
+    ActionCount {
+        /// Location of the policy.
+        location: Location,
+        /// How the operator can correct it.
         remedy: &'static str,
     },
-    /// A field that makes no sense beside another.
-    #[error("{place}: {text}; remedy: {remedy}")]
-    Mismatch {
-        /// Where it stands.
-        place: Place,
-        /// What is wrong.
+    /// A field is not permitted, lacks another field that it needs, or is not supported.
+    #[error("{location}: {text}; remedy: {remedy}")]
+    InvalidField {
+        /// Location of the field.
+        location: Location,
+        /// Why the field is invalid.
         text: &'static str,
-        /// What to do.
+        /// How the operator can correct it.
         remedy: &'static str,
     },
-    /// More items than the system is built for.
-    #[error("{place}: more than {most} {kind}; remedy: split the deployment, or see docs/CAPACITY.md")]
+    /// The document has more items of one kind than are supported.
+    #[error("{location}: more than {max} {kind}; remedy: split the deployment, or see docs/CAPACITY.md")]
     TooMany {
-        /// Where it stands.
-        place: Place,
-        /// What the items are.
+        /// Location of the first item beyond the maximum.
+        location: Location,
+        /// Kind of the items.
         kind: &'static str,
-        /// The most there may be.
-        most: usize,
+        /// Maximum number of items of this kind.
+        max: usize,
     },
-    /// Weights sum to more than 1 for some request.
+    /// Weights that may select the same request sum to more than 1.
     #[error(
-        "{place}: the weights of {names} may select one request and sum to {sum}, more than 1; remedy: lower them, or let them select other requests"
+        "{location}: the weights of {names} may select one request and sum to {sum}, more than 1; remedy: lower them, or let them select other requests"
     )]
-    Weights {
-        /// Where the last of them stands.
-        place: Place,
-        /// The names of their policies.
+    WeightSum {
+        /// Location of the last of these policies.
+        location: Location,
+        /// Names of the policies, quoted and joined by commas.
         names: String,
-        /// The sum.
+        /// Sum of their weights, rounded to six digits after the point.
         sum: String,
     },
-    /// Weights whose requests overlap in too many ways to sum them.
-    #[error("{place}: too many weights may select the same requests; remedy: let them select by one label")]
-    TooManyWeights {
-        /// Where one of them stands.
-        place: Place,
+    /// The requests of weights overlap in too many ways to compute the sums.
+    #[error("{location}: too many weights may select the same requests; remedy: let them select by one label")]
+    TooManyOverlaps {
+        /// Location of one of the policies.
+        location: Location,
     },
 }
--- a/src/policy/facts.rs
+++ b/src/policy/facts.rs
@@ -1,27 +1,27 @@
-//! What the platform's labels of a target and of a request are read from.
+//! The attributes of a target and of a request from which the platform's labels are read.
 
 use hyper::{HeaderMap, Method, Uri};
 
-/// Labels that the platform assigns; operators may not set them.
+/// Names of the labels that the platform assigns; operators may not set them.
 pub(super) const PLATFORM_LABELS: [&str; 7] = ["region", "hall", "service", "target", "version", "route", "method"];
 
-/// What a target's labels come from.
+/// The attributes of a target that its labels are read from.
 #[derive(Clone, Copy, Debug)]
 pub struct TargetFacts<'a> {
-    /// Its registration's id, label `target`.
+    /// Id of its registration; label `target`.
     pub id: &'a str,
-    /// Its service.
+    /// Name of the service that it serves; label `service`.
     pub service: &'a str,
-    /// Its region.
+    /// Name of its region; label `region`.
     pub region: &'a str,
-    /// Its hall.
+    /// Name of its hall; label `hall`.
     pub hall: &'a str,
-    /// Version of its software.
+    /// Version of its software; label `version`.
     pub version: &'a str,
 }
 
 impl<'a> TargetFacts<'a> {
-    /// The labels that the platform assigns, by name.
+    /// Name and value of each label that the platform assigns.
     pub(super) fn labels(&self) -> [(&'static str, &'a str); 5] {
         [
             ("region", self.region),
@@ -33,27 +33,27 @@
     }
 }
 
-/// What a request's labels come from.
+/// The attributes of a request that its labels are read from.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestFacts<'a> {
-    /// The service that it is for.
+    /// Name of the service chosen for it; label `service`.
     pub service: &'a str,
-    /// The route that it took.
+    /// Name of the route that it matched; label `route`.
     pub route: &'a str,
-    /// The region of the instance that has it.
+    /// Region of the instance that handles it; label `region`.
     pub region: &'a str,
-    /// The hall of the instance that has it.
+    /// Hall of the instance that handles it; label `hall`.
     pub hall: &'a str,
-    /// Its method.
+    /// HTTP method; label `method`.
     pub method: &'a Method,
-    /// Its path and query.
+    /// Path and query; operators may read labels from the query.
     pub uri: &'a Uri,
-    /// Its headers.
+    /// Headers; operators may read labels from them.
     pub headers: &'a HeaderMap,
 }
 
 impl<'a> RequestFacts<'a> {
-    /// The labels that the platform assigns, by name.
+    /// Name and value of each label that the platform assigns.
     pub(super) fn labels(&self) -> [(&'static str, &'a str); 5] {
         [
             ("service", self.service),
--- a/src/policy/file.rs
+++ b/src/policy/file.rs
@@ -1,53 +1,52 @@
-//! One source file, read, with the lines that its items stand on: faults name
-//! them.
+//! A parsed source file that knows on which lines its items are, for error messages.
 
 use super::Source;
-use super::error::{Place, PolicyError};
+use super::error::{Location, PolicyError};
 use serde::de::DeserializeOwned;
 use toml::Spanned;
 
-/// A checked part, or the first fault found.
-pub(super) type Checked<T> = Result<T, PolicyError>;
+/// A checked part of a document, or the first error found in it.
+pub(super) type CheckResult<T> = Result<T, PolicyError>;
 
-/// One source file with the start of each line, to turn spans into lines.
-pub(super) struct File<'a, R> {
+/// A parsed source file with the start of each line, to convert spans to line numbers.
+pub(super) struct ParsedFile<'a, R> {
     /// File name, for messages.
     pub(super) name: &'a str,
-    /// Where each line starts, in bytes.
-    lines: Vec<usize>,
-    /// What it says.
+    /// Byte offset at which each line starts.
+    line_starts: Vec<usize>,
+    /// The parsed content, not checked yet.
     pub(super) raw: R,
 }
 
-impl<'a, R: DeserializeOwned> File<'a, R> {
-    /// Reads the TOML of a file.
-    pub(super) fn read(source: &'a Source) -> Checked<Self> {
+impl<'a, R: DeserializeOwned> ParsedFile<'a, R> {
+    /// Parses the TOML of a file.
+    pub(super) fn read(source: &'a Source) -> CheckResult<Self> {
         let raw = toml::from_str(&source.text).map_err(|error| PolicyError::Syntax {
             file: source.file.clone(),
             line: error.span().map_or(1, |span| line_at(&source.text, span.start)),
             text: error.message().replace('\n', " "),
         })?;
-        let breaks = source.text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
-        let lines = std::iter::once(0).chain(breaks.map(|(offset, _)| offset + 1)).collect();
-        Ok(File { name: &source.file, lines, raw })
+        let newlines = source.text.bytes().enumerate().filter(|(_, byte)| *byte == b'\n');
+        let line_starts = std::iter::once(0).chain(newlines.map(|(offset, _)| offset + 1)).collect();
+        Ok(ParsedFile { name: &source.file, line_starts, raw })
     }
 }
 
-impl<R> File<'_, R> {
-    fn line(&self, name: &Spanned<String>) -> usize {
-        self.lines.partition_point(|start| *start <= name.span().start)
+impl<R> ParsedFile<'_, R> {
+    fn line_of(&self, name: &Spanned<String>) -> usize {
+        self.line_starts.partition_point(|start| *start <= name.span().start)
     }
 
-    /// Where a field of an item stands: the line of the item's name. The item itself
-    /// for an empty field.
-    pub(super) fn place(&self, kind: &str, name: &Spanned<String>, field: &str) -> Place {
+    /// Location of a field, or of the item itself if the field is empty. The line is that
+    /// of the item's name.
+    pub(super) fn location(&self, kind: &str, name: &Spanned<String>, field: &str) -> Location {
         let item = format!("{kind} {:?}", name.get_ref());
         let field = if field.is_empty() { item } else { format!("{item}.{field}") };
-        Place { file: self.name.to_owned(), line: self.line(name), field }
+        Location { file: self.name.to_owned(), line: self.line_of(name), field }
     }
 }
 
-/// The line of a byte, counted from 1.
+/// The line that a byte offset is on, counted from 1.
 fn line_at(text: &str, offset: usize) -> usize {
     text.as_bytes()[..offset.min(text.len())].iter().filter(|byte| **byte == b'\n').count() + 1
 }
--- a/src/policy/labels.rs
+++ b/src/policy/labels.rs
@@ -1,5 +1,5 @@
-//! The labels of targets and requests: those that operators assign, overlaid
-//! with those that the platform assigns.
+//! The labels of targets and requests: those that operators assign, overridden by those
+//! that the platform assigns.
 
 use super::facts::{RequestFacts, TargetFacts};
 use super::label::{Interner, LabelSet, RawLabels};
@@ -9,15 +9,15 @@
 /// The labels that operators assign to a service's requests.
 #[derive(Debug, Default)]
 pub(super) struct RequestLabels {
-    /// The same for each request.
+    /// Labels that are the same for each request.
     pub(super) labels: RawLabels,
-    /// Label name to the header that it is read from, in lower case.
+    /// Label name to the name of the header that it is read from, in lower case.
     pub(super) headers: RawLabels,
-    /// Label name to the query key that it is read from.
+    /// Label name to the query parameter that it is read from.
     pub(super) query: RawLabels,
 }
 
-/// The labels that operators assign, by the names of what they label.
+/// The labels that operators assign, by the name of the region, hall, target or service.
 #[derive(Debug, Default)]
 pub(super) struct Labels {
     pub(super) regions: HashMap<String, RawLabels>,
@@ -27,9 +27,9 @@
 }
 
 impl Labels {
-    /// Labels of region and hall, overlaid with the target's own.
-    pub(super) fn of_target(&self, interner: &Interner, target: &TargetFacts<'_>) -> LabelSet {
-        let mut builder = Builder::new(interner);
+    /// Labels of the target's region and hall, overridden by its own.
+    pub(super) fn for_target(&self, interner: &Interner, target: &TargetFacts<'_>) -> LabelSet {
+        let mut builder = LabelSetBuilder::new(interner);
         let layers = [self.regions.get(target.region), self.halls.get(target.hall), self.targets.get(target.id)];
         for labels in layers.into_iter().flatten() {
             builder.overlay(labels);
@@ -37,9 +37,9 @@
         builder.finish(target.labels())
     }
 
-    /// Labels of the service, overlaid with those read from the request.
-    pub(super) fn of_request(&self, interner: &Interner, request: &RequestFacts<'_>) -> LabelSet {
-        let mut builder = Builder::new(interner);
+    /// Labels of the request's service, overridden by those read from the request.
+    pub(super) fn for_request(&self, interner: &Interner, request: &RequestFacts<'_>) -> LabelSet {
+        let mut builder = LabelSetBuilder::new(interner);
         if let Some(service) = self.services.get(request.service) {
             builder.overlay(&service.labels);
             builder.read_headers(&service.headers, request.headers);
@@ -49,18 +49,18 @@
     }
 }
 
-/// A set that is filled layer by layer, later layers over earlier ones.
-struct Builder<'a> {
+/// Builds a set of labels in layers; later layers override earlier ones.
+struct LabelSetBuilder<'a> {
     interner: &'a Interner,
     set: LabelSet,
 }
 
-impl<'a> Builder<'a> {
+impl<'a> LabelSetBuilder<'a> {
     fn new(interner: &'a Interner) -> Self {
         Self { interner, set: LabelSet::empty(interner.key_count()) }
     }
 
-    /// Sets a label that some selector tests; others can decide nothing.
+    /// Sets a label if a selector contains its name; others affect no result.
     fn set(&mut self, name: &str, value: &str) {
         if let Some(key) = self.interner.key(name) {
             self.set.set(key, self.interner.value(value));
@@ -73,14 +73,14 @@
 
     fn read_headers(&mut self, sources: &RawLabels, headers: &HeaderMap) {
         for (label, header) in sources {
-            // A value that is no visible ASCII leaves the label absent.
+            // If the value is not visible ASCII, the label is absent.
             if let Some(value) = headers.get(header.as_str()).and_then(|value| value.to_str().ok()) {
                 self.set(label, value);
             }
         }
     }
 
-    /// Where a key is repeated, its last value counts.
+    /// The last value of a repeated parameter is used.
     fn read_query(&mut self, sources: &RawLabels, uri: &Uri) {
         if sources.is_empty() {
             return;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// The set, with the platform's labels over all others.
+    /// Adds the platform's labels, which override all others, and returns the set.
     fn finish<const N: usize>(mut self, platform: [(&str, &str); N]) -> LabelSet {
         platform.iter().for_each(|(name, value)| self.set(name, value));
         self.set
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -1,6 +1,6 @@
-//! The policies that select one request, and what they say of each target.
+//! The policies that select one request, and their verdict on each target.
 //!
-//! [`super`] has the order in which they are applied.
+//! [`super`] lists the order in which they apply.
 
 use super::action::{Action, UNRANKED};
 use super::cap_charge::CapCharge;
@@ -12,9 +12,9 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// Seed of the hash that places an affinity key on the scale of weights. Any fixed
-/// number will do: it has to be the same at every instance and another than those
-/// of other hashes of the key.
+/// Seed of the hash that places an affinity key on the scale of weights. The value is
+/// arbitrary, but must be the same at all instances and differ from the seeds of other
+/// hashes of the key.
 const WEIGHT_SEED: u64 = 0x9e37_79b9;
 
 /// The policies that select a request.
@@ -22,16 +22,17 @@
 pub struct MatchedPolicies<'a> {
     policies: Rc<Policies>,
     set: PolicySet,
-    /// The weight policy whose places the request goes to, where one has it.
+    /// Position of the weight policy to whose targets the request is sent; `None` if the
+    /// request is in the share of none.
     weight: Option<usize>,
-    /// The policies that had a part in the choice so far.
+    /// The policies that have affected the choice so far.
     applied: Cell<PolicySet>,
     charge: &'a CapCharge,
 }
 
 impl<'a> MatchedPolicies<'a> {
-    /// Finds the policies that select a request with this affinity hash; `None` where
-    /// none does. Their caps earn for the request, once over all its tries.
+    /// Finds the policies that select a request with this affinity hash; `None` if there
+    /// are none. Deposits at their caps, once over all tries of the request.
     pub fn find(
         policies: &Rc<Policies>,
         request: &RequestFacts<'_>,
@@ -48,91 +49,91 @@
         Some(matched)
     }
 
-    /// The document that they belong to.
+    /// All policies of the revision that was searched.
     pub fn policies(&self) -> &Policies {
         &self.policies
     }
 
-    /// What the policies say of a target, which those in `selecting` select.
-    pub fn verdict(&self, selecting: PolicySet) -> PolicyVerdict {
-        let selecting = selecting.intersection(self.set);
-        let kinds = &self.policies.kinds;
-        let denials = selecting.intersection(kinds.denials);
-        if !denials.is_empty() {
-            self.note(denials);
+    /// The verdict on a target; `matching` are the policies whose `places` match it.
+    pub fn verdict(&self, matching: PolicySet) -> PolicyVerdict {
+        let matching = matching.intersection(self.set);
+        let by_action = &self.policies.by_action;
+        let deny = matching.intersection(by_action.deny);
+        if !deny.is_empty() {
+            self.record_applied(deny);
             return PolicyVerdict::Denied;
         }
-        let allowances = self.set.intersection(kinds.allowances);
-        if !allowances.is_empty() && selecting.intersection(allowances).is_empty() {
-            self.note(allowances);
+        let allow = self.set.intersection(by_action.allow);
+        if !allow.is_empty() && matching.intersection(allow).is_empty() {
+            self.record_applied(allow);
             return PolicyVerdict::NotAllowed;
         }
-        let order = self.order(selecting);
-        let drains = selecting.intersection(kinds.drains);
-        if !drains.is_empty() {
-            self.note(drains);
+        let order = self.order(matching);
+        let drain = matching.intersection(by_action.drain);
+        if !drain.is_empty() {
+            self.record_applied(drain);
             return PolicyVerdict::Drained(order);
         }
         PolicyVerdict::Permitted(order)
     }
 
-    fn order(&self, selecting: PolicySet) -> PolicyOrder {
+    fn order(&self, matching: PolicySet) -> PolicyOrder {
         PolicyOrder {
-            outside_weight: self.weight.is_some_and(|position| !selecting.contains(position)),
-            rank: self.rank(selecting.intersection(self.policies.kinds.preferences)),
+            outside_weight: self.weight.is_some_and(|position| !matching.contains(position)),
+            rank: self.rank(matching.intersection(self.policies.by_action.prefer)),
         }
     }
 
-    /// Whether a cap bounds what may be moved.
+    /// Whether a cap limits moves of the request.
     pub fn has_caps(&self) -> bool {
         !self.caps().is_empty()
     }
 
-    /// Pays for a move out of the default target's hall; false where a cap leaves
-    /// no credit for it. [`super::credit`] has the rule.
+    /// Withdraws a move out of the default target's hall from all caps; false if one of
+    /// them lacks the credit. [`super::credit`] describes the rule.
     pub fn charge_caps(&self) -> bool {
         match self.charge.withdraw(&self.policies, self.caps()) {
             Ok(()) => true,
             Err(exhausted) => {
-                self.note(PolicySet::single(exhausted));
+                self.record_applied(PolicySet::single(exhausted));
                 false
             }
         }
     }
 
-    /// Whether caps allow a move now; for a decision that sends nothing, whose charge is
-    /// [`CapCharge::dry_run`].
+    /// Whether the caps allow a move now. Only for a decision that sends no request and has
+    /// a [`CapCharge::dry_run`]; otherwise it would withdraw the move.
     pub fn allows_move(&self) -> bool {
         self.charge.withdraw(&self.policies, self.caps()).is_ok()
     }
 
-    /// Notes the weight and the preferences that led to a target, which the policies
-    /// in `selecting` select.
-    pub fn record_choice(&self, selecting: PolicySet) {
-        let selecting = selecting.intersection(self.set);
-        let preferences = selecting.intersection(self.policies.kinds.preferences);
+    /// Records the weight and the preferences that led to the chosen target; `matching` are
+    /// the policies whose `places` match it.
+    pub fn record_choice(&self, matching: PolicySet) {
+        let matching = matching.intersection(self.set);
+        let preferences = matching.intersection(self.policies.by_action.prefer);
         let best = Action::Prefer(self.rank(preferences));
         for position in preferences.positions() {
             if self.policies.list[position].action == best {
-                self.note(PolicySet::single(position));
+                self.record_applied(PolicySet::single(position));
             }
         }
-        if let Some(position) = self.weight.filter(|position| selecting.contains(*position)) {
-            self.note(PolicySet::single(position));
+        if let Some(position) = self.weight.filter(|position| matching.contains(*position)) {
+            self.record_applied(PolicySet::single(position));
         }
     }
 
-    /// Names of the policies that had a part in the choice, in name order.
+    /// Names of the policies that have affected the choice, in name order.
     pub fn applied(&self) -> Vec<String> {
         self.policies.names(self.applied.get()).map(str::to_owned).collect()
     }
 
-    fn note(&self, set: PolicySet) {
+    fn record_applied(&self, set: PolicySet) {
         self.applied.set(self.applied.get().union(set));
     }
 
     fn caps(&self) -> PolicySet {
-        self.set.intersection(self.policies.kinds.caps)
+        self.set.intersection(self.policies.by_action.cap)
     }
 
     fn rank(&self, preferences: PolicySet) -> u16 {
@@ -144,11 +145,11 @@
     }
 }
 
-/// The weight whose part of the scale from 0 to 1 the point falls in; weights
-/// share the scale in name order.
+/// The weight in whose part of the scale from 0 to 1 the point lies. The weights occupy the
+/// scale in name order.
 fn pick_weight(policies: &Policies, set: PolicySet, point: f64) -> Option<usize> {
     let mut start = 0.0;
-    for position in set.intersection(policies.kinds.weights).positions() {
+    for position in set.intersection(policies.by_action.weight).positions() {
         let Action::Weight(share) = policies.list[position].action else { continue };
         if point < start + share {
             return Some(position);
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,33 +1,33 @@
-//! The operators' policies: what they allow, forbid, prefer, weigh and cap for
-//! selected requests and places. The platform's configuration says what there
-//! is; policies say how an instance uses it.
+//! The operators' policies. They allow, deny, drain, prefer and weight targets for selected
+//! requests, and cap how many requests are moved. The platform's configuration defines which
+//! services, routes and targets exist; policies define how instances use them.
 //!
-//! A policy selects requests and places (targets) by their labels and says one
-//! thing of them. Conflicts resolve in this order, the strongest first:
-//! 1. `drain` and `deny` take places away, whatever else is said;
-//! 2. `allow` keeps only the union of the places that allow policies select;
-//! 3. `cap` bounds what may be moved out of the default target's hall;
-//! 4. `weight`: the weights that select a request share a scale in name order;
-//! 5. `prefer`: the smallest rank that selects a place counts.
+//! A policy selects requests and targets (its `places`) by their labels and has one action.
+//! If several policies select the same request, their actions take precedence in this order:
+//! 1. `drain` and `deny` exclude targets, whatever other policies allow;
+//! 2. `allow` excludes all targets that no allow policy selects;
+//! 3. `cap` limits how many requests are moved out of the default target's hall;
+//! 4. `weight`: the weights that select a request share a scale from 0 to 1 in name order;
+//! 5. `prefer`: the smallest rank of the policies that select a target is its rank.
 //!
-//! | module | owns |
+//! | module | contents |
 //! |---|---|
 //! | `source`, `document` | the operators' files; a revision of them in the store |
-//! | `raw`, `file` | what serde reads from a file; the lines that items stand on |
-//! | `check`, `read_labels`, `read_policy`, `names` | from raw to checked, each fault with its remedy |
-//! | `weights` | whether weights fit on their scale |
-//! | `unsupported` | what a policy may say but no instance does, to refuse it |
-//! | `error` | the faults |
-//! | [`action`] | a checked policy and what it says |
+//! | `raw`, `file` | the fields that serde parses from a file; line numbers of its items |
+//! | `check`, `read_labels`, `read_policy`, `names`, `share` | the check of parsed files, each error with its remedy |
+//! | `weights` | the check that weights sum to 1 at most |
+//! | `unsupported` | actions that a file may contain but no instance supports, and their rejection |
+//! | `error` | the errors |
+//! | [`action`] | a checked policy and its action |
 //! | [`label`], [`selector`] | interned labels; tests on them |
-//! | `facts`, `labels` | what labels are read from; the labels of a target or a request |
+//! | `facts`, `labels` | the attributes that labels are read from; the labels of a target or request |
 //! | `policies`, `set` | the policies of one document; sets of them |
-//! | `matched`, `verdict` | the policies that select one request; what they say of a target |
-//! | [`credit`], `cap_charge` | the cap rule; what one request has earned and paid |
+//! | `matched`, `verdict` | the policies that select one request; their verdict on a target |
+//! | [`credit`], `cap_charge` | the rule of caps; the deposits and withdrawals of one request |
 //!
-//! Relies on [`crate::hash`] only. The policies in force are kept by
-//! [`crate::decision::registry::routing`], and what they say is joined with the other rules
-//! in [`crate::decision::selection::choice`].
+//! Depends on [`crate::hash`] only. [`crate::decision::registry::routing`] holds the policies
+//! in force; [`crate::decision::selection::choice`] combines their verdicts with the other
+//! rules.
 
 pub mod action;
 mod cap_charge;
--- a/src/policy/names.rs
+++ b/src/policy/names.rs
@@ -1,39 +1,44 @@
-//! The names of one kind of item, each taken once.
+//! The check that the names of one kind of item are unique.
 
 use super::error::PolicyError;
-use super::file::{Checked, File};
+use super::file::{CheckResult, ParsedFile};
 use std::collections::HashSet;
 use toml::Spanned;
 
-/// Largest number of items of one kind. A document that the store takes has room for fewer, so that
-/// it bounds only what is checked without a store.
+/// Maximum number of items of one kind. A document that fits into the store holds fewer, so this
+/// limits only files that are checked without a store.
 const MAX_ITEMS: usize = u16::MAX as usize - 1;
 
-/// Names of one kind, to find duplicates.
+/// The names of one kind of item that have been read so far.
 #[derive(Default)]
-pub(super) struct Names {
+pub(super) struct UniqueNames {
     known: HashSet<String>,
 }
 
-impl Names {
-    /// Takes a name.
+impl UniqueNames {
+    /// Adds a name.
     ///
     /// # Errors
-    /// An empty name, one that is taken, or too many.
-    pub(super) fn add<R>(&mut self, file: &File<R>, kind: &'static str, name: &Spanned<String>) -> Checked<()> {
-        let place = file.place(kind, name, "");
+    /// The name is empty or a duplicate, or there are more than [`MAX_ITEMS`] names.
+    pub(super) fn insert<R>(
+        &mut self,
+        file: &ParsedFile<R>,
+        kind: &'static str,
+        name: &Spanned<String>,
+    ) -> CheckResult<()> {
+        let location = file.location(kind, name, "");
         if name.get_ref().is_empty() {
-            return Err(PolicyError::Range {
-                place,
+            return Err(PolicyError::OutOfRange {
+                location,
                 value: "an empty name".into(),
                 range: "a name of at least one character",
             });
         }
         if self.known.len() >= MAX_ITEMS {
-            return Err(PolicyError::TooMany { place, kind, most: MAX_ITEMS });
+            return Err(PolicyError::TooMany { location, kind, max: MAX_ITEMS });
         }
         if !self.known.insert(name.get_ref().clone()) {
-            return Err(PolicyError::Duplicate { place, kind, name: name.get_ref().clone() });
+            return Err(PolicyError::DuplicateName { location, kind, name: name.get_ref().clone() });
         }
         Ok(())
     }
--- a/src/policy/policies.rs
+++ b/src/policy/policies.rs
@@ -1,5 +1,4 @@
-//! The checked policies of one document, and which of them select a target or a
-//! request.
+//! The checked policies of one document, and which of them match a target or a request.
 
 use super::action::{Action, Policy};
 use super::credit::Credit;
@@ -11,71 +10,71 @@
 
 /// The checked policies of one document.
 ///
-/// Made by [`Policies::check`], and replaced as a whole by a later revision: the
-/// credit of caps begins anew with each.
+/// Created by [`Policies::check`] and replaced as a whole by a later revision: the credit of
+/// caps starts at 0 again with each.
 #[derive(Debug)]
 pub struct Policies {
-    /// The document's revision; later ones are higher.
+    /// Revision of the document; rises by one with each change.
     pub revision: u64,
     interner: Interner,
     labels: Labels,
-    /// In name order; a position in it is a position in a [`PolicySet`].
+    /// Policies in name order; their indexes are the positions in a [`PolicySet`].
     pub(super) list: Vec<Policy>,
-    /// Credit of each policy, by position; used by those that have a cap.
+    /// Credit of each policy, by position; used only for policies with a cap.
     pub(super) credits: Vec<Credit>,
-    pub(super) kinds: Kinds,
+    pub(super) by_action: PoliciesByAction,
 }
 
-/// The policies of each kind of action, and those with a cap.
+/// The policies of each action, and those with a cap, whatever their action.
 #[derive(Debug)]
-pub(super) struct Kinds {
-    pub(super) drains: PolicySet,
-    pub(super) denials: PolicySet,
-    pub(super) allowances: PolicySet,
-    pub(super) preferences: PolicySet,
-    pub(super) weights: PolicySet,
-    pub(super) caps: PolicySet,
+pub(super) struct PoliciesByAction {
+    pub(super) drain: PolicySet,
+    pub(super) deny: PolicySet,
+    pub(super) allow: PolicySet,
+    pub(super) prefer: PolicySet,
+    pub(super) weight: PolicySet,
+    pub(super) cap: PolicySet,
 }
 
-impl Kinds {
+impl PoliciesByAction {
     fn new(list: &[Policy]) -> Self {
-        let with = |is_wanted: fn(&Policy) -> bool| {
-            let wanted = list.iter().enumerate().filter(|(_, policy)| is_wanted(policy));
-            wanted.map(|(position, _)| position).collect()
+        let with = |predicate: fn(&Policy) -> bool| {
+            let matching = list.iter().enumerate().filter(|(_, policy)| predicate(policy));
+            matching.map(|(position, _)| position).collect()
         };
         Self {
-            drains: with(|policy| policy.action == Action::Drain),
-            denials: with(|policy| policy.action == Action::Deny),
-            allowances: with(|policy| policy.action == Action::Allow),
-            preferences: with(|policy| matches!(policy.action, Action::Prefer(_))),
-            weights: with(|policy| matches!(policy.action, Action::Weight(_))),
-            caps: with(|policy| policy.cap.is_some()),
+            drain: with(|policy| policy.action == Action::Drain),
+            deny: with(|policy| policy.action == Action::Deny),
+            allow: with(|policy| policy.action == Action::Allow),
+            prefer: with(|policy| matches!(policy.action, Action::Prefer(_))),
+            weight: with(|policy| matches!(policy.action, Action::Weight(_))),
+            cap: with(|policy| policy.cap.is_some()),
         }
     }
 }
 
 impl Policies {
-    /// Policies in name order, with the labels that their selectors test.
+    /// `list` is in name order; `interner` holds the labels of its selectors.
     pub(super) fn new(revision: u64, interner: Interner, labels: Labels, list: Vec<Policy>) -> Self {
         let credits = list.iter().map(|_| Credit::default()).collect();
-        Self { revision, kinds: Kinds::new(&list), credits, interner, labels, list }
+        Self { revision, by_action: PoliciesByAction::new(&list), credits, interner, labels, list }
     }
 
-    /// The policies whose `places` select a target.
+    /// The policies whose `places` match a target.
     pub fn matching_target(&self, target: &TargetFacts<'_>) -> PolicySet {
-        let labels = self.labels.of_target(&self.interner, target);
-        self.selected(&labels, |policy| &policy.places)
+        let labels = self.labels.for_target(&self.interner, target);
+        self.matching(&labels, |policy| &policy.places)
     }
 
-    /// The policies whose `requests` select a request.
+    /// The policies whose `requests` match a request.
     pub(super) fn matching_request(&self, request: &RequestFacts<'_>) -> PolicySet {
-        let labels = self.labels.of_request(&self.interner, request);
-        self.selected(&labels, |policy| &policy.requests)
+        let labels = self.labels.for_request(&self.interner, request);
+        self.matching(&labels, |policy| &policy.requests)
     }
 
-    fn selected(&self, labels: &LabelSet, selector: impl Fn(&Policy) -> &Selector) -> PolicySet {
-        let selecting = self.list.iter().enumerate().filter(|(_, policy)| selector(policy).matches(labels));
-        selecting.map(|(position, _)| position).collect()
+    fn matching(&self, labels: &LabelSet, selector: impl Fn(&Policy) -> &Selector) -> PolicySet {
+        let matching = self.list.iter().enumerate().filter(|(_, policy)| selector(policy).matches(labels));
+        matching.map(|(position, _)| position).collect()
     }
 
     /// Names of the policies in a set, in name order.
--- a/src/policy/raw.rs
+++ b/src/policy/raw.rs
@@ -1,5 +1,7 @@
-//! The operators' TOML as serde reads it, nothing checked but its shape.
+//! The operators' TOML as serde parses it: field names and types are checked, values are not.
 //! `docs/POLICIES.md` describes the fields.
+//!
+//! Messages of serde contain the names of these types.
 
 use super::label::RawLabels;
 use super::selector::RawSelector;
@@ -18,7 +20,7 @@
     pub(super) policy: Vec<RawPolicy>,
 }
 
-/// Labels for a region, hall or target that the platform names.
+/// The table of a region, hall or target, with the labels that operators assign to it.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawLabelled {
@@ -26,22 +28,22 @@
     pub(super) labels: RawLabels,
 }
 
-/// Labels for the requests of a service.
+/// The table of a service, with the labels that operators assign to its requests.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawService {
     pub(super) name: Spanned<String>,
     #[serde(default)]
     pub(super) labels: RawLabels,
-    /// Label name to the header that it is read from.
+    /// Label name to the name of the header that it is read from.
     #[serde(default)]
     pub(super) headers: RawLabels,
-    /// Label name to the query key that it is read from.
+    /// Label name to the query parameter that it is read from.
     #[serde(default)]
     pub(super) query: RawLabels,
 }
 
-/// One policy.
+/// The table of a policy.
 #[derive(Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawPolicy {
@@ -55,32 +57,32 @@
     pub(super) deny: bool,
     #[serde(default)]
     pub(super) drain: bool,
-    /// Rank, the smaller first.
+    /// Rank; a smaller one is preferred.
     pub(super) prefer: Option<u16>,
-    /// Share of the selected requests, 0 to 1.
+    /// Share of the selected requests that is sent to `places`, 0 to 1.
     pub(super) weight: Option<f64>,
-    /// Share of the selected requests, 0 to 1.
+    /// Maximum share of the selected requests that may be moved, 0 to 1.
     pub(super) cap: Option<f64>,
     pub(super) limit: Option<RawLimit>,
     pub(super) priority: Option<u8>,
     pub(super) pace: Option<RawPace>,
 }
 
-/// The table `limit`, in requests.
+/// The table `limit`.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawLimit {
-    /// Requests in flight.
+    /// Maximum number of requests in flight.
     pub(super) flight: Option<u32>,
-    /// Requests a second.
+    /// Maximum rate in requests per second.
     pub(super) rate: Option<u32>,
 }
 
-/// The table `pace`.
+/// The table `pace`: how a weight is raised in steps.
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawPace {
-    /// Share of the selected requests that each step adds, 0 to 1.
+    /// Share of the selected requests that each step adds, above 0 and up to 1.
     pub(super) share: f64,
     /// Time between steps.
     #[serde(with = "humantime_serde")]
--- a/src/policy/read_labels.rs
+++ b/src/policy/read_labels.rs
@@ -1,22 +1,22 @@
-//! The labels of a document, read from its files.
+//! Reads the labels that operators assign from the files of a document.
 
 use super::error::PolicyError;
 use super::facts::PLATFORM_LABELS;
-use super::file::{Checked, File};
+use super::file::{CheckResult, ParsedFile};
 use super::label::RawLabels;
 use super::labels::{Labels, RequestLabels};
-use super::names::Names;
+use super::names::UniqueNames;
 use super::raw::{RawFile, RawService};
 use toml::Spanned;
 
-/// Reads the labels of one file after the other.
+/// The labels of the files read so far.
 #[derive(Default)]
 pub(super) struct LabelReader {
     labels: Labels,
-    regions: Names,
-    halls: Names,
-    targets: Names,
-    services: Names,
+    regions: UniqueNames,
+    halls: UniqueNames,
+    targets: UniqueNames,
+    services: UniqueNames,
 }
 
 impl From<LabelReader> for Labels {
@@ -29,28 +29,28 @@
     /// Reads the labels of a file.
     ///
     /// # Errors
-    /// A name that is taken, or a label that the platform assigns.
-    pub(super) fn read(&mut self, file: &File<RawFile>) -> Checked<()> {
+    /// A name is invalid or a duplicate, or a label is one that the platform assigns.
+    pub(super) fn read(&mut self, file: &ParsedFile<RawFile>) -> CheckResult<()> {
         let labels = &mut self.labels;
         let kinds = [
             ("region", &file.raw.region, &mut self.regions, &mut labels.regions),
             ("hall", &file.raw.hall, &mut self.halls, &mut labels.halls),
             ("target", &file.raw.target, &mut self.targets, &mut labels.targets),
         ];
-        for (kind, raws, names, known) in kinds {
+        for (kind, raws, names, assigned) in kinds {
             for raw in raws {
-                names.add(file, kind, &raw.name)?;
-                refuse_platform_labels(file, kind, &raw.name, "labels", &raw.labels)?;
-                known.insert(raw.name.get_ref().clone(), raw.labels.clone());
+                names.insert(file, kind, &raw.name)?;
+                check_label_names(file, kind, &raw.name, "labels", &raw.labels)?;
+                assigned.insert(raw.name.get_ref().clone(), raw.labels.clone());
             }
         }
         file.raw.service.iter().try_for_each(|raw| self.read_service(file, raw))
     }
 
-    fn read_service(&mut self, file: &File<RawFile>, raw: &RawService) -> Checked<()> {
-        self.services.add(file, "service", &raw.name)?;
+    fn read_service(&mut self, file: &ParsedFile<RawFile>, raw: &RawService) -> CheckResult<()> {
+        self.services.insert(file, "service", &raw.name)?;
         for (field, labels) in [("labels", &raw.labels), ("headers", &raw.headers), ("query", &raw.query)] {
-            refuse_platform_labels(file, "service", &raw.name, field, labels)?;
+            check_label_names(file, "service", &raw.name, field, labels)?;
         }
         self.labels.services.insert(raw.name.get_ref().clone(), RequestLabels::from(raw));
         Ok(())
@@ -65,17 +65,17 @@
     }
 }
 
-fn refuse_platform_labels(
-    file: &File<RawFile>,
+fn check_label_names(
+    file: &ParsedFile<RawFile>,
     kind: &str,
     name: &Spanned<String>,
     field: &str,
     labels: &RawLabels,
-) -> Checked<()> {
+) -> CheckResult<()> {
     match labels.keys().any(|label| PLATFORM_LABELS.contains(&label.as_str())) {
         false => Ok(()),
-        true => Err(PolicyError::Mismatch {
-            place: file.place(kind, name, field),
+        true => Err(PolicyError::InvalidField {
+            location: file.location(kind, name, field),
             text: "region, hall, service, target, version, route and method are given by the platform",
             remedy: "choose another label name",
         }),
--- a/src/policy/read_policy.rs
+++ b/src/policy/read_policy.rs
@@ -1,8 +1,8 @@
-//! A policy, read from its fields.
+//! Checks the fields of a policy and converts them to a [`Policy`].
 
 use super::action::{Action, Policy};
-use super::error::{Place, PolicyError};
-use super::file::{Checked, File};
+use super::error::{Location, PolicyError};
+use super::file::{CheckResult, ParsedFile};
 use super::label::{Interner, MAX_LABEL_NAMES};
 use super::raw::RawPolicy;
 use super::selector::{RawSelector, Selector};
@@ -10,26 +10,27 @@
 use super::unsupported::{Unsupported, check_limit, check_pace};
 use std::collections::BTreeSet;
 
-/// Checks a policy; the labels of its selectors are interned.
+/// Checks a policy and interns the labels of its selectors.
 ///
 /// # Errors
-/// The first fault of its action, its cap or its places.
-pub(super) fn read_policy<R>(file: &File<R>, raw: &RawPolicy, interner: &mut Interner) -> Checked<Policy> {
-    let place = |field| file.place("policy", &raw.name, field);
+/// The first error in its action, its cap or its selectors.
+pub(super) fn read_policy<R>(file: &ParsedFile<R>, raw: &RawPolicy, interner: &mut Interner) -> CheckResult<Policy> {
+    let location = |field| file.location("policy", &raw.name, field);
     let action = read_action(file, raw)?;
     if let Some(cap) = raw.cap {
-        check_share(place("cap"), cap)?;
+        check_share(location("cap"), cap)?;
     }
     if raw.places.is_none() && action != Action::Cap {
-        return Err(PolicyError::Mismatch {
-            place: place("places"),
+        return Err(PolicyError::InvalidField {
+            location: location("places"),
             text: "this action needs places to act on",
             remedy: "add places = { .. }; places = {} selects all",
         });
     }
-    // Without places it is a cap, which acts on no places: the empty selector serves.
+    // Without places the policy is a cap, which applies whatever the target: the empty selector
+    // suffices.
     let places = raw.places.clone().unwrap_or_default();
-    refuse_too_many_names(place(""), [&raw.requests, &places], interner)?;
+    check_label_count(location(""), [&raw.requests, &places], interner)?;
     Ok(Policy {
         name: raw.name.get_ref().clone(),
         requests: Selector::compile(&raw.requests, interner),
@@ -39,47 +40,48 @@
     })
 }
 
-/// Refuses label names of a policy's selectors that no key is left for.
-fn refuse_too_many_names(place: Place, selectors: [&RawSelector; 2], interner: &Interner) -> Checked<()> {
+/// Rejects selectors whose new label names exceed [`MAX_LABEL_NAMES`].
+fn check_label_count(location: Location, selectors: [&RawSelector; 2], interner: &Interner) -> CheckResult<()> {
     let names = selectors.into_iter().flat_map(RawSelector::keys);
     let new: BTreeSet<&String> = names.filter(|name| interner.key(name).is_none()).collect();
     match interner.key_count() + new.len() <= MAX_LABEL_NAMES {
         true => Ok(()),
-        false => Err(PolicyError::TooMany { place, kind: "label names in selectors", most: MAX_LABEL_NAMES }),
+        false => Err(PolicyError::TooMany { location, kind: "label names in selectors", max: MAX_LABEL_NAMES }),
     }
 }
 
-/// The one thing that a policy says.
-fn read_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Action> {
+/// Checks the action of a policy and its values.
+fn read_action<R>(file: &ParsedFile<R>, raw: &RawPolicy) -> CheckResult<Action> {
     check_limit(file, raw)?;
     if let Some(share) = raw.weight {
-        check_share(file.place("policy", &raw.name, "weight"), share)?;
+        check_share(file.location("policy", &raw.name, "weight"), share)?;
     }
     check_pace(file, raw)?;
-    let action = only_action(file, raw)?.map_err(|unsupported| unsupported.refusal(file, raw))?;
+    let action = single_action(file, raw)?.map_err(|unsupported| unsupported.error(file, raw))?;
     match raw.pace {
-        Some(_) => Err(Unsupported::Pace.refusal(file, raw)),
+        Some(_) => Err(Unsupported::Pace.error(file, raw)),
         None => Ok(action),
     }
 }
 
-/// One thing that a policy says, done by instances or not.
-type Said = Result<Action, Unsupported>;
+/// An action that a file contains, or the reason why instances don't support it.
+type ParsedAction = Result<Action, Unsupported>;
 
-fn only_action<R>(file: &File<R>, raw: &RawPolicy) -> Checked<Said> {
-    let refused = |field, remedy| Err(PolicyError::Action { place: file.place("policy", &raw.name, field), remedy });
-    match said(raw).as_slice() {
+fn single_action<R>(file: &ParsedFile<R>, raw: &RawPolicy) -> CheckResult<ParsedAction> {
+    let error =
+        |field, remedy| Err(PolicyError::ActionCount { location: file.location("policy", &raw.name, field), remedy });
+    match parsed_actions(raw).as_slice() {
         [] if raw.cap.is_some() => Ok(Ok(Action::Cap)),
-        [] => refused("", "add the one it is meant to say"),
+        [] => error("", "add the one it is meant to say"),
         [one] if raw.cap.is_none() || matches!(one, Ok(Action::Weight(_))) => Ok(*one),
-        [_] => refused("cap", "move the cap into a policy of its own"),
-        _ => refused("", "split it into one policy for each"),
+        [_] => error("cap", "move the cap into a policy of its own"),
+        _ => error("", "split it into one policy for each"),
     }
 }
 
-/// All that a policy says but its cap.
-fn said(raw: &RawPolicy) -> Vec<Said> {
-    let fields = [
+/// All actions that a policy contains, without its cap.
+fn parsed_actions(raw: &RawPolicy) -> Vec<ParsedAction> {
+    let actions = [
         raw.allow.then_some(Ok(Action::Allow)),
         raw.deny.then_some(Ok(Action::Deny)),
         raw.drain.then_some(Ok(Action::Drain)),
@@ -88,5 +90,5 @@
         raw.priority.map(|_| Err(Unsupported::Priority)),
         raw.limit.map(|_| Err(Unsupported::Limit)),
     ];
-    fields.into_iter().flatten().collect()
+    actions.into_iter().flatten().collect()
 }
--- a/src/policy/selector.rs
+++ b/src/policy/selector.rs
@@ -1,14 +1,14 @@
-//! Selectors: structured tests on labels, as operators write them and as they
-//! are checked against interned labels.
+//! Selectors: structured tests on labels, as operators write them and as they are compiled
+//! for interned labels.
 //!
 //! `{ service = "quote", tier = ["a", "b"], stage = { not = ["cold"] }, canary = { exists = false } }`
-//! selects what passes every one of its tests; the empty selector selects all.
+//! matches if all its tests pass; the empty selector matches everything.
 
 use super::label::{Interner, LabelKey, LabelSet, Symbol};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// One test as an operator writes it.
+/// One test as an operator writes it. A message of serde contains the name of this type.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(untagged)]
 pub enum RawTest {
@@ -34,27 +34,27 @@
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(deny_unknown_fields)]
 pub struct RawExists {
-    /// Whether the label has to be present.
+    /// Whether the label must be present; otherwise it must be absent.
     pub exists: bool,
 }
 
 /// A selector as an operator writes it: label name to test.
 pub type RawSelector = BTreeMap<String, RawTest>;
 
-/// What a test wants of the label's value.
+/// The values of a label that pass a test.
 #[derive(Clone, Debug)]
-enum Want {
+enum AcceptedValues {
     OneOf(Vec<Symbol>),
     /// An absent label passes.
     Not(Vec<Symbol>),
     Exists(bool),
 }
 
-/// A test over interned labels.
+/// A test on interned labels.
 #[derive(Clone, Debug)]
 struct Test {
     key: LabelKey,
-    want: Want,
+    accepted: AcceptedValues,
 }
 
 impl Test {
@@ -62,13 +62,13 @@
         let key = interner.intern_key(name);
         let mut symbols =
             |values: &[String]| values.iter().map(|value| interner.intern_value(value)).collect::<Vec<_>>();
-        let want = match raw {
-            RawTest::Is(value) => Want::OneOf(symbols(std::slice::from_ref(value))),
-            RawTest::OneOf(values) => Want::OneOf(symbols(values)),
-            RawTest::Not(raw) => Want::Not(symbols(&raw.not)),
-            RawTest::Exists(raw) => Want::Exists(raw.exists),
+        let accepted = match raw {
+            RawTest::Is(value) => AcceptedValues::OneOf(symbols(std::slice::from_ref(value))),
+            RawTest::OneOf(values) => AcceptedValues::OneOf(symbols(values)),
+            RawTest::Not(raw) => AcceptedValues::Not(symbols(&raw.not)),
+            RawTest::Exists(raw) => AcceptedValues::Exists(raw.exists),
         };
-        Self { key, want }
+        Self { key, accepted }
     }
 
     fn passes(&self, labels: &LabelSet) -> bool {
@@ -76,38 +76,38 @@
     }
 
     fn accepts(&self, value: Symbol) -> bool {
-        match &self.want {
-            Want::OneOf(list) => list.contains(&value),
-            Want::Not(list) => !list.contains(&value),
-            Want::Exists(wanted) => (value != Symbol::NONE) == *wanted,
+        match &self.accepted {
+            AcceptedValues::OneOf(list) => list.contains(&value),
+            AcceptedValues::Not(list) => !list.contains(&value),
+            AcceptedValues::Exists(exists) => (value != Symbol::NONE) == *exists,
         }
     }
 }
 
-/// A checked selector over interned labels.
+/// A compiled selector on interned labels.
 #[derive(Clone, Debug, Default)]
 pub struct Selector {
     tests: Vec<Test>,
 }
 
 impl Selector {
-    /// Interns a selector as written.
+    /// Compiles a selector and interns its labels.
     pub fn compile(raw: &RawSelector, interner: &mut Interner) -> Self {
         Self { tests: raw.iter().map(|(name, test)| Test::compile(name, test, interner)).collect() }
     }
 
-    /// Whether every test passes.
+    /// Whether the labels pass all tests.
     pub fn matches(&self, labels: &LabelSet) -> bool {
         self.tests.iter().all(|test| test.passes(labels))
     }
 
-    /// The number of its tests.
+    /// Number of tests.
     pub(super) fn len(&self) -> usize {
         self.tests.len()
     }
 
-    /// Whether some labels pass all tests of these selectors.
-    pub(super) fn may_meet(selectors: &[&Selector]) -> bool {
+    /// Whether there are labels that all these selectors match.
+    pub(super) fn may_overlap(selectors: &[&Selector]) -> bool {
         let mut by_label: HashMap<LabelKey, Vec<&Test>> = HashMap::new();
         for test in selectors.iter().flat_map(|selector| &selector.tests) {
             by_label.entry(test.key).or_default().push(test);
@@ -116,14 +116,14 @@
     }
 }
 
-/// Whether some value of a label, or its absence, passes all these tests of it.
+/// Whether a value of one label, or its absence, passes all these tests.
 fn has_common_value(tests: &[&Test]) -> bool {
     let is_common = |value: &Symbol| tests.iter().all(|test| test.accepts(*value));
-    let wanted = tests.iter().find_map(|test| match &test.want {
-        Want::OneOf(list) => Some(list),
-        Want::Not(_) | Want::Exists(_) => None,
+    let listed = tests.iter().find_map(|test| match &test.accepted {
+        AcceptedValues::OneOf(list) => Some(list),
+        AcceptedValues::Not(_) | AcceptedValues::Exists(_) => None,
     });
-    match wanted {
+    match listed {
         Some(list) => list.iter().any(is_common),
         None => [Symbol::NONE, Symbol::OTHER].iter().any(is_common),
     }
--- a/src/policy/set.rs
+++ b/src/policy/set.rs
@@ -1,17 +1,16 @@
-//! A set of policies as one 128-bit number, so that what selects a request and
-//! what selects a target are joined in one step.
+//! A set of policies as one 128-bit number, so that the policies that match a request and
+//! those that match a target are intersected in one operation.
 
-/// Largest number of policies of one document: a [`PolicySet`] has one bit for
-/// each. Follows from the type.
+/// Maximum number of policies in one document: a [`PolicySet`] has one bit for each.
 pub const MAX_POLICIES: usize = u128::BITS as usize;
 
-/// A set of the policies of one document, by their positions in name order.
-/// Positions are below `MAX_POLICIES`.
+/// A set of policies of one document, by their positions in name order, which are below
+/// `MAX_POLICIES`.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PolicySet(u128);
 
 impl PolicySet {
-    /// The set of one policy.
+    /// The set that contains one policy.
     pub fn single(position: usize) -> Self {
         Self(1 << position)
     }
@@ -21,38 +20,38 @@
         self.0 |= 1 << position;
     }
 
-    /// What is in both.
+    /// The policies that are in both sets.
     pub fn intersection(self, other: Self) -> Self {
         Self(self.0 & other.0)
     }
 
-    /// What is in either.
+    /// The policies that are in either set.
     pub fn union(self, other: Self) -> Self {
         Self(self.0 | other.0)
     }
 
-    /// What is in it and not in the other.
+    /// The policies that are in this set and not in the other.
     pub fn difference(self, other: Self) -> Self {
         Self(self.0 & !other.0)
     }
 
-    /// Whether nothing is in it.
+    /// Whether the set contains no policies.
     pub fn is_empty(self) -> bool {
         self.0 == 0
     }
 
-    /// Whether the policy at a position is in it.
+    /// Whether the set contains the policy at a position.
     pub fn contains(self, position: usize) -> bool {
         self.0 & (1 << position) != 0
     }
 
-    /// The positions in it, in order.
+    /// The positions of the policies, in ascending order.
     pub fn positions(self) -> impl Iterator<Item = usize> {
-        let mut left = self.0;
+        let mut remaining = self.0;
         std::iter::from_fn(move || {
-            let position = left.trailing_zeros() as usize;
-            (left != 0).then(|| {
-                left &= left - 1;
+            let position = remaining.trailing_zeros() as usize;
+            (remaining != 0).then(|| {
+                remaining &= remaining - 1;
                 position
             })
         })
--- a/src/policy/share.rs
+++ b/src/policy/share.rs
@@ -1,12 +1,12 @@
-//! Shares of the selected requests: numbers from 0 to 1.
+//! The check of shares of the selected requests, which are numbers from 0 to 1.
 
-use super::error::{Place, PolicyError};
-use super::file::Checked;
+use super::error::{Location, PolicyError};
+use super::file::CheckResult;
 
-/// Refuses what is no share.
-pub(super) fn check_share(place: Place, value: f64) -> Checked<()> {
+/// Rejects numbers outside 0 to 1, and NaN.
+pub(super) fn check_share(location: Location, value: f64) -> CheckResult<()> {
     if (0.0..=1.0).contains(&value) {
         return Ok(());
     }
-    Err(PolicyError::Range { place, value: value.to_string(), range: "a share from 0 to 1" })
+    Err(PolicyError::OutOfRange { location, value: value.to_string(), range: "a share from 0 to 1" })
 }
--- a/src/policy/source.rs
+++ b/src/policy/source.rs
@@ -1,44 +1,44 @@
-//! The operators' files, as text: as the tool reads them, as they are sent to an
-//! instance, and as they are stored.
+//! The text of the operators' files, as the command-line tool reads it, sends it to an
+//! instance, and as it is stored.
 
 use serde::{Deserialize, Serialize};
 use std::path::Path;
 
-/// One file of the operators' policies.
+/// One policy file.
 #[derive(Clone, Debug, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Source {
-    /// File name, for messages only.
+    /// File name; only for display.
     pub file: String,
-    /// TOML text.
+    /// Content of the file, in TOML.
     pub text: String,
 }
 
-/// All files of one document; they are read as if they were one.
+/// All files of one document; they are read as if they were one file.
 #[derive(Clone, Debug, Default, Serialize, Deserialize, PartialEq, Eq)]
 pub struct Sources {
-    /// The files, in name order.
+    /// The files, in the order of their names.
     pub files: Vec<Source>,
 }
 
 impl Sources {
-    /// One file's worth of text.
+    /// A document of one file.
     pub fn single(file: &str, text: &str) -> Self {
         Self { files: vec![Source { file: file.to_owned(), text: text.to_owned() }] }
     }
 
-    /// Reads a file, or every `.toml` file of a folder in name order.
+    /// Reads a file, or all `.toml` files of a directory in the order of their names.
     ///
     /// # Errors
-    /// Any error of the file system.
+    /// Any error from reading the directory or a file; also if a file is not UTF-8.
     pub fn read(path: &Path) -> std::io::Result<Self> {
         if path.is_dir() {
-            return Self::read_folder(path);
+            return Self::read_directory(path);
         }
         let text = std::fs::read_to_string(path)?;
         Ok(Self::single(&path.display().to_string(), &text))
     }
 
-    fn read_folder(path: &Path) -> std::io::Result<Self> {
+    fn read_directory(path: &Path) -> std::io::Result<Self> {
         let mut paths = Vec::new();
         for entry in std::fs::read_dir(path)? {
             let path = entry?.path();
@@ -50,7 +50,7 @@
         let mut files = Vec::new();
         for path in paths {
             let text = std::fs::read_to_string(&path)?;
-            // Each path is that of an entry of the folder, so that it has a name.
+            // The path is that of a directory entry, so it has a file name.
             let file = path.file_name().unwrap_or_default().to_string_lossy().into_owned();
             files.push(Source { file, text });
         }
--- a/src/policy/unsupported.rs
+++ b/src/policy/unsupported.rs
@@ -1,13 +1,13 @@
-//! What a policy may say in the documents' language but no instance does:
-//! `limit`, `priority` and the `pace` of a weight. They are read for nothing but
-//! to be refused with a remedy, rather than passed over.
+//! Fields that the format of policy files includes but instances don't support: `limit`,
+//! `priority` and the `pace` of a weight. They are parsed so that they are rejected with a
+//! remedy rather than ignored.
 
 use super::error::PolicyError;
-use super::file::{Checked, File};
+use super::file::{CheckResult, ParsedFile};
 use super::raw::{RawLimit, RawPolicy};
 use super::share::check_share;
 
-/// A field that no instance acts on.
+/// A field that instances don't support.
 #[derive(Clone, Copy, Debug)]
 pub(super) enum Unsupported {
     Limit,
@@ -16,8 +16,8 @@
 }
 
 impl Unsupported {
-    /// The refusal of a policy that uses it.
-    pub(super) fn refusal<R>(self, file: &File<R>, raw: &RawPolicy) -> PolicyError {
+    /// The error for a policy that contains it.
+    pub(super) fn error<R>(self, file: &ParsedFile<R>, raw: &RawPolicy) -> PolicyError {
         let (field, text, remedy) = match self {
             Self::Limit => ("limit", "instances limit neither rates nor counts", "use weight, cap or deny"),
             Self::Priority => {
@@ -25,15 +25,16 @@
             }
             Self::Pace => ("pace", "instances apply a weight at once", "raise the weight in several applies"),
         };
-        PolicyError::Mismatch { place: file.place("policy", &raw.name, field), text, remedy }
+        PolicyError::InvalidField { location: file.location("policy", &raw.name, field), text, remedy }
     }
 }
 
-/// Refuses a limit that bounds nothing: its own fault is named first.
-pub(super) fn check_limit<R>(file: &File<R>, raw: &RawPolicy) -> Checked<()> {
+/// Rejects a limit without any field. This error is reported before that for an unsupported
+/// limit.
+pub(super) fn check_limit<R>(file: &ParsedFile<R>, raw: &RawPolicy) -> CheckResult<()> {
     match raw.limit {
-        Some(RawLimit { flight: None, rate: None }) => Err(PolicyError::Mismatch {
-            place: file.place("policy", &raw.name, "limit"),
+        Some(RawLimit { flight: None, rate: None }) => Err(PolicyError::InvalidField {
+            location: file.location("policy", &raw.name, "limit"),
             text: "the limit bounds nothing",
             remedy: "give flight, rate or both",
         }),
@@ -41,20 +42,21 @@
     }
 }
 
-/// Refuses a pace that could not be kept, or has no weight: its own fault is
-/// named first.
-pub(super) fn check_pace<R>(file: &File<R>, raw: &RawPolicy) -> Checked<()> {
+/// Rejects a pace with values out of range or without a weight. These errors are reported
+/// before that for an unsupported pace.
+pub(super) fn check_pace<R>(file: &ParsedFile<R>, raw: &RawPolicy) -> CheckResult<()> {
     let Some(pace) = raw.pace else { return Ok(()) };
-    let place = || file.place("policy", &raw.name, "pace");
-    let out_of_range = |value: &str, range| Err(PolicyError::Range { place: place(), value: value.to_owned(), range });
+    let location = || file.location("policy", &raw.name, "pace");
+    let out_of_range =
+        |value: &str, range| Err(PolicyError::OutOfRange { location: location(), value: value.to_owned(), range });
     if raw.weight.is_none() {
-        return Err(PolicyError::Mismatch {
-            place: place(),
+        return Err(PolicyError::InvalidField {
+            location: location(),
             text: "a pace belongs to a weight",
             remedy: "add weight, or remove pace",
         });
     }
-    check_share(place(), pace.share)?;
+    check_share(location(), pace.share)?;
     if pace.every.is_zero() {
         return out_of_range("0s", "a time above zero, such as \"2s\"");
     }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -1,27 +1,27 @@
-//! What policies say of one target for one request.
+//! The verdict of the policies on one target for one request.
 
 use super::action::UNRANKED;
 
-/// What policies say of a target for one request.
+/// The verdict of the policies on one target for one request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PolicyVerdict {
-    /// It may be used. The smaller order goes first.
+    /// No policy excludes the target. A smaller order is preferred.
     Permitted(PolicyOrder),
-    /// A deny policy selects it.
+    /// A deny policy selects the target.
     Denied,
-    /// Allow policies select the request, and none of them the target.
+    /// Allow policies select the request, but none of them selects the target.
     NotAllowed,
-    /// A drain policy selects it. Without that it would be open in this order,
-    /// which caps need: a move away from it is charged.
+    /// A drain policy selects the target. Without it the target would be permitted in this
+    /// order, which caps need: a move away from the target is charged.
     Drained(PolicyOrder),
 }
 
-/// The order that policies give targets; fields are compared from the first.
+/// The order in which policies prefer targets: first by `outside_weight`, then by `rank`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct PolicyOrder {
-    /// Whether a weight sends the request elsewhere.
+    /// Whether a weight sends the request to other targets.
     pub outside_weight: bool,
-    /// The smallest rank of the prefer policies that select the target.
+    /// Smallest rank of the prefer policies that select the target; [`UNRANKED`] without any.
     pub rank: u16,
 }
 
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -1,99 +1,99 @@
-//! The check that weights fit on their scale: those that may select the same request
-//! sum to 1 at most.
+//! The check that weights that may select the same request sum to 1 at most.
 //!
-//! Whether they may is decided by their selectors alone: labels that operators assign and
-//! requests' own come and go. Owns nothing; relies on [`super::selector`].
+//! Whether they may is decided by their selectors alone, because the labels that operators
+//! assign and those of requests change. Holds no state; depends on [`super::selector`].
 
 use super::action::{Action, Policy};
-use super::error::{Place, PolicyError};
-use super::file::Checked;
+use super::error::{Location, PolicyError};
+use super::file::CheckResult;
 use super::selector::Selector;
 
-/// What a sum may exceed 1 by: rounding of 128 shares is far below, and a share that an operator
-/// means far above.
-const ROUNDING: f64 = 1e-9;
-/// Most tests of selectors that are looked at for one document, as a bound on the time. 128 weights
-/// with a test each, of which no two select the same request, make 16,384.
+/// Amount by which a sum may exceed 1: far more than the rounding errors of 128 shares, and far
+/// less than any share that an operator writes on purpose.
+const ROUNDING_TOLERANCE: f64 = 1e-9;
+/// Maximum number of selector tests that are examined for one document, which limits the time of
+/// the check. 128 weights with one test each, of which no two select the same request, take 16,384.
 const MAX_TESTS: usize = 2_000_000;
 
-/// A weight with where it stands.
+/// A weight policy with its location.
 struct Weight<'a> {
     policy: &'a Policy,
-    place: &'a Place,
+    location: &'a Location,
     share: f64,
 }
 
-/// Refuses weights that sum to more than 1 for some request.
+/// Rejects weights that may select the same request and sum to more than 1.
 ///
 /// # Errors
-/// [`PolicyError::Weights`] at the last of the weights in name order, which gets less
-/// than its share; [`PolicyError::TooManyWeights`] where they overlap in too many ways to
-/// tell.
-pub(super) fn check_weights(list: &[(Policy, Place)]) -> Checked<()> {
+/// [`PolicyError::WeightSum`] at the last of these weights in name order, which would get less
+/// than its share; [`PolicyError::TooManyOverlaps`] if the check exceeds [`MAX_TESTS`].
+pub(super) fn check_weights(list: &[(Policy, Location)]) -> CheckResult<()> {
     let weights: Vec<Weight<'_>> = list.iter().filter_map(weight).collect();
-    let mut search = Search { weights: &weights, chosen: Vec::new(), tests: 0 };
+    let mut search = OverlapSearch { weights: &weights, current: Vec::new(), tests: 0 };
     search.extend(0, 0.0)
 }
 
-fn weight((policy, place): &(Policy, Place)) -> Option<Weight<'_>> {
+fn weight((policy, location): &(Policy, Location)) -> Option<Weight<'_>> {
     match policy.action {
-        Action::Weight(share) if share > 0.0 => Some(Weight { policy, place, share }),
+        Action::Weight(share) if share > 0.0 => Some(Weight { policy, location, share }),
         _ => None,
     }
 }
 
-/// A search through the sets of weights that may select the same request.
-struct Search<'a> {
+/// A depth-first search through the sets of weights that may select the same request.
+struct OverlapSearch<'a> {
     weights: &'a [Weight<'a>],
-    /// Positions of the set that is looked at.
-    chosen: Vec<usize>,
-    /// Tests looked at so far.
+    /// Positions of the weights in the current set, ascending.
+    current: Vec<usize>,
+    /// Number of tests examined so far.
     tests: usize,
 }
 
-impl<'a> Search<'a> {
-    /// Adds each weight from a position on to the set, whose shares sum to `sum`.
-    fn extend(&mut self, from: usize, sum: f64) -> Checked<()> {
+impl<'a> OverlapSearch<'a> {
+    /// Tries to add each weight from position `from` on to the current set, whose shares sum to
+    /// `sum`. Stops once the sum can't exceed 1 even with all remaining weights.
+    fn extend(&mut self, from: usize, sum: f64) -> CheckResult<()> {
         for position in from..self.weights.len() {
             let rest: f64 = self.weights[position..].iter().map(|weight| weight.share).sum();
-            if sum + rest <= 1.0 + ROUNDING {
+            if sum + rest <= 1.0 + ROUNDING_TOLERANCE {
                 return Ok(());
             }
-            self.add(position, sum)?;
+            self.search_with(position, sum)?;
         }
         Ok(())
     }
 
-    fn add(&mut self, position: usize, sum: f64) -> Checked<()> {
-        self.chosen.push(position);
+    /// Continues the search in the sets that also contain the weight at a position.
+    fn search_with(&mut self, position: usize, sum: f64) -> CheckResult<()> {
+        self.current.push(position);
         let selectors = self.selectors();
         self.tests += selectors.iter().map(|selector| selector.len()).sum::<usize>();
         if self.tests > MAX_TESTS {
-            return Err(PolicyError::TooManyWeights { place: self.weights[position].place.clone() });
+            return Err(PolicyError::TooManyOverlaps { location: self.weights[position].location.clone() });
         }
-        if Selector::may_meet(&selectors) {
+        if Selector::may_overlap(&selectors) {
             let sum = sum + self.weights[position].share;
-            self.refuse_excess(sum)?;
+            self.check_sum(sum)?;
             self.extend(position + 1, sum)?;
         }
-        self.chosen.pop();
+        self.current.pop();
         Ok(())
     }
 
-    /// What the weights of the set select.
+    /// The selectors of the weights in the current set.
     fn selectors(&self) -> Vec<&'a Selector> {
-        self.chosen.iter().map(|position| &self.weights[*position].policy.requests).collect()
+        self.current.iter().map(|position| &self.weights[*position].policy.requests).collect()
     }
 
-    fn refuse_excess(&self, sum: f64) -> Checked<()> {
-        if sum <= 1.0 + ROUNDING {
+    fn check_sum(&self, sum: f64) -> CheckResult<()> {
+        if sum <= 1.0 + ROUNDING_TOLERANCE {
             return Ok(());
         }
-        let chosen = || self.chosen.iter().map(|position| &self.weights[*position]);
-        let names: Vec<String> = chosen().map(|weight| format!("{:?}", weight.policy.name)).collect();
-        let Some(last) = chosen().next_back() else { return Ok(()) };
-        // Rounded as far as operators write shares.
+        let current = || self.current.iter().map(|position| &self.weights[*position]);
+        let names: Vec<String> = current().map(|weight| format!("{:?}", weight.policy.name)).collect();
+        let Some(last) = current().next_back() else { return Ok(()) };
+        // Hides rounding errors: operators write shares with fewer digits.
         let sum = (sum * 1e6).round() / 1e6;
-        Err(PolicyError::Weights { place: last.place.clone(), names: names.join(", "), sum: sum.to_string() })
+        Err(PolicyError::WeightSum { location: last.location.clone(), names: names.join(", "), sum: sum.to_string() })
     }
 }
