--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -1,4 +1,4 @@
-//! The operators' policies over an instance's choice of targets.
+//! The effect of the operators' policies on an instance's choice of targets.
 
 mod scene;
 
@@ -18,43 +18,48 @@
     PolicyDocument { revision, id: revision.to_string(), by: "anna".into(), sources }
 }
 
-/// A caller's request as its labels see it.
-struct Asked {
+/// The parts of a caller's request that its labels are read from.
+struct RequestParts {
     method: Method,
     uri: Uri,
     headers: HeaderMap,
 }
 
-impl Asked {
+impl RequestParts {
     fn plain() -> Self {
         Self { method: Method::GET, uri: Uri::from_static("/look/a"), headers: HeaderMap::new() }
     }
 
     fn with_header(name: &'static str, value: &'static str) -> Self {
-        let mut asked = Self::plain();
-        asked.headers.insert(name, value.parse().unwrap());
-        asked
+        let mut request = Self::plain();
+        request.headers.insert(name, value.parse().unwrap());
+        request
     }
 }
 
-fn govern(scene: &mut Scene, revision: u64, text: &str) {
+fn apply_policies(scene: &mut Scene, revision: u64, text: &str) {
     let document = document(revision, text);
     Policies::try_from(&document).unwrap();
     scene.put("policies", std::str::from_utf8(&document.to_json()).unwrap());
 }
 
-/// Chooses for an object, with the names of the policies that had a part.
-fn governed(scene: &Scene, asked: &Asked, object: u64) -> (Result<Rc<Target>, NoTarget>, Vec<String>) {
-    let (chosen, policies) = decide(scene, asked, object, &CapCharge::default(), choose);
+/// The target chosen for a request with this affinity hash, and the names of the policies that
+/// affected the choice.
+fn choose_with_policies(
+    scene: &Scene,
+    request: &RequestParts,
+    affinity: u64,
+) -> (Result<Rc<Target>, NoTarget>, Vec<String>) {
+    let (chosen, policies) = decide(scene, request, affinity, &CapCharge::default(), choose);
     (chosen.map(|chosen| chosen.target), policies)
 }
 
 fn decide<T>(
     scene: &Scene,
-    asked: &Asked,
-    object: u64,
-    trial: &CapCharge,
-    with: impl Fn(&lockloft::decision::registry::routing::Routing, &lockloft::model::config::Config, &Query<'_>) -> T,
+    request: &RequestParts,
+    affinity: u64,
+    charge: &CapCharge,
+    run: impl Fn(&lockloft::decision::registry::routing::Routing, &lockloft::model::config::Config, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
     let facts = RequestFacts {
@@ -62,17 +67,17 @@
         route: "r",
         region: "a",
         hall: "a-1",
-        method: &asked.method,
-        uri: &asked.uri,
-        headers: &asked.headers,
+        method: &request.method,
+        uri: &request.uri,
+        headers: &request.headers,
     };
     let active =
-        scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, object, trial));
+        scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, affinity, charge));
     let query = Query {
         route: &route,
         tenant: None,
         service: "shop",
-        affinity: object,
+        affinity,
         region: "a",
         slow_start: None,
         has_shared_loads: false,
@@ -80,14 +85,14 @@
         tried: &[],
         now: scene.now,
     };
-    let decided = with(&scene.routing, &scene.config, &query);
+    let decided = run(&scene.routing, &scene.config, &query);
     (decided, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
 }
 
-fn halls(scene: &Scene, asked: &Asked, objects: std::ops::Range<u64>) -> HashMap<String, u32> {
+fn requests_by_hall(scene: &Scene, request: &RequestParts, affinities: std::ops::Range<u64>) -> HashMap<String, u32> {
     let mut counts = HashMap::new();
-    for object in objects {
-        if let Ok(target) = governed(scene, asked, object).0 {
+    for affinity in affinities {
+        if let Ok(target) = choose_with_policies(scene, request, affinity).0 {
             *counts.entry(target.hall.to_string()).or_default() += 1;
         }
     }
@@ -95,59 +100,62 @@
 }
 
 #[test]
-fn a_drained_place_gets_nothing_and_others_keep_their_objects() {
+fn a_drained_hall_gets_no_requests_and_the_others_keep_theirs() {
     let mut scene = Scene::new();
-    let before: Vec<Rc<Target>> = (0..300).map(|object| scene.choose(object, &[]).unwrap()).collect();
-    govern(&mut scene, 1, "[[policy]]\nname = \"d\"\nplaces = { hall = \"a-1\" }\ndrain = true\n");
-    for (object, had) in before.iter().enumerate() {
-        let (target, acted) = governed(&scene, &Asked::plain(), object as u64);
+    let before: Vec<Rc<Target>> = (0..300).map(|affinity| scene.choose(affinity, &[]).unwrap()).collect();
+    apply_policies(&mut scene, 1, "[[policy]]\nname = \"d\"\nplaces = { hall = \"a-1\" }\ndrain = true\n");
+    for (affinity, earlier) in before.iter().enumerate() {
+        let (target, applied) = choose_with_policies(&scene, &RequestParts::plain(), affinity as u64);
         let target = target.unwrap();
         assert_ne!(&*target.hall, "a-1");
-        assert!(&*had.hall == "a-1" || had.id == target.id, "object {object} moved without need");
-        assert_eq!(acted, ["d"]);
+        assert!(
+            &*earlier.hall == "a-1" || earlier.id == target.id,
+            "request {affinity} moved, but its hall is not drained"
+        );
+        assert_eq!(applied, ["d"]);
     }
 }
 
 #[test]
-fn allowances_add_up_and_denials_go_before_them() {
+fn allow_policies_add_up_and_deny_policies_override_them() {
     let mut scene = Scene::new();
-    govern(
+    apply_policies(
         &mut scene,
         1,
         "[[policy]]\nname = \"one\"\nplaces = { hall = \"a-1\" }\nallow = true\n\
          [[policy]]\nname = \"two\"\nplaces = { region = \"b\" }\nallow = true\n\
          [[policy]]\nname = \"not\"\nplaces = { target = \"t4\" }\ndeny = true\n",
     );
-    let counts = halls(&scene, &Asked::plain(), 0..400);
-    let used: BTreeSet<&str> = counts.keys().map(String::as_str).collect();
-    assert_eq!(used, BTreeSet::from(["a-1", "b-1", "b-2"]));
-    let to_t4 = (0..400).filter_map(|object| governed(&scene, &Asked::plain(), object).0.ok());
-    assert!(to_t4.into_iter().all(|target| &*target.id != "t4"));
+    let counts = requests_by_hall(&scene, &RequestParts::plain(), 0..400);
+    let used_halls: BTreeSet<&str> = counts.keys().map(String::as_str).collect();
+    assert_eq!(used_halls, BTreeSet::from(["a-1", "b-1", "b-2"]));
+    let chosen = (0..400).filter_map(|affinity| choose_with_policies(&scene, &RequestParts::plain(), affinity).0.ok());
+    assert!(chosen.into_iter().all(|target| &*target.id != "t4"));
 }
 
 #[test]
-fn a_preferred_place_goes_first_and_others_take_what_it_has_no_room_for() {
+fn a_preferred_hall_is_used_first_and_others_get_requests_when_it_is_full() {
     let mut scene = Scene::new();
-    govern(&mut scene, 1, "[[policy]]\nname = \"p\"\nplaces = { hall = \"b-2\" }\nprefer = 1\n");
-    assert_eq!(halls(&scene, &Asked::plain(), 0..200), HashMap::from([("b-2".to_owned(), 200)]));
-    let mut held = Vec::new();
+    apply_policies(&mut scene, 1, "[[policy]]\nname = \"p\"\nplaces = { hall = \"b-2\" }\nprefer = 1\n");
+    assert_eq!(requests_by_hall(&scene, &RequestParts::plain(), 0..200), HashMap::from([("b-2".to_owned(), 200)]));
+    let mut in_flight = Vec::new();
     loop {
-        let (target, acted) = governed(&scene, &Asked::plain(), 7);
+        let (target, applied) = choose_with_policies(&scene, &RequestParts::plain(), 7);
         let target = target.unwrap();
         if &*target.hall != "b-2" {
-            assert!(acted.is_empty());
+            assert!(applied.is_empty());
             break;
         }
-        assert_eq!(acted, ["p"]);
-        held.push(target.begin(scene.now));
-        assert!(held.len() <= 16, "two targets of four slots took more than twice their slots");
+        assert_eq!(applied, ["p"]);
+        in_flight.push(target.begin(scene.now));
+        assert!(in_flight.len() <= 16, "the hall took more than twice the slots of its two targets");
     }
 }
 
 #[test]
-fn labels_of_places_targets_and_requests_are_selected_by() {
+fn selectors_match_labels_of_halls_targets_and_requests() {
     let mut scene = Scene::new();
-    govern(
+    apply_policies(
         &mut scene,
         1,
         "[[hall]]\nname = \"a-1\"\nlabels = { tier = \"old\" }\n\
@@ -156,53 +164,53 @@
          [[policy]]\nname = \"old\"\nrequests = { agent = \"partner\" }\nplaces = { tier = \"old\" }\nallow = true\n\
          [[policy]]\nname = \"trial\"\nrequests = { trial = { exists = true } }\nplaces = { tier = \"new\" }\nallow = true\n",
     );
-    let only = |asked: &Asked| -> BTreeSet<String> {
-        (0..200).map(|object| governed(&scene, asked, object).0.unwrap().id.to_string()).collect()
+    let only = |request: &RequestParts| -> BTreeSet<String> {
+        (0..200).map(|affinity| choose_with_policies(&scene, request, affinity).0.unwrap().id.to_string()).collect()
     };
-    assert_eq!(only(&Asked::with_header("x-agent", "partner")), BTreeSet::from(["t0".to_owned()]));
-    let trial = Asked { uri: Uri::from_static("/look/a?trial=1"), ..Asked::plain() };
+    assert_eq!(only(&RequestParts::with_header("x-agent", "partner")), BTreeSet::from(["t0".to_owned()]));
+    let trial = RequestParts { uri: Uri::from_static("/look/a?trial=1"), ..RequestParts::plain() };
     assert_eq!(only(&trial), BTreeSet::from(["t1".to_owned()]));
-    assert_eq!(only(&Asked::with_header("x-agent", "other")).len(), 8);
+    assert_eq!(only(&RequestParts::with_header("x-agent", "other")).len(), 8);
 }
 
 #[test]
-fn a_later_revision_replaces_the_earlier_one_and_none_comes_back() {
+fn a_later_revision_replaces_an_earlier_one_and_never_the_reverse() {
     let mut scene = Scene::new();
     let drain = |hall: &str| format!("[[policy]]\nname = \"d\"\nplaces = {{ hall = \"{hall}\" }}\ndrain = true\n");
-    govern(&mut scene, 4, &drain("a-1"));
-    assert!(!halls(&scene, &Asked::plain(), 0..200).contains_key("a-1"));
-    govern(&mut scene, 5, &drain("b-1"));
-    govern(&mut scene, 4, &drain("a-1"));
-    let counts = halls(&scene, &Asked::plain(), 0..200);
+    apply_policies(&mut scene, 4, &drain("a-1"));
+    assert!(!requests_by_hall(&scene, &RequestParts::plain(), 0..200).contains_key("a-1"));
+    apply_policies(&mut scene, 5, &drain("b-1"));
+    apply_policies(&mut scene, 4, &drain("a-1"));
+    let counts = requests_by_hall(&scene, &RequestParts::plain(), 0..200);
     assert!(counts.contains_key("a-1") && !counts.contains_key("b-1"), "{counts:?}");
     scene.put("policies", "no document");
     assert_eq!(scene.routing.policies.as_ref().unwrap().revision, 5);
 }
 
 #[test]
-fn a_dry_decision_says_why_each_target_is_not_used() {
+fn a_dry_run_explains_why_each_target_is_not_used() {
     let mut scene = Scene::new();
     scene.put("t7", "b-2 4 draining 2 0");
-    govern(
+    apply_policies(
         &mut scene,
         1,
         "[[policy]]\nname = \"d\"\nplaces = { hall = \"a-1\" }\ndrain = true\n\
          [[policy]]\nname = \"n\"\nplaces = { hall = \"b-1\" }\ndeny = true\n",
     );
-    let (verdicts, _) = decide(&scene, &Asked::plain(), 7, &CapCharge::dry_run(), explain);
-    let of = |id: &str| verdicts.iter().find(|(target, _)| &*target.id == id).unwrap().1;
+    let (verdicts, _) = decide(&scene, &RequestParts::plain(), 7, &CapCharge::dry_run(), explain);
+    let verdict_on = |id: &str| verdicts.iter().find(|(target, _)| &*target.id == id).unwrap().1;
     assert_eq!(verdicts.len(), 8);
-    assert_eq!([of("t0"), of("t1")], [Verdict::Excluded(Exclusion::Drained); 2]);
-    assert_eq!([of("t4"), of("t5")], [Verdict::Excluded(Exclusion::Denied); 2]);
-    assert_eq!(of("t7"), Verdict::Excluded(Exclusion::Draining));
-    let rest = [of("t2"), of("t3"), of("t6")];
+    assert_eq!([verdict_on("t0"), verdict_on("t1")], [Verdict::Excluded(Exclusion::Drained); 2]);
+    assert_eq!([verdict_on("t4"), verdict_on("t5")], [Verdict::Excluded(Exclusion::Denied); 2]);
+    assert_eq!(verdict_on("t7"), Verdict::Excluded(Exclusion::Draining));
+    let rest = [verdict_on("t2"), verdict_on("t3"), verdict_on("t6")];
     assert_eq!(rest.iter().filter(|verdict| **verdict == Verdict::Chosen).count(), 1);
     assert_eq!(rest.iter().filter(|verdict| **verdict == Verdict::Next).count(), 1);
     assert_eq!(rest.iter().filter(|verdict| **verdict == Verdict::NotPreferred).count(), 1);
 }
 
 #[test]
-fn bad_policies_are_refused_whole_with_file_line_field_and_remedy() {
+fn invalid_policies_are_rejected_as_a_whole_with_file_line_field_and_remedy() {
     let cases = [
         ("[[policy]]\nname = \"a\"\nplaces = {}\n", "policy \"a\""),
         ("[[policy]]\nname = \"a\"\ndrain = true\n", "policy \"a\".places"),
@@ -223,30 +231,31 @@
 }
 
 #[test]
-fn a_request_that_may_not_be_moved_goes_to_another_target_of_its_hall() {
+fn a_request_that_may_not_be_moved_is_sent_to_another_target_of_its_hall() {
     let mut scene = Scene::new();
-    govern(&mut scene, 1, "[[policy]]\nname = \"c\"\ncap = 0.0\n");
-    let natural = scene.choose(7, &[]).unwrap();
+    apply_policies(&mut scene, 1, "[[policy]]\nname = \"c\"\ncap = 0.0\n");
+    let default_target = scene.choose(7, &[]).unwrap();
     for _ in 0..3 {
-        natural.record_failure(scene.now, scene.now);
+        default_target.record_failure(scene.now, scene.now);
     }
-    let (target, acted) = governed(&scene, &Asked::plain(), 7);
+    let (target, applied) = choose_with_policies(&scene, &RequestParts::plain(), 7);
     let target = target.unwrap();
-    assert_eq!(target.hall, natural.hall);
-    assert_ne!(target.id, natural.id);
-    assert_eq!(acted.len(), usize::from(scene.choose(7, &[]).unwrap().hall != natural.hall));
+    assert_eq!(target.hall, default_target.hall);
+    assert_ne!(target.id, default_target.id);
+    assert_eq!(applied.len(), usize::from(scene.choose(7, &[]).unwrap().hall != default_target.hall));
 }
 
 proptest! {
-    /// A cap bounds what a drain may move, in any run of requests.
+    /// A cap limits how many requests a drain moves, in any sequence of requests.
     #[test]
-    fn what_is_moved_stays_within_the_cap(
+    fn moved_requests_stay_within_the_cap(
         cap in 0.0f64..1.0,
-        objects in prop::collection::vec(any::<u64>(), 1..300),
+        affinities in prop::collection::vec(any::<u64>(), 1..300),
     ) {
         let mut scene = Scene::new();
-        let natural: Vec<Rc<Target>> = objects.iter().map(|object| scene.choose(*object, &[]).unwrap()).collect();
-        govern(
+        let default_targets: Vec<Rc<Target>> =
+            affinities.iter().map(|affinity| scene.choose(*affinity, &[]).unwrap()).collect();
+        apply_policies(
             &mut scene,
             1,
             &format!(
@@ -254,59 +263,64 @@
                  [[policy]]\nname = \"d\"\nplaces = {{ hall = [\"a-1\", \"b-1\"] }}\ndrain = true\n"
             ),
         );
-        let (mut asked, mut moved) = (0u32, 0u32);
-        for (object, natural) in objects.iter().zip(&natural) {
-            asked += 1;
-            let (target, acted) = governed(&scene, &Asked::plain(), *object);
+        let (mut requests, mut moved) = (0u32, 0u32);
+        for (affinity, default_target) in affinities.iter().zip(&default_targets) {
+            requests += 1;
+            let (target, applied) = choose_with_policies(&scene, &RequestParts::plain(), *affinity);
             match target {
-                Ok(target) if target.hall != natural.hall => moved += 1,
-                Ok(target) => prop_assert_eq!(&target.id, &natural.id),
+                Ok(target) if target.hall != default_target.hall => moved += 1,
+                Ok(target) => prop_assert_eq!(&target.id, &default_target.id),
                 Err(refusal) => {
                     prop_assert!(matches!(refusal, NoTarget::Capped(_)));
-                    prop_assert!(acted.contains(&"c".to_owned()));
+                    prop_assert!(applied.contains(&"c".to_owned()));
                 }
             }
-            prop_assert!(f64::from(moved) <= cap * f64::from(asked) + 1e-3, "{} of {}", moved, asked);
+            prop_assert!(f64::from(moved) <= cap * f64::from(requests) + 1e-3, "{} of {}", moved, requests);
         }
     }
 
-    /// A weight sends its share to its places, and the same objects whenever
-    /// they come.
+    /// A weight sends its share of the requests to its targets, and each affinity hash always to
+    /// the same target.
     #[test]
-    fn a_weight_sends_its_share_to_its_places(share in 0.0f64..1.0) {
+    fn a_weight_sends_its_share_to_its_targets(share in 0.0f64..1.0) {
         let mut scene = Scene::new();
-        govern(
+        apply_policies(
             &mut scene,
             1,
             &format!("[[policy]]\nname = \"w\"\nplaces = {{ hall = \"b-2\" }}\nweight = {share:?}\n"),
         );
         let by_weight =
-            (0..2_000u64).filter(|object| governed(&scene, &Asked::plain(), *object).1 == ["w"]).count();
+            (0..2_000u64)
+                .filter(|affinity| choose_with_policies(&scene, &RequestParts::plain(), *affinity).1 == ["w"])
+                .count();
         prop_assert!((by_weight as f64 / 2_000.0 - share).abs() < 0.05, "{} for {}", by_weight, share);
-        for object in 0..50 {
-            let (first, again) = (governed(&scene, &Asked::plain(), object), governed(&scene, &Asked::plain(), object));
+        for affinity in 0..50 {
+            let (first, again) = (
+                choose_with_policies(&scene, &RequestParts::plain(), affinity),
+                choose_with_policies(&scene, &RequestParts::plain(), affinity),
+            );
             prop_assert_eq!(&first.0.unwrap().id, &again.0.unwrap().id);
         }
     }
 
-    /// Sets of policies against ordinary sets.
+    /// Sets of policies, compared with ordinary sets.
     #[test]
-    fn a_policy_mask_is_a_set(
+    fn a_policy_set_behaves_like_an_ordinary_set(
         one in prop::collection::btree_set(0usize..128, 0..40),
         other in prop::collection::btree_set(0usize..128, 0..40),
     ) {
-        let mask = |set: &BTreeSet<usize>| {
-            let mut mask = PolicySet::default();
-            set.iter().for_each(|position| mask.insert(*position));
-            mask
+        let policy_set = |set: &BTreeSet<usize>| {
+            let mut policies = PolicySet::default();
+            set.iter().for_each(|position| policies.insert(*position));
+            policies
         };
-        let positions = |mask: PolicySet| mask.positions().collect::<Vec<_>>();
-        prop_assert_eq!(positions(mask(&one)), one.iter().copied().collect::<Vec<_>>());
+        let positions = |set: PolicySet| set.positions().collect::<Vec<_>>();
+        prop_assert_eq!(positions(policy_set(&one)), one.iter().copied().collect::<Vec<_>>());
         let both: Vec<usize> = one.intersection(&other).copied().collect();
-        prop_assert_eq!(positions(mask(&one).intersection(mask(&other))), both);
+        prop_assert_eq!(positions(policy_set(&one).intersection(policy_set(&other))), both);
         let either: Vec<usize> = one.union(&other).copied().collect();
-        prop_assert_eq!(positions(mask(&one).union(mask(&other))), either);
-        prop_assert_eq!(mask(&one).is_empty(), one.is_empty());
-        prop_assert!((0..128).all(|position| mask(&one).contains(position) == one.contains(&position)));
+        prop_assert_eq!(positions(policy_set(&one).union(policy_set(&other))), either);
+        prop_assert_eq!(policy_set(&one).is_empty(), one.is_empty());
+        prop_assert!((0..128).all(|position| policy_set(&one).contains(position) == one.contains(&position)));
     }
 }
--- a/tests/selectors.rs
+++ b/tests/selectors.rs
@@ -1,4 +1,4 @@
-//! Labels and selectors against tests by plain strings.
+//! Compiled selectors and interned labels, compared with tests on plain strings.
 
 use lockloft::policy::label::{Interner, LabelSet, RawLabels, Symbol};
 use lockloft::policy::selector::{RawExists, RawNot, RawSelector, RawTest, Selector};
@@ -43,9 +43,9 @@
     selector.iter().all(|(name, test)| passes(test, labels.get(name)))
 }
 
-/// The labels of something that comes after the selectors were read: what no
-/// selector names is not interned.
-fn seen(interner: &Interner, labels: &RawLabels) -> LabelSet {
+/// Labels of a target or request that is seen after the selectors were compiled: names and
+/// values that no selector contains are not interned.
+fn later_labels(interner: &Interner, labels: &RawLabels) -> LabelSet {
     let mut set = LabelSet::empty(interner.key_count());
     for (name, value) in labels {
         if let Some(key) = interner.key(name) {
@@ -55,8 +55,8 @@
     set
 }
 
-/// A set whose names and values are interned as it is made.
-fn interned(interner: &mut Interner, labels: &RawLabels) -> LabelSet {
+/// Labels whose names and values are all interned.
+fn interned_labels(interner: &mut Interner, labels: &RawLabels) -> LabelSet {
     let mut set = LabelSet::default();
     for (name, value) in labels {
         let (key, value) = (interner.intern_key(name), interner.intern_value(value));
@@ -68,36 +68,48 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 2_000, ..ProptestConfig::default() })]
 
-    /// Interned selectors select what plain strings say, whether the labels
-    /// were known before or come later.
+    /// Compiled selectors match the same labels as tests on plain strings, whether the labels
+    /// were interned before or are seen later.
     #[test]
-    fn a_selector_selects_what_plain_strings_say(
+    fn a_selector_matches_like_tests_on_plain_strings(
         selectors in prop::collection::vec(selector(), 1..4),
-        early in labels(),
-        late in labels(),
+        interned_before in labels(),
+        seen_later in labels(),
     ) {
         let mut interner = Interner::default();
-        let declared = interned(&mut interner, &early);
+        let interned = interned_labels(&mut interner, &interned_before);
         let compiled: Vec<Selector> = selectors.iter().map(|raw| Selector::compile(raw, &mut interner)).collect();
         for (raw, compiled) in selectors.iter().zip(&compiled) {
-            prop_assert_eq!(compiled.matches(&declared), naive(raw, &early), "{:?} of {:?}", raw, early);
-            prop_assert_eq!(compiled.matches(&seen(&interner, &late)), naive(raw, &late), "{:?} of {:?}", raw, late);
+            prop_assert_eq!(
+                compiled.matches(&interned),
+                naive(raw, &interned_before),
+                "{:?} of {:?}",
+                raw,
+                interned_before
+            );
+            prop_assert_eq!(
+                compiled.matches(&later_labels(&interner, &seen_later)),
+                naive(raw, &seen_later),
+                "{:?} of {:?}",
+                raw,
+                seen_later
+            );
         }
     }
 
-    /// What an operator writes is read as written.
+    /// A selector that is written as TOML is read back unchanged.
     #[test]
-    fn a_selector_is_read_as_it_is_written(raw in selector()) {
+    fn a_selector_is_read_as_written(raw in selector()) {
         let text = toml::to_string(&raw).unwrap();
         prop_assert_eq!(toml::from_str::<RawSelector>(&text).unwrap(), raw, "{}", text);
     }
 }
 
 #[test]
-fn a_value_that_nothing_names_is_present_but_none_of_those() {
+fn a_value_that_no_selector_contains_is_present_with_no_symbol_of_its_own() {
     let mut interner = Interner::default();
-    let named = interner.intern_value("named");
-    assert_eq!(interner.value("named"), named);
+    let known = interner.intern_value("named");
+    assert_eq!(interner.value("named"), known);
     assert_eq!(interner.value("unheard of"), Symbol::OTHER);
     assert_eq!(interner.key("unheard of"), None);
     let key = interner.intern_key("label");
@@ -105,19 +117,19 @@
 }
 
 #[test]
-fn the_written_forms_of_a_test_mean_what_the_pages_say() {
+fn each_form_of_a_test_matches_as_documented() {
     let text = "is = \"x\"\none-of = [\"x\", \"y\"]\nnot = { not = [\"x\"] }\nexists = { exists = true }\nabsent = { exists = false }\n";
     let raw: RawSelector = toml::from_str(text).unwrap();
     let labels = |pairs: &[(&str, &str)]| -> RawLabels {
         pairs.iter().map(|(name, value)| ((*name).to_owned(), (*value).to_owned())).collect()
     };
-    let selects = |pairs: &[(&str, &str)]| {
+    let matches = |pairs: &[(&str, &str)]| {
         let mut interner = Interner::default();
         let selector = Selector::compile(&raw, &mut interner);
-        selector.matches(&seen(&interner, &labels(pairs)))
+        selector.matches(&later_labels(&interner, &labels(pairs)))
     };
-    assert!(selects(&[("is", "x"), ("one-of", "y"), ("exists", "z")]));
-    assert!(selects(&[("is", "x"), ("one-of", "y"), ("exists", "z"), ("not", "y")]));
+    assert!(matches(&[("is", "x"), ("one-of", "y"), ("exists", "z")]));
+    assert!(matches(&[("is", "x"), ("one-of", "y"), ("exists", "z"), ("not", "y")]));
     for wrong in [
         &[("is", "y"), ("one-of", "y"), ("exists", "z")][..],
         &[("is", "x"), ("one-of", "z"), ("exists", "z")],
@@ -125,11 +137,11 @@
         &[("is", "x"), ("one-of", "y")],
         &[("is", "x"), ("one-of", "y"), ("exists", "z"), ("absent", "w")],
     ] {
-        assert!(!selects(wrong), "{wrong:?}");
+        assert!(!matches(wrong), "{wrong:?}");
     }
     let mut interner = Interner::default();
     assert!(
         Selector::compile(&RawSelector::new(), &mut interner).matches(&LabelSet::default()),
-        "the empty one selects all"
+        "the empty selector matches everything"
     );
 }
--- a/tests/weights.rs
+++ b/tests/weights.rs
@@ -1,12 +1,12 @@
-//! Weights that select the same requests share a scale from 0 to 1, and may not sum to
-//! more: the check refuses them, while those that lie in the store already stay in force.
+//! Weights that select the same requests share a scale from 0 to 1. The check rejects weights
+//! that sum to more than 1, but a stored document with such weights still takes effect.
 
 mod scene;
 
 use lockloft::policy::{Policies, PolicyDocument, Sources};
 use scene::Scene;
 
-/// Policies of these names, requests and weights.
+/// Policies with these names, request selectors and weights.
 fn text(weights: &[(&str, &str, f64)]) -> String {
     let policy = |(name, requests, weight): &(&str, &str, f64)| {
         format!("[[policy]]\nname = \"{name}\"\nrequests = {requests}\nplaces = {{}}\nweight = {weight:?}\n")
@@ -20,19 +20,19 @@
 }
 
 #[test]
-fn weights_of_one_request_sum_to_one_at_most() {
-    let refusal = check(&[("a", "{}", 0.7), ("b", "{ tier = \"x\" }", 0.7)]).unwrap_err();
-    assert!(refusal.contains("\"a\", \"b\"") && refusal.contains("1.4") && refusal.contains("remedy: "), "{refusal}");
+fn weights_of_the_same_request_sum_to_one_at_most() {
+    let error = check(&[("a", "{}", 0.7), ("b", "{ tier = \"x\" }", 0.7)]).unwrap_err();
+    assert!(error.contains("\"a\", \"b\"") && error.contains("1.4") && error.contains("remedy: "), "{error}");
     let three = [("a", "{ tier = [\"x\", \"y\"] }", 0.4), ("b", "{ tier = [\"y\", \"z\"] }", 0.4)];
     assert!(check(&[three[0], three[1], ("c", "{ tier = [\"y\"] }", 0.4)]).is_err());
     assert_eq!(check(&[("a", "{}", 0.7), ("b", "{ tier = \"x\" }", 0.3)]), Ok(()));
     let tenth = |name| (name, "{}", 0.1);
     let tenths = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"].map(tenth);
-    assert_eq!(check(&tenths), Ok(()), "rounding is no excess");
+    assert_eq!(check(&tenths), Ok(()), "rounding errors count as excess");
 }
 
 #[test]
-fn weights_of_different_requests_are_summed_apart() {
+fn weights_of_different_requests_are_summed_separately() {
     let apart = [
         ("a", "{ tier = \"x\" }", 0.9),
         ("b", "{ tier = [\"y\", \"z\"] }", 0.9),
@@ -40,11 +40,15 @@
     ];
     assert_eq!(check(&apart), Ok(()));
     let three = [("a", "{ tier = [\"x\", \"y\"] }", 0.4), ("b", "{ tier = [\"y\", \"z\"] }", 0.4)];
-    assert_eq!(check(&[three[0], three[1], ("c", "{ tier = [\"x\", \"z\"] }", 0.4)]), Ok(()), "no value is in all");
+    assert_eq!(
+        check(&[three[0], three[1], ("c", "{ tier = [\"x\", \"z\"] }", 0.4)]),
+        Ok(()),
+        "no value is in all three selectors"
+    );
 }
 
 #[test]
-fn a_stored_document_whose_weights_sum_to_more_comes_into_force_whole() {
+fn a_stored_document_whose_weights_sum_to_more_than_one_takes_effect_as_a_whole() {
     let mut scene = Scene::new();
     let sources = Sources::single("p.toml", &text(&[("a", "{}", 0.7), ("b", "{}", 0.7)]));
     let document = PolicyDocument { revision: 4, id: "x".into(), by: "tom".into(), sources };
@@ -61,11 +65,11 @@
 }
 
 #[test]
-fn weights_that_overlap_in_too_many_ways_are_refused_in_time() {
-    // Any set of them that has no two of one label may select the same request.
+fn weights_that_overlap_in_too_many_ways_are_rejected_in_time() {
+    // Any set of weights without two values of one label may select the same request.
     let names: Vec<(String, String)> =
         (0..126).map(|n| (format!("p{n:03}"), format!("{{ l{} = \"v{n}\" }}", n % 9))).collect();
     let weights: Vec<(&str, &str, f64)> = names.iter().map(|(name, label)| (&**name, &**label, 0.11)).collect();
-    let refusal = check(&weights).unwrap_err();
-    assert!(refusal.contains("too many weights") && refusal.contains("remedy: "), "{refusal}");
+    let error = check(&weights).unwrap_err();
+    assert!(error.contains("too many weights") && error.contains("remedy: "), "{error}");
 }
