--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -175,7 +175,7 @@
         {
             return mask;
         }
-        let mask = policies.selecting(&self.facts());
+        let mask = policies.matching_target(&self.facts());
         self.matching_policies.set(Some((policies.revision, mask)));
         mask
     }
--- a/src/decision/selection/affinity.rs
+++ b/src/decision/selection/affinity.rs
@@ -28,7 +28,7 @@
 
 use crate::decision::registry::target::Target;
 use crate::hash::unit_interval;
-use crate::policy::Order;
+use crate::policy::PolicyOrder;
 use std::cmp::Ordering;
 use std::rc::Rc;
 
@@ -44,7 +44,7 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Candidate<'a> {
     /// The order given by policies; compared first.
-    pub order: Order,
+    pub order: PolicyOrder,
     /// Its score for the first place of its order.
     pub score: f64,
     /// Its score for the second place.
@@ -55,7 +55,7 @@
 
 impl Candidate<'_> {
     /// The sort key of candidates for the first place; the smallest is preferred.
-    pub fn sort_key(&self) -> (Order, f64) {
+    pub fn sort_key(&self) -> (PolicyOrder, f64) {
         (self.order, self.score)
     }
 }
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -65,7 +65,7 @@
 
 impl Explanation {
     /// Decides on a query without sending anything. `query.matched_policies` must be made with
-    /// [`CapCharge::dry`](crate::policy::CapCharge::dry), otherwise a move is charged to its caps.
+    /// [`CapCharge::dry_run`](crate::policy::CapCharge::dry_run), otherwise a move is charged to its caps.
     pub fn new(routing: &Routing, config: &Config, query: &Query<'_>) -> Self {
         let choice = Choice::new(routing, config, query);
         let outcome = choice.decide();
@@ -78,7 +78,7 @@
 
 /// The verdict on each target of the service, ranked targets first and in order of preference.
 /// Nothing is sent, and caps earn and spend nothing where `query.matched_policies` was made with
-/// [`CapCharge::dry`](crate::policy::CapCharge::dry).
+/// [`CapCharge::dry_run`](crate::policy::CapCharge::dry_run).
 pub fn explain(routing: &Routing, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     Explanation::new(routing, config, query).verdicts
 }
@@ -276,7 +276,7 @@
     /// The result for a chosen target. Notes the policies that led to it, for the access log and `why`.
     fn select(&self, target: &Rc<Target>) -> ChosenTarget {
         if let Some(policies) = self.query.matched_policies {
-            policies.note_choice(target.matching_policies(policies.document()));
+            policies.record_choice(target.matching_policies(policies.policies()));
         }
         ChosenTarget { target: target.clone(), is_second: !self.is_preferred(target) }
     }
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -8,7 +8,7 @@
 use crate::decision::registry::target::Target;
 use crate::decision::registry::target_key::TargetKey;
 use crate::model::config::{Route, Tenant, Urgency};
-use crate::policy::{MatchedPolicies, Order, PolicyVerdict};
+use crate::policy::{MatchedPolicies, PolicyOrder, PolicyVerdict};
 
 /// A request with the route, tenant and service that were found for it, before targets are considered.
 #[derive(Clone, Copy, Debug)]
@@ -62,14 +62,14 @@
 
     /// The verdict of the operators' policies on a target; `None` where none selects the request.
     pub fn policy_verdict(&self, target: &Target) -> Option<PolicyVerdict> {
-        self.matched_policies.map(|policies| policies.verdict(target.matching_policies(policies.document())))
+        self.matched_policies.map(|policies| policies.verdict(target.matching_policies(policies.policies())))
     }
 
     /// The order that policies give a target; the smaller is preferred.
-    pub fn policy_order(&self, target: &Target) -> Order {
+    pub fn policy_order(&self, target: &Target) -> PolicyOrder {
         match self.policy_verdict(target) {
-            Some(PolicyVerdict::Open(order) | PolicyVerdict::Drained(order)) => order,
-            _ => Order::default(),
+            Some(PolicyVerdict::Permitted(order) | PolicyVerdict::Drained(order)) => order,
+            _ => PolicyOrder::default(),
         }
     }
 }
