--- a/src/decision/failure/next_try.rs
+++ b/src/decision/failure/next_try.rs
@@ -7,7 +7,7 @@
 //! ([`has_time`]) and budget. A request that timed out is never tried again.
 //!
 //! **Inputs**: the failed tries of this request alone ([`FailedTries`], counts); the route's
-//! [`Repeat`] and `max_attempts` (tries that reach a target) from the configuration with which the
+//! [`Idempotency`] and `max_attempts` (tries that reach a target) from the configuration with which the
 //! request began; the time left until its deadline; what prevents the next try
 //! ([`UnmetPrecondition`]). No input has an age or is shared.
 //!
@@ -26,7 +26,7 @@
 //! [`crate::decision::selection::choice`]. Test: `tests/next_try.rs`, every outcome with every
 //! kind of route and all counts.
 
-use crate::model::config::{Repeat, Route};
+use crate::model::config::{Idempotency, Route};
 use std::time::Duration;
 
 /// A request with this much time or less until its deadline is not sent: it is less than a round
@@ -106,14 +106,14 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct TryLimits {
     /// Whether a request that may have run may be sent again.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Most tries that reach a target.
     pub max_attempts: u32,
 }
 
 impl From<&Route> for TryLimits {
     fn from(route: &Route) -> Self {
-        Self { repeat: route.repeat, max_attempts: route.max_attempts }
+        Self { idempotency: route.idempotency, max_attempts: route.max_attempts }
     }
 }
 
@@ -151,7 +151,7 @@
 pub fn next_try(tries: &FailedTries, limits: TryLimits) -> TryDecision {
     let may_repeat = match tries.last {
         Some(TryOutcome::TimedOut) => false,
-        Some(TryOutcome::Lost) => limits.repeat == Repeat::Safe,
+        Some(TryOutcome::Lost) => limits.idempotency == Idempotency::Idempotent,
         Some(TryOutcome::Unreachable | TryOutcome::NotExecuted | TryOutcome::Shed) | None => true,
     };
     let has_tries = tries.sends < limits.max_attempts && tries.unreachable < MAX_UNREACHABLE_TRIES;
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -250,7 +250,7 @@
 }
 
 fn quota(name: &str, rules: Rules<'_>) -> Option<Quota> {
-    rules.tenants.find(name)?.quota
+    rules.tenants.find_by_name(name)?.quota
 }
 
 fn shared(name: &str, rules: Rules<'_>, part: f64) -> Option<SharedQuota> {
--- a/src/model/config/mod.rs
+++ b/src/model/config/mod.rs
@@ -10,7 +10,7 @@
 mod urgency;
 
 pub use limits::CallerLimits;
-pub use route::{Repeat, Route, RouteKey, WeightedService};
+pub use route::{Idempotency, Route, RouteKey, WeightedService};
 pub use service::Service;
 pub use tenant::{ApiKey, Quota, Tenant, TenantError, TenantKey, Tenants};
 pub use urgency::Urgency;
@@ -63,7 +63,7 @@
     }
 
     /// The route of `host` with the longest prefix that begins `path`.
-    pub fn find(&self, host: &str, path: &str) -> Option<RouteKey> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<RouteKey> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let keys = match self.by_host.get(host) {
             Some(keys) => keys,
--- a/src/model/config/route.rs
+++ b/src/model/config/route.rs
@@ -10,11 +10,11 @@
 
 /// Whether a request may run more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Repeat {
+pub enum Idempotency {
     /// It is idempotent.
-    Safe,
+    Idempotent,
     /// It may run once at most.
-    Once,
+    NonIdempotent,
 }
 
 /// One service of a route and its weight.
@@ -36,7 +36,7 @@
     /// Path prefix; begins and ends with a slash.
     pub prefix: String,
     /// Whether requests may be repeated.
-    pub repeat: Repeat,
+    pub idempotency: Idempotency,
     /// Services that take the requests; at least one.
     pub services: Vec<WeightedService>,
     /// Longest time a request is held; `None` for no bound.
--- a/src/model/config/tenant.rs
+++ b/src/model/config/tenant.rs
@@ -73,10 +73,10 @@
 pub enum TenantError {
     /// Two tenants have one name.
     #[error("two tenants have the name {0}; give each a name of its own")]
-    SameName(Rc<str>),
+    DuplicateName(Rc<str>),
     /// Two tenants hold one key.
     #[error("the tenants {0} and {1} hold the same key; give each key to one tenant")]
-    SharedKey(Rc<str>, Rc<str>),
+    DuplicateKey(Rc<str>, Rc<str>),
     /// A key is empty.
     #[error("the tenant {0} has an empty key; leave it out")]
     EmptyKey(Rc<str>),
@@ -100,7 +100,7 @@
         let mut by_api_key: HashMap<ApiKey, TenantKey> = HashMap::new();
         for (position, tenant) in all.iter().enumerate() {
             if by_name.insert(tenant.name.clone(), TenantKey(position)).is_some() {
-                return Err(TenantError::SameName(tenant.name.clone()));
+                return Err(TenantError::DuplicateName(tenant.name.clone()));
             }
             for api_key in &tenant.api_keys {
                 if api_key.0.is_empty() {
@@ -108,7 +108,7 @@
                 }
                 let before = by_api_key.insert(api_key.clone(), TenantKey(position));
                 if let Some(other) = before.filter(|other| other.0 != position) {
-                    return Err(TenantError::SharedKey(all[other.0].name.clone(), tenant.name.clone()));
+                    return Err(TenantError::DuplicateKey(all[other.0].name.clone(), tenant.name.clone()));
                 }
             }
         }
@@ -128,12 +128,12 @@
     }
 
     /// The tenant that holds an API key.
-    pub fn holder(&self, api_key: &str) -> Option<TenantKey> {
+    pub fn find_by_api_key(&self, api_key: &str) -> Option<TenantKey> {
         self.by_api_key.get(api_key).copied()
     }
 
     /// The tenant of a name.
-    pub fn find(&self, name: &str) -> Option<&Tenant> {
+    pub fn find_by_name(&self, name: &str) -> Option<&Tenant> {
         self.by_name.get(name).map(|key| self.get(*key))
     }
 
--- a/src/operator/question.rs
+++ b/src/operator/question.rs
@@ -54,7 +54,7 @@
     /// # Errors
     /// 404 where none does.
     pub fn route<'a>(&self, config: &'a Config) -> Result<&'a Route, Refusal> {
-        config.find(&self.host, self.uri.path()).map(|key| config.route(key)).ok_or(Refusal::NoRoute)
+        config.find_route(&self.host, self.uri.path()).map(|key| config.route(key)).ok_or(Refusal::NoRoute)
     }
 
     /// The tenant that is asked about, by its name and never by a key; `None` where none is.
@@ -63,7 +63,7 @@
     /// 404 where there is no tenant of the name.
     pub fn tenant<'a>(&self, config: &'a Config) -> Result<Option<&'a Tenant>, Refusal> {
         let Some(name) = &self.tenant else { return Ok(None) };
-        config.tenants.find(name).map(Some).ok_or(Refusal::NoTenant)
+        config.tenants.find_by_name(name).map(Some).ok_or(Refusal::NoTenant)
     }
 }
 
--- a/src/proxy/caller_tenant.rs
+++ b/src/proxy/caller_tenant.rs
@@ -62,7 +62,7 @@
 
 /// The tenant that holds a key; one that is not text is held by none.
 fn holder<'a>(config: &'a Config, api_key: &HeaderValue) -> Option<&'a Tenant> {
-    let key = config.tenants.holder(api_key.to_str().ok()?)?;
+    let key = config.tenants.find_by_api_key(api_key.to_str().ok()?)?;
     Some(config.tenants.get(key))
 }
 
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -3,7 +3,7 @@
 //!
 //! Hands each request to [`crate::proxy::request`]. Relies on the configuration's limits.
 
-use crate::model::config::{Repeat, Route};
+use crate::model::config::{Idempotency, Route};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
 use crate::platform::Platform;
 use crate::proxy::answer_body::AnswerBody;
@@ -59,7 +59,7 @@
 }
 
 fn is_repeatable(route: &Route) -> bool {
-    route.repeat == Repeat::Safe
+    route.idempotency == Idempotency::Idempotent
 }
 
 impl<P: Platform> Handler for CallerListener<P> {
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -221,7 +221,7 @@
 /// Where it names no host, or no route matches.
 pub fn find_route<'a>(config: &'a Config, uri: &Uri, headers: &HeaderMap) -> Result<&'a Route, Refusal> {
     let host = host(uri, headers).ok_or(Refusal::Malformed)?;
-    let key = config.find(host, uri.path()).ok_or(Refusal::NoRoute)?;
+    let key = config.find_route(host, uri.path()).ok_or(Refusal::NoRoute)?;
     Ok(config.route(key))
 }
 
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -99,7 +99,7 @@
     /// Follows the tenants of a configuration that comes into force.
     pub(super) fn follow(&self, tenants: &Tenants) {
         self.is_needed.set(tenants.iter().any(|tenant| tenant.quota.is_some()));
-        let has_quota = |name: &str| tenants.find(name).is_some_and(|tenant| tenant.quota.is_some());
+        let has_quota = |name: &str| tenants.find_by_name(name).is_some_and(|tenant| tenant.quota.is_some());
         self.own.borrow_mut().retain(has_quota);
         self.totals.borrow_mut().retain(has_quota);
     }
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -106,7 +106,7 @@
             .max_by_key(|route| route.prefix.len())
             .map(|route| route.name.clone());
         let config = config(routes);
-        let found = config.find(&format!("{}:80", host.to_uppercase()), &path);
+        let found = config.find_route(&format!("{}:80", host.to_uppercase()), &path);
         prop_assert_eq!(found.map(|key| config.route(key).name.clone()), naive);
     }
 
--- a/tests/next_try.rs
+++ b/tests/next_try.rs
@@ -4,7 +4,7 @@
     FailedTries, FailureReason, MAX_UNREACHABLE_TRIES, MIN_TIME_LEFT, TryDecision, TryLimits, TryOutcome,
     UnmetPrecondition, earlier_failure_reason, has_time, next_try,
 };
-use lockloft::model::config::Repeat;
+use lockloft::model::config::Idempotency;
 use std::time::Duration;
 
 const OUTCOMES: [TryOutcome; 5] =
@@ -24,8 +24,8 @@
     tries
 }
 
-fn next(outcomes: &[TryOutcome], repeat: Repeat, max_attempts: u32) -> TryDecision {
-    next_try(&after(outcomes), TryLimits { repeat, max_attempts })
+fn next(outcomes: &[TryOutcome], idempotency: Idempotency, max_attempts: u32) -> TryDecision {
+    next_try(&after(outcomes), TryLimits { idempotency, max_attempts })
 }
 
 /// All sequences of outcomes up to a length.
@@ -50,59 +50,59 @@
 fn one_try_of_each_outcome() {
     use {TryDecision::Refuse, TryOutcome::*};
     let table = [
-        // outcome, repeat, max_attempts, next
-        (Unreachable, Repeat::Safe, 1, UNCHARGED),
-        (Unreachable, Repeat::Safe, 2, UNCHARGED),
-        (Unreachable, Repeat::Once, 1, UNCHARGED),
-        (Unreachable, Repeat::Once, 2, UNCHARGED),
-        (NotExecuted, Repeat::Safe, 1, Refuse(FailureReason::NotExecuted)),
-        (NotExecuted, Repeat::Safe, 2, CHARGED),
-        (NotExecuted, Repeat::Once, 1, Refuse(FailureReason::NotExecuted)),
-        (NotExecuted, Repeat::Once, 2, CHARGED),
-        (Shed, Repeat::Safe, 1, Refuse(FailureReason::Shed)),
-        (Shed, Repeat::Safe, 2, CHARGED),
-        (Shed, Repeat::Once, 1, Refuse(FailureReason::Shed)),
-        (Shed, Repeat::Once, 2, CHARGED),
-        (Lost, Repeat::Safe, 1, Refuse(FailureReason::Lost)),
-        (Lost, Repeat::Safe, 2, CHARGED),
-        (Lost, Repeat::Once, 1, Refuse(FailureReason::Lost)),
-        (Lost, Repeat::Once, 2, Refuse(FailureReason::Lost)),
-        (TimedOut, Repeat::Safe, 1, Refuse(FailureReason::TimedOut)),
-        (TimedOut, Repeat::Safe, 2, Refuse(FailureReason::TimedOut)),
-        (TimedOut, Repeat::Once, 1, Refuse(FailureReason::TimedOut)),
-        (TimedOut, Repeat::Once, 2, Refuse(FailureReason::TimedOut)),
+        // outcome, idempotency, max_attempts, next
+        (Unreachable, Idempotency::Idempotent, 1, UNCHARGED),
+        (Unreachable, Idempotency::Idempotent, 2, UNCHARGED),
+        (Unreachable, Idempotency::NonIdempotent, 1, UNCHARGED),
+        (Unreachable, Idempotency::NonIdempotent, 2, UNCHARGED),
+        (NotExecuted, Idempotency::Idempotent, 1, Refuse(FailureReason::NotExecuted)),
+        (NotExecuted, Idempotency::Idempotent, 2, CHARGED),
+        (NotExecuted, Idempotency::NonIdempotent, 1, Refuse(FailureReason::NotExecuted)),
+        (NotExecuted, Idempotency::NonIdempotent, 2, CHARGED),
+        (Shed, Idempotency::Idempotent, 1, Refuse(FailureReason::Shed)),
+        (Shed, Idempotency::Idempotent, 2, CHARGED),
+        (Shed, Idempotency::NonIdempotent, 1, Refuse(FailureReason::Shed)),
+        (Shed, Idempotency::NonIdempotent, 2, CHARGED),
+        (Lost, Idempotency::Idempotent, 1, Refuse(FailureReason::Lost)),
+        (Lost, Idempotency::Idempotent, 2, CHARGED),
+        (Lost, Idempotency::NonIdempotent, 1, Refuse(FailureReason::Lost)),
+        (Lost, Idempotency::NonIdempotent, 2, Refuse(FailureReason::Lost)),
+        (TimedOut, Idempotency::Idempotent, 1, Refuse(FailureReason::TimedOut)),
+        (TimedOut, Idempotency::Idempotent, 2, Refuse(FailureReason::TimedOut)),
+        (TimedOut, Idempotency::NonIdempotent, 1, Refuse(FailureReason::TimedOut)),
+        (TimedOut, Idempotency::NonIdempotent, 2, Refuse(FailureReason::TimedOut)),
     ];
-    for (outcome, repeat, max_attempts, expected) in table {
-        assert_eq!(next(&[outcome], repeat, max_attempts), expected, "{outcome:?} {repeat:?} {max_attempts}");
+    for (outcome, idempotency, max_attempts, expected) in table {
+        assert_eq!(next(&[outcome], idempotency, max_attempts), expected, "{outcome:?} {idempotency:?} {max_attempts}");
     }
 }
 
 #[test]
 fn several_tries() {
-    use {Repeat::*, TryDecision::Refuse, TryOutcome::*};
-    let table: [(&[TryOutcome], Repeat, u32, TryDecision); 12] = [
-        (&[], Safe, 1, UNCHARGED),
-        (&[], Once, 1, UNCHARGED),
-        (&[], Safe, 0, Refuse(FailureReason::NotTried)),
-        (&[Unreachable, Unreachable], Once, 1, UNCHARGED),
-        (&[Unreachable, Unreachable, Unreachable], Once, 3, Refuse(FailureReason::Unreachable)),
-        (&[NotExecuted, Unreachable], Once, 2, CHARGED),
-        (&[Unreachable, NotExecuted], Once, 1, Refuse(FailureReason::NotExecuted)),
-        (&[NotExecuted, Lost], Once, 3, Refuse(FailureReason::Lost)),
-        (&[NotExecuted, Lost], Safe, 3, CHARGED),
+    use {Idempotency::*, TryDecision::Refuse, TryOutcome::*};
+    let table: [(&[TryOutcome], Idempotency, u32, TryDecision); 12] = [
+        (&[], Idempotent, 1, UNCHARGED),
+        (&[], NonIdempotent, 1, UNCHARGED),
+        (&[], Idempotent, 0, Refuse(FailureReason::NotTried)),
+        (&[Unreachable, Unreachable], NonIdempotent, 1, UNCHARGED),
+        (&[Unreachable, Unreachable, Unreachable], NonIdempotent, 3, Refuse(FailureReason::Unreachable)),
+        (&[NotExecuted, Unreachable], NonIdempotent, 2, CHARGED),
+        (&[Unreachable, NotExecuted], NonIdempotent, 1, Refuse(FailureReason::NotExecuted)),
+        (&[NotExecuted, Lost], NonIdempotent, 3, Refuse(FailureReason::Lost)),
+        (&[NotExecuted, Lost], Idempotent, 3, CHARGED),
         // After a try that may have run the request, no later failure is reported as not run.
-        (&[Lost, NotExecuted], Safe, 2, Refuse(FailureReason::Lost)),
-        (&[Lost, Unreachable, Unreachable, Unreachable], Safe, 2, Refuse(FailureReason::Lost)),
-        (&[Lost, TimedOut], Safe, 3, Refuse(FailureReason::TimedOut)),
+        (&[Lost, NotExecuted], Idempotent, 2, Refuse(FailureReason::Lost)),
+        (&[Lost, Unreachable, Unreachable, Unreachable], Idempotent, 2, Refuse(FailureReason::Lost)),
+        (&[Lost, TimedOut], Idempotent, 3, Refuse(FailureReason::TimedOut)),
     ];
-    for (outcomes, repeat, max_attempts, expected) in table {
-        assert_eq!(next(outcomes, repeat, max_attempts), expected, "{outcomes:?} {repeat:?} {max_attempts}");
+    for (outcomes, idempotency, max_attempts, expected) in table {
+        assert_eq!(next(outcomes, idempotency, max_attempts), expected, "{outcomes:?} {idempotency:?} {max_attempts}");
     }
 }
 
 /// Reference implementation of the rule as a loop over the outcomes of tries; `None` if another
 /// try would follow the last of them.
-fn reference(outcomes: &[TryOutcome], repeat: Repeat, max_attempts: u32) -> Option<FailureReason> {
+fn reference(outcomes: &[TryOutcome], idempotency: Idempotency, max_attempts: u32) -> Option<FailureReason> {
     let (mut sends, mut unreachable, mut may_have_run) = (0, 0, false);
     let mut last = FailureReason::NotTried;
     let mut outcomes = outcomes.iter();
@@ -123,7 +123,7 @@
             TryOutcome::Lost => {
                 sends += 1;
                 may_have_run = true;
-                if repeat == Repeat::Once {
+                if idempotency == Idempotency::NonIdempotent {
                     return Some(FailureReason::Lost);
                 }
             }
@@ -148,14 +148,14 @@
 #[test]
 fn every_sequence_of_outcomes_matches_the_reference() {
     for outcomes in sequences(6) {
-        for repeat in [Repeat::Safe, Repeat::Once] {
+        for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
             for max_attempts in 0..4 {
-                let (tries, next) = apply_rule(&outcomes, TryLimits { repeat, max_attempts });
-                let expected = match reference(&outcomes, repeat, max_attempts) {
+                let (tries, next) = apply_rule(&outcomes, TryLimits { idempotency, max_attempts });
+                let expected = match reference(&outcomes, idempotency, max_attempts) {
                     Some(reason) => TryDecision::Refuse(reason),
                     None => TryDecision::Try { costs_retry: tries.sends > 0 },
                 };
-                assert_eq!(next, expected, "{outcomes:?} {repeat:?} {max_attempts}");
+                assert_eq!(next, expected, "{outcomes:?} {idempotency:?} {max_attempts}");
             }
         }
     }
@@ -164,7 +164,8 @@
 #[test]
 fn a_request_that_may_have_run_is_repeated_only_on_a_safe_route() {
     for outcomes in sequences(5) {
-        let (tries, next) = apply_rule(&outcomes, TryLimits { repeat: Repeat::Once, max_attempts: 9 });
+        let (tries, next) =
+            apply_rule(&outcomes, TryLimits { idempotency: Idempotency::NonIdempotent, max_attempts: 9 });
         if tries.may_have_run {
             assert!(
                 matches!(next, TryDecision::Refuse(FailureReason::Lost | FailureReason::TimedOut)),
@@ -177,8 +178,8 @@
 #[test]
 fn a_request_that_may_have_run_is_never_reported_as_not_run() {
     for outcomes in sequences(6) {
-        for repeat in [Repeat::Safe, Repeat::Once] {
-            let (tries, next) = apply_rule(&outcomes, TryLimits { repeat, max_attempts: 3 });
+        for idempotency in [Idempotency::Idempotent, Idempotency::NonIdempotent] {
+            let (tries, next) = apply_rule(&outcomes, TryLimits { idempotency, max_attempts: 3 });
             if !tries.may_have_run {
                 continue;
             }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -370,9 +370,9 @@
     };
     let refused = |all: Vec<Tenant>| Tenants::try_from(all).unwrap_err();
     let shared = refused(vec![tenant("a", &["x", "zz"]), tenant("b", &["zz"])]);
-    assert_eq!(shared, TenantError::SharedKey("a".into(), "b".into()));
+    assert_eq!(shared, TenantError::DuplicateKey("a".into(), "b".into()));
     assert!(!shared.to_string().contains("zz"), "{shared}");
-    assert_eq!(refused(vec![tenant("a", &["x"]), tenant("a", &["y"])]), TenantError::SameName("a".into()));
+    assert_eq!(refused(vec![tenant("a", &["x"]), tenant("a", &["y"])]), TenantError::DuplicateName("a".into()));
     assert_eq!(refused(vec![tenant("a", &[""])]), TenantError::EmptyKey("a".into()));
     assert_eq!(format!("{:?}", ApiKey::new("secret")), "ApiKey(hidden)");
 }
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -9,7 +9,7 @@
 use lockloft::decision::registry::target::Target;
 use lockloft::decision::registry::target_key::TargetKey;
 use lockloft::decision::selection::choice::{NoTarget, Query, choose};
-use lockloft::model::config::{CallerLimits, Config, Repeat, Route, Service, WeightedService};
+use lockloft::model::config::{CallerLimits, Config, Idempotency, Route, Service, WeightedService};
 use lockloft::model::member::{Capacity, Member};
 use lockloft::model::record::{Record, RecordError, RemovedRecord};
 use lockloft::model::registration::{TargetRegistration, TargetState};
@@ -27,7 +27,7 @@
         name: name.into(),
         host: host.to_owned(),
         prefix: prefix.to_owned(),
-        repeat: Repeat::Safe,
+        idempotency: Idempotency::Idempotent,
         services: vec![WeightedService { service: "shop".into(), weight: 1.0 }],
         timeout: None,
         latency_objective: Duration::from_millis(300),
