--- a/src/clock.rs
+++ b/src/clock.rs
@@ -107,7 +107,7 @@
 /// Has this thread's clock go on by `time` while the steady clock stands still, as a suspension of
 /// the machine does. For tests, which cannot suspend the machine.
 #[doc(hidden)]
-pub fn suspend(time: Duration) {
+pub fn simulate_suspension(time: Duration) {
     SUSPENSION.with(|suspension| suspension.made_up.set(suspension.made_up.get() + time));
 }
 
--- a/src/decision/capacity/rate_limit/totals.rs
+++ b/src/decision/capacity/rate_limit/totals.rs
@@ -18,7 +18,7 @@
 use super::known::{LIMIT_LIFE, Said};
 use crate::clock::Instant;
 use crate::decision::registry::members::Members;
-use crate::model::rate_limits::{LimitReport, StartKey, TargetDemand, TargetShare, ToldRate};
+use crate::model::rate_limits::{AnnouncedRate, LimitReport, StartKey, TargetDemand, TargetShare};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -194,14 +194,14 @@
 }
 
 /// What was said, as a message tells it; `None` where it counts no longer.
-pub fn told_rate(said: Said, now: Instant) -> Option<ToldRate> {
+pub fn told_rate(said: Said, now: Instant) -> Option<AnnouncedRate> {
     let age = now.saturating_duration_since(said.at);
     let age_ms = u16::try_from(age.as_millis()).ok()?;
-    (age < LIMIT_LIFE).then_some(ToldRate { rate: said.rate.map(|rate| rate as f32), age_ms })
+    (age < LIMIT_LIFE).then_some(AnnouncedRate { rate: said.rate.map(|rate| rate as f32), age_ms })
 }
 
 /// What a message tells; `None` where it is no limit or counts no longer.
-pub fn said(told: ToldRate, now: Instant) -> Option<Said> {
+pub fn said(told: AnnouncedRate, now: Instant) -> Option<Said> {
     let rate = told.rate.map(f64::from);
     let is_rate = rate.is_none_or(|rate| rate.is_finite() && rate >= 0.0);
     let at = now.checked_sub(Duration::from_millis(told.age_ms.into()))?;
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -195,7 +195,7 @@
             }
             Registered::Late => Vec::new(),
             Registered::WithoutStart => {
-                let error = RecordError::new(&item.key, WITHOUT_START).of_registration();
+                let error = RecordError::new(&item.key, WITHOUT_START).for_registration();
                 self.refuse(RemovedRecord::Target(registration.id.to_string()), error, now)
             }
         }
--- a/src/model/fingerprint.rs
+++ b/src/model/fingerprint.rs
@@ -13,7 +13,7 @@
 use xxhash_rust::xxh3::Xxh3;
 
 /// Bytes of a streamed body that are part of the fingerprint.
-pub const STREAMED_BYTES: usize = 64 << 10;
+pub const STREAMED_PREFIX_BYTES: usize = 64 << 10;
 
 /// What a request asks of a target, as a hash that all instances compute alike.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
--- a/src/model/member.rs
+++ b/src/model/member.rs
@@ -34,7 +34,7 @@
 
 impl Member {
     /// The value for the store.
-    pub fn value(&self) -> Bytes {
+    pub fn to_json(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).expect("a member is plain values"))
     }
 }
--- a/src/model/rate_limits.rs
+++ b/src/model/rate_limits.rs
@@ -11,7 +11,7 @@
 
 /// What an answer of the target said of its limit.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct ToldRate {
+pub struct AnnouncedRate {
     /// Requests a second; `None` where it named no limit.
     pub rate: Option<f32>,
     /// Time since that answer, milliseconds.
@@ -24,7 +24,7 @@
     /// The target.
     pub target: StartKey,
     /// What the target said there last; `None` where it said nothing lately.
-    pub told: Option<ToldRate>,
+    pub told: Option<AnnouncedRate>,
     /// Requests a second that would be sent there were it not for the limit.
     pub demand: f32,
     /// Whether the target has said that it leaves.
@@ -50,7 +50,7 @@
     /// The target.
     pub target: StartKey,
     /// What it said last of its limit to any instance.
-    pub told: Option<ToldRate>,
+    pub told: Option<AnnouncedRate>,
     /// Whether it has said to any instance that it leaves.
     pub leaves: bool,
     /// Share of the requests that may be sent, 0 to 1.
--- a/src/model/record.rs
+++ b/src/model/record.rs
@@ -41,7 +41,7 @@
 
 /// A value that cannot be used.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Hash)]
-#[error("{key}: {}{problem}; {}, correct the value", prefix(.field), .effect.as_str())]
+#[error("{key}: {}{problem}; {}, correct the value", prefix(.field), .fallback.as_str())]
 pub struct RecordError {
     /// The key.
     pub key: String,
@@ -51,23 +51,23 @@
     /// What is wrong.
     pub problem: String,
     /// What holds instead.
-    pub effect: RefusalEffect,
+    pub fallback: Fallback,
 }
 
 /// What holds while a value cannot be used.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub enum RefusalEffect {
+pub enum Fallback {
     /// The last good value: of configuration and policies.
     LastGood,
     /// Nothing: a target or an instance is not used until its next good registration.
     NotUsed,
 }
 
-impl RefusalEffect {
+impl Fallback {
     fn as_str(self) -> &'static str {
         match self {
-            RefusalEffect::LastGood => "the last good value stays in force",
-            RefusalEffect::NotUsed => "what it should name is not used until its next good registration",
+            Fallback::LastGood => "the last good value stays in force",
+            Fallback::NotUsed => "what it should name is not used until its next good registration",
         }
     }
 }
@@ -75,17 +75,12 @@
 impl RecordError {
     /// An error of the value as a whole.
     pub fn new(key: &str, problem: impl ToString) -> Self {
-        Self {
-            key: key.to_owned(),
-            field: String::new(),
-            problem: problem.to_string(),
-            effect: RefusalEffect::LastGood,
-        }
+        Self { key: key.to_owned(), field: String::new(), problem: problem.to_string(), fallback: Fallback::LastGood }
     }
 
     /// The same error of a registration.
-    pub fn of_registration(self) -> Self {
-        Self { effect: RefusalEffect::NotUsed, ..self }
+    pub fn for_registration(self) -> Self {
+        Self { fallback: Fallback::NotUsed, ..self }
     }
 }
 
--- a/src/model/strikes.rs
+++ b/src/model/strikes.rs
@@ -15,7 +15,7 @@
 
 impl Strikes {
     /// The value for the store.
-    pub fn value(&self) -> Bytes {
+    pub fn to_json(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).expect("a record is a number and a plain string"))
     }
 }
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -5,7 +5,7 @@
 //! Relies on [`BufferedBytes`] for the counts; the total of all bodies is the instance's.
 
 use crate::clock::{Instant, timeout_at};
-use crate::model::fingerprint::{Fingerprint, RequestIdentity, STREAMED_BYTES};
+use crate::model::fingerprint::{Fingerprint, RequestIdentity, STREAMED_PREFIX_BYTES};
 use crate::net::buffered_bytes::BufferedBytes;
 use crate::net::chunks;
 use crate::net::request_body::{RequestBody, StreamedBody};
@@ -82,7 +82,7 @@
             IncomingBody::Buffered { bytes, .. } => Fingerprint::new(request, Some(bytes.len() as u64), [&bytes[..]]),
             IncomingBody::Streamed(streamed) => {
                 let length = streamed.as_ref().and_then(StreamedBody::length);
-                let head = streamed.iter().flat_map(|body| body.head(STREAMED_BYTES));
+                let head = streamed.iter().flat_map(|body| body.head(STREAMED_PREFIX_BYTES));
                 Fingerprint::new(request, length, head)
             }
         }
@@ -118,7 +118,7 @@
 /// is buffered, and of a larger one what its fingerprint is made of.
 fn may_hold_more(held: &BufferedBytes, least: u64, max_total: u64) -> bool {
     let is_buffered = least <= MAX_BUFFERED_BODY;
-    (is_buffered || held.own() < STREAMED_BYTES as u64) && has_room(held, max_total)
+    (is_buffered || held.own() < STREAMED_PREFIX_BYTES as u64) && has_room(held, max_total)
 }
 
 /// Whether more of this body may be buffered, with at most `max_total` bytes of all.
--- a/src/state/change_log.rs
+++ b/src/state/change_log.rs
@@ -4,7 +4,7 @@
 //! line. Relies on [`crate::decision::registry::routing`] to report each change once.
 
 use crate::decision::registry::change::StateChange;
-use crate::model::record::{RecordError, RefusalEffect};
+use crate::model::record::{Fallback, RecordError};
 use crate::telemetry::log::Once;
 use std::cell::RefCell;
 
@@ -68,6 +68,6 @@
     /// Whether the refusal gets a line: each of a configuration or policies, and each problem
     /// of a registration once.
     fn is_due(&self, error: &RecordError) -> bool {
-        error.effect == RefusalEffect::LastGood || self.refused.borrow_mut().is_new(error.clone())
+        error.fallback == Fallback::LastGood || self.refused.borrow_mut().is_new(error.clone())
     }
 }
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -165,5 +165,5 @@
         capacity: settings.capacity,
     };
     let key = format!("{}{}", P::own_prefix(), settings.name);
-    call(instance, "put", instance.store.put(&key, member.value(), lease)).await
+    call(instance, "put", instance.store.put(&key, member.to_json(), lease)).await
 }
--- a/src/sync/strikes.rs
+++ b/src/sync/strikes.rs
@@ -120,7 +120,7 @@
     ) -> Result<(), StoreError> {
         let key = format!("{}{fingerprint}", P::strikes_prefix());
         let lease = self.lease(instance, report.strikes).await?;
-        let value = Strikes { strikes: report.strikes, by: instance.settings().name.clone() }.value();
+        let value = Strikes { strikes: report.strikes, by: instance.settings().name.clone() }.to_json();
         let put = instance.store.put_leased_if(&key, value, lease, report.replaced_revision);
         call(instance, "put_strikes", put).await
     }
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -217,7 +217,7 @@
     let here = "127.0.0.1:1".parse().unwrap();
     let member =
         Member { callers: here, peer: here, hall: "a-1".into(), region: "a".into(), capacity: Capacity::default() };
-    let value = String::from_utf8(member.value().to_vec()).unwrap();
+    let value = String::from_utf8(member.to_json().to_vec()).unwrap();
     for name in ["e-1", "e-2", "e-3", "e-4"] {
         scene.put(name, &value);
     }
--- a/tests/instance_weight.rs
+++ b/tests/instance_weight.rs
@@ -176,9 +176,9 @@
     let old = r#"{"callers":"10.0.0.1:1","peer":"10.0.0.1:2","hall":"a-1","region":"a"}"#;
     let member: Member = serde_json::from_str(old).unwrap();
     assert_eq!(member.capacity, Capacity::default());
-    assert_eq!(member.value(), old.as_bytes());
+    assert_eq!(member.to_json(), old.as_bytes());
     let known = Member { capacity: WEAK, ..member };
-    let text = String::from_utf8(known.value().to_vec()).unwrap();
+    let text = String::from_utf8(known.to_json().to_vec()).unwrap();
     assert!(text.ends_with(r#""core_milli":100,"link_kbit":10000}"#), "{text}");
     assert_eq!(serde_json::from_str::<Member>(&text).unwrap(), known);
 }
--- a/tests/model/world.rs
+++ b/tests/model/world.rs
@@ -176,7 +176,7 @@
     fn suspend(&mut self, time: Duration) {
         self.configure(false);
         self.server.pass(time);
-        clock::suspend(time);
+        clock::simulate_suspension(time);
     }
 
     fn target_at(&self, slot: u8) -> Option<String> {
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -10,7 +10,7 @@
 use lockloft::decision::registry::target::Target;
 use lockloft::decision::registry::target_key::start_key;
 use lockloft::model::member::{Capacity, Member};
-use lockloft::model::rate_limits::{LimitReport, StartKey, TargetDemand, ToldRate};
+use lockloft::model::rate_limits::{AnnouncedRate, LimitReport, StartKey, TargetDemand};
 use lockloft::model::registration::{StartTime, TargetRegistration, TargetState};
 use std::time::Duration;
 
@@ -36,14 +36,14 @@
     members
 }
 
-fn report(from: &str, hall: &str, demand: f32, told: Option<ToldRate>) -> LimitReport {
+fn report(from: &str, hall: &str, demand: f32, told: Option<AnnouncedRate>) -> LimitReport {
     let targets = vec![TargetDemand { target: TARGET, told, demand, leaves: false }];
     LimitReport { from: from.to_owned(), hall: hall.to_owned(), is_forwarded: false, targets }
 }
 
 const NOTHING: Stated =
     Stated { limit: StatedLimit::None, leaving: StatedLeaving::None, pause: PauseSignal::None, turns_away: false };
-const NAMED: Option<ToldRate> = Some(ToldRate { rate: Some(6.0), age_ms: 0 });
+const NAMED: Option<AnnouncedRate> = Some(AnnouncedRate { rate: Some(6.0), age_ms: 0 });
 
 #[test]
 fn a_limit_is_one_decimal_number() {
@@ -183,7 +183,7 @@
 #[test]
 fn a_target_that_takes_nothing_is_sent_the_least() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
-    let nothing = Some(ToldRate { rate: Some(0.0), age_ms: 0 });
+    let nothing = Some(AnnouncedRate { rate: Some(0.0), age_ms: 0 });
     totals.take(&report("e-0", "h-0", 10.0, nothing), "h-0", now);
     let pass = f64::from(totals.shares(&[], &members, "h-0", now)[0].pass);
     assert!((pass - LEAST_RATE / 10.0).abs() < 0.0001, "{pass}");
@@ -197,7 +197,7 @@
         totals.take(&report("e-9", "h-0", demand, None), "h-0", now);
     }
     for rate in [f32::NAN, f32::INFINITY, -1.0] {
-        assert_eq!(said(ToldRate { rate: Some(rate), age_ms: 0 }, now), None);
+        assert_eq!(said(AnnouncedRate { rate: Some(rate), age_ms: 0 }, now), None);
     }
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 0.5).abs() < 0.001);
     let many = (0..10_000_u64).map(|key| TargetDemand {
@@ -216,7 +216,7 @@
     let now = Instant::now() + ms(60_000);
     assert!(told_rate(Said { rate: Some(1.0), at: now - ms(9_000) }, now).is_some());
     assert!(told_rate(Said { rate: Some(1.0), at: now - ms(11_000) }, now).is_none());
-    assert!(said(ToldRate { rate: Some(1.0), age_ms: 11_000 }, now).is_none());
+    assert!(said(AnnouncedRate { rate: Some(1.0), age_ms: 11_000 }, now).is_none());
 }
 
 #[test]
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -212,7 +212,7 @@
         let hall = format!("{region}-1");
         let member =
             Member { callers: address, peer: address, hall, region: region.to_owned(), capacity: Capacity::default() };
-        self.put(&format!("e-{region}"), std::str::from_utf8(&member.value()).unwrap());
+        self.put(&format!("e-{region}"), std::str::from_utf8(&member.to_json()).unwrap());
     }
 
     /// Removes a key of the store; the target is kept until a time where one
--- a/tests/slow_start_changes.rs
+++ b/tests/slow_start_changes.rs
@@ -25,7 +25,7 @@
         region: "a".to_owned(),
         capacity: Capacity::default(),
     };
-    scene.put("e-1", std::str::from_utf8(&member.value()).unwrap());
+    scene.put("e-1", std::str::from_utf8(&member.to_json()).unwrap());
     scene.now += Duration::from_secs(3);
     scene
 }
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -4,7 +4,7 @@
 //! held for another second. `CLOCK_BOOTTIME` is the clock that counts what passed; some sixty
 //! places read the other.
 
-use lockloft::clock::{Elapsed, Instant, sleep, suspend, timeout, timeout_at};
+use lockloft::clock::{Elapsed, Instant, simulate_suspension, sleep, timeout, timeout_at};
 use lockloft::decision::failure::next_try::has_time;
 use lockloft::net::keep_alive::KeepAlive;
 use lockloft::net::pool::Pool;
@@ -26,7 +26,7 @@
     let freshness = Freshness::default();
     freshness.prove(Proof::Watch, Duration::ZERO);
     assert!(freshness.is_current());
-    suspend(SUSPENDED);
+    simulate_suspension(SUSPENDED);
     assert!(freshness.age() >= Some(SUSPENDED) && !freshness.is_current());
     freshness.prove(Proof::Read, Duration::ZERO);
     assert!(freshness.is_current(), "a proof after it counts as always");
@@ -36,7 +36,7 @@
 fn the_store_counts_as_lost_after_a_suspension_and_an_answer_ends_that() {
     let copy = StoreCopy::default();
     copy.mark_answered();
-    suspend(SUSPENDED);
+    simulate_suspension(SUSPENDED);
     assert!(copy.is_lost());
     copy.mark_answered();
     assert!(!copy.is_lost());
@@ -45,10 +45,10 @@
 #[test]
 fn less_time_is_left_for_a_request_after_a_suspension() {
     let deadline = Instant::now() + Duration::from_secs(3);
-    suspend(Duration::from_secs(1));
+    simulate_suspension(Duration::from_secs(1));
     let left = deadline.saturating_duration_since(Instant::now());
     assert!(left <= Duration::from_secs(2) && has_time(left));
-    suspend(Duration::from_secs(2));
+    simulate_suspension(Duration::from_secs(2));
     assert!(!has_time(deadline.saturating_duration_since(Instant::now())));
 }
 
@@ -58,7 +58,7 @@
     let deadline = Instant::now() + SUSPENDED;
     let resumes = async {
         sleep(Duration::from_millis(10)).await;
-        suspend(SUSPENDED);
+        simulate_suspension(SUSPENDED);
         // What the log's task does each 0.1 s.
         Instant::now();
     };
@@ -71,12 +71,12 @@
 async fn a_wait_goes_on_for_what_is_left_and_an_answer_that_is_there_counts() {
     let sleeps = sleep(SUSPENDED + Duration::from_millis(300));
     let begun = tokio::time::Instant::now();
-    suspend(SUSPENDED);
+    simulate_suspension(SUSPENDED);
     Instant::now();
     sleeps.await;
     assert!((Duration::from_millis(250)..SOON).contains(&begun.elapsed()), "{:?}", begun.elapsed());
     let ready = async {
-        suspend(SUSPENDED);
+        simulate_suspension(SUSPENDED);
         7
     };
     assert_eq!(timeout(Duration::from_secs(1), ready).await, Ok(7));
@@ -90,7 +90,7 @@
         let connection = pool.connect().await.unwrap();
         let _accepted = listener.accept().await.unwrap();
         pool.keep(connection, KeepAlive::For(Duration::from_secs(4)));
-        suspend(SUSPENDED);
+        simulate_suspension(SUSPENDED);
         assert!(pool.take_idle().await.is_none());
     };
     LocalSet::new().run_until(check).await;
@@ -101,7 +101,7 @@
     let (mut stream, _) = listener.accept().await.unwrap();
     let mut question = [0; 1024];
     assert!(stream.read(&mut question).await.unwrap() > 0);
-    suspend(SUSPENDED);
+    simulate_suspension(SUSPENDED);
     let body = r#"{"at": 20, "age_ms": 10, "whole": false, "events": []}"#;
     let head = format!("HTTP/1.1 200 OK\r\ncomputed-after-ms: 0\r\ncontent-length: {}\r\n\r\n", body.len());
     stream.write_all(format!("{head}{body}").as_bytes()).await.unwrap();
