--- a/src/clock.rs
+++ b/src/clock.rs
@@ -1,18 +1,18 @@
-//! The clock of all ages, leases and deadlines. It counts the time for which the machine was
-//! suspended, as the store, the callers and the other instances do: the steady clock of the
-//! system (`CLOCK_MONOTONIC`) stands still meanwhile, `CLOCK_BOOTTIME` does not.
+//! Clock for all ages, leases and deadlines. It includes the time during which the machine was
+//! suspended, as the clocks of the store, the callers and the other instances do: the monotonic clock
+//! of the system (`CLOCK_MONOTONIC`) stops during a suspension, `CLOCK_BOOTTIME` does not.
 //!
-//! A moment is the steady time plus all time suspended so far. The suspended time only grows, by
-//! what both clocks of the system differ more than before, so that a moment is never earlier than
-//! one read before it. The time of day has no part in it.
+//! An [`Instant`] is the monotonic time plus the total time suspended so far. That total only grows,
+//! by the amount by which the offset between the two system clocks has increased, so an instant is
+//! never earlier than one that was read before it. The wall clock is not used.
 //!
-//! Timers of the runtime stand still with the steady clock. Whoever notices a suspension first, by
-//! reading this clock, wakes the waits of this module; they end or wait on for what is left. The
-//! log's task reads it each 0.1 s.
+//! Timers of the runtime stop with the monotonic clock. The first reader of this clock that detects a
+//! suspension wakes all waits of this module; each then ends, or continues for its remaining time. The
+//! log's task reads the clock every 0.1 s.
 //!
-//! On the steady clock stay on purpose: the rate of the log and the waits of the operators' tool.
+//! The rate limit of the log and the waits of the command-line tool use the monotonic clock on purpose.
 //!
-//! Owns the suspended time seen so far. Relies on nothing of lockloft. Test: `tests/suspension.rs`.
+//! Owns the suspended time detected so far. Relies on nothing of lockloft. Test: `tests/suspension.rs`.
 
 use nix::time::{ClockId, clock_gettime};
 use pin_project_lite::pin_project;
@@ -26,46 +26,46 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-/// Least time that counts as a suspension: above what passes between the readings of two clocks,
-/// below what any bound depends on.
-const LEAST_SUSPENSION: Duration = Duration::from_millis(10);
-/// Most time between the two readings of the steady clock round one of the other: of more, the
-/// reading says nothing, since this process was paused meanwhile.
-const MAX_READING: Duration = Duration::from_millis(1);
-/// Readings of the clocks until the process was not paused between them; a suspension that none
-/// shows is seen with the next look.
-const MAX_READINGS: usize = 4;
-
-/// Wakes all waits once a suspension was noticed.
+/// Minimum time that counts as a suspension: longer than what passes between the readings of the two
+/// clocks, shorter than the precision that any bound depends on.
+const MIN_SUSPENSION: Duration = Duration::from_millis(10);
+/// Maximum time between the readings of the monotonic clock before and after that of the other clock.
+/// If more has passed, this thread was paused in between, and the offset is not exact.
+const MAX_READ_TIME: Duration = Duration::from_millis(1);
+/// Attempts to read the clocks without a pause in between. If all fail, a suspension is detected the
+/// next time that the clock is read.
+const MAX_READ_ATTEMPTS: usize = 4;
+
+/// Wakes all waits after a suspension was detected.
 static RESUMED: Notify = Notify::const_new();
 
 thread_local! {
     static SUSPENSION: Suspension = Suspension::new();
 }
 
-/// The time for which the machine was suspended, as one thread has seen it.
+/// Time during which the machine was suspended, as detected by one thread.
 struct Suspension {
-    /// By how much the clocks differed when the thread began.
-    first: Duration,
+    /// Offset between the two clocks when the thread first read them.
+    initial_offset: Duration,
     /// Time suspended since then.
     total: Cell<Duration>,
-    /// Suspensions that a test made up.
-    made_up: Cell<Duration>,
+    /// Suspended time that a test simulates.
+    simulated: Cell<Duration>,
 }
 
 impl Suspension {
     fn new() -> Self {
-        let first = read_difference().unwrap_or_else(difference);
-        Self { first, total: Cell::new(Duration::ZERO), made_up: Cell::new(Duration::ZERO) }
+        let initial_offset = exact_clock_offset().unwrap_or_else(clock_offset);
+        Self { initial_offset, total: Cell::new(Duration::ZERO), simulated: Cell::new(Duration::ZERO) }
     }
 
-    /// The time suspended until now.
+    /// The total time suspended until now. Logs a suspension that it detects, and wakes all waits.
     fn total(&self) -> Duration {
-        if self.seems_longer(difference())
-            && let Some(read) = read_difference()
-            && self.seems_longer(read)
+        if self.has_grown(clock_offset())
+            && let Some(offset) = exact_clock_offset()
+            && self.has_grown(offset)
         {
-            let before = self.total.replace((read + self.made_up.get()).saturating_sub(self.first));
+            let before = self.total.replace((offset + self.simulated.get()).saturating_sub(self.initial_offset));
             let for_ms = (self.total.get() - before).as_millis() as u64;
             tracing::warn!(event = "suspended", for_ms);
             RESUMED.notify_waiters();
@@ -73,70 +73,71 @@
         self.total.get()
     }
 
-    /// Whether the clocks differ by more than the suspensions known so far.
-    fn seems_longer(&self, difference: Duration) -> bool {
-        difference + self.made_up.get() > self.first + self.total.get() + LEAST_SUSPENSION
+    /// Whether the offset between the clocks has grown by more than the suspensions detected so far.
+    fn has_grown(&self, offset: Duration) -> bool {
+        offset + self.simulated.get() > self.initial_offset + self.total.get() + MIN_SUSPENSION
     }
 }
 
-/// By how much `CLOCK_BOOTTIME` is ahead of the steady clock; more, where this thread was paused
-/// between the two readings.
-fn difference() -> Duration {
-    let steady = read(ClockId::CLOCK_MONOTONIC);
-    read(ClockId::CLOCK_BOOTTIME).saturating_sub(steady)
+/// How far `CLOCK_BOOTTIME` is ahead of `CLOCK_MONOTONIC`. Too large if this thread was paused between
+/// the two readings.
+fn clock_offset() -> Duration {
+    let monotonic = read_clock(ClockId::CLOCK_MONOTONIC);
+    read_clock(ClockId::CLOCK_BOOTTIME).saturating_sub(monotonic)
 }
 
-/// The same, never more than it is; `None` where the thread was paused in each reading.
-fn read_difference() -> Option<Duration> {
-    (0..MAX_READINGS).find_map(|_| {
-        let before = read(ClockId::CLOCK_MONOTONIC);
-        let boot = read(ClockId::CLOCK_BOOTTIME);
-        let after = read(ClockId::CLOCK_MONOTONIC);
-        (after - before <= MAX_READING).then(|| boot.saturating_sub(after))
+/// The same offset, never too large; `None` if the thread was paused in each attempt to read it.
+fn exact_clock_offset() -> Option<Duration> {
+    (0..MAX_READ_ATTEMPTS).find_map(|_| {
+        let before = read_clock(ClockId::CLOCK_MONOTONIC);
+        let boot = read_clock(ClockId::CLOCK_BOOTTIME);
+        let after = read_clock(ClockId::CLOCK_MONOTONIC);
+        (after - before <= MAX_READ_TIME).then(|| boot.saturating_sub(after))
     })
 }
 
-/// Time of a clock of the system.
+/// Current time of a system clock.
 ///
 /// # Panics
-/// Where the system lacks it: every Linux from 2.6.39 on has both.
-fn read(clock: ClockId) -> Duration {
+/// If the system does not have the clock. Linux has both since 2.6.39.
+fn read_clock(clock: ClockId) -> Duration {
     clock_gettime(clock).expect("the system has the clock").into()
 }
 
-/// Has this thread's clock go on by `time` while the steady clock stands still, as a suspension of
-/// the machine does. For tests, which cannot suspend the machine.
+/// Advances this thread's clock by `time` without the monotonic clock, as a suspension of the machine
+/// does. For tests, which cannot suspend the machine.
 #[doc(hidden)]
 pub fn simulate_suspension(time: Duration) {
-    SUSPENSION.with(|suspension| suspension.made_up.set(suspension.made_up.get() + time));
+    SUSPENSION.with(|suspension| suspension.simulated.set(suspension.simulated.get() + time));
 }
 
-/// A moment of this clock.
+/// A point in time on this clock. Only instants that were read on the same thread are comparable, as
+/// each thread counts suspended time from its first reading on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Instant(tokio::time::Instant);
 
 impl Instant {
-    /// This moment.
+    /// The current time. Detects a suspension since the clock was last read on this thread.
     pub fn now() -> Self {
         Self(tokio::time::Instant::now() + SUSPENSION.with(Suspension::total))
     }
 
-    /// Time since then.
+    /// Time from this instant until now; zero if this instant is in the future.
     pub fn elapsed(self) -> Duration {
         Self::now().saturating_duration_since(self)
     }
 
-    /// Time since an earlier moment; zero where that one is later.
+    /// Time since an earlier instant; zero if that one is later.
     pub fn saturating_duration_since(self, earlier: Self) -> Duration {
         self.0.saturating_duration_since(earlier.0)
     }
 
-    /// The same.
+    /// The same as [`Self::saturating_duration_since`].
     pub fn duration_since(self, earlier: Self) -> Duration {
         self.saturating_duration_since(earlier)
     }
 
-    /// The moment so long before; `None` where no moment is so early.
+    /// The instant `time` before this one; `None` if it cannot be represented.
     pub fn checked_sub(self, time: Duration) -> Option<Self> {
         self.0.checked_sub(time).map(Self)
     }
@@ -172,15 +173,15 @@
     }
 }
 
-/// What was waited for did not come in time.
+/// Error of [`timeout`] and [`timeout_at`]: the deadline passed before the future was ready.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("it did not come in time")]
+#[error("deadline has elapsed")]
 pub struct Elapsed;
 
 pin_project! {
-    /// A wait until a moment has come.
+    /// Future that completes at a deadline; returned by [`sleep`] and [`sleep_until`].
     pub struct Sleep {
-        at: Instant,
+        deadline: Instant,
         #[pin]
         timer: tokio::time::Sleep,
         #[pin]
@@ -200,43 +201,44 @@
             } else if this.timer.as_mut().poll(context).is_pending() {
                 return Poll::Pending;
             }
-            let left = this.at.saturating_duration_since(Instant::now());
-            if left.is_zero() {
+            let remaining = this.deadline.saturating_duration_since(Instant::now());
+            if remaining.is_zero() {
                 return Poll::Ready(());
             }
-            this.timer.reset(tokio::time::Instant::now() + left);
+            this.timer.reset(tokio::time::Instant::now() + remaining);
         }
     }
 }
 
-/// Waits until a moment has come.
-pub fn sleep_until(at: Instant) -> Sleep {
+/// Waits until `deadline`.
+pub fn sleep_until(deadline: Instant) -> Sleep {
     let resumed = RESUMED.notified();
-    let left = at.saturating_duration_since(Instant::now());
-    Sleep { at, timer: tokio::time::sleep(left), resumed }
+    let remaining = deadline.saturating_duration_since(Instant::now());
+    Sleep { deadline, timer: tokio::time::sleep(remaining), resumed }
 }
 
-/// Waits for some time.
+/// Waits for `time`, including time during which the machine is suspended.
 pub fn sleep(time: Duration) -> Sleep {
     sleep_until(Instant::now() + time)
 }
 
-/// Waits for a future, until a moment has come at most. One that is ready counts, also when late.
+/// Waits for a future until `deadline` at the latest. A future that is ready when it is polled gives
+/// its output even if the deadline has passed.
 ///
 /// # Errors
-/// [`Elapsed`] where it was not ready by then.
-pub async fn timeout_at<F: Future>(at: Instant, future: F) -> Result<F::Output, Elapsed> {
+/// [`Elapsed`] if the future was not ready by then.
+pub async fn timeout_at<F: Future>(deadline: Instant, future: F) -> Result<F::Output, Elapsed> {
     tokio::select! {
         biased;
         output = future => Ok(output),
-        () = sleep_until(at) => Err(Elapsed),
+        () = sleep_until(deadline) => Err(Elapsed),
     }
 }
 
-/// Waits for a future for some time at most, as [`timeout_at`] does.
+/// Waits for a future for `time` at most, as [`timeout_at`] does.
 ///
 /// # Errors
-/// [`Elapsed`] where it was not ready in time.
+/// [`Elapsed`] if the future was not ready in time.
 pub async fn timeout<F: Future>(time: Duration, future: F) -> Result<F::Output, Elapsed> {
     timeout_at(Instant::now() + time, future).await
 }
