--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -1,15 +1,15 @@
-//! The listeners of the readiness check and of the directory, from which callers learn
-//! which instances to use.
+//! HTTP handler of the readiness check and of the directory, from which callers learn which instances
+//! to use.
 //!
-//! Owns nothing. Which instances an answer names is a rule, [`crate::decision::selection::directory`];
-//! how long it may be kept is the operators' bound, `bounds.directory_ttl_s`; the form of
-//! question and answer is the platform's.
+//! Owns nothing. [`crate::decision::selection::directory`] decides which instances a response lists. Callers may
+//! keep a response for the operators' bound `bounds.directory_ttl_s`. The platform defines the formats
+//! of request and response.
 //!
-//! **Why the operators' whole bound.** Callers ask again when it is over, and wait for the
-//! answer: a way there and back, or a second where the instance that they ask is dead. An
-//! address that died meanwhile costs a caller one connection, since it is left out from then
-//! on, and a stopping instance serves what ends in time and sends the others away at once
-//! ([`crate::decision::refusal::stop`]).
+//! **Why callers may keep a response for the whole bound.** When it expires, callers send a new request
+//! and wait for the response: a round trip, or 1 s if the instance that they ask is dead. An
+//! address that died in the meantime costs a caller one connection attempt, since it is left out from
+//! then on. A stopping instance serves requests that end in time and refuses the others at
+//! once ([`crate::decision::refusal::stop`]).
 
 use crate::decision::selection::directory::{self, OwnInstance};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
@@ -20,7 +20,7 @@
 use hyper::{Request, Response, StatusCode};
 use std::rc::Rc;
 
-/// Answers the readiness check and the directory's questions.
+/// Handles requests of the readiness check and of the directory.
 pub struct DirectoryListener<P: Platform>(pub Rc<Instance<P>>);
 
 impl<P: Platform> Handler for DirectoryListener<P> {
@@ -32,7 +32,7 @@
             let status = if self.0.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
             return AnswerBody::empty(status);
         }
-        let Some(place) = P::directory_question(path, query) else { return AnswerBody::empty(StatusCode::NOT_FOUND) };
+        let Some(caller) = P::directory_question(path, query) else { return AnswerBody::empty(StatusCode::NOT_FOUND) };
         let settings = self.0.settings();
         let own = OwnInstance {
             name: &settings.name,
@@ -43,7 +43,7 @@
         };
         let routing = self.0.routing.borrow();
         let bytes = self.0.request_size.bytes();
-        let instances = directory::instances_for(&place.region, own, &routing.members, bytes, rand::random);
+        let instances = directory::instances_for(&caller.region, own, &routing.members, bytes, rand::random);
         if instances.is_empty() {
             return AnswerBody::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/src/model/config/limits.rs
+++ b/src/model/config/limits.rs
@@ -1,33 +1,38 @@
-//! Limits on what callers may send and how long they may take.
+//! Limits on the size and duration of callers' requests.
 
 use std::time::Duration;
 
-// In force until the operators' configuration gives others: protect the instance against misuse.
+// Defaults until the operators' configuration sets other limits. They protect the instance against misuse.
 
-/// Largest request head, bytes; the same as for peers.
-const HEAD_BYTES: usize = 16 * 1024;
-/// Largest request body, bytes.
-const BODY_BYTES: u64 = 64 << 20;
-/// Longest time to send a head; the same as for peers.
-const HEAD_TIME: Duration = Duration::from_secs(3);
-/// Longest time a connection may stay idle; the same as for peers.
-const IDLE_TIME: Duration = Duration::from_secs(15);
+/// Maximum size of a request head, bytes; the same as for peers.
+const DEFAULT_HEAD_BYTES: usize = 16 * 1024;
+/// Maximum size of a request body, bytes.
+const DEFAULT_BODY_BYTES: u64 = 64 << 20;
+/// Maximum time to send a head; the same as for peers.
+const DEFAULT_HEAD_TIME: Duration = Duration::from_secs(3);
+/// Maximum time for which a connection may be idle; the same as for peers.
+const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(15);
 
-/// Limits on callers.
+/// Limits on callers' requests and connections.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CallerLimits {
-    /// Largest request head, bytes.
+    /// Maximum size of a request head, bytes.
     pub head_bytes: usize,
-    /// Largest request body, bytes.
+    /// Maximum size of a request body, bytes.
     pub body_bytes: u64,
-    /// Longest time to send a head.
+    /// Maximum time to send a head.
     pub head_time: Duration,
-    /// Longest time a connection may stay idle.
+    /// Maximum time for which a connection may be idle.
     pub idle_time: Duration,
 }
 
 impl Default for CallerLimits {
     fn default() -> Self {
-        Self { head_bytes: HEAD_BYTES, body_bytes: BODY_BYTES, head_time: HEAD_TIME, idle_time: IDLE_TIME }
+        Self {
+            head_bytes: DEFAULT_HEAD_BYTES,
+            body_bytes: DEFAULT_BODY_BYTES,
+            head_time: DEFAULT_HEAD_TIME,
+            idle_time: DEFAULT_IDLE_TIME,
+        }
     }
 }
--- a/src/model/config/mod.rs
+++ b/src/model/config/mod.rs
@@ -1,7 +1,7 @@
-//! The operators' configuration in force: routes, services, tenants and limits, with
-//! indexes of the routes by host and of the tenants by key.
+//! The operators' configuration: routes, services, tenants and limits, with indexes of the routes by
+//! host and of the tenants by API key.
 //!
-//! Immutable: a later version replaces it whole.
+//! Immutable: a later version replaces it as a whole.
 
 mod limits;
 mod route;
@@ -22,23 +22,23 @@
 /// One version of the configuration.
 #[derive(Debug)]
 pub struct Config {
-    /// Version; later ones are higher.
+    /// Version number from the operators; higher in each later version.
     pub version: u64,
     /// Services by name.
     pub services: HashMap<Rc<str>, Service>,
-    /// Limits on callers.
+    /// Limits on callers' requests and connections.
     pub limits: CallerLimits,
-    /// Tenants; where there are none, no request needs a key.
+    /// Tenants; if there are none, requests need no API key.
     pub tenants: Tenants,
     routes: Vec<Route>,
-    /// Routes of each host, the longest prefix first.
+    /// Routes of each host, longest prefix first.
     by_host: HashMap<String, Vec<RouteKey>>,
-    /// Distinct urgencies of each service's requests, the most urgent first.
+    /// Distinct urgencies of the requests to each service, most urgent first.
     urgencies: HashMap<Rc<str>, Vec<Urgency>>,
 }
 
 impl Config {
-    /// Indexes a version without tenants.
+    /// Creates and indexes a version without tenants.
     pub fn new(version: u64, routes: Vec<Route>, services: HashMap<Rc<str>, Service>, limits: CallerLimits) -> Self {
         let by_host = index_hosts(&routes);
         let tenants = Tenants::default();
@@ -46,23 +46,26 @@
         Self { version, services, limits, tenants, routes, by_host, urgencies }
     }
 
-    /// The same version with tenants.
+    /// Returns this version with the given tenants.
     pub fn with_tenants(self, tenants: Tenants) -> Self {
         let urgencies = index_urgencies(&self.routes, &tenants);
         Self { tenants, urgencies, ..self }
     }
 
-    /// The route of a key of this config; panics on a key of a larger one.
+    /// The route with a key of this config.
+    ///
+    /// # Panics
+    /// May panic on a key of another config, which may have more routes.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.routes[key.0]
     }
 
-    /// Names of the routes that are split over several services.
+    /// Names of the routes that are split between several services.
     pub fn split_routes(&self) -> HashSet<&str> {
         self.routes.iter().filter(|route| route.services.len() > 1).map(|route| &*route.name).collect()
     }
 
-    /// The route of `host` with the longest prefix that begins `path`.
+    /// The route of `host` with the longest prefix of `path`. A port in `host` is ignored.
     pub fn find_route(&self, host: &str, path: &str) -> Option<RouteKey> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
         let keys = match self.by_host.get(host) {
@@ -72,7 +75,7 @@
         keys.iter().copied().find(|key| path.starts_with(&self.route(*key).prefix))
     }
 
-    /// How many distinct urgencies of the service's requests come before this one.
+    /// Number of distinct urgencies of the service's requests that are more urgent than this one.
     pub fn rank(&self, service: &str, urgency: Urgency) -> usize {
         self.urgencies.get(service).map_or(0, |all| all.iter().filter(|other| **other < urgency).count())
     }
@@ -108,7 +111,7 @@
     urgencies
 }
 
-/// The distinct priorities; 0 alone where there are none.
+/// The distinct priorities, or only 0 if there are none.
 fn priorities_or_zero(priorities: impl Iterator<Item = u32>) -> BTreeSet<u32> {
     let mut distinct: BTreeSet<u32> = priorities.collect();
     if distinct.is_empty() {
--- a/src/model/config/route.rs
+++ b/src/model/config/route.rs
@@ -1,4 +1,4 @@
-//! Routes: which requests they match and how these may be sent.
+//! Routes: which requests they match, and how these are sent.
 
 use super::Tenant;
 use std::rc::Rc;
@@ -8,52 +8,52 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RouteKey(pub(super) usize);
 
-/// Whether a request may run more than once.
+/// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Idempotency {
-    /// It is idempotent.
+    /// May be executed again.
     Idempotent,
-    /// It may run once at most.
+    /// May be executed at most once.
     NonIdempotent,
 }
 
-/// One service of a route and its weight.
+/// Service of a route, with its weight in the traffic split.
 #[derive(Clone, Debug, PartialEq)]
 pub struct WeightedService {
-    /// Service name.
+    /// Name of the service.
     pub service: Rc<str>,
-    /// Weight, 0 or more, relative to the route's other services.
+    /// Weight relative to the route's other services, 0 or more.
     pub weight: f64,
 }
 
-/// Requests of one host and path prefix, and how they are sent.
+/// Requests with one host and path prefix, and how they are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
     /// Name, unique in the config.
     pub name: Rc<str>,
-    /// Host, without a port, in lower case.
+    /// Host in lower case, without a port.
     pub host: String,
-    /// Path prefix; begins and ends with a slash.
+    /// Path prefix; starts and ends with a slash.
     pub prefix: String,
-    /// Whether requests may be repeated.
+    /// Whether requests may be executed more than once.
     pub idempotency: Idempotency,
-    /// Services that take the requests; at least one.
+    /// Services that receive the requests; at least one.
     pub services: Vec<WeightedService>,
-    /// Longest time a request is held; `None` for no bound.
+    /// Maximum time for which a request is held; `None` for no limit.
     pub timeout: Option<Duration>,
-    /// Time within which an answer is worth most; zero where none is given.
+    /// Latency within which a response is most useful; zero if the operators set none.
     pub latency_objective: Duration,
-    /// Rank, 0 the most urgent.
+    /// Priority; 0 is the most urgent.
     pub priority: u32,
-    /// Most targets one request may be sent to, at least 1.
+    /// Maximum number of targets to which one request may be sent, at least 1.
     pub max_attempts: u32,
     /// Whether requests with the same affinity key prefer the same target.
     pub affinity: bool,
     /// Regions whose targets may be used; empty for all.
     pub allowed_regions: Vec<Rc<str>>,
-    /// Whether requests need no key.
+    /// Whether requests need no API key.
     pub is_public: bool,
-    /// Whether answers are large: they are streamed, and what is held of them is bounded.
+    /// Whether responses are large: they are streamed, and the bytes held in memory are bounded.
     pub large_answers: bool,
 }
 
@@ -63,14 +63,14 @@
         is_allowed(&self.allowed_regions, region)
     }
 
-    /// Whether there may be a region that both this route and the tenant allow.
+    /// Whether this route and the tenant may have an allowed region in common.
     pub fn shares_region(&self, tenant: &Tenant) -> bool {
         let (route, tenant) = (&self.allowed_regions, &tenant.allowed_regions);
         route.is_empty() || tenant.is_empty() || route.iter().any(|region| tenant.contains(region))
     }
 }
 
-/// Whether a list of regions, all where it is empty, names `region`.
+/// Whether a list of allowed regions includes `region`. An empty list allows all regions.
 pub(super) fn is_allowed(allowed: &[Rc<str>], region: &str) -> bool {
     allowed.is_empty() || allowed.iter().any(|name| **name == *region)
 }
--- a/src/model/config/service.rs
+++ b/src/model/config/service.rs
@@ -1,16 +1,16 @@
-//! Services: what holds for each of their targets.
+//! Services: settings that apply to each of their targets.
 
 use std::time::Duration;
 
-/// A service.
+/// Settings of a service that apply to each of its targets.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Most connections a target takes from all callers together.
+    /// Maximum number of connections that a target accepts from all instances together.
     pub max_connections: u32,
-    /// How long a target's slow start lasts.
+    /// Duration of a target's slow start.
     pub slow_start: Duration,
-    /// Requests a second that a target bears during slow start.
+    /// Requests per second that a target can serve during slow start.
     pub slow_start_rate: f64,
-    /// Path of the health check.
+    /// Path of the targets' health check.
     pub health_path: String,
 }
--- a/src/model/config/tenant.rs
+++ b/src/model/config/tenant.rs
@@ -1,7 +1,7 @@
-//! Tenants: who may send requests, how many, and where they may run.
+//! Tenants: who may send requests, how many, and in which regions these may be executed.
 //!
-//! Owns the index of the keys. A key is a secret: it is looked up and compared here, and shown
-//! nowhere.
+//! Owns the index of the API keys. A key is a secret: it is looked up and compared here, and never
+//! logged or displayed.
 
 use super::route::is_allowed;
 use std::borrow::Borrow;
@@ -14,12 +14,12 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct TenantKey(usize);
 
-/// A secret that shows a caller's tenant.
+/// Secret that identifies a caller's tenant. `Debug` does not reveal it.
 #[derive(Clone, PartialEq, Eq, Hash)]
 pub struct ApiKey(Rc<str>);
 
 impl ApiKey {
-    /// The key with this text.
+    /// Creates a key from its text.
     pub fn new(text: &str) -> Self {
         Self(text.into())
     }
@@ -37,25 +37,25 @@
     }
 }
 
-/// How many requests of a tenant may run, over all instances.
+/// Limit on the admitted requests of a tenant, over all instances.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Quota {
-    /// Requests a second, above 0 and finite.
+    /// Requests per second; finite and above 0.
     pub rate: f64,
-    /// Requests besides, 0 or more and finite.
+    /// Additional requests in a burst; finite and 0 or more.
     pub burst: f64,
 }
 
-/// Callers that hold one of the same keys.
+/// Callers that share a set of API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name, unique in the config; targets are told it.
+    /// Name, unique in the config; sent to targets with each request.
     pub name: Rc<str>,
-    /// Its keys; none where all were taken away.
+    /// Its API keys; empty if all were revoked.
     pub api_keys: Vec<ApiKey>,
-    /// Rank, 0 the most urgent; comes before the route's.
+    /// Priority; 0 is the most urgent. Takes precedence over the route's priority.
     pub priority: u32,
-    /// Most requests; `None` for no limit.
+    /// Limit on its requests; `None` for no limit.
     pub quota: Option<Quota>,
     /// Regions whose targets may be used; empty for all.
     pub allowed_regions: Vec<Rc<str>>,
@@ -68,27 +68,27 @@
     }
 }
 
-/// Why tenants cannot be used together. The keys themselves are not named.
+/// Error of a list of tenants. Contains no API key.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum TenantError {
-    /// Two tenants have one name.
-    #[error("two tenants have the name {0}; give each a name of its own")]
+    /// Two tenants have the same name.
+    #[error("two tenants have the name {0}; give each a unique name")]
     DuplicateName(Rc<str>),
-    /// Two tenants hold one key.
-    #[error("the tenants {0} and {1} hold the same key; give each key to one tenant")]
+    /// Two tenants have the same API key.
+    #[error("the tenants {0} and {1} have the same key; assign each key to only one tenant")]
     DuplicateKey(Rc<str>, Rc<str>),
-    /// A key is empty.
-    #[error("the tenant {0} has an empty key; leave it out")]
+    /// A tenant has an empty API key.
+    #[error("the tenant {0} has an empty key; remove it")]
     EmptyKey(Rc<str>),
 }
 
-/// The tenants of a config, by key.
+/// The tenants of a config, indexed by name and API key.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     all: Vec<Tenant>,
     by_name: HashMap<Rc<str>, TenantKey>,
-    /// The hash is seeded at random by each process, so that the time of a look-up tells nothing of
-    /// the keys.
+    /// The hash function has a random seed in each process, so that the duration of a look-up reveals
+    /// nothing about the keys.
     by_api_key: HashMap<ApiKey, TenantKey>,
 }
 
@@ -117,22 +117,25 @@
 }
 
 impl Tenants {
-    /// Whether there are none, so that no request needs a key.
+    /// Whether there are no tenants, so that no request needs an API key.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// The tenant of a key of this config; panics on a key of a larger one.
+    /// The tenant with a key of this config.
+    ///
+    /// # Panics
+    /// May panic on a key of another config, which may have more tenants.
     pub fn get(&self, key: TenantKey) -> &Tenant {
         &self.all[key.0]
     }
 
-    /// The tenant that holds an API key.
+    /// Key of the tenant that has this API key.
     pub fn find_by_api_key(&self, api_key: &str) -> Option<TenantKey> {
         self.by_api_key.get(api_key).copied()
     }
 
-    /// The tenant of a name.
+    /// The tenant with this name.
     pub fn find_by_name(&self, name: &str) -> Option<&Tenant> {
         self.by_name.get(name).map(|key| self.get(*key))
     }
--- a/src/model/config/urgency.rs
+++ b/src/model/config/urgency.rs
@@ -1,10 +1,10 @@
-//! Urgency of a request: the tenant's priority, then the route's.
+//! Urgency of a request: by the priority of its tenant, then by that of its route.
 
-/// How urgent a request is; the smaller one goes first.
+/// Urgency of a request. A smaller value is more urgent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Urgency {
-    /// Priority of the tenant, 0 the most urgent; 0 where no tenant is asked for.
+    /// Priority of the tenant, 0 for the most urgent; also 0 if the request has no tenant.
     pub tenant: u32,
-    /// Priority of the route, 0 the most urgent.
+    /// Priority of the route, 0 for the most urgent.
     pub route: u32,
 }
--- a/src/model/fingerprint.rs
+++ b/src/model/fingerprint.rs
@@ -1,10 +1,10 @@
-//! Fingerprint of a request: equal for requests that ask the same of a target, whichever
-//! attempt of a caller and whichever instance they come through.
+//! Fingerprint of a request: a hash by which instances recognize a request that a caller repeats,
+//! through whichever instance it arrives.
 //!
-//! Two requests are the same if method, host, path with query, affinity key and body agree. Of a
-//! body that is streamed only the first 64 KiB and the declared length are known before it is
-//! sent. A caller's id is new with each attempt, and what a request does to a target depends on
-//! what it asks for: what was learned of one attempt is found again with the next.
+//! Two requests have the same fingerprint if their method, host, path with query, affinity key and
+//! body are equal. Of a streamed body only the first 64 KiB and the declared length are known before
+//! it is sent, so the fingerprint covers only these. The request id is not part of it: the caller sets
+//! a new one for each attempt, while the effect of a request on a target depends on its contents.
 //!
 //! Owns the hash. Relies on nothing of lockloft. Test: `tests/fingerprint.rs`.
 
@@ -12,29 +12,29 @@
 use thiserror::Error;
 use xxhash_rust::xxh3::Xxh3;
 
-/// Bytes of a streamed body that are part of the fingerprint.
+/// Maximum bytes at the start of a streamed body that the fingerprint covers.
 pub const STREAMED_PREFIX_BYTES: usize = 64 << 10;
 
-/// What a request asks of a target, as a hash that all instances compute alike.
+/// Hash of the contents of a request. All instances compute the same value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Fingerprint(u64);
 
-/// The parts of a request that its fingerprint is made of.
+/// The parts of a request, other than its body, that the fingerprint covers.
 #[derive(Clone, Copy, Debug)]
 pub struct RequestIdentity<'a> {
-    /// Method.
+    /// HTTP method.
     pub method: &'a str,
-    /// Host; empty where there is none.
+    /// Host; empty if the request has none.
     pub host: &'a str,
-    /// Path and query.
+    /// Path with query.
     pub path: &'a str,
-    /// Affinity key; `None` where the caller sent none.
+    /// Affinity key; `None` if the caller sent none.
     pub affinity_key: Option<&'a [u8]>,
 }
 
 impl Fingerprint {
-    /// The fingerprint of a request whose body has these parts; `length` is that of the body,
-    /// bytes, where it is known.
+    /// Computes the fingerprint of a request. `body` gives consecutive parts of the body, and `length`
+    /// is the length of the whole body in bytes, `None` if it is unknown.
     pub fn new<'a>(
         request: &RequestIdentity<'_>,
         length: Option<u64>,
@@ -42,25 +42,25 @@
     ) -> Self {
         let mut hasher = Xxh3::new();
         for part in [request.method.as_bytes(), request.host.as_bytes(), request.path.as_bytes()] {
-            update_part(&mut hasher, Some(part));
+            hash_part(&mut hasher, Some(part));
         }
-        update_part(&mut hasher, request.affinity_key);
+        hash_part(&mut hasher, request.affinity_key);
         hasher.update(&length.unwrap_or(u64::MAX).to_le_bytes());
         body.into_iter().for_each(|part| hasher.update(part));
         Self(hasher.digest())
     }
 }
 
-/// Adds a part with its length, so that no two sequences of parts give the same bytes.
-fn update_part(hasher: &mut Xxh3, part: Option<&[u8]>) {
+/// Hashes a part after its length, so that two different sequences of parts never give the same bytes.
+fn hash_part(hasher: &mut Xxh3, part: Option<&[u8]>) {
     let length = part.map_or(u64::MAX, |part| part.len() as u64);
     hasher.update(&length.to_le_bytes());
     hasher.update(part.unwrap_or_default());
 }
 
-/// Why a text is no fingerprint.
+/// Error for a text that is not a fingerprint as `Display` writes it.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("it is not 16 hexadecimal digits in lower case; remove the key")]
+#[error("the fingerprint is not 16 lowercase hexadecimal digits; remove the key")]
 pub struct FingerprintError;
 
 impl TryFrom<&str> for Fingerprint {
--- a/src/model/member.rs
+++ b/src/model/member.rs
@@ -1,39 +1,38 @@
-//! The registration of an instance: what its record in the store says.
+//! The registration of an instance: its record in the store.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 use std::net::SocketAddr;
 
-/// One instance. lockloft writes and reads this record itself, as JSON with these
-/// field names.
+/// Registration of an instance. Instances write and read this record as JSON with these field names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Member {
-    /// Where callers send their requests.
+    /// Address to which callers send their requests.
     pub callers: SocketAddr,
-    /// Where other instances and operators ask it.
+    /// Address at which other instances and operators reach it.
     pub peer: SocketAddr,
-    /// Its hall.
+    /// Name of its hall.
     pub hall: String,
-    /// Its region.
+    /// Name of its region.
     pub region: String,
-    /// What its machine has; nothing in the records of older instances.
+    /// Capacity of its machine; empty in records of older versions.
     #[serde(flatten)]
     pub capacity: Capacity,
 }
 
-/// What the machine of an instance has, as its settings say. Zero says as little as nothing.
+/// Capacity of an instance's machine, from its settings. Zero means unknown, as an absent value does.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
-    /// Thousandths of a core.
+    /// CPU capacity, thousandths of a core; `None` if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub core_milli: Option<u32>,
-    /// Its link in each direction, kbit/s.
+    /// Network capacity in each direction, kbit/s; `None` if unknown.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     pub link_kbit: Option<u32>,
 }
 
 impl Member {
-    /// The value for the store.
+    /// Encodes the record as JSON for the store.
     pub fn to_json(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).expect("a member is plain values"))
     }
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,6 +1,6 @@
-//! What the operators and the platform describe, decoded: plain data without
-//! behaviour over time. Relies on [`crate::policy`] alone, for the
-//! document that a record holds.
+//! Data model: the decoded configuration and store records, and the messages between instances. Plain
+//! data without state that changes over time. Relies on [`crate::policy`] alone, for the policy document
+//! in a record.
 
 pub mod config;
 pub mod fingerprint;
--- a/src/model/rate_limits.rs
+++ b/src/model/rate_limits.rs
@@ -1,65 +1,65 @@
-//! What instances tell each other of the rate limits of targets: plain data, with its form on the
-//! wire.
+//! Messages between instances about the rate limits of targets, with their wire format.
 //!
-//! Owns the form, as [`crate::model::usage`] does, whose rules for changes hold here as well.
+//! Owns the wire format. It is encoded as in [`crate::model::usage`], and the rules for changes given
+//! there apply here too.
 
 use serde::{Deserialize, Serialize};
 
-/// One start of a target at one address, in messages.
+/// Identifies one start of a target at one address in messages: a hash of its id, start and address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord, Serialize, Deserialize)]
 pub struct StartKey(pub [u8; 8]);
 
-/// What an answer of the target said of its limit.
+/// Rate limit that a target announced in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct AnnouncedRate {
-    /// Requests a second; `None` where it named no limit.
+    /// Requests per second; `None` if the response announced no limit.
     pub rate: Option<f32>,
-    /// Time since that answer, milliseconds.
+    /// Time since that response, milliseconds.
     pub age_ms: u16,
 }
 
-/// What an instance, or the head of a hall for it, tells of a target.
+/// Demand for a target, reported by an instance or by the head of its hall.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetDemand {
-    /// The target.
+    /// Target at one start and address.
     pub target: StartKey,
-    /// What the target said there last; `None` where it said nothing lately.
+    /// Latest announcement of the target that the sender knows; `None` if there is no recent one.
     pub told: Option<AnnouncedRate>,
-    /// Requests a second that would be sent there were it not for the limit.
+    /// Requests per second that would be sent to the target without the limit.
     pub demand: f32,
-    /// Whether the target has said that it leaves.
+    /// Whether the target has announced that it leaves.
     pub leaves: bool,
 }
 
-/// What an instance tells the head of its hall, or that head another one.
+/// Report of an instance to the head of its hall, or of that head to another head.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitReport {
-    /// Name of the instance that tells it.
+    /// Name of the instance that sends the report.
     pub from: String,
-    /// Its hall.
+    /// Name of its hall.
     pub hall: String,
-    /// Whether it tells what it was told by others of its hall.
+    /// Whether a head forwards what other instances of its hall reported.
     pub is_forwarded: bool,
-    /// Targets whose limits are known there.
+    /// Targets whose limits the sender knows.
     pub targets: Vec<TargetDemand>,
 }
 
-/// The share of the requests to a target that may be sent.
+/// Share of the requests to a target that may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetShare {
-    /// The target.
+    /// Target at one start and address.
     pub target: StartKey,
-    /// What it said last of its limit to any instance.
+    /// Latest announcement of the target to any instance; `None` if there is no recent one.
     pub told: Option<AnnouncedRate>,
-    /// Whether it has said to any instance that it leaves.
+    /// Whether the target has announced to any instance that it leaves.
     pub leaves: bool,
     /// Share of the requests that may be sent, 0 to 1.
     pub pass: f32,
 }
 
-/// The answer to a report.
+/// Answer of a head to a [`LimitReport`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitAnswer {
-    /// Targets that named a limit lately, those of the report first.
+    /// Targets that recently announced a limit, those of the report first.
     pub shares: Vec<TargetShare>,
 }
--- a/src/model/record.rs
+++ b/src/model/record.rs
@@ -1,4 +1,4 @@
-//! Records of the store, decoded.
+//! Decoded store records, and errors of values that cannot be decoded.
 
 use crate::model::config::Config;
 use crate::model::fingerprint::Fingerprint;
@@ -9,57 +9,56 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// What an item of the store says.
+/// Decoded item of the store.
 #[derive(Debug)]
 pub enum Record {
     /// The operators' configuration.
     Config(Config),
-    /// A hall that is evacuated: its targets receive no requests.
+    /// Name of a hall under evacuation: its targets receive no requests.
     Evacuation(Rc<str>),
     /// The registration of a target.
     Target(TargetRegistration),
-    /// The operators' policies; whether they may come into force is still to be
-    /// checked.
+    /// The operators' policies, not yet validated.
     Policies(PolicyDocument),
     /// The registration of an instance.
     Member {
         /// Name of the instance.
         name: String,
-        /// What it registered.
+        /// Its registration.
         member: Member,
     },
-    /// Targets that ended under a request.
+    /// Strikes against a request: targets that crashed under it.
     Strikes {
-        /// The request.
+        /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// What ended under it.
+        /// Number of these targets, and who counted the latest.
         strikes: Strikes,
     },
-    /// A key that lockloft does not use.
+    /// An item at a key that lockloft does not use.
     Unknown,
 }
 
-/// A value that cannot be used.
+/// Error of a store value that cannot be used.
 #[derive(Clone, Debug, Error, PartialEq, Eq, Hash)]
 #[error("{key}: {}{problem}; {}, correct the value", prefix(.field), .fallback.as_str())]
 pub struct RecordError {
-    /// The key.
+    /// Key of the item in the store.
     pub key: String,
-    /// Path of the field; empty where the value as a whole is wrong, or the problem
-    /// names a field that is missing.
+    /// Path of the invalid field; empty if the value as a whole is invalid, or if a field is missing,
+    /// which `problem` then names.
     pub field: String,
-    /// What is wrong.
+    /// What is wrong with the value, for operators.
     pub problem: String,
-    /// What holds instead.
+    /// What applies until the value is corrected.
     pub fallback: Fallback,
 }
 
-/// What holds while a value cannot be used.
+/// What applies in place of an invalid value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Fallback {
-    /// The last good value: of configuration and policies.
+    /// The last good value stays in force; for the configuration and policies.
     LastGood,
-    /// Nothing: a target or an instance is not used until its next good registration.
+    /// The target or instance is not used until its next valid registration.
     NotUsed,
 }
 
@@ -67,18 +66,18 @@
     fn as_str(self) -> &'static str {
         match self {
             Fallback::LastGood => "the last good value stays in force",
-            Fallback::NotUsed => "what it should name is not used until its next good registration",
+            Fallback::NotUsed => "what it registers is not used until its next valid registration",
         }
     }
 }
 
 impl RecordError {
-    /// An error of the value as a whole.
+    /// An error of the value as a whole, with [`Fallback::LastGood`].
     pub fn new(key: &str, problem: impl ToString) -> Self {
         Self { key: key.to_owned(), field: String::new(), problem: problem.to_string(), fallback: Fallback::LastGood }
     }
 
-    /// The same error of a registration.
+    /// The same error for a registration, with [`Fallback::NotUsed`].
     pub fn for_registration(self) -> Self {
         Self { fallback: Fallback::NotUsed, ..self }
     }
@@ -88,10 +87,10 @@
     if field.is_empty() { String::new() } else { format!("{field}: ") }
 }
 
-/// What a removed key held.
+/// Record that a removed key held.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum RemovedRecord {
-    /// The evacuation of a hall, by its name.
+    /// The evacuation of a hall, by the name of the hall.
     Evacuation(String),
     /// The registration of a target, by its id.
     Target(String),
@@ -99,8 +98,8 @@
     Member(String),
     /// The operators' policies.
     Policies,
-    /// What ended under a request.
+    /// The strikes against a request.
     Strikes(Fingerprint),
-    /// Nothing whose removal changes anything.
+    /// A record whose removal has no effect.
     Unknown,
 }
--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -1,61 +1,62 @@
-//! The registration of a target: what its record in the store says. The target
-//! rewrites it with each heartbeat, and it expires when the heartbeats end.
+//! The registration of a target: its record in the store. The target rewrites it with each heartbeat,
+//! and it expires when the heartbeats stop.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Whether a target takes new requests.
+/// Whether a target accepts new requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum TargetState {
-    /// It takes new requests.
+    /// Accepts new requests.
     Ready,
-    /// It finishes the requests it has, and is to get no new ones.
+    /// Finishes its requests; instances send it no new ones.
     Draining,
 }
 
-/// When a target's process started, Unix milliseconds: tells the starts of one id apart.
+/// Time at which a target's process started, Unix milliseconds. Distinguishes the starts of targets
+/// with one id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartTime(pub u64);
 
-/// The place of a registration among those of its id: by start, then by sequence. One that
-/// names no start is earlier than any that does.
+/// Order in which the registrations of one id were written: by start, then by sequence. A
+/// registration without a start precedes any that has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteOrder {
-    /// The start that wrote it, where it says so.
+    /// Start that wrote the registration; `None` if the record does not contain it.
     pub start: Option<StartTime>,
-    /// Count of that start's writes.
+    /// Counter of the writes of that start.
     pub sequence: u64,
 }
 
-/// One registration. The platform fixes all but state, sequence and slow start for one start
-/// of the target; where they change all the same, the one with the highest sequence counts.
+/// Registration of a target. By the platform's rules only state, sequence and slow start change during
+/// one start of the target. If other fields change anyway, the highest sequence applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRegistration {
-    /// Id; a target may start again under it.
+    /// Target id; a restarted target may keep it.
     pub id: Rc<str>,
-    /// The start that wrote it, where it says so.
+    /// Start that wrote the record; `None` if the record does not contain it.
     pub start: Option<StartTime>,
-    /// Service name.
+    /// Name of its service.
     pub service: Rc<str>,
-    /// Where it takes requests.
+    /// Address at which it accepts requests.
     pub address: SocketAddr,
-    /// Its hall.
+    /// Name of its hall.
     pub hall: Rc<str>,
-    /// Version of its software.
+    /// Version of the target's software.
     pub version: Rc<str>,
-    /// Requests it works on at once, at least 1; it queues a few more.
+    /// Number of requests that it processes concurrently, at least 1; it queues a few more.
     pub slots: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts new requests.
     pub state: TargetState,
-    /// Count of this start's writes of the record; a lower one is older.
+    /// Counter of this start's writes of the record; a lower number is older.
     pub sequence: u64,
-    /// What is left of its slow start, from the time of the write on.
+    /// Remaining time of its slow start when the record was written.
     pub slow_start: Duration,
 }
 
 impl TargetRegistration {
-    /// Its place among the registrations of its id.
+    /// Position of this registration among those of its id.
     pub fn order(&self) -> WriteOrder {
         WriteOrder { start: self.start, sequence: self.sequence }
     }
--- a/src/model/strikes.rs
+++ b/src/model/strikes.rs
@@ -1,20 +1,19 @@
-//! What instances share of a request that ended targets: its record in the store.
+//! The record by which instances share, through the store, how many targets crashed under a request.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
 
-/// The record of a request. lockloft writes and reads it itself, as JSON with these field
-/// names.
+/// Strikes against a request. Instances write and read this record as JSON with these field names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strikes {
-    /// Targets that ended under it, one after the other.
+    /// Number of targets that crashed under the request, one after the other.
     pub strikes: u32,
-    /// Name of the instance that counted the last one.
+    /// Name of the instance that counted the latest strike.
     pub by: String,
 }
 
 impl Strikes {
-    /// The value for the store.
+    /// Encodes the record as JSON for the store.
     pub fn to_json(&self) -> Bytes {
         Bytes::from(serde_json::to_vec(self).expect("a record is a number and a plain string"))
     }
--- a/src/model/usage.rs
+++ b/src/model/usage.rs
@@ -1,105 +1,107 @@
-//! What instances tell each other of the requests of tenants and of the loads of targets: plain data,
-//! with its form on the wire.
+//! Messages between instances about the usage of tenants and the loads of targets, with their wire
+//! format.
 //!
-//! Owns the form: [postcard](https://postcard.jamesmunns.com/wire-format), fields in this order.
-//! Instances of two versions run side by side during an update, so that fields are only added, at
-//! the end, in a path of their own.
+//! Owns the wire format: [postcard](https://postcard.jamesmunns.com/wire-format), fields in this order.
+//! Instances of two versions run side by side during an update. Fields are therefore only added, at
+//! the end, and the extended message gets a path of its own.
 
 use bytes::Bytes;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 use std::time::Duration;
 
-/// Requests of a tenant in some time.
+/// Requests of a tenant during some period.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Usage {
-    /// Those let through, less earlier ones that no target ran.
+    /// Admitted requests, minus requests admitted earlier that no target executed; may be negative.
     pub admitted: i32,
-    /// Those that arrived, let through or not.
+    /// Requests that arrived, admitted or not.
     pub offered: u32,
 }
 
 impl Usage {
-    /// Whether there is nothing to tell.
+    /// Whether there are no requests to report.
     pub fn is_empty(self) -> bool {
         self == Self::default()
     }
 
-    /// Adds another time's requests.
+    /// Adds the requests of another period; the counts saturate.
     pub fn add(&mut self, other: Self) {
         self.admitted = self.admitted.saturating_add(other.admitted);
         self.offered = self.offered.saturating_add(other.offered);
     }
 }
 
-/// The first bytes of a target's key, for messages that name many targets. Two targets that share
-/// them, one pair in four thousand million, are told each other's loads.
+/// First bytes of a target's key, for messages about many targets. Two targets with the same first
+/// bytes, one pair in about 4 billion, are attributed each other's loads.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShortKey(pub [u8; 4]);
 
-/// The load of a target, as it told it in an answer.
+/// Load that a target reported in a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct TargetLoad {
-    /// The target.
+    /// Key of the target.
     pub target: ShortKey,
-    /// Requests running or waiting there.
+    /// Requests running or waiting at the target; 255 stands for more too.
     pub requests: u8,
-    /// Time since the target told it, in units of [`AGE_UNIT`].
+    /// Time since the response, in units of [`AGE_UNIT`], rounded down; 255 stands for more too.
     pub age: u8,
 }
 
-/// Unit of ages in messages.
+/// Unit of [`TargetLoad::age`] in messages.
 pub const AGE_UNIT: Duration = Duration::from_millis(10);
 
 impl TargetLoad {
-    /// The load that a target told `age` ago.
+    /// Load that a target reported `age` ago.
     pub fn new(target: ShortKey, requests: u32, age: Duration) -> Self {
         let age = age.as_millis() / AGE_UNIT.as_millis();
         Self { target, requests: requests.min(u8::MAX.into()) as u8, age: age.min(u8::MAX.into()) as u8 }
     }
 
-    /// Time since the target told it, rounded up.
+    /// Time since the target reported the load, rounded up.
     pub fn age(&self) -> Duration {
         AGE_UNIT * (u32::from(self.age) + 1)
     }
 }
 
-/// What an instance tells another one: requests that it told nobody else of the same hall.
+/// Report of an instance to another one. Its requests are reported to no other instance of the
+/// receiver's hall.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
-    /// Name of the instance that tells it.
+    /// Name of the instance that sends the report.
     pub from: String,
-    /// Its hall.
+    /// Name of its hall.
     pub hall: String,
-    /// Whether it tells what it was told by others of its hall, besides its own.
+    /// Whether the report includes requests that other instances of its hall reported to it.
     pub is_forwarded: bool,
-    /// Time in which these requests arrived, milliseconds.
+    /// Period in which these requests arrived, milliseconds.
     pub over_ms: u32,
-    /// Tenants by name.
+    /// Usage by tenant name.
     pub tenants: Vec<(String, Usage)>,
-    /// Loads of targets.
+    /// Loads that targets reported to the sender or, in a report to another hall, to instances of its hall.
     pub loads: Vec<TargetLoad>,
 }
 
-/// The answer: what may pass of the tenants that are near their quotas, and loads of targets.
+/// Answer to a [`UsageReport`]: the shares of requests admitted for tenants near their quotas, and loads
+/// of targets.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsageAnswer {
-    /// Tenants by name, each with the share of its requests that may pass, below 1. All others may
-    /// pass whole.
+    /// Share of requests that may be admitted, below 1, by tenant name. All requests of other tenants
+    /// may be admitted.
     pub passes: Vec<(String, f32)>,
-    /// Loads that targets told other instances.
+    /// Loads that targets reported to other instances.
     pub loads: Vec<TargetLoad>,
 }
 
-/// The form of a message on the wire.
+/// Encodes a message in the wire format.
 pub fn encode<T: Serialize>(message: &T) -> Bytes {
     postcard::to_stdvec(message).expect("a message is plain data").into()
 }
 
-/// A message read from the wire.
+/// Decodes a message from the wire format.
 ///
 /// # Errors
-/// [`postcard::Error`] where it is none.
+/// [`postcard::Error`] if the bytes are not such a message.
 pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, postcard::Error> {
     postcard::from_bytes(bytes)
 }
