--- a/src/decision/capacity/rate_limit/totals.rs
+++ b/src/decision/capacity/rate_limit/totals.rs
@@ -18,7 +18,7 @@
 use super::known_limit::{AnnouncedLimit, MAX_LIMIT_AGE};
 use crate::clock::Instant;
 use crate::decision::registry::members::Members;
-use crate::model::rate_limits::{LimitReport, StartKey, TargetDemand, TargetShare, ToldRate};
+use crate::model::rate_limits::{AnnouncedRate, LimitReport, StartKey, TargetDemand, TargetShare};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -203,15 +203,15 @@
 }
 
 /// Converts a limit for a message; `None` if it is older than `MAX_LIMIT_AGE`.
-pub fn limit_to_message(limit: AnnouncedLimit, now: Instant) -> Option<ToldRate> {
+pub fn limit_to_message(limit: AnnouncedLimit, now: Instant) -> Option<AnnouncedRate> {
     let age = now.saturating_duration_since(limit.at);
     let age_ms = u16::try_from(age.as_millis()).ok()?;
-    (age < MAX_LIMIT_AGE).then_some(ToldRate { rate: limit.rate.map(|rate| rate as f32), age_ms })
+    (age < MAX_LIMIT_AGE).then_some(AnnouncedRate { rate: limit.rate.map(|rate| rate as f32), age_ms })
 }
 
 /// Converts a limit from a message; `None` if its rate is not a finite number of at least 0, or if
 /// it is older than `MAX_LIMIT_AGE`.
-pub fn limit_from_message(message: ToldRate, now: Instant) -> Option<AnnouncedLimit> {
+pub fn limit_from_message(message: AnnouncedRate, now: Instant) -> Option<AnnouncedLimit> {
     let rate = message.rate.map(f64::from);
     let is_rate = rate.is_none_or(|rate| rate.is_finite() && rate >= 0.0);
     let at = now.checked_sub(Duration::from_millis(message.age_ms.into()))?;
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -261,7 +261,7 @@
 }
 
 fn quota(name: &str, context: QuotaContext<'_>) -> Option<Quota> {
-    context.tenants.find(name)?.quota
+    context.tenants.find_by_name(name)?.quota
 }
 
 fn window_limit(name: &str, context: QuotaContext<'_>, reachable_fraction: f64) -> Option<WindowLimit> {
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -196,7 +196,7 @@
             }
             RegistrationOutcome::Stale => Vec::new(),
             RegistrationOutcome::MissingStart => {
-                let error = RecordError::new(&item.key, MISSING_START).of_registration();
+                let error = RecordError::new(&item.key, MISSING_START).for_registration();
                 self.refuse(RemovedRecord::Target(registration.id.to_string()), error, now)
             }
         }
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -5,7 +5,7 @@
 //! `limits.memory_mb`. Relies on [`BufferedBytes`] for the counts; the instance owns the total.
 
 use crate::clock::{Instant, timeout_at};
-use crate::model::fingerprint::{Fingerprint, RequestIdentity, STREAMED_BYTES};
+use crate::model::fingerprint::{Fingerprint, RequestIdentity, STREAMED_PREFIX_BYTES};
 use crate::net::buffered_bytes::BufferedBytes;
 use crate::net::chunks;
 use crate::net::request_body::{RequestBody, StreamedBody};
@@ -82,7 +82,7 @@
             IncomingBody::Buffered { bytes, .. } => Fingerprint::new(request, Some(bytes.len() as u64), [&bytes[..]]),
             IncomingBody::Streamed(streamed) => {
                 let length = streamed.as_ref().and_then(StreamedBody::length);
-                let head = streamed.iter().flat_map(|body| body.prefix(STREAMED_BYTES));
+                let head = streamed.iter().flat_map(|body| body.prefix(STREAMED_PREFIX_BYTES));
                 Fingerprint::new(request, length, head)
             }
         }
@@ -118,7 +118,7 @@
 /// larger one the prefix that its fingerprint covers.
 fn may_buffer_more(buffered: &BufferedBytes, min_size: u64, max_total: u64) -> bool {
     let is_buffered = min_size <= MAX_BUFFERED_BODY;
-    (is_buffered || buffered.bytes() < STREAMED_BYTES as u64) && has_room(buffered, max_total)
+    (is_buffered || buffered.bytes() < STREAMED_PREFIX_BYTES as u64) && has_room(buffered, max_total)
 }
 
 /// Whether more of this body may be buffered, with at most `max_total` bytes of all bodies.
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -3,7 +3,7 @@
 //!
 //! Passes each request to [`crate::proxy::request`]. Relies on the limits of the configuration.
 
-use crate::model::config::{Repeat, Route};
+use crate::model::config::{Idempotency, Route};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
 use crate::platform::Platform;
 use crate::proxy::buffered_response::MAX_BUFFERED_RESPONSE;
@@ -60,7 +60,7 @@
 }
 
 fn is_repeatable(route: &Route) -> bool {
-    route.repeat == Repeat::Safe
+    route.idempotency == Idempotency::Idempotent
 }
 
 impl<P: Platform> Handler for CallerListener<P> {
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -221,7 +221,7 @@
         region: "a".into(),
         capacity: Capacity::default(),
     };
-    let value = String::from_utf8(member.value().to_vec()).unwrap();
+    let value = String::from_utf8(member.to_json().to_vec()).unwrap();
     for name in ["e-1", "e-2", "e-3", "e-4"] {
         scene.put(name, &value);
     }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -12,7 +12,7 @@
 use lockloft::decision::registry::target::Target;
 use lockloft::decision::registry::target_key::start_key;
 use lockloft::model::member::{Capacity, Member};
-use lockloft::model::rate_limits::{LimitReport, StartKey, TargetDemand, ToldRate};
+use lockloft::model::rate_limits::{AnnouncedRate, LimitReport, StartKey, TargetDemand};
 use lockloft::model::registration::{StartTime, TargetRegistration, TargetState};
 use std::time::Duration;
 
@@ -38,7 +38,7 @@
     members
 }
 
-fn report(from: &str, hall: &str, demand: f32, told: Option<ToldRate>) -> LimitReport {
+fn report(from: &str, hall: &str, demand: f32, told: Option<AnnouncedRate>) -> LimitReport {
     let targets = vec![TargetDemand { target: TARGET, told, demand, leaves: false }];
     LimitReport { from: from.to_owned(), hall: hall.to_owned(), is_forwarded: false, targets }
 }
@@ -49,7 +49,7 @@
     pause: PauseSignal::None,
     is_rejection: false,
 };
-const ANNOUNCED: Option<ToldRate> = Some(ToldRate { rate: Some(6.0), age_ms: 0 });
+const ANNOUNCED: Option<AnnouncedRate> = Some(AnnouncedRate { rate: Some(6.0), age_ms: 0 });
 
 #[test]
 fn a_limit_is_one_decimal_number() {
@@ -189,7 +189,7 @@
 #[test]
 fn a_target_with_limit_zero_gets_the_minimum_rate() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
-    let zero_limit = Some(ToldRate { rate: Some(0.0), age_ms: 0 });
+    let zero_limit = Some(AnnouncedRate { rate: Some(0.0), age_ms: 0 });
     totals.record_report(&report("e-0", "h-0", 10.0, zero_limit), "h-0", now);
     let pass = f64::from(totals.shares(&[], &members, "h-0", now)[0].pass);
     assert!((pass - MIN_RATE / 10.0).abs() < 0.0001, "{pass}");
@@ -203,7 +203,7 @@
         totals.record_report(&report("e-9", "h-0", demand, None), "h-0", now);
     }
     for rate in [f32::NAN, f32::INFINITY, -1.0] {
-        assert_eq!(limit_from_message(ToldRate { rate: Some(rate), age_ms: 0 }, now), None);
+        assert_eq!(limit_from_message(AnnouncedRate { rate: Some(rate), age_ms: 0 }, now), None);
     }
     assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 0.5).abs() < 0.001);
     let many = (0..10_000_u64).map(|key| TargetDemand {
@@ -222,7 +222,7 @@
     let now = Instant::now() + ms(60_000);
     assert!(limit_to_message(AnnouncedLimit { rate: Some(1.0), at: now - ms(9_000) }, now).is_some());
     assert!(limit_to_message(AnnouncedLimit { rate: Some(1.0), at: now - ms(11_000) }, now).is_none());
-    assert!(limit_from_message(ToldRate { rate: Some(1.0), age_ms: 11_000 }, now).is_none());
+    assert!(limit_from_message(AnnouncedRate { rate: Some(1.0), age_ms: 11_000 }, now).is_none());
 }
 
 #[test]
