--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -63,7 +63,7 @@
                     Ok(record) => state_changes.extend(self.apply_record(item, record, now)),
                     Err(error) => state_changes.extend(self.refuse(P::decode_removal(&item.key), error, now)),
                 },
-                Event::Gone { key, revision } => state_changes.extend(match P::decode_removal(key) {
+                Event::Delete { key, revision } => state_changes.extend(match P::decode_removal(key) {
                     RemovedRecord::Policies => self.retain_policies(key, *revision),
                     removed => self.remove_record(removed, now, grace_until),
                 }),
@@ -84,7 +84,7 @@
     ) -> Vec<StateChange> {
         let is_kept = |event: &&Event| {
             let removed = || P::decode_removal(event.key());
-            let is_gone = matches!(event, Event::Gone { .. });
+            let is_gone = matches!(event, Event::Delete { .. });
             is_gone && matches!(removed(), RemovedRecord::Member(_) | RemovedRecord::Evacuation(_))
         };
         let (kept, others): (Vec<&Event>, Vec<&Event>) = changes.iter().partition(is_kept);
--- a/src/decision/selection/directory.rs
+++ b/src/decision/selection/directory.rs
@@ -5,7 +5,7 @@
 //! **Inputs**
 //! - The caller's region, from its question; empty where it does not give one.
 //! - The members, their regions and their machines' capacity; as old as the view, whose age is not
-//!   bounded while the store is unreachable. A member leaves the view when its lease runs out, `LEASE`
+//!   bounded while the store is unreachable. A member leaves the view when its lease runs out, `LEASE_TTL`
 //!   (2.6 s, or the store's shortest lease if longer) after its last renewal.
 //! - Whether this instance accepts requests now; exact. Its own record in the view is not
 //!   consulted: a stopping instance is not named although its record is still there, and one that
--- a/src/store/era.rs
+++ b/src/store/era.rs
@@ -90,7 +90,7 @@
     ///
     /// # Errors
     /// [`StoreError::EarlierEra`] if a later era is known.
-    pub fn check_answer(&self, reported: Option<Era>) -> Result<Era, StoreError> {
+    pub fn check_response(&self, reported: Option<Era>) -> Result<Era, StoreError> {
         let era = reported.unwrap_or(self.era.get());
         self.observe(era);
         if era < self.era.get() { Err(StoreError::EarlierEra) } else { Ok(era) }
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -16,7 +16,7 @@
 
 use super::StoreError;
 use super::grace::RegistrationGrace;
-use super::lease::RENEW_EVERY;
+use super::lease::RENEWAL_INTERVAL;
 use crate::clock::Instant;
 use std::cell::Cell;
 use std::time::Duration;
@@ -68,7 +68,7 @@
 
     /// Whether the store never answered, or not for 1.5 s.
     pub fn is_lost(&self) -> bool {
-        self.silence().is_none_or(|silence| silence > SILENCE_BEYOND_RENEWAL + RENEW_EVERY)
+        self.silence().is_none_or(|silence| silence > SILENCE_BEYOND_RENEWAL + RENEWAL_INTERVAL)
     }
 
     /// Time since the store last answered.
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -44,7 +44,7 @@
     /// A key was written.
     Put(Item),
     /// A key was removed at a revision.
-    Gone {
+    Delete {
         /// The key.
         key: String,
         /// The revision of its removal.
@@ -57,7 +57,7 @@
     pub fn key(&self) -> &str {
         match self {
             Event::Put(item) => &item.key,
-            Event::Gone { key, .. } => key,
+            Event::Delete { key, .. } => key,
         }
     }
 
@@ -65,7 +65,7 @@
     pub fn revision(&self) -> u64 {
         match self {
             Event::Put(item) => item.revision,
-            Event::Gone { revision, .. } => *revision,
+            Event::Delete { revision, .. } => *revision,
         }
     }
 }
@@ -81,7 +81,7 @@
 
 /// The answer to a watch.
 #[derive(Clone, Debug)]
-pub enum Watched {
+pub enum WatchResponse {
     /// Changes up to the position `at`; none where the wait timed out.
     Events {
         /// The changes, oldest first.
@@ -90,7 +90,7 @@
         at: Position,
     },
     /// The history after the requested revision is compacted; list again.
-    HistoryGone,
+    Compacted,
 }
 
 /// A lease on keys of the store.
@@ -107,7 +107,7 @@
 pub enum StoreError {
     /// No answer; a write may have been done, or may still be done.
     #[error("the store did not answer; lockloft retries the call")]
-    Silent,
+    NoResponse,
     /// The store refused the call with this status; nothing was done.
     #[error("the store refused the call with status {0}; lockloft retries it")]
     Refused(u16),
@@ -116,7 +116,7 @@
     Conflict,
     /// The lease has expired.
     #[error("the lease is over; lockloft takes a new one")]
-    LeaseOver,
+    LeaseExpired,
     /// The answer predates a restore of the store from a snapshot.
     #[error("the answer is from an earlier era of the store, before it was restored; lockloft retries")]
     EarlierEra,
@@ -125,25 +125,26 @@
     MixedEras,
     /// An answer outside the store's protocol.
     #[error("the store's answer cannot be read ({0}); check that [store] address names the store")]
-    Unreadable(String),
+    InvalidResponse(String),
 }
 
 /// The platform's store.
 pub trait Store: 'static {
     /// The latest era reported by an answer of the store or of a peer.
     fn latest_era(&self) -> Rc<LatestEra>;
-    /// Lists all keys under `prefix`, as of now; calls `answer_begins` when the head of
+    /// Lists all keys under `prefix`, as of now; calls `on_response_start` when the head of
     /// the first page has come.
-    fn list(&self, prefix: &str, answer_begins: impl FnOnce()) -> impl Future<Output = Result<Listing, StoreError>>;
+    fn list(&self, prefix: &str, on_response_start: impl FnOnce())
+    -> impl Future<Output = Result<Listing, StoreError>>;
     /// Waits up to `wait` for changes under `prefix` after a revision of the latest era; calls
-    /// `answer_begins` when the head of the answer has come.
+    /// `on_response_start` when the head of the answer has come.
     fn watch(
         &self,
         prefix: &str,
         after: u64,
         wait: Duration,
-        answer_begins: impl FnOnce(),
-    ) -> impl Future<Output = Result<Watched, StoreError>>;
+        on_response_start: impl FnOnce(),
+    ) -> impl Future<Output = Result<WatchResponse, StoreError>>;
     /// How many keys there are under `prefix`, by a cheap read that may be seconds old; those of
     /// one page at most.
     fn count(&self, prefix: &str) -> impl Future<Output = Result<usize, StoreError>>;
@@ -154,7 +155,7 @@
     /// Renews a lease.
     fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
     /// Ends a lease and removes its keys.
-    fn end(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
+    fn revoke(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
     /// Writes a key that goes with a lease.
     fn put(&self, key: &str, value: Bytes, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
     /// Writes a key that stays, if it is still at the revision `expected`; 0
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -76,7 +76,7 @@
                     self.items.insert(item.key.clone(), item.clone());
                     changes.push(event);
                 }
-                Event::Gone { key, .. } => {
+                Event::Delete { key, .. } => {
                     if self.items.remove(key).is_some() {
                         changes.push(event);
                     }
@@ -119,7 +119,7 @@
             }
         }
         let mut events: Vec<Event> =
-            gone.into_iter().map(|key| Event::Gone { key, revision: listing.at.revision }).collect();
+            gone.into_iter().map(|key| Event::Delete { key, revision: listing.at.revision }).collect();
         events.extend(listing.items.into_iter().map(Event::Put));
         let changes = self.merge(events, listing.at);
         // Keys written and removed before the list are not among the changes.
@@ -133,7 +133,8 @@
         let Listing { items, at } = listing;
         let listed: BTreeMap<String, Item> = items.into_iter().map(|item| (item.key.clone(), item)).collect();
         let gone = self.items.keys().filter(|key| !listed.contains_key(*key));
-        let mut changes: Vec<Event> = gone.map(|key| Event::Gone { key: key.clone(), revision: at.revision }).collect();
+        let mut changes: Vec<Event> =
+            gone.map(|key| Event::Delete { key: key.clone(), revision: at.revision }).collect();
         let differing = listed.values().filter(|item| self.items.get(&item.key) != Some(*item));
         changes.extend(differing.cloned().map(Event::Put));
         self.items = listed;
--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -19,7 +19,7 @@
 /// Waits for the answer to a small call; `kind` is its label in the metrics.
 ///
 /// # Errors
-/// [`StoreError`]; [`StoreError::Silent`] where it timed out.
+/// [`StoreError`]; [`StoreError::NoResponse`] where it timed out.
 pub async fn call<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
@@ -32,7 +32,7 @@
 /// does.
 ///
 /// # Errors
-/// [`StoreError`]; [`StoreError::Silent`] where it timed out.
+/// [`StoreError`]; [`StoreError::NoResponse`] where it timed out.
 pub async fn document_call<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
@@ -52,9 +52,9 @@
     answer: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     instance.metrics.store_calls.with_label_values(&[kind]).inc();
-    let result = timeout(limit, answer).await.unwrap_or(Err(StoreError::Silent));
+    let result = timeout(limit, answer).await.unwrap_or(Err(StoreError::NoResponse));
     match &result {
-        Ok(_) | Err(StoreError::LeaseOver | StoreError::Conflict | StoreError::EarlierEra) => {
+        Ok(_) | Err(StoreError::LeaseExpired | StoreError::Conflict | StoreError::EarlierEra) => {
             instance.store_copy.mark_answered()
         }
         Err(error) => {
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -96,7 +96,7 @@
             Ok(_) => backoff.reset(),
             // `call` has counted and logged the failure.
             Err(error) => {
-                was_unanswered |= error == StoreError::Silent;
+                was_unanswered |= error == StoreError::NoResponse;
                 sleep(backoff.wait()).await;
             }
         }
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -1,5 +1,5 @@
 //! Membership: a ready instance keeps its own key in the store under a lease, renews the lease
-//! each `RENEW_EVERY` (1.2 s), and writes the key again where the view still lacks it.
+//! each `RENEWAL_INTERVAL` (1.2 s), and writes the key again where the view still lacks it.
 //!
 //! **Inputs**
 //! - Whether the instance is ready or stops; local, exact.
@@ -28,7 +28,7 @@
 use crate::model::member::Member;
 use crate::platform::Platform;
 use crate::state::Instance;
-use crate::store::lease::{LEASE, RENEW_EVERY};
+use crate::store::lease::{LEASE_TTL, RENEWAL_INTERVAL};
 use crate::store::{LeaseId, Store, StoreError};
 use crate::sync::backoff::Backoff;
 use crate::sync::call::call;
@@ -76,7 +76,7 @@
 
 /// Ends the lease, which removes the key. It is tried once: the lease expires by itself.
 async fn withdraw<P: Platform>(instance: &Instance<P>, lease: LeaseId) {
-    if let Err(error) = call(instance, "end", instance.store.end(lease)).await {
+    if let Err(error) = call(instance, "end", instance.store.revoke(lease)).await {
         tracing::warn!(event = "lease_end_failed", %error);
     }
 }
@@ -126,7 +126,7 @@
             backoff.reset();
             wait
         }
-        Err(StoreError::LeaseOver) => {
+        Err(StoreError::LeaseExpired) => {
             *registered = None;
             Duration::ZERO
         }
@@ -139,7 +139,7 @@
 /// Time until the lease is renewed again after a call that was sent at `asked`: the lease runs from
 /// the call's arrival, not from that of its answer, before which the machine may have been suspended.
 fn until_renewal(asked: Instant) -> Duration {
-    RENEW_EVERY.saturating_sub(asked.elapsed())
+    RENEWAL_INTERVAL.saturating_sub(asked.elapsed())
 }
 
 /// Whether the key has to be written: it was not yet, or the view still lacks it
@@ -152,7 +152,7 @@
 
 async fn grant<P: Platform>(instance: &Instance<P>) -> Result<LeaseId, StoreError> {
     let shortest = instance.settings().shortest_lease;
-    call(instance, "grant", instance.store.grant(LEASE.max(shortest))).await
+    call(instance, "grant", instance.store.grant(LEASE_TTL.max(shortest))).await
 }
 
 async fn write_key<P: Platform>(instance: &Instance<P>, lease: LeaseId) -> Result<(), StoreError> {
--- a/src/sync/peers/change_set.rs
+++ b/src/sync/peers/change_set.rs
@@ -39,7 +39,7 @@
     fn from(event: &Event) -> Self {
         let value = match event {
             Event::Put(item) => Some(STANDARD.encode(&item.value)),
-            Event::Gone { .. } => None,
+            Event::Delete { .. } => None,
         };
         Self { key: event.key().to_owned(), revision: event.revision(), value }
     }
@@ -50,7 +50,7 @@
 
     fn try_from(change: WireChange) -> Result<Self, ChangeError> {
         let WireChange { key, revision, value } = change;
-        let Some(text) = value else { return Ok(Event::Gone { key, revision }) };
+        let Some(text) = value else { return Ok(Event::Delete { key, revision }) };
         match STANDARD.decode(text) {
             Ok(value) => Ok(Event::Put(Item { key, value: Bytes::from(value), revision })),
             Err(source) => Err(ChangeError { key, revision, source }),
@@ -186,6 +186,6 @@
 fn item(event: Event) -> Option<Item> {
     match event {
         Event::Put(item) => Some(item),
-        Event::Gone { .. } => None,
+        Event::Delete { .. } => None,
     }
 }
--- a/src/sync/strikes.rs
+++ b/src/sync/strikes.rs
@@ -103,7 +103,7 @@
                 Ok(())
             }
             Err(StoreError::Conflict) => Err(Postponed::One(CONFLICT_WAIT)),
-            Err(StoreError::LeaseOver) => {
+            Err(StoreError::LeaseExpired) => {
                 (self.strikes_lease, self.quarantine_lease) = (None, None);
                 Err(Postponed::One(Duration::ZERO))
             }
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -10,7 +10,7 @@
 use crate::platform::Platform;
 use crate::state::Instance;
 use crate::store::freshness::Proof;
-use crate::store::{Store, StoreError, Watched};
+use crate::store::{Store, StoreError, WatchResponse};
 use crate::sync::backoff::Backoff;
 use crate::sync::confirm;
 use crate::sync::relay::RelayClient;
@@ -92,7 +92,7 @@
     let mut receipt = None;
     let begin = || receipt = Some(instance.store_copy.begin_receipt());
     let listed = timeout(LIST_TIMEOUT, instance.store.list(ALL_KEYS, begin)).await;
-    let listing = listed.map_err(|_| StoreError::Silent)??;
+    let listing = listed.map_err(|_| StoreError::NoResponse)??;
     instance.store_copy.mark_answered();
     let era = listing.at.era;
     instance.take_listing(listing, "list");
@@ -120,8 +120,8 @@
     };
     instance.store_copy.mark_answered();
     match answer {
-        Watched::HistoryGone => Ok(Step::List),
-        Watched::Events { events, at } => {
+        WatchResponse::Compacted => Ok(Step::List),
+        WatchResponse::Events { events, at } => {
             instance.take_events(events, at, "watch");
             instance.store_copy.mark_current(Proof::Watch, asked.elapsed(), at.era);
             if instance.store_copy.is_superseded() {
--- a/tests/eras.rs
+++ b/tests/eras.rs
@@ -27,10 +27,10 @@
 #[test]
 fn answers_from_an_earlier_era_are_rejected_and_those_without_an_era_accepted() {
     let latest = LatestEra::default();
-    assert_eq!(latest.check_answer(None), Ok(Era(0)));
-    assert_eq!(latest.check_answer(Some(Era(2))), Ok(Era(2)));
-    assert_eq!(latest.check_answer(Some(Era(1))), Err(StoreError::EarlierEra));
-    assert_eq!(latest.check_answer(None), Ok(Era(2)));
+    assert_eq!(latest.check_response(None), Ok(Era(0)));
+    assert_eq!(latest.check_response(Some(Era(2))), Ok(Era(2)));
+    assert_eq!(latest.check_response(Some(Era(1))), Err(StoreError::EarlierEra));
+    assert_eq!(latest.check_response(None), Ok(Era(2)));
     latest.observe(Era(1));
     assert_eq!(latest.get(), Era(2));
 }
@@ -40,7 +40,7 @@
     let mut view = StoreView::default();
     view.replace(list(&[item("a", 1), item("b", 9)], at(1, 9)));
     let changes = view.replace(list(&[item("a", 1), item("c", 3)], at(2, 4)));
-    let gone = Event::Gone { key: "b".to_owned(), revision: 4 };
+    let gone = Event::Delete { key: "b".to_owned(), revision: 4 };
     assert_eq!(changes, [gone, Event::Put(item("c", 3))]);
     assert_eq!((keys(&view), view.at()), (vec!["a", "c"], at(2, 4)));
     assert!(view.changes_after(3).is_none(), "a peer gets the full view");
--- a/tests/freshness_model.rs
+++ b/tests/freshness_model.rs
@@ -211,7 +211,7 @@
 }
 
 fn gone(key: &str, revision: u64) -> Event {
-    Event::Gone { key: key.to_owned(), revision }
+    Event::Delete { key: key.to_owned(), revision }
 }
 
 fn state(view: &StoreView) -> BTreeMap<&str, u64> {
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -46,7 +46,7 @@
             Change::Remove(key) => {
                 let key = format!("k{key}");
                 items.remove(&key);
-                history.events.push(Event::Gone { key, revision });
+                history.events.push(Event::Delete { key, revision });
             }
         }
         history.states.push(items.clone());
--- a/tests/model/client.rs
+++ b/tests/model/client.rs
@@ -8,7 +8,7 @@
 use super::server::Server;
 use bytes::Bytes;
 use lockloft::store::era::{Era, LatestEra, Position};
-use lockloft::store::{Event, LeaseId, Listing, Store, StoreError, Watched};
+use lockloft::store::{Event, LeaseId, Listing, Store, StoreError, WatchResponse};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -154,8 +154,8 @@
             }
             let _ = sender.send(served);
         });
-        let (answer, era) = answer.await.map_err(|_| StoreError::Silent)?;
-        self.latest_era.check_answer(Some(era))?;
+        let (answer, era) = answer.await.map_err(|_| StoreError::NoResponse)?;
+        self.latest_era.check_response(Some(era))?;
         Ok(answer)
     }
 
@@ -178,15 +178,15 @@
         self.refuse_if_busy().await?;
         let parts = self.send(Duration::ZERO, async move |server: &Server| server.page(&after, PAGE));
         let head = timeout(HEAD_TIMEOUT, parts.head).await;
-        let era = head.map_err(|_| StoreError::Silent)?.map_err(|_| StoreError::Silent)?;
-        self.latest_era.check_answer(Some(era))?;
+        let era = head.map_err(|_| StoreError::NoResponse)?.map_err(|_| StoreError::NoResponse)?;
+        self.latest_era.check_response(Some(era))?;
         begins();
-        parts.body.await.map_err(|_| StoreError::Silent)
+        parts.body.await.map_err(|_| StoreError::NoResponse)
     }
 }
 
 fn lease_result(lives: bool) -> Result<(), StoreError> {
-    if lives { Ok(()) } else { Err(StoreError::LeaseOver) }
+    if lives { Ok(()) } else { Err(StoreError::LeaseExpired) }
 }
 
 impl Store for Client {
@@ -194,12 +194,12 @@
         self.latest_era.clone()
     }
 
-    async fn list(&self, _: &str, answer_begins: impl FnOnce()) -> Result<Listing, StoreError> {
-        let mut answer_begins = Some(answer_begins);
+    async fn list(&self, _: &str, on_response_start: impl FnOnce()) -> Result<Listing, StoreError> {
+        let mut on_response_start = Some(on_response_start);
         let mut listing = Listing::default();
         let mut after = String::new();
         loop {
-            let begins = || answer_begins.take().into_iter().for_each(|begin| begin());
+            let begins = || on_response_start.take().into_iter().for_each(|begin| begin());
             let page = self.page(after.clone(), begins).await?;
             if after.is_empty() {
                 listing.at = page.at;
@@ -218,8 +218,8 @@
         _: &str,
         after: u64,
         wait: Duration,
-        answer_begins: impl FnOnce(),
-    ) -> Result<Watched, StoreError> {
+        on_response_start: impl FnOnce(),
+    ) -> Result<WatchResponse, StoreError> {
         let (late, silences) = (self.link.reorders.get(), self.link.silences.get());
         self.refuse_if_busy().await?;
         let parts = self.send(late, async move |server: &Server| server.watch(after, wait).await);
@@ -231,18 +231,18 @@
             sent
         };
         let head = timeout(wait + HEAD_TIMEOUT, head).await;
-        let era = head.map_err(|_| StoreError::Silent)?.map_err(|_| StoreError::Silent)?;
-        self.latest_era.check_answer(Some(era))?;
-        answer_begins();
-        let answer = parts.body.await.map_err(|_| StoreError::Silent)?;
+        let era = head.map_err(|_| StoreError::NoResponse)?.map_err(|_| StoreError::NoResponse)?;
+        self.latest_era.check_response(Some(era))?;
+        on_response_start();
+        let answer = parts.body.await.map_err(|_| StoreError::NoResponse)?;
         if self.link.breaks_next.take() {
-            return Err(StoreError::Silent);
+            return Err(StoreError::NoResponse);
         }
-        let Some((mut events, at)) = answer else { return Ok(Watched::HistoryGone) };
+        let Some((mut events, at)) = answer else { return Ok(WatchResponse::Compacted) };
         if self.link.doubles_next.take() {
             Self::double(&mut events);
         }
-        Ok(Watched::Events { events, at })
+        Ok(WatchResponse::Events { events, at })
     }
 
     async fn count(&self, _: &str) -> Result<usize, StoreError> {
@@ -261,7 +261,7 @@
         lease_result(self.small(move |server| server.renew(lease.number)).await?)
     }
 
-    async fn end(&self, lease: LeaseId) -> Result<(), StoreError> {
+    async fn revoke(&self, lease: LeaseId) -> Result<(), StoreError> {
         self.small(move |server| server.end(lease.number)).await
     }
 
--- a/tests/model/server.rs
+++ b/tests/model/server.rs
@@ -99,7 +99,7 @@
         let now = Instant::now();
         let before = self.items.replace(snapshot.items.clone());
         let lost = before.keys().filter(|key| !snapshot.items.contains_key(*key));
-        let lost = lost.map(|key| Event::Gone { key: key.clone(), revision: snapshot.history.len() as u64 });
+        let lost = lost.map(|key| Event::Delete { key: key.clone(), revision: snapshot.history.len() as u64 });
         let returned = snapshot.items.values().filter(|item| before.get(&item.key) != Some(*item));
         let returned = returned.cloned().map(Event::Put);
         self.changes.borrow_mut().extend(lost.chain(returned).map(|event| (event, now)));
@@ -132,7 +132,7 @@
     /// Removes a key, if it is there.
     pub fn remove(&self, key: &str) {
         if self.items.borrow_mut().remove(key).is_some() {
-            self.record(Event::Gone { key: key.to_owned(), revision: self.revision() + 1 });
+            self.record(Event::Delete { key: key.to_owned(), revision: self.revision() + 1 });
         }
     }
 
@@ -241,7 +241,7 @@
         for (event, at) in changes.iter() {
             let has = match (event, view.item(event.key())) {
                 (Event::Put(put), Some(item)) => put == item,
-                (Event::Gone { .. }, None) => true,
+                (Event::Delete { .. }, None) => true,
                 _ => false,
             };
             let first = lacking.entry(event.key()).or_default();
--- a/tests/removed_policies.rs
+++ b/tests/removed_policies.rs
@@ -20,7 +20,7 @@
 }
 
 fn removed(at: u64) -> Event {
-    Event::Gone { key: "policies".into(), revision: at }
+    Event::Delete { key: "policies".into(), revision: at }
 }
 
 /// The revision in force after an event, and whether the event was refused.
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -137,7 +137,7 @@
         _: u64,
         _: Duration,
         _: impl FnOnce(),
-    ) -> Result<lockloft::store::Watched, lockloft::store::StoreError> {
+    ) -> Result<lockloft::store::WatchResponse, lockloft::store::StoreError> {
         unimplemented!("this store is not called in tests")
     }
     async fn count(&self, _: &str) -> Result<usize, lockloft::store::StoreError> {
@@ -153,7 +153,7 @@
     async fn renew(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("this store is not called in tests")
     }
-    async fn end(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
+    async fn revoke(&self, _: lockloft::store::LeaseId) -> Result<(), lockloft::store::StoreError> {
         unimplemented!("this store is not called in tests")
     }
     async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), lockloft::store::StoreError> {
@@ -220,7 +220,7 @@
     /// then.
     pub fn remove(&mut self, key: &str, grace_until: Option<Instant>) {
         self.revision += 1;
-        let event = Event::Gone { key: key.to_owned(), revision: self.revision };
+        let event = Event::Delete { key: key.to_owned(), revision: self.revision };
         self.routing.apply::<Plain>(&[event], self.now, grace_until);
     }
 
