--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -61,7 +61,7 @@
     while Instant::now() < last {
         sleep(POLL_EVERY).await;
         let is_quiet = instance.requests.idle_time() > QUIET_TIME;
-        if instance.requests.are_over() && is_quiet && signalled.elapsed() > MIN_STOP_TIME {
+        if instance.requests.are_finished() && is_quiet && signalled.elapsed() > MIN_STOP_TIME {
             return;
         }
     }
@@ -71,7 +71,7 @@
 /// requests accepted just before.
 async fn wait_for_last_request<P: Platform>(instance: &Instance<P>, last: Instant) {
     sleep(POLL_EVERY).await;
-    while !instance.requests.are_over() && Instant::now() < last {
+    while !instance.requests.are_finished() && Instant::now() < last {
         sleep(POLL_EVERY).await;
     }
 }
--- a/src/operator/quotas.rs
+++ b/src/operator/quotas.rs
@@ -23,7 +23,7 @@
             burst: quota.burst,
             window_s: settings.quota_window.as_secs_f64(),
             pass: own.admit_ratio(&tenant.name),
-            part: quota.rate / instance.fleet().instances(),
+            part: quota.rate / instance.fleet_size().instances(),
             answer_age_ms,
             head: totals
                 .window(&tenant.name)
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -151,7 +151,7 @@
         let (instance, started) = (self.request.instance, Instant::now());
         let had_limit = target.rate_limit(started).is_some();
         let in_flight = target.begin_request(started);
-        instance.follow_limit(target, had_limit);
+        instance.report_limit_change(target, had_limit);
         let exchange = Exchange {
             names: &instance.names,
             metrics: &instance.metrics,
@@ -164,7 +164,7 @@
             started,
         };
         let answered = exchange.run(request).await;
-        instance.follow_limit(target, had_limit);
+        instance.report_limit_change(target, had_limit);
         answered
     }
 
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -206,7 +206,7 @@
     /// The body for the caller. Of a large one, the connection and the place at the target go with its
     /// reader.
     fn answer_body(self, read: ReadBody, reuse: Reuse) -> AnswerBody {
-        let (holding, counted) = (self.holding, || self.requests.count());
+        let (holding, counted) = (self.holding, || self.requests.track());
         match read {
             ReadBody::Buffered(bytes) => {
                 reuse.settle(&self.in_flight);
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -17,7 +17,7 @@
 use crate::net::buffered_bytes::BufferTotal;
 use crate::net::request_body::BodyError;
 use crate::platform::Platform;
-use crate::state::{Counted, Instance};
+use crate::state::{InFlightGuard, Instance};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use prometheus::IntCounterVec;
@@ -58,12 +58,12 @@
     shared: Rc<Shared>,
     reader: Option<AbortHandle>,
     /// Counts one without a reader.
-    _counted: Option<Counted>,
+    _counted: Option<InFlightGuard>,
 }
 
 impl HeldAnswer {
     /// An answer that is whole in memory.
-    pub fn whole(bytes: Bytes, total: &Rc<BufferTotal>, counted: Counted) -> Self {
+    pub fn whole(bytes: Bytes, total: &Rc<BufferTotal>, counted: InFlightGuard) -> Self {
         let shared = Rc::new(Shared::new(total, Progress::Whole));
         shared.push(bytes);
         Self { shared, reader: None, _counted: Some(counted) }
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_answer/reader.rs
@@ -13,7 +13,7 @@
 use crate::proxy::answer_body::Reuse;
 use crate::proxy::held_answer::Holding;
 use crate::proxy::held_answer::shared::Shared;
-use crate::state::Counted;
+use crate::state::InFlightGuard;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::HeaderValue;
@@ -39,7 +39,7 @@
     /// The caller's identity for the request.
     pub request_id: Option<HeaderValue>,
     /// Counts the answer as under way until its caller has it.
-    pub counted: Counted,
+    pub counted: InFlightGuard,
 }
 
 /// What came of a look for more of an answer.
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -57,7 +57,7 @@
 /// Answers a caller's request, whatever comes of it.
 pub async fn answer<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<AnswerBody> {
     let now = Instant::now();
-    instance.requests.mark_arrival(now);
+    instance.requests.record_arrival(now);
     let arrival = request.extensions().get().copied().unwrap_or(Arrival { read_at: now, is_early: false });
     let started = arrival.read_at;
     if arrival.is_early {
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -31,7 +31,7 @@
 pub use lost_policies::LostPolicies;
 pub use quotas::Quotas;
 pub use rate_limits::RateLimits;
-pub use requests::{Counted, Requests};
+pub use requests::{InFlightGuard, Requests};
 pub use store_copy::StoreCopy;
 pub use strike_reports::StrikeReports;
 pub use target_loads::TargetLoads;
@@ -166,11 +166,11 @@
     }
 
     /// Applies a list of the store's items; `source` is for the log.
-    pub fn take_listing(&self, listing: Listing, source: &'static str) {
+    pub fn apply_listing(&self, listing: Listing, source: &'static str) {
         let before = self.store_copy.view().at();
         let policies_before = self.store_copy.view().item(P::policies_key()).cloned();
         let is_first = before == Position::default();
-        let changes = self.store_copy.take_listing(listing);
+        let changes = self.store_copy.apply_listing(listing);
         let at = self.store_copy.view().at();
         let state_changes = match !is_first && at.era > before.era {
             true => {
@@ -188,8 +188,8 @@
     }
 
     /// Applies events of the store up to the position `at`; `source` is for the log.
-    pub fn take_events(&self, events: Vec<Event>, at: Position, source: &'static str) {
-        let changes = self.store_copy.take_events(events, at);
+    pub fn apply_events(&self, events: Vec<Event>, at: Position, source: &'static str) {
+        let changes = self.store_copy.apply_events(events, at);
         let state_changes = self.apply_changes(&changes);
         self.log_changes(&state_changes, source);
         self.follow_changes(&state_changes);
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -109,7 +109,7 @@
     /// Admits or refuses a request by its tenant's quota.
     pub fn admit(&self, tenant: &Tenant) -> Admission {
         let Some(quota) = tenant.quota else { return Admission::Admitted };
-        let fleet = self.fleet();
+        let fleet = self.fleet_size();
         let mut own = self.quotas.own.borrow_mut();
         let admission = own.admit(&tenant.name, quota, fleet, rand::random(), Instant::now());
         self.metrics.count_quota(&tenant.name, admission == Admission::Admitted);
@@ -120,7 +120,7 @@
     }
 
     /// Who shares the quotas.
-    pub fn fleet(&self) -> FleetSize {
+    pub fn fleet_size(&self) -> FleetSize {
         let members = &self.routing.borrow().members;
         FleetSize {
             members: members.recent_count(Instant::now()),
@@ -129,23 +129,23 @@
     }
 
     /// Takes a report as the head of a hall, and gives the answer to it.
-    pub fn take_usage(&self, report: &UsageReport) -> UsageAnswer {
-        let answer = self.with_rules(|totals, rules| totals.record_report(report, rules, Instant::now()));
-        UsageAnswer { loads: self.exchange_loads(report), ..answer.unwrap_or_default() }
+    pub fn record_usage_report(&self, report: &UsageReport) -> UsageAnswer {
+        let answer = self.with_totals(|totals, rules| totals.record_report(report, rules, Instant::now()));
+        UsageAnswer { loads: self.record_shared_loads(report), ..answer.unwrap_or_default() }
     }
 
     /// Takes the own report as the head of the own hall; `None` where no other instance is heard
     /// from, so that the answer would be that of one that is cut off.
-    pub fn take_own_usage(&self, report: &UsageReport) -> Option<UsageAnswer> {
-        let answer = self.with_rules(|totals, rules| {
+    pub fn record_own_usage_report(&self, report: &UsageReport) -> Option<UsageAnswer> {
+        let answer = self.with_totals(|totals, rules| {
             let answer = totals.record_report(report, rules, Instant::now());
             (!totals.is_isolated(rules, Instant::now())).then_some(answer)
         })?;
-        Some(UsageAnswer { loads: self.exchange_loads(report), ..answer? })
+        Some(UsageAnswer { loads: self.record_shared_loads(report), ..answer? })
     }
 
     /// Changes the totals; `None` before the first configuration.
-    fn with_rules<T>(&self, change: impl FnOnce(&mut UsageTotals, QuotaContext<'_>) -> T) -> Option<T> {
+    fn with_totals<T>(&self, change: impl FnOnce(&mut UsageTotals, QuotaContext<'_>) -> T) -> Option<T> {
         let (settings, routing) = (self.settings(), self.routing.borrow());
         let config = routing.config.as_ref()?;
         let rules = QuotaContext {
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -32,12 +32,12 @@
     }
 
     /// Whether this instance is the head of its hall and has something to tell the others.
-    pub fn forwards(&self) -> bool {
+    pub fn should_forward(&self) -> bool {
         self.totals.borrow().should_forward(Instant::now())
     }
 
     /// Notes that the head of another hall answered.
-    pub fn hear_hall(&self, hall: &str) {
+    pub fn record_hall_contact(&self, hall: &str) {
         self.totals.borrow_mut().record_hall_contact(hall, Instant::now());
     }
 
@@ -49,7 +49,7 @@
 
 impl<P: Platform> Instance<P> {
     /// Whether a target has a limit or leaves.
-    pub fn knows_limits(&self) -> bool {
+    pub fn has_limits(&self) -> bool {
         let now = Instant::now();
         self.routing.borrow().targets().any(|target| target.rate_limit(now).is_some() || target.is_leaving())
     }
@@ -96,7 +96,7 @@
     }
 
     /// Takes a report as the head of a hall, and gives the answer to it.
-    pub fn take_limits(&self, report: &LimitReport) -> LimitAnswer {
+    pub fn record_limit_report(&self, report: &LimitReport) -> LimitAnswer {
         let (now, settings, routing) = (Instant::now(), self.settings(), self.routing.borrow());
         let mut totals = self.rate_limits.totals.borrow_mut();
         totals.record_report(report, &settings.hall, now);
@@ -107,7 +107,7 @@
     }
 
     /// Takes the shares that a head answered.
-    pub fn hear_shares(&self, answer: &LimitAnswer) {
+    pub fn apply_limit_shares(&self, answer: &LimitAnswer) {
         let now = Instant::now();
         let by_target: HashMap<StartKey, &TargetShare> =
             answer.shares.iter().map(|share| (share.target, share)).collect();
@@ -135,7 +135,7 @@
 
     /// Has a report made at once where a target got or lost its limit, or far more than usual comes
     /// for it.
-    pub fn follow_limit(&self, target: &Target, had_limit: bool) {
+    pub fn report_limit_change(&self, target: &Target, had_limit: bool) {
         let now = Instant::now();
         if had_limit != target.rate_limit(now).is_some() || target.has_demand_surge(now) {
             self.rate_limits.report_now();
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -20,9 +20,9 @@
 
 /// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct Counted(Rc<Cell<u32>>);
+pub struct InFlightGuard(Rc<Cell<u32>>);
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
@@ -50,9 +50,9 @@
     }
 
     /// Counts a request for as long as its answer is under way to the caller.
-    pub fn count(&self) -> Counted {
+    pub fn track(&self) -> InFlightGuard {
         self.begin();
-        Counted(self.in_flight.clone())
+        InFlightGuard(self.in_flight.clone())
     }
 
     /// Counts requests that were read before their turn on their connection.
@@ -66,7 +66,7 @@
     }
 
     /// Whether no request is in flight and none waits for its turn.
-    pub fn are_over(&self) -> bool {
+    pub fn are_finished(&self) -> bool {
         self.in_flight.get() == 0 && self.unanswered.get() == 0
     }
 
@@ -76,7 +76,7 @@
     }
 
     /// Records the arrival of a request.
-    pub fn mark_arrival(&self, now: Instant) {
+    pub fn record_arrival(&self, now: Instant) {
         self.last_arrival.set(now);
     }
 
--- a/src/state/store_copy.rs
+++ b/src/state/store_copy.rs
@@ -24,7 +24,7 @@
     freshness: Freshness,
     health: StoreHealth,
     /// Answers with changes that are under way.
-    receipts: Cell<u32>,
+    responses_in_progress: Cell<u32>,
     /// Whether the relay said that an answer with changes is under way to it.
     relay_receiving: Cell<bool>,
     changed: Notify,
@@ -62,7 +62,7 @@
 
     /// Replaces the view by a list; returns what changed. A list from an earlier era than the latest
     /// known one is ignored.
-    pub fn take_listing(&self, listing: Listing) -> Vec<Event> {
+    pub fn apply_listing(&self, listing: Listing) -> Vec<Event> {
         if listing.at.era < self.latest_era.get() {
             return Vec::new();
         }
@@ -72,7 +72,7 @@
     }
 
     /// Applies events up to the position `at`; returns those that changed the view.
-    pub fn take_events(&self, events: Vec<Event>, at: Position) -> Vec<Event> {
+    pub fn apply_events(&self, events: Vec<Event>, at: Position) -> Vec<Event> {
         let changes = self.view.borrow_mut().apply(events, at);
         self.notify_changed(&changes);
         changes
@@ -85,9 +85,9 @@
     }
 
     /// Records an answer of the store, whatever it was. It proves nothing of the view.
-    pub fn mark_answered(&self) {
+    pub fn record_response(&self) {
         let was_silent = self.health.is_lost();
-        let has_recovered = self.health.mark_answered(self.view_age());
+        let has_recovered = self.health.record_response(self.view_age());
         if was_silent || has_recovered {
             // A watch that waited through the silence may be lost, also where no call
             // failed: this process may have been paused.
@@ -96,34 +96,34 @@
     }
 
     /// Records that a call of a kind to the store was refused or got no answer.
-    pub fn mark_failed(&self, kind: &str, error: &StoreError) {
-        self.health.mark_failed(kind, error);
+    pub fn record_failure(&self, kind: &str, error: &StoreError) {
+        self.health.record_failure(kind, error);
     }
 
     /// Takes a proof that the view was current `age` ago. It is ignored unless the era of the answer
     /// is both that of the view and the latest known one.
-    pub fn mark_current(&self, proof: Proof, age: Duration, era: Era) {
+    pub fn record_proof(&self, proof: Proof, age: Duration, era: Era) {
         if era != self.view().at().era || self.is_superseded() {
             return;
         }
-        self.freshness.prove(proof, age);
+        self.freshness.record_proof(proof, age);
         self.confirmed.notify_waiters();
     }
 
     /// Records that a peer saw the store recover from an outage `age` ago.
-    pub fn mark_peer_recovery(&self, age: Duration) {
-        self.health.mark_peer_recovery(age, self.view_age());
+    pub fn record_peer_recovery(&self, age: Duration) {
+        self.health.record_peer_recovery(age, self.view_age());
     }
 
     /// Records that an answer with changes is under way, until the guard is dropped.
-    pub fn begin_receipt(&self) -> Receipt<'_> {
-        self.receipts.set(self.receipts.get() + 1);
-        Receipt { copy: self, begun: Instant::now() }
+    pub fn begin_receiving(&self) -> ReceiveGuard<'_> {
+        self.responses_in_progress.set(self.responses_in_progress.get() + 1);
+        ReceiveGuard { copy: self, begun: Instant::now() }
     }
 
     /// Whether an answer with changes is under way to this instance.
-    pub fn has_receipt(&self) -> bool {
-        self.receipts.get() > 0
+    pub fn is_receiving_directly(&self) -> bool {
+        self.responses_in_progress.get() > 0
     }
 
     /// Records whether an answer with changes is under way to the relay that is followed.
@@ -133,7 +133,7 @@
 
     /// Whether an answer with changes is under way, to this instance or to its relay.
     pub fn is_receiving(&self) -> bool {
-        self.has_receipt() || self.relay_receiving.get()
+        self.is_receiving_directly() || self.relay_receiving.get()
     }
 
     /// Time since the view was last proven current; `None` where it never was.
@@ -189,20 +189,20 @@
 
 /// An answer with changes that is under way.
 #[derive(Debug)]
-pub struct Receipt<'a> {
+pub struct ReceiveGuard<'a> {
     copy: &'a StoreCopy,
     begun: Instant,
 }
 
-impl Receipt<'_> {
+impl ReceiveGuard<'_> {
     /// Time since the answer began.
     pub fn age(&self) -> Duration {
         self.begun.elapsed()
     }
 }
 
-impl Drop for Receipt<'_> {
+impl Drop for ReceiveGuard<'_> {
     fn drop(&mut self) {
-        self.copy.receipts.set(self.copy.receipts.get() - 1);
+        self.copy.responses_in_progress.set(self.copy.responses_in_progress.get() - 1);
     }
 }
--- a/src/state/target_loads.rs
+++ b/src/state/target_loads.rs
@@ -36,7 +36,7 @@
 
 impl<P: Platform> Instance<P> {
     /// Loads that targets told this instance and that no other was told of.
-    pub fn untold_loads(&self) -> Vec<TargetLoad> {
+    pub fn unreported_loads(&self) -> Vec<TargetLoad> {
         let now = Instant::now();
         let untold = |target: &Rc<Target>| {
             let (requests, at) = target.take_unreported_load()?;
@@ -46,7 +46,7 @@
     }
 
     /// Takes loads that other instances were told.
-    pub fn hear_loads(&self, loads: &[TargetLoad]) {
+    pub fn record_remote_loads(&self, loads: &[TargetLoad]) {
         let now = Instant::now();
         self.target_loads.heard.set(Some(now));
         let by_target: HashMap<ShortKey, &TargetLoad> = loads.iter().map(|load| (load.target, load)).collect();
@@ -59,7 +59,7 @@
     }
 
     /// Takes the loads of a report as the head of a hall; gives those that its instances are told.
-    pub fn exchange_loads(&self, report: &UsageReport) -> Vec<TargetLoad> {
+    pub fn record_shared_loads(&self, report: &UsageReport) -> Vec<TargetLoad> {
         let (mut known, now) = (self.target_loads.known.borrow_mut(), Instant::now());
         let is_own = *report.hall == *self.settings().hall;
         known.record(&report.loads, is_own, now);
--- a/src/store/freshness.rs
+++ b/src/store/freshness.rs
@@ -78,7 +78,7 @@
 impl Freshness {
     /// Takes a proof that the view was current `age` ago. An older one than the last
     /// changes nothing.
-    pub fn prove(&self, proof: Proof, age: Duration) {
+    pub fn record_proof(&self, proof: Proof, age: Duration) {
         let Some(at) = Instant::now().checked_sub(age) else { return };
         if self.proven.get().is_none_or(|(last, _)| last < at) {
             self.proven.set(Some((at, proof)));
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -42,7 +42,7 @@
 impl StoreHealth {
     /// Records an answer of the store, with a view of this age; returns whether the store
     /// had been lost.
-    pub fn mark_answered(&self, view_age: Option<Duration>) -> bool {
+    pub fn record_response(&self, view_age: Option<Duration>) -> bool {
         let now = Instant::now();
         self.answered_at.set(Some(now));
         let has_recovered = self.lost.replace(false);
@@ -54,7 +54,7 @@
     }
 
     /// Records that a call of a kind failed, and logs it, at most once each `REPORT_EVERY`.
-    pub fn mark_failed(&self, kind: &str, error: &StoreError) {
+    pub fn record_failure(&self, kind: &str, error: &StoreError) {
         let now = Instant::now();
         if self.reported_at.get().is_none_or(|reported| now.duration_since(reported) >= REPORT_EVERY) {
             self.reported_at.set(Some(now));
@@ -78,7 +78,7 @@
 
     /// Records that a peer saw the store recover `age` ago, with a view of the age
     /// `view_age` here. It concerns only an instance that lost the store itself.
-    pub fn mark_peer_recovery(&self, age: Duration, view_age: Option<Duration>) {
+    pub fn record_peer_recovery(&self, age: Duration, view_age: Option<Duration>) {
         if self.lost.get() {
             self.grace.record_recovery(Instant::now().checked_sub(age), view_age);
         }
--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -55,11 +55,11 @@
     let result = timeout(limit, answer).await.unwrap_or(Err(StoreError::NoResponse));
     match &result {
         Ok(_) | Err(StoreError::LeaseExpired | StoreError::Conflict | StoreError::EarlierEra) => {
-            instance.store_copy.mark_answered()
+            instance.store_copy.record_response()
         }
         Err(error) => {
             instance.metrics.store_failures.inc();
-            instance.store_copy.mark_failed(kind, error);
+            instance.store_copy.record_failure(kind, error);
         }
     }
     result
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -82,7 +82,7 @@
     loop {
         sleep(CONFIRM_AGE.saturating_sub(copy.view_age().unwrap_or(CONFIRM_AGE))).await;
         // Meanwhile a read proves nothing.
-        if copy.has_receipt() {
+        if copy.is_receiving_directly() {
             sleep(RECEIVING_POLL).await;
             continue;
         }
@@ -110,8 +110,8 @@
         sleep(DELIVERY_TIME).await;
     }
     if copy.view().at() < at {
-        return copy.has_receipt();
+        return copy.is_receiving_directly();
     }
-    copy.mark_current(Proof::Read, asked.elapsed(), at.era);
+    copy.record_proof(Proof::Read, asked.elapsed(), at.era);
     true
 }
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -42,7 +42,7 @@
 /// [`RefusedReport`]; nothing is taken then.
 pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, RefusedReport> {
     let report: LimitReport = read_report(body, MAX_REPORT_SIZE).await?;
-    Ok(encode(&instance.take_limits(&report)))
+    Ok(encode(&instance.record_limit_report(&report)))
 }
 
 /// Tells heads of targets' limits, until the process ends.
@@ -51,7 +51,7 @@
     spawn_local(forward_all(instance.clone(), links.clone()));
     let mut reported = Instant::now();
     loop {
-        let longest = if instance.knows_limits() { REPORT_INTERVAL } else { LOOK_EVERY };
+        let longest = if instance.has_limits() { REPORT_INTERVAL } else { LOOK_EVERY };
         // Either way it is looked whether there is something to report.
         let _ = timeout(longest, instance.rate_limits.report_due()).await;
         if instance.update_limits() || asks_for_limits(&instance) {
@@ -73,11 +73,11 @@
         let Some(head) = links.own_head(instance) else { return };
         let report = instance.limit_report();
         let answer = match head {
-            OwnHead::Here => Some(instance.take_limits(&report)),
+            OwnHead::Here => Some(instance.record_limit_report(&report)),
             OwnHead::At(peer) => links.tell(peer, &report).await,
         };
         match answer {
-            Some(answer) => return instance.hear_shares(&answer),
+            Some(answer) => return instance.apply_limit_shares(&answer),
             None => instance.metrics.limits_untold.inc(),
         }
     }
@@ -89,14 +89,14 @@
         sleep(FORWARD_INTERVAL).await;
         let others = links.other_heads(&instance);
         links.keep_heads(&instance, &others);
-        if !instance.rate_limits.forwards() {
+        if !instance.rate_limits.should_forward() {
             continue;
         }
         for (hall, head) in others {
             let (instance, links) = (instance.clone(), links.clone());
             spawn_local(async move {
                 match links.tell(head, &instance.forwarded_limits()).await {
-                    Some(_) => instance.rate_limits.hear_hall(&hall),
+                    Some(_) => instance.rate_limits.record_hall_contact(&hall),
                     None => instance.metrics.limits_untold.inc(),
                 }
             });
--- a/src/sync/peers/change_set.rs
+++ b/src/sync/peers/change_set.rs
@@ -161,17 +161,17 @@
         let (at, age) = (self.position(), self.view_age());
         instance.store_copy.latest_era().observe(at.era);
         if let Some(age) = self.recovery_age_ms {
-            instance.store_copy.mark_peer_recovery(Duration::from_millis(age) + self.delay);
+            instance.store_copy.record_peer_recovery(Duration::from_millis(age) + self.delay);
         }
         let events = self.events.into_iter().map(Event::try_from).collect::<Result<Vec<Event>, _>>()?;
         if self.is_full {
             let items = events.into_iter().filter_map(item).collect();
-            instance.take_listing(Listing { items, at }, source);
+            instance.apply_listing(Listing { items, at }, source);
         } else {
-            instance.take_events(events, at, source);
+            instance.apply_events(events, at, source);
         }
         if let Some(age) = age {
-            instance.store_copy.mark_current(proof, age, at.era);
+            instance.store_copy.record_proof(proof, age, at.era);
         }
         Ok(())
     }
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -207,9 +207,9 @@
         let answer = link.ask(question, POLL_WAIT).await?;
         let is_receiving = answer.is_receiving();
         instance.store_copy.set_relay_receiving(is_receiving);
-        let receipt = instance.store_copy.begin_receipt();
+        let receiving = instance.store_copy.begin_receiving();
         let changes = answer.read(ANSWER_TIME).await?;
-        drop(receipt);
+        drop(receiving);
         let max_age = if is_receiving { MAX_RECEIVING_AGE } else { MAX_VIEW_AGE };
         let is_superseded = changes.position().era < instance.store_copy.latest_era().get();
         if is_superseded || changes.sender_age().is_none_or(|age| age >= max_age) {
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -45,7 +45,7 @@
 /// [`RefusedReport`]; nothing is counted then.
 pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, RefusedReport> {
     let report: UsageReport = read_report(body, MAX_REPORT_SIZE).await?;
-    Ok(encode(&instance.take_usage(&report)))
+    Ok(encode(&instance.record_usage_report(&report)))
 }
 
 /// Tells heads what tenants use here and what targets told, until the process ends.
@@ -78,7 +78,7 @@
         let Some(head) = known.own_head(instance) else { return };
         let report = own_report(instance);
         let answer = match head {
-            OwnHead::Here => match instance.take_own_usage(&report) {
+            OwnHead::Here => match instance.record_own_usage_report(&report) {
                 Some(answer) => Some(answer),
                 None => return instance.quotas.forget_report(),
             },
@@ -86,7 +86,7 @@
         };
         match answer {
             Some(answer) => {
-                instance.hear_loads(&answer.loads);
+                instance.record_remote_loads(&answer.loads);
                 return instance.quotas.take_answer(&answer);
             }
             None => {
@@ -106,7 +106,7 @@
         is_forwarded: false,
         over_ms: over.as_millis() as u32,
         tenants,
-        loads: instance.untold_loads(),
+        loads: instance.unreported_loads(),
     }
 }
 
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -77,7 +77,7 @@
             }
             Err(error) => {
                 relays.store_failed();
-                instance.store_copy.mark_failed(next.as_str(), &error);
+                instance.store_copy.record_failure(next.as_str(), &error);
                 instance.metrics.store_failures.inc();
                 sleep(backoff.wait()).await;
             }
@@ -89,14 +89,14 @@
 async fn list<P: Platform>(instance: &Instance<P>) -> Result<Step, StoreError> {
     instance.metrics.store_calls.with_label_values(&[Step::List.as_str()]).inc();
     let asked = Instant::now();
-    let mut receipt = None;
-    let begin = || receipt = Some(instance.store_copy.begin_receipt());
+    let mut receiving = None;
+    let begin = || receiving = Some(instance.store_copy.begin_receiving());
     let listed = timeout(LIST_TIMEOUT, instance.store.list(ALL_KEYS, begin)).await;
     let listing = listed.map_err(|_| StoreError::NoResponse)??;
-    instance.store_copy.mark_answered();
+    instance.store_copy.record_response();
     let era = listing.at.era;
-    instance.take_listing(listing, "list");
-    instance.store_copy.mark_current(Proof::List, asked.elapsed(), era);
+    instance.apply_listing(listing, "list");
+    instance.store_copy.record_proof(Proof::List, asked.elapsed(), era);
     Ok(Step::Watch)
 }
 
@@ -108,8 +108,8 @@
     instance.metrics.store_calls.with_label_values(&[Step::Watch.as_str()]).inc();
     let asked = Instant::now();
     let after = instance.store_copy.view().at().revision;
-    let mut receipt = None;
-    let begin = || receipt = Some(instance.store_copy.begin_receipt());
+    let mut receiving = None;
+    let begin = || receiving = Some(instance.store_copy.begin_receiving());
     let answer = tokio::select! {
         biased;
         answer = instance.store.watch(ALL_KEYS, after, WATCH_WAIT, begin) => answer?,
@@ -118,16 +118,16 @@
         () = confirm::until_watch_is_lost(instance) => return Ok(Step::Watch),
         () = relay_returns(instance, next_relay) => return Ok(Step::Watch),
     };
-    instance.store_copy.mark_answered();
+    instance.store_copy.record_response();
     match answer {
         WatchResponse::Compacted => Ok(Step::List),
         WatchResponse::Events { events, at } => {
-            instance.take_events(events, at, "watch");
-            instance.store_copy.mark_current(Proof::Watch, asked.elapsed(), at.era);
+            instance.apply_events(events, at, "watch");
+            instance.store_copy.record_proof(Proof::Watch, asked.elapsed(), at.era);
             if instance.store_copy.is_superseded() {
                 return Ok(Step::List);
             }
-            let took = receipt.take().map_or(Duration::ZERO, |receipt| receipt.age());
+            let took = receiving.take().map_or(Duration::ZERO, |receiving| receiving.age());
             // A slow answer has gathered changes meanwhile.
             sleep(WATCH_PAUSE.saturating_sub(took)).await;
             Ok(Step::Watch)
@@ -140,7 +140,7 @@
 async fn outage_ends<P: Platform>(instance: &Instance<P>) {
     loop {
         instance.store_copy.reachable_again().await;
-        if !instance.store_copy.has_receipt() {
+        if !instance.store_copy.is_receiving_directly() {
             return;
         }
     }
@@ -153,7 +153,7 @@
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
     }
-    while instance.store_copy.has_receipt() {
+    while instance.store_copy.is_receiving_directly() {
         sleep(RECEIVING_POLL).await;
     }
 }
--- a/tests/eras.rs
+++ b/tests/eras.rs
@@ -62,15 +62,15 @@
     let latest = Rc::new(LatestEra::default());
     let copy = StoreCopy::new(latest.clone());
     latest.observe(Era(1));
-    copy.take_listing(list(&[item("a", 1)], at(1, 9)));
+    copy.apply_listing(list(&[item("a", 1)], at(1, 9)));
     latest.observe(Era(2));
-    copy.mark_current(Proof::List, Duration::ZERO, Era(1));
+    copy.record_proof(Proof::List, Duration::ZERO, Era(1));
     assert!(copy.view_age().is_none() && copy.is_superseded());
     // The latest era, but the view is still of the earlier one.
-    copy.mark_current(Proof::Read, Duration::ZERO, Era(2));
+    copy.record_proof(Proof::Read, Duration::ZERO, Era(2));
     assert!(copy.view_age().is_none());
-    assert!(copy.take_listing(list(&[item("b", 9)], at(1, 10))).is_empty(), "an answer in flight during the restore");
-    copy.take_listing(list(&[item("a", 1)], at(2, 5)));
-    copy.mark_current(Proof::List, Duration::ZERO, Era(2));
+    assert!(copy.apply_listing(list(&[item("b", 9)], at(1, 10))).is_empty(), "an answer in flight during the restore");
+    copy.apply_listing(list(&[item("a", 1)], at(2, 5)));
+    copy.record_proof(Proof::List, Duration::ZERO, Era(2));
     assert!(copy.view_age().is_some() && !copy.is_superseded());
 }
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -11,8 +11,8 @@
 /// A copy whose view was proven long ago.
 fn old_copy() -> StoreCopy {
     let copy = StoreCopy::default();
-    copy.mark_answered();
-    copy.mark_current(Proof::List, OLD, Era::default());
+    copy.record_response();
+    copy.record_proof(Proof::List, OLD, Era::default());
     copy
 }
 
@@ -24,19 +24,19 @@
 fn a_view_is_as_old_as_its_latest_proof_was_on_arrival() {
     let freshness = Freshness::default();
     assert_eq!((freshness.age(), freshness.is_current()), (None, false));
-    freshness.prove(Proof::Relay, YOUNG);
+    freshness.record_proof(Proof::Relay, YOUNG);
     assert!(freshness.age() >= Some(YOUNG) && freshness.is_current());
-    freshness.prove(Proof::Watch, OLD);
+    freshness.record_proof(Proof::Watch, OLD);
     assert!(freshness.age() < Some(OLD), "an older proof changes nothing");
     let stale = Freshness::default();
-    stale.prove(Proof::Peer, MAX_VIEW_AGE);
+    stale.record_proof(Proof::Peer, MAX_VIEW_AGE);
     assert!(!stale.is_current());
 }
 
 #[test]
 fn an_answer_of_the_store_proves_nothing_of_the_view() {
     let copy = old_copy();
-    copy.mark_answered();
+    copy.record_response();
     assert!(!copy.is_lost());
     assert!(!is_proven(&copy), "a watch that waits, and another call, have a connection each");
 }
@@ -44,10 +44,10 @@
 #[test]
 fn an_answer_is_under_way_until_its_receipt_is_dropped() {
     let copy = old_copy();
-    let receipt = copy.begin_receipt();
-    assert!(copy.is_receiving() && copy.has_receipt());
-    drop(receipt);
+    let receiving = copy.begin_receiving();
+    assert!(copy.is_receiving() && copy.is_receiving_directly());
+    drop(receiving);
     assert!(!copy.is_receiving());
     copy.set_relay_receiving(true);
-    assert!(copy.is_receiving() && !copy.has_receipt(), "the relay's is not this instance's own");
+    assert!(copy.is_receiving() && !copy.is_receiving_directly(), "the relay's is not this instance's own");
 }
--- a/tests/model/peer.rs
+++ b/tests/model/peer.rs
@@ -111,13 +111,13 @@
     let (head, body) = send(from, to, question, wait);
     let head = timeout(wait + ANSWER_TIMEOUT, head).await.map_err(|_| Left::Failed)?.map_err(|_| Left::Failed)?;
     let proof = if is_relay { Proof::Relay } else { Proof::Peer };
-    let receipt = is_relay.then(|| {
+    let receiving = is_relay.then(|| {
         copy.set_relay_receiving(head.is_receiving);
-        copy.begin_receipt()
+        copy.begin_receiving()
     });
     let total = ANSWER_TIMES[usize::from(!is_relay)];
     let body = timeout(total, body).await.map_err(|_| Left::Failed)?.map_err(|_| Left::Failed)?;
-    drop(receipt);
+    drop(receiving);
     let changes: ChangeSet = serde_json::from_slice(&garble(body, &from.way)).map_err(|_| Left::Failed)?;
     let changes = changes.older_by(since_computed(head.computed_after_ms, asked));
     let max_age = if head.is_receiving { MAX_RECEIVING_AGE } else { MAX_VIEW_AGE };
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -24,21 +24,21 @@
 #[test]
 fn a_view_grows_older_while_the_machine_is_suspended() {
     let freshness = Freshness::default();
-    freshness.prove(Proof::Watch, Duration::ZERO);
+    freshness.record_proof(Proof::Watch, Duration::ZERO);
     assert!(freshness.is_current());
     suspend(SUSPENDED);
     assert!(freshness.age() >= Some(SUSPENDED) && !freshness.is_current());
-    freshness.prove(Proof::Read, Duration::ZERO);
+    freshness.record_proof(Proof::Read, Duration::ZERO);
     assert!(freshness.is_current(), "a proof after it counts as always");
 }
 
 #[test]
 fn the_store_counts_as_lost_after_a_suspension_and_an_answer_ends_that() {
     let copy = StoreCopy::default();
-    copy.mark_answered();
+    copy.record_response();
     suspend(SUSPENDED);
     assert!(copy.is_lost());
-    copy.mark_answered();
+    copy.record_response();
     assert!(!copy.is_lost());
 }
 
