--- a/src/store/era.rs
+++ b/src/store/era.rs
@@ -1,9 +1,9 @@
 //! Eras of the store. A store that is restored from a snapshot has lost all later writes, issues the
-//! same revisions and lease numbers again, and reports a later era in its answers.
+//! same revisions and lease numbers again, and reports a later era in its responses.
 //!
 //! **Rule.** Revisions are comparable only within one era; a later era is ordered after all revisions
-//! of an earlier one. Once an era is known, answers from earlier eras are rejected, whether they come
-//! from the store or from a peer. A store answer that reports no era is attributed to the latest known
+//! of an earlier one. Once an era is known, responses from earlier eras are rejected, whether they come
+//! from the store or from a peer. A store response that reports no era is attributed to the latest known
 //! one.
 //!
 //! **Inputs**: the eras reported by the store and by peers; exact.
@@ -12,7 +12,7 @@
 //! alone, an instance would skip changes below the revision of its view, and would accept a list of the
 //! restored store as proof of its old view.
 //!
-//! **Guards** the promises that changes made after a restore take effect, and that an answer from
+//! **Guards** the promises that changes made after a restore take effect, and that a response from
 //! before the restore does not prove a view current.
 //!
 //! **Test**: `tests/eras.rs`, `tests/freshness_model.rs`, `standins/tests/restored_store.rs`.
@@ -41,7 +41,7 @@
 /// A position in the history of the store, ordered by era and then by revision.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Position {
-    /// The era.
+    /// The era; unknown (0) if the store reports none.
     pub era: Era,
     /// The revision within the era.
     pub revision: u64,
@@ -63,7 +63,7 @@
 }
 
 impl LatestEra {
-    /// The era.
+    /// The latest known era; 0 if none is known.
     pub fn get(&self) -> Era {
         self.era.get()
     }
@@ -73,7 +73,7 @@
         self.observed_at.get()
     }
 
-    /// Records an era; one that is not later than the latest is ignored.
+    /// Records an era. An era that is not later than the latest known one is ignored.
     pub fn observe(&self, era: Era) {
         let before = self.era.get();
         if era <= before {
@@ -85,7 +85,7 @@
         self.advanced.notify_waiters();
     }
 
-    /// Records the era that an answer of the store reports, and returns the era of the answer: the
+    /// Records the era that a response of the store reports, and returns the era of the response: the
     /// latest known one if it reports none.
     ///
     /// # Errors
--- a/src/store/freshness.rs
+++ b/src/store/freshness.rs
@@ -1,61 +1,60 @@
-//! Freshness of the view: how old an instance's knowledge is, and what proved it.
+//! Freshness of the view: how old an instance's copy of the store is, and what proved it.
 //!
-//! **Rule.** The view is current while it was proven so less than `MAX_VIEW_AGE` ago. A
-//! proof is as old as its evidence: the time since the call was sent, never the time
-//! at which its answer was read; and it speaks of what its own answer carried, never of
-//! another call that waits.
+//! **Rule.** The view is current if it was proven current less than `MAX_VIEW_AGE` ago. The age
+//! of a proof is counted from when its call was sent, not from when the response was read. A
+//! proof covers only what its own response contained, not what another pending call may return.
 //!
 //! **Inputs**
 //!
-//! | proof | what it shows | its age |
+//! | proof | what it shows | age |
 //! |---|---|---|
-//! | list | the view is the store at the revision of the first page | since the list was asked for |
-//! | watch | the same, at the revision of the answer | since the watch was sent |
+//! | list | the view equals the store at the revision of the first page | since the list was requested |
+//! | watch | the same, at the revision of the response | since the watch was sent |
 //! | read | the view has reached the position that the store reports | since the read was sent ([`crate::sync::confirm`]) |
-//! | relay, peer | the view is the sender's | that of the sender's view, and the time on the way |
+//! | relay, peer | the view equals the sender's | age of the sender's view plus the transfer time |
 //!
-//! Each proof covers all kinds of keys: every source carries them in one order of
-//! positions. An answer from an earlier era than the latest known one proves nothing
-//! ([`super::era`]). A single value that is refused is named in the log (`value_refused`).
+//! Each proof covers all kinds of keys, since every source delivers them in one order of
+//! positions. A response from an earlier era than the latest known one proves nothing
+//! ([`super::era`]). A single value that is refused is logged (`value_refused`).
 //!
-//! **Why.** Rules that must not act on old state ask here: targets in slow start, followers
-//! of a relay, the grace of registrations.
+//! **Why.** Rules that must not act on stale state depend on it: targets in slow start,
+//! followers of a relay, the grace of registrations.
 //!
-//! **Guards** the promise that a believed age is never below the true one.
+//! **Guards** the promise that the computed age is never below the true age.
 //!
 //! **Test**: `tests/freshness.rs`.
 //!
-//! Owns the last proof. Relies on [`crate::state::StoreCopy`] to take proofs only from the
-//! places above.
+//! Owns the latest proof. Relies on [`crate::state::StoreCopy`] to record proofs only from the
+//! sources above.
 
 use crate::clock::Instant;
 use crate::store::era::Position;
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Age from which the view is stale: somewhat more than the time between two reads that
+/// Age from which the view is stale: slightly more than the time between two reads that
 /// confirm it, and less than the shortest bound on lag (2 s). A relay with an older view is
-/// not followed, and targets in slow start get nothing. Half and double change what
-/// callers get by 2 in 1,000 at most.
+/// not followed, and targets in slow start get no requests. Halving or doubling it changes
+/// what callers get by at most 2 in 1,000.
 pub const MAX_VIEW_AGE: Duration = Duration::from_millis(1_300);
 
-/// What proved that the view was current.
+/// The kind of evidence that the view was current.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Proof {
     /// A list of all keys.
     List,
-    /// The answer of a watch.
+    /// The response to a watch.
     Watch,
-    /// A read of the store's revision, which the view has.
+    /// A read of the store's position, which the view has reached.
     Read,
-    /// A relay's answer.
+    /// A response of the relay.
     Relay,
-    /// The answer of a peer that was asked during an outage.
+    /// The response of a peer that was queried during an outage.
     Peer,
 }
 
 impl Proof {
-    /// Its name in the log.
+    /// The name in the log.
     pub fn as_str(self) -> &'static str {
         match self {
             Proof::List => "list",
@@ -67,17 +66,17 @@
     }
 }
 
-/// The last proof, and when the view was current by it.
+/// The latest proof, and when it showed the view to be current.
 #[derive(Debug, Default)]
 pub struct Freshness {
     proven: Cell<Option<(Instant, Proof)>>,
-    /// Whether the log says that the view is stale.
-    told_stale: Cell<bool>,
+    /// Whether the last logged state was stale.
+    logged_stale: Cell<bool>,
 }
 
 impl Freshness {
-    /// Takes a proof that the view was current `age` ago. An older one than the last
-    /// changes nothing.
+    /// Records a proof that the view was current `age` ago. A proof older than the latest
+    /// is ignored.
     pub fn record_proof(&self, proof: Proof, age: Duration) {
         let Some(at) = Instant::now().checked_sub(age) else { return };
         if self.proven.get().is_none_or(|(last, _)| last < at) {
@@ -85,12 +84,12 @@
         }
     }
 
-    /// Time since the view was last proven current; `None` where it never was.
+    /// Time since the view was last proven current; `None` if it never was.
     pub fn age(&self) -> Option<Duration> {
         self.proven.get().map(|(at, _)| at.elapsed())
     }
 
-    /// What proved it last; `None` where nothing did.
+    /// The kind of the latest proof; `None` before the first.
     pub fn proof(&self) -> Option<Proof> {
         self.proven.get().map(|(_, proof)| proof)
     }
@@ -100,12 +99,12 @@
         self.age().is_some_and(|age| age < MAX_VIEW_AGE)
     }
 
-    /// Logs that the view has turned stale or is current again, once each; `at` is the position
-    /// of the view. Nothing is logged before the first proof.
+    /// Logs each change between current and stale once; `at` is the position of the view.
+    /// Nothing is logged before the first proof.
     pub fn log_change(&self, at: Position) {
         let Some((proven, proof)) = self.proven.get() else { return };
         let is_stale = !self.is_current();
-        if self.told_stale.replace(is_stale) == is_stale {
+        if self.logged_stale.replace(is_stale) == is_stale {
             return;
         }
         let (age_ms, source) = (proven.elapsed().as_millis() as u64, proof.as_str());
--- a/src/store/grace.rs
+++ b/src/store/grace.rs
@@ -1,14 +1,14 @@
-//! Grace for expired registrations: a target whose registration is seen to be gone
+//! Grace for expired registrations: a target whose registration is found missing
 //! shortly after an outage of the store is kept until the grace ends, since it may be
 //! alive and could not renew its lease.
 //!
 //! Inputs:
 //! - the time at which the store became reachable again, as this instance or a peer
-//!   observed it; within `DETECTION_WINDOW` old, else there is no grace;
+//!   observed it; if that is `DETECTION_WINDOW` or longer ago, there is no grace;
 //! - the age of the view at that time; unless it is above `MIN_VIEW_AGE`, the store was
-//!   reachable for the targets too, and a registration that is gone was removed.
+//!   reachable for the targets too, and a missing registration was removed deliberately.
 //!
-//! Why: leases expire during an outage, and a store that comes up lists only those
+//! Why: leases expire during an outage, and after it the store lists only the registrations
 //! renewed since. Guards: an outage of the store removes no live target, and a target
 //! removed during it is not used longer than the rule on draining allows.
 //!
@@ -19,24 +19,25 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Time from the recovery within which registrations seen to be gone may have expired
-/// during the outage: a list after it takes up to the pause between watches, a call and
-/// the longest backoff. Half and double change nothing on that day.
+/// Time from the recovery within which missing registrations may have expired during the
+/// outage: the first list after it can be delayed by the pause between watches, a call and
+/// the longest backoff. On one day with store outages, halving or doubling it changed
+/// nothing.
 const DETECTION_WINDOW: Duration = Duration::from_millis(1_500);
-/// Time from the recovery at which the grace ends: live targets have registered again
-/// within about two seconds. With the longest backoff before it, it ends before the
-/// operators require a removal to be in effect (2 s at the shortest). At
-/// 2.2 s a target was used too long.
+/// Time from the recovery at which the grace ends: live targets register again within
+/// about two seconds. Even after the longest backoff, it ends before the operators require
+/// a removal to be in effect (2 s at the shortest). At 2.2 s, a target was used for too
+/// long.
 const GRACE: Duration = Duration::from_millis(2_000);
-/// Age of the view from which leases may have expired during the outage: below three
-/// heartbeats of a target. Where peers kept it younger, the store was reachable for the
-/// targets too. Double costs 0.048 of the value of that day, as outages of
-/// 5 and 6 s then get no grace; half changes nothing. Without a
-/// lower bound a target was used too long although the view was 0.4 s old.
+/// Age of the view above which leases may have expired during the outage: below three
+/// heartbeats of a target. If peers kept the view younger, the store was reachable for the
+/// targets too. On the same day, doubling it cost 0.048 of the value, since outages of 5 and
+/// 6 s then got no grace; halving it changed nothing. Without a lower bound, a target was
+/// used for too long although the view was only 0.4 s old.
 const MIN_VIEW_AGE: Duration = Duration::from_millis(3_000);
 
 /// End of the grace for records that a restored store lacks, where its era was first observed at
-/// `observed_at`. It is as long as after an outage, since writers need the same time to write again.
+/// `observed_at`. It is as long as after an outage, since writers need as long to write again.
 pub fn era_grace_until(observed_at: Instant) -> Instant {
     observed_at + GRACE
 }
@@ -55,13 +56,13 @@
         }
     }
 
-    /// Time since the last recovery.
+    /// Time since the last recovery; `None` if there was none.
     pub fn recovery_age(&self) -> Option<Duration> {
         self.recovered_at.get().map(|recovered| recovered.elapsed())
     }
 
-    /// Until when targets are kept whose registrations are seen to be gone at `now`;
-    /// `None` where they are removed at once.
+    /// Until when targets are kept whose registrations are found missing at `now`;
+    /// `None` if they are removed at once.
     pub fn until(&self, now: Instant) -> Option<Instant> {
         let recovered = self.recovered_at.get()?;
         (now.saturating_duration_since(recovered) < DETECTION_WINDOW).then_some(recovered + GRACE)
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -1,17 +1,18 @@
-//! Health of the store: it is lost while it never answered, or not for 1.5 s.
+//! Health of the store: it counts as lost if it never responded, or not for more than
+//! `RENEWAL_INTERVAL` + `LOST_TIMEOUT_MARGIN` (1.9 s).
 //!
 //! **Inputs**
-//! - Times of the answers and failures of this instance's calls to the store; exact.
+//! - Times of the responses and failures of this instance's calls to the store; exact.
 //! - Age of the view when the store recovers, from [`super::freshness`].
-//! - Age of a recovery of the store that a peer saw, as the peer gives it.
+//! - Age of a recovery of the store that a peer observed, as the peer reports it.
 //!
-//! **Why.** One lost call is no outage. That the store answers says nothing of a watch that
-//! waits ([`super::freshness`]).
+//! **Why.** A single lost call is not an outage. A response to one call does not show that a
+//! pending watch still works ([`super::freshness`]).
 //!
 //! **Guards** the promise that grace is given only after an outage.
 //!
-//! Owns the time of the last answer.
-//! Relies on the callers of the store to report each answer and failure, and on
+//! Owns the time of the last response.
+//! Relies on the callers of the store to report each response and failure, and on
 //! [`super::grace`] for what follows from a recovery.
 
 use super::StoreError;
@@ -21,30 +22,30 @@
 use std::cell::Cell;
 use std::time::Duration;
 
-/// Time without an answer, beyond that between two renewals, after which the store
-/// counts as lost: one call that used its whole timeout. Half and double change the
-/// value of three days of store outages by 4 in 1,000 at most.
-const SILENCE_BEYOND_RENEWAL: Duration = Duration::from_millis(700);
+/// Time without a response, in addition to the renewal interval, after which the store
+/// counts as lost: one call that used its whole timeout. Halving or doubling it changes the
+/// value of three days with store outages by at most 4 in 1,000.
+const LOST_TIMEOUT_MARGIN: Duration = Duration::from_millis(700);
 
-/// Time between lines on failed calls: an outage fails several a second.
-const REPORT_EVERY: Duration = Duration::from_secs(5);
+/// Minimum time between log lines about failed calls: several fail per second in an outage.
+const FAILURE_LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// What one instance observed of the store.
+/// The state of the store as one instance observes it.
 #[derive(Debug, Default)]
 pub struct StoreHealth {
-    answered_at: Cell<Option<Instant>>,
+    responded_at: Cell<Option<Instant>>,
     lost: Cell<bool>,
     /// When a failed call was last logged.
-    reported_at: Cell<Option<Instant>>,
+    failure_logged_at: Cell<Option<Instant>>,
     grace: RegistrationGrace,
 }
 
 impl StoreHealth {
-    /// Records an answer of the store, with a view of this age; returns whether the store
-    /// had been lost.
+    /// Records a response of the store, received when the view was `view_age` old; returns
+    /// whether the store had been lost.
     pub fn record_response(&self, view_age: Option<Duration>) -> bool {
         let now = Instant::now();
-        self.answered_at.set(Some(now));
+        self.responded_at.set(Some(now));
         let has_recovered = self.lost.replace(false);
         if has_recovered {
             tracing::info!(event = "store_regained");
@@ -53,31 +54,33 @@
         has_recovered
     }
 
-    /// Records that a call of a kind failed, and logs it, at most once each `REPORT_EVERY`.
+    /// Records that a call failed, and logs it at most once per `FAILURE_LOG_INTERVAL`;
+    /// `kind` names the call in the log.
     pub fn record_failure(&self, kind: &str, error: &StoreError) {
         let now = Instant::now();
-        if self.reported_at.get().is_none_or(|reported| now.duration_since(reported) >= REPORT_EVERY) {
-            self.reported_at.set(Some(now));
+        if self.failure_logged_at.get().is_none_or(|logged| now.duration_since(logged) >= FAILURE_LOG_INTERVAL) {
+            self.failure_logged_at.set(Some(now));
             tracing::warn!(event = "store_call_failed", kind, %error);
         }
         if self.is_lost() && !self.lost.replace(true) {
-            let last_answer_ms = self.silence().map(|silence| silence.as_millis() as u64);
+            let last_answer_ms = self.time_since_response().map(|elapsed| elapsed.as_millis() as u64);
             tracing::warn!(event = "store_lost", %error, last_answer_ms);
         }
     }
 
-    /// Whether the store never answered, or not for 1.5 s.
+    /// Whether the store never responded, or not for more than `RENEWAL_INTERVAL` +
+    /// `LOST_TIMEOUT_MARGIN`.
     pub fn is_lost(&self) -> bool {
-        self.silence().is_none_or(|silence| silence > SILENCE_BEYOND_RENEWAL + RENEWAL_INTERVAL)
+        self.time_since_response().is_none_or(|elapsed| elapsed > LOST_TIMEOUT_MARGIN + RENEWAL_INTERVAL)
     }
 
-    /// Time since the store last answered.
-    fn silence(&self) -> Option<Duration> {
-        self.answered_at.get().map(|answered| answered.elapsed())
+    /// Time since the last response of the store; `None` if there was none.
+    fn time_since_response(&self) -> Option<Duration> {
+        self.responded_at.get().map(|responded| responded.elapsed())
     }
 
-    /// Records that a peer saw the store recover `age` ago, with a view of the age
-    /// `view_age` here. It concerns only an instance that lost the store itself.
+    /// Records that a peer observed the store recover `age` ago; `view_age` is the age of the
+    /// local view. Ignored unless this instance has lost the store itself.
     pub fn record_peer_recovery(&self, age: Duration, view_age: Option<Duration>) {
         if self.lost.get() {
             self.grace.record_recovery(Instant::now().checked_sub(age), view_age);
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -1,14 +1,14 @@
-//! The platform's store as lockloft uses it: the calls, what they return, the view that
-//! an instance keeps, and how current the view is.
+//! Interface to the platform's key-value store: the calls and their results, the view (an
+//! instance's copy of the store's items), and how current the view is.
 //!
-//! | file | its job |
+//! | file | responsibility |
 //! |---|---|
 //! | `view` | the items and recent changes |
-//! | `era` | rejects answers that predate a restore of the store from a snapshot |
+//! | `era` | rejects responses that predate a restore of the store from a snapshot |
 //! | `freshness` | how old the view is, and what proved it |
 //! | `health` | whether the store is reachable |
 //! | `grace` | the rule for registrations that expire during an outage |
-//! | `lease` | times of an instance's lease |
+//! | `lease` | timing of an instance's lease |
 //!
 //! Owns these types; [`crate::state`] holds an instance's copies of them. `platform/`
 //! implements [`Store`]; the tasks that call it are in [`crate::sync`].
@@ -27,27 +27,27 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// A value of the store.
+/// A key of the store with its current value.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Item {
-    /// Key.
+    /// The full key, with its prefix.
     pub key: String,
-    /// Value.
+    /// The raw value; [`crate::platform::Platform::decode`] decodes it.
     pub value: Bytes,
-    /// Revision of the last change.
+    /// Revision of the last write to the key, within the era of the store.
     pub revision: u64,
 }
 
-/// A change of the store.
+/// A change of a key in the store.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// A key was written.
     Put(Item),
-    /// A key was removed at a revision.
+    /// A key was deleted, or its lease expired.
     Delete {
-        /// The key.
+        /// The deleted key.
         key: String,
-        /// The revision of its removal.
+        /// The revision of the deletion.
         revision: u64,
     },
 }
@@ -70,33 +70,33 @@
     }
 }
 
-/// All items under a prefix.
+/// The response to a list: all items under a prefix.
 #[derive(Clone, Debug, Default)]
 pub struct Listing {
-    /// The items.
+    /// The items, from all pages.
     pub items: Vec<Item>,
-    /// The position from which a watch continues.
+    /// The position from which a watch continues; in a list of the store, that of the first page.
     pub at: Position,
 }
 
-/// The answer to a watch.
+/// The response to a watch.
 #[derive(Clone, Debug)]
 pub enum WatchResponse {
-    /// Changes up to the position `at`; none where the wait timed out.
+    /// Changes up to the position `at`; none if the wait timed out.
     Events {
         /// The changes, oldest first.
         events: Vec<Event>,
         /// The position from which the next watch continues.
         at: Position,
     },
-    /// The history after the requested revision is compacted; list again.
+    /// The history after the requested revision is compacted; a new list is needed.
     Compacted,
 }
 
-/// A lease on keys of the store.
+/// A lease; keys written under it are deleted when it expires or is revoked.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseId {
-    /// Its number, which the store may issue again in a later era.
+    /// Number assigned by the store, which may issue it again in a later era.
     pub number: u64,
     /// The era in which it was granted.
     pub era: Era,
@@ -105,39 +105,39 @@
 /// Why a call to the store failed.
 #[derive(Clone, Debug, Error, PartialEq, Eq)]
 pub enum StoreError {
-    /// No answer; a write may have been done, or may still be done.
+    /// No response; a write may have been applied, or may still be.
     #[error("the store did not answer; lockloft retries the call")]
     NoResponse,
-    /// The store refused the call with this status; nothing was done.
+    /// The store refused the call with this HTTP status; nothing was written.
     #[error("the store refused the call with status {0}; lockloft retries it")]
     Refused(u16),
-    /// Another write came first: the key is not at the expected revision.
-    #[error("another write came first; lockloft reads the key again")]
+    /// The key is not at the expected revision, since another write came first.
+    #[error("another write to the key came first; lockloft reads it again")]
     Conflict,
     /// The lease has expired.
-    #[error("the lease is over; lockloft takes a new one")]
+    #[error("the lease has expired; lockloft requests a new one")]
     LeaseExpired,
-    /// The answer predates a restore of the store from a snapshot.
-    #[error("the answer is from an earlier era of the store, before it was restored; lockloft retries")]
+    /// The response predates a restore of the store from a snapshot.
+    #[error("the response is from an earlier era of the store, before it was restored; lockloft retries")]
     EarlierEra,
     /// The pages of a list are from different eras.
     #[error("the store was restored between two pages of a list; lockloft lists again")]
     MixedEras,
-    /// An answer outside the store's protocol.
-    #[error("the store's answer cannot be read ({0}); check that [store] address names the store")]
+    /// The response does not follow the store's protocol.
+    #[error("the store's response is invalid ({0}); check that [store] address names the store")]
     InvalidResponse(String),
 }
 
-/// The platform's store.
+/// Client of the platform's store.
 pub trait Store: 'static {
-    /// The latest era reported by an answer of the store or of a peer.
+    /// The latest era reported by a response of the store or of a peer.
     fn latest_era(&self) -> Rc<LatestEra>;
-    /// Lists all keys under `prefix`, as of now; calls `on_response_start` when the head of
-    /// the first page has come.
+    /// Lists all current keys under `prefix`; calls `on_response_start` when the head of the
+    /// first page arrives.
     fn list(&self, prefix: &str, on_response_start: impl FnOnce())
     -> impl Future<Output = Result<Listing, StoreError>>;
     /// Waits up to `wait` for changes under `prefix` after a revision of the latest era; calls
-    /// `on_response_start` when the head of the answer has come.
+    /// `on_response_start` when the head of the response arrives.
     fn watch(
         &self,
         prefix: &str,
@@ -145,23 +145,23 @@
         wait: Duration,
         on_response_start: impl FnOnce(),
     ) -> impl Future<Output = Result<WatchResponse, StoreError>>;
-    /// How many keys there are under `prefix`, by a cheap read that may be seconds old; those of
-    /// one page at most.
+    /// The number of keys under `prefix`, by a cheap read that may be seconds old; at most those
+    /// of one page are counted.
     fn count(&self, prefix: &str) -> impl Future<Output = Result<usize, StoreError>>;
     /// The current position of the store, whichever keys have changed.
     fn position(&self) -> impl Future<Output = Result<Position, StoreError>>;
-    /// Takes a lease.
+    /// Requests a lease that expires after `ttl` unless it is renewed.
     fn grant(&self, ttl: Duration) -> impl Future<Output = Result<LeaseId, StoreError>>;
-    /// Renews a lease.
+    /// Renews a lease for its full time to live.
     fn renew(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
-    /// Ends a lease and removes its keys.
+    /// Revokes a lease, which deletes its keys.
     fn revoke(&self, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
-    /// Writes a key that goes with a lease.
+    /// Writes a key that is deleted with its lease.
     fn put(&self, key: &str, value: Bytes, lease: LeaseId) -> impl Future<Output = Result<(), StoreError>>;
-    /// Writes a key that stays, if it is still at the revision `expected`; 0
-    /// where it must not exist.
+    /// Writes a key without a lease if it is still at the revision `expected`; 0 requires that
+    /// it does not exist.
     fn put_if(&self, key: &str, value: Bytes, expected: u64) -> impl Future<Output = Result<(), StoreError>>;
-    /// Writes a key that goes with a lease, under the same condition.
+    /// Writes a key that is deleted with its lease, under the same condition as [`Self::put_if`].
     fn put_leased_if(
         &self,
         key: &str,
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -8,11 +8,12 @@
 use crate::store::{Event, Item, Listing};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Most changes kept for peers; a peer further behind gets the whole view. Minutes of changes on
-/// the first sites, seconds of a burst on the grown ones; some 300 kB, and the last configuration.
-const MAX_RECENT: usize = 1_000;
-/// Size from which a value is not kept once a later one of its key is known, bytes: each would cost
-/// a peer that is behind its time on the link. Far above a registration (300 bytes).
+/// Maximum number of changes kept for peers; a peer that is further behind gets the whole view.
+/// They cover minutes at small sites and seconds of a burst at large ones, and take some 300 kB
+/// plus the last configuration.
+const MAX_RECENT_CHANGES: usize = 1_000;
+/// Size in bytes from which a value is dropped once its key has a later one, since sending it would
+/// delay a peer that is catching up. Far above a registration (300 bytes).
 const LARGE_VALUE: usize = 4 << 10;
 
 /// Items by key, the position up to which they are complete, and recent changes.
@@ -48,7 +49,7 @@
     }
 
     /// Applies events up to `at`; returns those that changed the view. Events that the view
-    /// has passed already change nothing: they may arrive late, beside a faster source. Events
+    /// already includes are ignored: they may arrive late, after those of a faster source. Events
     /// from another era are ignored as well: they cannot be applied without the list that precedes
     /// them.
     pub fn apply(&mut self, events: Vec<Event>, at: Position) -> Vec<Event> {
@@ -58,12 +59,12 @@
         let mut last = HashMap::new();
         let is_new = |event: &Event| event.revision() > self.at.revision && is_later(&mut last, event);
         let new: Vec<Event> = events.into_iter().filter(is_new).collect();
-        // Also those that a later page of a list had brought: peers may lack them.
-        self.remember(&new);
+        // Includes events that a later page of a list already contained: peers may lack them.
+        self.record_recent(&new);
         self.merge(new, at)
     }
 
-    /// Puts events into the items; returns those that changed them.
+    /// Applies events to the items; returns those that changed them.
     fn merge(&mut self, events: Vec<Event>, at: Position) -> Vec<Event> {
         let mut changes = Vec::new();
         for event in events {
@@ -87,22 +88,22 @@
         changes
     }
 
-    /// Keeps changes for peers, but for large values that a later change replaces.
-    fn remember(&mut self, changes: &[Event]) {
+    /// Keeps changes for peers, except large values that a later change replaces.
+    fn record_recent(&mut self, changes: &[Event]) {
         self.recent.extend(changes.iter().cloned());
         if self.recent.iter().any(Event::is_large) {
             let last: HashMap<String, u64> =
                 self.recent.iter().map(|event| (event.key().to_owned(), event.revision())).collect();
             self.recent.retain(|event| !event.is_large() || last.get(event.key()) == Some(&event.revision()));
         }
-        while self.recent.len() > MAX_RECENT {
+        while self.recent.len() > MAX_RECENT_CHANGES {
             let oldest = self.recent.pop_front().map_or(0, |event| event.revision());
             self.recent_after = self.recent_after.max(oldest);
         }
     }
 
-    /// Replaces the items by a list; returns what changed. A list older than the view
-    /// changes nothing.
+    /// Replaces the items by a list; returns what changed. A list older than the view is
+    /// ignored.
     pub fn replace(&mut self, listing: Listing) -> Vec<Event> {
         if listing.at < self.at {
             return Vec::new();
@@ -122,7 +123,7 @@
             gone.into_iter().map(|key| Event::Delete { key, revision: listing.at.revision }).collect();
         events.extend(listing.items.into_iter().map(Event::Put));
         let changes = self.merge(events, listing.at);
-        // Keys written and removed before the list are not among the changes.
+        // Keys written and deleted before the list are missing from the changes.
         self.recent.clear();
         self.recent_after = listing.at.revision;
         changes
@@ -145,8 +146,8 @@
     }
 }
 
-/// Whether the event is later than those of its key before it in the same answer, in which
-/// an event may come twice.
+/// Whether the event is later than the preceding events of its key in the same response, which
+/// may contain an event twice.
 fn is_later(last: &mut HashMap<String, u64>, event: &Event) -> bool {
     let last = last.entry(event.key().to_owned()).or_default();
     let is_later = event.revision() > *last;
@@ -155,7 +156,7 @@
 }
 
 impl Event {
-    /// Whether it carries a large value.
+    /// Whether it contains a value of at least [`LARGE_VALUE`] bytes.
     fn is_large(&self) -> bool {
         matches!(self, Event::Put(item) if item.value.len() >= LARGE_VALUE)
     }
