--- a/src/state/change_log.rs
+++ b/src/state/change_log.rs
@@ -1,28 +1,30 @@
 //! Log lines of changes of the routing state.
 //!
-//! Owns the names of these events and their fields, and which refused registrations have their
-//! line. Relies on [`crate::decision::registry::routing`] to report each change once.
+//! Owns the names of these events and their fields, and the set of refused registrations that are
+//! already logged. Relies on [`crate::decision::registry::routing`] to report each change once.
 
 use crate::decision::registry::change::StateChange;
 use crate::model::record::{RecordError, RefusalEffect};
 use crate::telemetry::log::Once;
 use std::cell::RefCell;
 
-/// Most targets and members of an instance's first view that get a line each; more are counted
-/// in one line. A start of one of 295 instances otherwise writes 1,372 lines, beyond the log's
-/// rate, and displaces those that follow: none of 295 logged its configuration.
+/// Maximum number of targets and members of the first view that are logged one by one; more are
+/// logged as counts in one line. Without this limit, each of 295 instances wrote 1,372 lines at its
+/// start. That is beyond the log's rate and displaced later lines: none of the 295 instances logged
+/// its configuration.
 const MAX_START_LINES: usize = 64;
 
-/// Writes the lines.
+/// Writes one log line per change of the routing state.
 #[derive(Debug, Default)]
 pub struct ChangeLog {
-    /// Refused registrations, which their writers may repeat with each heartbeat.
+    /// Refused registrations that are already logged: their writers may repeat them with each
+    /// heartbeat.
     refused: RefCell<Once<RecordError>>,
 }
 
 impl ChangeLog {
-    /// Logs what an instance's first view holds: targets and members in one line where they are
-    /// many, all else as [`Self::write`] does.
+    /// Logs the contents of an instance's first view: targets and members in one line if there are
+    /// more than `MAX_START_LINES`, everything else as [`Self::write`] does.
     pub fn write_first_view(&self, state_changes: &[StateChange], revision: u64, source: &'static str) {
         let targets = state_changes.iter().filter(|change| matches!(change, StateChange::Target { .. })).count();
         let members = state_changes.iter().filter(|change| matches!(change, StateChange::Member { .. })).count();
@@ -38,7 +40,7 @@
         }
     }
 
-    /// Logs a change: `revision` is that of the view, `source` names what reported it.
+    /// Logs a change: `revision` is that of the view, `source` names where the change came from.
     pub fn write(&self, state_change: &StateChange, revision: u64, source: &'static str) {
         match state_change {
             StateChange::Config(version) => tracing::info!(event = "config_in_force", version, revision, source),
@@ -58,16 +60,16 @@
                 tracing::info!(event = "strikes_lapsed", %fingerprint, revision, source)
             }
             StateChange::Refused(error) => {
-                if self.is_due(error) {
+                if self.should_log(error) {
                     tracing::error!(event = "value_refused", %error, revision, source);
                 }
             }
         }
     }
 
-    /// Whether the refusal gets a line: each of a configuration or policies, and each problem
-    /// of a registration once.
-    fn is_due(&self, error: &RecordError) -> bool {
+    /// Whether to log a refused value: always for a configuration or policies, and once for each
+    /// distinct error of a registration.
+    fn should_log(&self, error: &RecordError) -> bool {
         error.effect == RefusalEffect::LastGood || self.refused.borrow_mut().is_new(error.clone())
     }
 }
--- a/src/state/lifecycle.rs
+++ b/src/state/lifecycle.rs
@@ -1,6 +1,6 @@
-//! Whether an instance runs, stops or ends.
+//! Lifecycle of an instance: running, stopping, ending.
 //!
-//! Owns these states; only [`crate::instance::stop`] advances them. Relies on nothing.
+//! Owns the state; only [`crate::instance::stop`] advances them. Relies on nothing.
 
 use crate::clock::Instant;
 use std::cell::Cell;
@@ -8,7 +8,7 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-/// The state of the process. It only moves on: running, stopping, ending.
+/// The state of the process. It only advances: running, stopping, ending.
 #[derive(Debug, Default)]
 pub struct Lifecycle {
     stopping_since: Cell<Option<Instant>>,
@@ -23,7 +23,7 @@
         self.stop_requested.notify_waiters();
     }
 
-    /// Begins the end: no request is served any more.
+    /// Enters the last state, in which no requests are served.
     pub fn begin_end(&self) {
         self.ending.set(true);
     }
@@ -33,17 +33,17 @@
         self.stopping_since.get().is_some()
     }
 
-    /// Time since the planned stop began; `None` before.
+    /// Time since the planned stop began; `None` while running.
     pub fn stopping_for(&self) -> Option<Duration> {
         self.stopping_since.get().map(|since| since.elapsed())
     }
 
-    /// Whether requests are no longer served.
+    /// Whether the instance has reached the last state, in which no requests are served.
     pub fn is_ending(&self) -> bool {
         self.ending.get()
     }
 
-    /// Completes once a stop is requested.
+    /// Completes once [`Self::begin_stop`] is called.
     pub fn stop_requested(&self) -> Notified<'_> {
         self.stop_requested.notified()
     }
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -1,20 +1,20 @@
-//! What all tasks of an instance share, in parts that own their cells.
+//! State that the tasks of an instance share, in parts with interior mutability.
 //!
 //! | part | what it owns |
 //! |---|---|
 //! | [`StoreCopy`] | the view of the store and how current it is |
 //! | [`Lifecycle`] | running, stopping, ending |
-//! | [`Requests`] | requests in flight and what they hold |
-//! | [`Quotas`] | requests of tenants, here and at all instances |
+//! | [`Requests`] | number of requests in flight and the bytes buffered for them |
+//! | [`Quotas`] | usage of tenants' quotas, at this instance and in total |
 //! | [`LostPolicies`] | policies that a restored store may lack |
-//! | [`StrikeReports`] | requests whose strikes the other instances have to hear of |
-//! | [`RateLimits`] | what this instance knows of targets' rate limits as the head of a hall |
-//! | [`TargetLoads`] | loads of targets that instances share |
+//! | [`StrikeReports`] | requests whose strikes are still to be reported to the other instances |
+//! | [`RateLimits`] | totals of targets' rate limits, if this instance is the head of a hall |
+//! | [`TargetLoads`] | loads of targets that instances exchange |
 //! | [`Routing`], [`TrafficSplits`], [`RetryBudgets`] | the state of the decisions |
-//! | [`Settings`], [`Metrics`], [`Log`] | what their names say |
+//! | [`Settings`], [`Metrics`], [`Log`] | settings in force, counters, log output |
 //!
-//! [`Instance`] joins them: a change of the view updates the routing state, and a change
-//! of that the splits, the retry budget and the metrics. Relies on `store`, `decision`
+//! [`Instance`] combines them: a change of the view updates the routing state, which in turn
+//! updates the splits, the retry budgets and the metrics. Relies on `store`, `decision`
 //! and `telemetry`; the tasks in `sync`, `proxy`, `directory` and `operator` rely on it.
 
 mod change_log;
@@ -58,47 +58,47 @@
 use std::cell::RefCell;
 use std::rc::Rc;
 
-/// An instance.
+/// The shared state of one instance.
 pub struct Instance<P: Platform> {
     /// Settings in force; replaced by a reload.
     pub settings: RefCell<Rc<Settings>>,
     /// The client of the platform's store.
     pub store: P::Store,
-    /// Header names.
+    /// Names of the HTTP headers that the platform defines.
     pub names: HeaderNames,
     /// The view of the store and how current it is.
     pub store_copy: StoreCopy,
     /// The configuration, targets and members that the view describes.
     pub routing: RefCell<Routing>,
-    /// Shares of split routes.
+    /// Request counts of the routes with a traffic split.
     pub splits: RefCell<TrafficSplits>,
-    /// The retry budgets.
+    /// Retry budgets by service.
     pub retries: RefCell<RetryBudgets>,
-    /// The quotas of tenants.
+    /// Usage of the tenants' quotas.
     pub quotas: Quotas,
-    /// Loads of targets that instances share.
+    /// Loads of targets that instances exchange.
     pub target_loads: TargetLoads,
-    /// Rate limits of targets.
+    /// Totals of targets' rate limits, kept as the head of a hall.
     pub rate_limits: RateLimits,
-    /// Whether the instance runs, stops or ends.
+    /// Whether the instance is running, stopping or ending.
     pub lifecycle: Lifecycle,
-    /// Requests in flight.
+    /// Number of requests in flight and the bytes buffered for them.
     pub requests: Requests,
-    /// Requests whose strikes the other instances have to hear of.
+    /// Requests whose strikes are still to be reported to the other instances.
     pub strike_reports: StrikeReports,
-    /// Policies that a restored store may lack.
+    /// Policies that may be missing from a restored store.
     pub lost_policies: LostPolicies,
-    /// Counters.
+    /// Counters and gauges for operators.
     pub metrics: Metrics,
-    /// The log.
+    /// The log output and its rate limit.
     pub log: Log,
-    /// Bytes that a request takes.
+    /// Estimated size of a request in bytes.
     pub request_size: RequestSize,
     change_log: ChangeLog,
 }
 
 impl<P: Platform> Instance<P> {
-    /// An instance with an empty view.
+    /// Creates an instance with an empty view.
     pub fn new(settings: Settings, store: P::Store, log: Log) -> Self {
         let store_copy = StoreCopy::new(store.latest_era());
         Self {
@@ -123,25 +123,25 @@
         }
     }
 
-    /// The settings in force.
+    /// The settings in force at the time of the call.
     pub fn settings(&self) -> Rc<Settings> {
         self.settings.borrow().clone()
     }
 
-    /// Puts reloaded settings in force, and has the retry budget follow them.
+    /// Puts reloaded settings in force and updates the bounds of the retry budgets.
     pub fn reload(&self, settings: Settings) {
         self.settings.replace(Rc::new(settings));
-        self.bound_retries();
+        self.update_retry_bounds();
     }
 
-    /// Whether callers should use this instance.
+    /// Whether callers should use this instance: it has a configuration and is not stopping.
     pub fn is_ready(&self) -> bool {
         !self.lifecycle.is_stopping() && self.routing.borrow().config.is_some()
     }
 
-    /// What the choice of a target looks at. A request's tries and `why` both ask here, so
-    /// that the one explains the other. Targets in slow start get nothing while the view
-    /// is stale.
+    /// The inputs of the choice of a target. Requests and the `why` command both use this, so
+    /// that explanations match the actual choice. Targets in slow start get no requests while the
+    /// view is stale.
     pub fn query<'a>(
         &self,
         settings: &'a Settings,
@@ -184,7 +184,7 @@
         } else {
             self.log_changes(&state_changes, source);
         }
-        self.follow_changes(&state_changes);
+        self.propagate_changes(&state_changes);
     }
 
     /// Applies events of the store up to the position `at`; `source` is for the log.
@@ -192,7 +192,7 @@
         let changes = self.store_copy.apply_events(events, at);
         let state_changes = self.apply_changes(&changes);
         self.log_changes(&state_changes, source);
-        self.follow_changes(&state_changes);
+        self.propagate_changes(&state_changes);
     }
 
     fn apply_changes(&self, changes: &[Event]) -> Vec<StateChange> {
@@ -204,8 +204,8 @@
         self.routing.borrow_mut().apply::<P>(changes, now, grace_until)
     }
 
-    /// Applies the first list of a later era. Records that it lacks are kept for the grace of the
-    /// era, or for that of an outage if it ends later.
+    /// Applies the first list of a later era. Records missing from it are kept until the grace of
+    /// the era ends, or that of an outage if it ends later.
     fn begin_era(&self, changes: &[Event], at: Position) -> Vec<StateChange> {
         let Position { era, revision } = at;
         tracing::info!(event = "era_applied", era = era.0, revision, changes = changes.len());
@@ -216,11 +216,11 @@
     }
 
     /// Removes targets, members and evacuations that were not written again within their grace, and
-    /// strikes that count no longer.
+    /// strikes that no longer count.
     pub fn remove_expired(&self) {
         let state_changes = self.routing.borrow_mut().remove_expired(Instant::now());
         self.log_changes(&state_changes, "lapse");
-        self.follow_changes(&state_changes);
+        self.propagate_changes(&state_changes);
     }
 
     fn log_changes(&self, state_changes: &[StateChange], source: &'static str) {
@@ -230,8 +230,8 @@
         }
     }
 
-    /// Has all that depends on the routing state follow its changes.
-    fn follow_changes(&self, state_changes: &[StateChange]) {
+    /// Updates everything that depends on the routing state after its changes.
+    fn propagate_changes(&self, state_changes: &[StateChange]) {
         let mut have_members_changed = false;
         for state_change in state_changes {
             match state_change {
@@ -239,7 +239,7 @@
                 StateChange::Member { .. } => have_members_changed = true,
                 StateChange::Refused(_) => self.metrics.values_refused.inc(),
                 StateChange::Quarantine { .. } => self.quarantine_changed(),
-                StateChange::StrikesExpired(fingerprint) => self.strikes_lapsed(*fingerprint),
+                StateChange::StrikesExpired(fingerprint) => self.strikes_expired(*fingerprint),
                 StateChange::Policies { .. } | StateChange::Evacuation { .. } | StateChange::Target { .. } => {}
             }
         }
@@ -255,8 +255,8 @@
         let split = config.split_routes();
         self.splits.borrow_mut().retain(|name| split.contains(name));
         self.retries.borrow_mut().retain(|service| config.services.contains_key(service));
-        self.quotas.follow(&config.tenants);
-        // Counts begin anew with a version, so that tenants which are gone leave no labels.
+        self.quotas.set_tenants(&config.tenants);
+        // Counts restart with each version, so that removed tenants leave no metric labels.
         self.metrics.quota_requests.reset();
     }
 
@@ -265,8 +265,9 @@
         self.metrics.quarantined.set(count as i64);
     }
 
-    /// The store has lost a record: with its lease in time, or early in an outage.
-    fn strikes_lapsed(&self, fingerprint: Fingerprint) {
+    /// Handles the loss of a strike record in the store: its lease expired in due time, or early in
+    /// an outage.
+    fn strikes_expired(&self, fingerprint: Fingerprint) {
         let (settings, now) = (self.settings(), Instant::now());
         if self.routing.borrow_mut().quarantine.apply_expiry(fingerprint, &settings.name, now) {
             self.strike_reports.add(fingerprint, now);
@@ -276,10 +277,10 @@
     fn members_changed(&self) {
         let members = self.routing.borrow().members.count();
         self.metrics.members.set(members as i64);
-        self.bound_retries();
+        self.update_retry_bounds();
     }
 
-    fn bound_retries(&self) {
+    fn update_retry_bounds(&self) {
         let members = self.routing.borrow().members.count();
         let settings = self.settings();
         self.retries.borrow_mut().set_bounds(settings.retry_ratio, settings.retry_slack, members);
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -1,7 +1,8 @@
-//! Quotas of tenants in this instance: its own requests, and what it knows as the head of a hall.
+//! Quotas of tenants at this instance: its own usage, and the totals that it keeps as the head of a
+//! hall.
 //!
-//! Owns both, and who is to be told of what. The rules are in [`crate::decision::quota`]; the tasks
-//! of [`crate::sync::usage`] exchange what they need.
+//! Owns both, and signals when a report is due. The rules are in [`crate::decision::quota`]; the
+//! tasks of [`crate::sync::usage`] exchange the reports between instances.
 
 use super::Instance;
 use crate::clock::Instant;
@@ -15,7 +16,7 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// The quotas of tenants.
+/// Usage of the tenants' quotas.
 #[derive(Debug, Default)]
 pub struct Quotas {
     own: RefCell<LocalUsage>,
@@ -32,72 +33,74 @@
         self.is_needed.get()
     }
 
-    /// Whether this instance was told something lately, so that it is some instances' head.
+    /// Whether this instance received reports recently, so that it is the head of other instances.
     pub fn is_head(&self) -> bool {
         self.totals.borrow().is_head(Instant::now())
     }
 
-    /// Completes once a report should not wait.
+    /// Completes once a report should be sent at once.
     pub async fn report_due(&self) {
         self.report_due.notified().await;
     }
 
-    /// Completes once other halls should be told at once.
+    /// Completes once a report to other halls should be sent at once.
     pub async fn forward_due(&self) {
         self.forward_due.notified().await;
     }
 
-    /// What is to be told of the own requests, and the time in which they arrived.
+    /// Starts a report: the unreported usage of this instance by tenant, and the time span in which
+    /// the requests arrived.
     pub fn begin_report(&self) -> (Vec<(String, Usage)>, Duration) {
         let (mut own, now) = (self.own.borrow_mut(), Instant::now());
         let over = own.unreported_for(now);
         (own.begin_report(now), over)
     }
 
-    /// The last report was taken, but says nothing of what may pass.
+    /// Completes a report that the head received, but whose answer contained no shares.
     pub fn forget_report(&self) {
         self.own.borrow_mut().forget_report();
     }
 
-    /// Takes back a report that was not answered.
+    /// Restores the usage of a report that was not answered.
     pub fn restore_report(&self) {
         self.own.borrow_mut().restore_report();
     }
 
-    /// Takes a head's answer to what it was told of tenants.
+    /// Applies the head's answer to a report of usage.
     pub fn take_answer(&self, answer: &UsageAnswer) {
         self.own.borrow_mut().take_answer(answer, Instant::now());
     }
 
-    /// What a hall has to be told, and the time in which it arrived.
+    /// Starts a report to another hall: its usage by tenant, and the time span in which the requests
+    /// arrived.
     pub fn begin_forward(&self, hall: &str) -> (Vec<(String, Usage)>, Duration) {
         self.totals.borrow_mut().begin_forward(hall, Instant::now())
     }
 
-    /// Puts back what a hall was not told.
+    /// Restores the usage of a report that another hall did not receive.
     pub fn restore_forward(&self, hall: &str, tenants: Vec<(String, Usage)>) {
         self.totals.borrow_mut().restore_forward(hall, tenants, Instant::now());
     }
 
-    /// A request that was admitted was run by no target.
+    /// Returns the quota of an admitted request that no target executed.
     pub fn release(&self, tenant: &Tenant) {
         if tenant.quota.is_some() {
             self.own.borrow_mut().release(&tenant.name);
         }
     }
 
-    /// The own requests, for operators.
+    /// Usage of this instance, for operators.
     pub fn own(&self) -> Ref<'_, LocalUsage> {
         self.own.borrow()
     }
 
-    /// What this instance knows as a head, for operators.
+    /// The totals that this instance keeps as a head, for operators.
     pub fn totals(&self) -> Ref<'_, UsageTotals> {
         self.totals.borrow()
     }
 
-    /// Follows the tenants of a configuration that comes into force.
-    pub(super) fn follow(&self, tenants: &Tenants) {
+    /// Adopts the tenants of a configuration that comes into force; drops the usage of others.
+    pub(super) fn set_tenants(&self, tenants: &Tenants) {
         self.is_needed.set(tenants.iter().any(|tenant| tenant.quota.is_some()));
         let has_quota = |name: &str| tenants.find(name).is_some_and(|tenant| tenant.quota.is_some());
         self.own.borrow_mut().retain(has_quota);
@@ -106,7 +109,7 @@
 }
 
 impl<P: Platform> Instance<P> {
-    /// Admits or refuses a request by its tenant's quota.
+    /// Admits or refuses a request according to its tenant's quota.
     pub fn admit(&self, tenant: &Tenant) -> Admission {
         let Some(quota) = tenant.quota else { return Admission::Admitted };
         let fleet = self.fleet_size();
@@ -119,7 +122,7 @@
         admission
     }
 
-    /// Who shares the quotas.
+    /// The number of instances among which the quotas are divided.
     pub fn fleet_size(&self) -> FleetSize {
         let members = &self.routing.borrow().members;
         FleetSize {
@@ -128,27 +131,27 @@
         }
     }
 
-    /// Takes a report as the head of a hall, and gives the answer to it.
+    /// Records a report as the head of a hall, and returns the answer to it.
     pub fn record_usage_report(&self, report: &UsageReport) -> UsageAnswer {
-        let answer = self.with_totals(|totals, rules| totals.record_report(report, rules, Instant::now()));
+        let answer = self.with_totals(|totals, context| totals.record_report(report, context, Instant::now()));
         UsageAnswer { loads: self.record_shared_loads(report), ..answer.unwrap_or_default() }
     }
 
-    /// Takes the own report as the head of the own hall; `None` where no other instance is heard
-    /// from, so that the answer would be that of one that is cut off.
+    /// Records this instance's own report as the head of its hall; `None` if no other instance is
+    /// reachable, since the answer would then be that of an isolated instance.
     pub fn record_own_usage_report(&self, report: &UsageReport) -> Option<UsageAnswer> {
-        let answer = self.with_totals(|totals, rules| {
-            let answer = totals.record_report(report, rules, Instant::now());
-            (!totals.is_isolated(rules, Instant::now())).then_some(answer)
+        let answer = self.with_totals(|totals, context| {
+            let answer = totals.record_report(report, context, Instant::now());
+            (!totals.is_isolated(context, Instant::now())).then_some(answer)
         })?;
         Some(UsageAnswer { loads: self.record_shared_loads(report), ..answer? })
     }
 
-    /// Changes the totals; `None` before the first configuration.
+    /// Updates the totals; `None` before the first configuration.
     fn with_totals<T>(&self, change: impl FnOnce(&mut UsageTotals, QuotaContext<'_>) -> T) -> Option<T> {
         let (settings, routing) = (self.settings(), self.routing.borrow());
         let config = routing.config.as_ref()?;
-        let rules = QuotaContext {
+        let context = QuotaContext {
             tenants: &config.tenants,
             members: &routing.members,
             window: settings.quota_window,
@@ -156,8 +159,8 @@
             own: InstanceIdentity { name: &settings.name, hall: &settings.hall },
         };
         let mut totals = self.quotas.totals.borrow_mut();
-        let changed = change(&mut totals, rules);
-        if totals.is_forward_urgent(rules) {
+        let changed = change(&mut totals, context);
+        if totals.is_forward_urgent(context) {
             self.quotas.forward_due.notify_one();
         }
         Some(changed)
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -1,8 +1,9 @@
-//! Rate limits of targets in this instance: what it tells, hears, and passes on as the head of a
-//! hall.
+//! Rate limits of targets at this instance: the reports that it sends and receives, and forwards as
+//! the head of a hall.
 //!
-//! Owns what it knows as a head. The rule is in [`crate::decision::capacity::rate_limit`]; the tasks
-//! of [`crate::sync::limits`] carry what instances tell each other.
+//! Owns the totals that it keeps as a head. The rule is in
+//! [`crate::decision::capacity::rate_limit`]; the tasks of [`crate::sync::limits`] exchange the
+//! reports.
 
 use super::Instance;
 use crate::clock::Instant;
@@ -17,44 +18,44 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// Rate limits of targets.
+/// Totals of targets' rate limits.
 #[derive(Debug, Default)]
 pub struct RateLimits {
-    /// As the head of a hall.
+    /// Kept as the head of a hall.
     totals: RefCell<LimitTotals>,
     report_due: Notify,
 }
 
 impl RateLimits {
-    /// Completes once a report should not wait.
+    /// Completes once a report should be sent at once.
     pub async fn report_due(&self) {
         self.report_due.notified().await;
     }
 
-    /// Whether this instance is the head of its hall and has something to tell the others.
+    /// Whether this instance is the head of its hall and has demands to report to other halls.
     pub fn should_forward(&self) -> bool {
         self.totals.borrow().should_forward(Instant::now())
     }
 
-    /// Notes that the head of another hall answered.
+    /// Records that the head of another hall answered.
     pub fn record_hall_contact(&self, hall: &str) {
         self.totals.borrow_mut().record_hall_contact(hall, Instant::now());
     }
 
-    /// Has a report made at once.
+    /// Triggers a report at once.
     pub fn report_now(&self) {
         self.report_due.notify_one();
     }
 }
 
 impl<P: Platform> Instance<P> {
-    /// Whether a target has a limit or leaves.
+    /// Whether any target has a rate limit or is leaving.
     pub fn has_limits(&self) -> bool {
         let now = Instant::now();
         self.routing.borrow().targets().any(|target| target.rate_limit(now).is_some() || target.is_leaving())
     }
 
-    /// Works out the equal parts of all limits again; gives whether there is something to tell.
+    /// Recomputes the equal shares of all limits; returns whether there is anything to report.
     pub fn update_limits(&self) -> bool {
         let (now, settings, routing) = (Instant::now(), self.settings(), self.routing.borrow());
         let limited: Vec<&Rc<Target>> = routing.targets().filter(|target| target.rate_limit(now).is_some()).collect();
@@ -66,13 +67,13 @@
             || routing.targets().any(|target| target.has_recent_limit_signal(now) || target.is_leaving())
     }
 
-    /// What the head of the own hall is told.
+    /// The report to the head of this instance's hall.
     pub fn limit_report(&self) -> LimitReport {
         let (now, settings) = (Instant::now(), self.settings());
         let demand = |target: &Rc<Target>| {
             let leaves = target.is_leaving();
-            let (said, demand) = target.take_limit_report(now).or(leaves.then_some((None, 0.0)))?;
-            let told = said.and_then(|said| limit_to_message(said, now));
+            let (announced, demand) = target.take_limit_report(now).or(leaves.then_some((None, 0.0)))?;
+            let told = announced.and_then(|limit| limit_to_message(limit, now));
             Some(TargetDemand { target: target.start_key, told, demand: demand as f32, leaves })
         };
         let routing = self.routing.borrow();
@@ -84,7 +85,7 @@
         }
     }
 
-    /// What the heads of other halls are told.
+    /// The report to the heads of other halls.
     pub fn forwarded_limits(&self) -> LimitReport {
         let settings = self.settings();
         LimitReport {
@@ -95,7 +96,7 @@
         }
     }
 
-    /// Takes a report as the head of a hall, and gives the answer to it.
+    /// Records a report as the head of a hall, and returns the answer to it.
     pub fn record_limit_report(&self, report: &LimitReport) -> LimitAnswer {
         let (now, settings, routing) = (Instant::now(), self.settings(), self.routing.borrow());
         let mut totals = self.rate_limits.totals.borrow_mut();
@@ -106,7 +107,7 @@
         LimitAnswer { shares: totals.shares(&report.targets, &routing.members, &settings.hall, now) }
     }
 
-    /// Takes the shares that a head answered.
+    /// Applies the shares in the answer of a head.
     pub fn apply_limit_shares(&self, answer: &LimitAnswer) {
         let now = Instant::now();
         let by_target: HashMap<StartKey, &TargetShare> =
@@ -116,8 +117,8 @@
             if share.leaves && target.mark_leaving() {
                 tracing::info!(event = "target_leaving", id = &*target.id, hall = &*target.hall, from = "instances");
             }
-            if let Some(said) = share.told.and_then(|told| limit_from_message(told, now))
-                && let Some(rate) = target.record_remote_limit(said, now)
+            if let Some(limit) = share.told.and_then(|told| limit_from_message(told, now))
+                && let Some(rate) = target.record_remote_limit(limit, now)
             {
                 tracing::info!(
                     event = "target_limit",
@@ -133,8 +134,8 @@
         }
     }
 
-    /// Has a report made at once where a target got or lost its limit, or far more than usual comes
-    /// for it.
+    /// Triggers a report at once if a target got or lost its limit, or its demand is far above the
+    /// usual.
     pub fn report_limit_change(&self, target: &Target, had_limit: bool) {
         let now = Instant::now();
         if had_limit != target.rate_limit(now).is_some() || target.has_demand_surge(now) {
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -1,7 +1,7 @@
-//! The requests of callers that an instance works on.
+//! The requests of callers that an instance is processing.
 //!
-//! Owns their number, the arrival of the last one and the bytes held of bodies and answers. The
-//! proxy updates it; the planned stop and the metrics read it. Relies on [`BufferTotal`].
+//! Owns their number, the arrival time of the last one and the bytes of bodies and responses held in
+//! memory. The proxy updates it; the planned stop and the metrics read it. Relies on [`BufferTotal`].
 
 use crate::clock::Instant;
 use crate::net::buffered_bytes::BufferTotal;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Requests in flight, and what they hold.
+/// Number of requests in flight and the bytes buffered for them.
 #[derive(Debug)]
 pub struct Requests {
     in_flight: Rc<Cell<u32>>,
@@ -29,7 +29,7 @@
 }
 
 impl Requests {
-    /// No requests yet; `now` counts as the last arrival.
+    /// Starts without requests; `now` counts as the arrival of the last one.
     pub fn new(now: Instant) -> Self {
         Self {
             in_flight: Rc::default(),
@@ -49,18 +49,18 @@
         self.in_flight.set(self.in_flight.get() - 1);
     }
 
-    /// Counts a request for as long as its answer is under way to the caller.
+    /// Counts a request until the guard is dropped, while its response is sent to the caller.
     pub fn track(&self) -> InFlightGuard {
         self.begin();
         InFlightGuard(self.in_flight.clone())
     }
 
-    /// Counts requests that were read before their turn on their connection.
+    /// Adjusts the number of pipelined requests that wait for their turn on their connection.
     pub fn count_unanswered(&self, change: i64) {
         self.unanswered.set(self.unanswered.get() + change);
     }
 
-    /// Requests that were read before their turn and are not answered.
+    /// Number of pipelined requests that wait for their turn.
     pub fn unanswered(&self) -> u64 {
         u64::try_from(self.unanswered.get()).unwrap_or(0)
     }
@@ -70,7 +70,7 @@
         self.in_flight.get() == 0 && self.unanswered.get() == 0
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.get()
     }
@@ -85,7 +85,7 @@
         self.last_arrival.get().elapsed()
     }
 
-    /// Bytes held of request bodies and answers.
+    /// Bytes of request bodies and responses held in memory.
     pub fn buffered_bytes(&self) -> u64 {
         self.buffered_bytes.get()
     }
--- a/src/state/store_copy.rs
+++ b/src/state/store_copy.rs
@@ -1,6 +1,6 @@
-//! An instance's copy of the store: the view, how current it is, and who waits for it.
+//! An instance's copy of the store: the view, how current it is, and notifications of changes.
 //!
-//! Owns the view, its freshness, the health of the store, and the notifications.
+//! Owns the view, its freshness, the health of the store and the notifications.
 //! [`crate::sync`] updates it; requests, peers and operators read it. Relies on
 //! [`crate::store`] for the types.
 
@@ -23,9 +23,9 @@
     latest_era: Rc<LatestEra>,
     freshness: Freshness,
     health: StoreHealth,
-    /// Answers with changes that are under way.
+    /// Number of responses with changes that are being received.
     responses_in_progress: Cell<u32>,
-    /// Whether the relay said that an answer with changes is under way to it.
+    /// Whether the relay reported that it is receiving a response with changes.
     relay_receiving: Cell<bool>,
     changed: Notify,
     confirmed: Notify,
@@ -33,7 +33,7 @@
 }
 
 impl StoreCopy {
-    /// An empty copy, which shares the latest known era with the store's client.
+    /// Creates an empty copy, which shares the latest known era with the store's client.
     pub fn new(latest_era: Rc<LatestEra>) -> Self {
         Self { latest_era, ..Self::default() }
     }
@@ -84,24 +84,25 @@
         }
     }
 
-    /// Records an answer of the store, whatever it was. It proves nothing of the view.
+    /// Records any response of the store. It does not prove that the view is current.
     pub fn record_response(&self) {
         let was_silent = self.health.is_lost();
         let has_recovered = self.health.record_response(self.view_age());
         if was_silent || has_recovered {
-            // A watch that waited through the silence may be lost, also where no call
-            // failed: this process may have been paused.
+            // A watch that was pending meanwhile may be lost, even if no call failed: this
+            // process may have been paused.
             self.reachable_again.notify_waiters();
         }
     }
 
-    /// Records that a call of a kind to the store was refused or got no answer.
+    /// Records that a call to the store was refused or got no response; `kind` names the call in the
+    /// log.
     pub fn record_failure(&self, kind: &str, error: &StoreError) {
         self.health.record_failure(kind, error);
     }
 
-    /// Takes a proof that the view was current `age` ago. It is ignored unless the era of the answer
-    /// is both that of the view and the latest known one.
+    /// Records a proof that the view was current `age` ago. It is ignored unless the era of the
+    /// response is both that of the view and the latest known one.
     pub fn record_proof(&self, proof: Proof, age: Duration, era: Era) {
         if era != self.view().at().era || self.is_superseded() {
             return;
@@ -110,63 +111,66 @@
         self.confirmed.notify_waiters();
     }
 
-    /// Records that a peer saw the store recover from an outage `age` ago.
+    /// Records that a peer observed the store recover from an outage `age` ago.
     pub fn record_peer_recovery(&self, age: Duration) {
         self.health.record_peer_recovery(age, self.view_age());
     }
 
-    /// Records that an answer with changes is under way, until the guard is dropped.
+    /// Records that a response with changes is being received, until the guard is dropped.
     pub fn begin_receiving(&self) -> ReceiveGuard<'_> {
         self.responses_in_progress.set(self.responses_in_progress.get() + 1);
         ReceiveGuard { copy: self, begun: Instant::now() }
     }
 
-    /// Whether an answer with changes is under way to this instance.
+    /// Whether this instance itself is receiving a response with changes.
     pub fn is_receiving_directly(&self) -> bool {
         self.responses_in_progress.get() > 0
     }
 
-    /// Records whether an answer with changes is under way to the relay that is followed.
+    /// Records whether the relay of this instance is receiving a response with changes.
     pub fn set_relay_receiving(&self, receiving: bool) {
         self.relay_receiving.set(receiving);
     }
 
-    /// Whether an answer with changes is under way, to this instance or to its relay.
+    /// Whether this instance or its relay is receiving a response with changes.
     pub fn is_receiving(&self) -> bool {
         self.is_receiving_directly() || self.relay_receiving.get()
     }
 
-    /// Time since the view was last proven current; `None` where it never was.
+    /// Time since the view was last proven current; `None` if it never was.
     pub fn view_age(&self) -> Option<Duration> {
         self.freshness.age()
     }
 
-    /// What proved the view last; `None` where nothing did.
+    /// The kind of the latest proof; `None` before the first.
     pub fn view_proof(&self) -> Option<Proof> {
         self.freshness.proof()
     }
 
-    /// Whether the view is current.
+    /// Whether the view was proven current less than
+    /// [`MAX_VIEW_AGE`](crate::store::freshness::MAX_VIEW_AGE) ago.
     pub fn is_current(&self) -> bool {
         self.freshness.is_current()
     }
 
-    /// Logs that the view has turned stale, or is current again.
+    /// Logs if the view has become stale or is current again.
     pub fn log_freshness(&self) {
         self.freshness.log_change(self.view().at());
     }
 
-    /// Whether the store has given no answer for some time.
+    /// Whether the store counts as lost, see [`StoreHealth::is_lost`].
     pub fn is_lost(&self) -> bool {
         self.health.is_lost()
     }
 
-    /// Time since the store recovered from an outage that may have expired leases.
+    /// Time since the store recovered from an outage that may have expired leases; `None` if there
+    /// was none.
     pub fn recovery_age(&self) -> Option<Duration> {
         self.health.grace().recovery_age()
     }
 
-    /// Until when targets are kept whose registrations are seen to be gone at `now`.
+    /// Until when targets are kept whose registrations are found missing at `now`; `None` if they are
+    /// removed at once.
     pub fn grace_until(&self, now: Instant) -> Option<Instant> {
         self.health.grace().until(now)
     }
@@ -176,18 +180,18 @@
         self.changed.notified()
     }
 
-    /// Completes once the view was proven current again.
+    /// Completes once the view is proven current again.
     pub fn confirmed(&self) -> Notified<'_> {
         self.confirmed.notified()
     }
 
-    /// Completes once the store is reachable after it was lost.
+    /// Completes once the store is reachable again after it was lost.
     pub fn reachable_again(&self) -> Notified<'_> {
         self.reachable_again.notified()
     }
 }
 
-/// An answer with changes that is under way.
+/// Guard that marks a response with changes as being received.
 #[derive(Debug)]
 pub struct ReceiveGuard<'a> {
     copy: &'a StoreCopy,
@@ -195,7 +199,7 @@
 }
 
 impl ReceiveGuard<'_> {
-    /// Time since the answer began.
+    /// Time since the response began.
     pub fn age(&self) -> Duration {
         self.begun.elapsed()
     }
--- a/src/state/strike_reports.rs
+++ b/src/state/strike_reports.rs
@@ -1,7 +1,7 @@
-//! Requests whose strikes the other instances have to hear of, until the store has them.
+//! Requests whose strikes are still to be written to the store for the other instances.
 //!
-//! Owns the queue; what is to be written is worked out by
-//! [`crate::decision::failure::quarantine`] when a request is due. Relies on nothing.
+//! Owns the queue; [`crate::decision::failure::quarantine`] computes the record to write when a
+//! request is due. Relies on nothing.
 
 use crate::clock::{Instant, timeout_at};
 use crate::model::fingerprint::Fingerprint;
@@ -9,11 +9,11 @@
 use std::collections::HashMap;
 use tokio::sync::Notify;
 
-/// Requests that wait at most; further ones are told to no other instance. Those of a loss of
-/// 20 targets at once.
-const MAX_WAITING: usize = 256;
+/// Maximum number of pending requests; strikes of further ones are not reported. Enough for the
+/// requests of 20 targets that are lost at once.
+const MAX_PENDING: usize = 256;
 
-/// Requests that wait for their report.
+/// Requests with a pending report, by the time at which it is due.
 #[derive(Debug, Default)]
 pub struct StrikeReports {
     due: RefCell<HashMap<Fingerprint, Instant>>,
@@ -21,11 +21,11 @@
 }
 
 impl StrikeReports {
-    /// Has a request reported at `due`, or earlier where that was asked for already.
+    /// Schedules a report at `due`, or earlier if it is already scheduled earlier.
     pub fn add(&self, fingerprint: Fingerprint, due: Instant) {
         let mut waiting = self.due.borrow_mut();
-        if waiting.len() >= MAX_WAITING && !waiting.contains_key(&fingerprint) {
-            tracing::warn!(event = "strike_unreported", %fingerprint, waiting = MAX_WAITING);
+        if waiting.len() >= MAX_PENDING && !waiting.contains_key(&fingerprint) {
+            tracing::warn!(event = "strike_unreported", %fingerprint, waiting = MAX_PENDING);
             return;
         }
         let at = waiting.entry(fingerprint).or_insert(due);
@@ -33,7 +33,7 @@
         self.added.notify_one();
     }
 
-    /// Waits for the next request that is due, and takes it out.
+    /// Waits until the next request is due, and removes it from the queue.
     pub async fn next(&self) -> Fingerprint {
         loop {
             let first = self.due.borrow().iter().map(|(fingerprint, due)| (*due, *fingerprint)).min();
@@ -41,7 +41,7 @@
                 self.added.notified().await;
                 continue;
             };
-            // An earlier one may be added meanwhile.
+            // A request with an earlier time may be added meanwhile.
             if due > Instant::now() && timeout_at(due, self.added.notified()).await.is_ok() {
                 continue;
             }
--- a/src/state/target_loads.rs
+++ b/src/state/target_loads.rs
@@ -1,8 +1,8 @@
-//! Loads of targets that instances share: what this one tells, hears, and passes on as the head of
-//! a hall.
+//! Loads of targets that instances exchange: those that this instance reports and receives, and
+//! forwards as the head of a hall.
 //!
-//! Owns what it knows as a head, and when it last heard loads. The rule is in
-//! [`crate::decision::capacity::shared_loads`]; the tasks of [`crate::sync::usage`] carry them.
+//! Owns the loads that it knows as a head, and the time at which it last received loads. The rule is
+//! in [`crate::decision::capacity::shared_loads`]; the tasks of [`crate::sync::usage`] exchange them.
 
 use super::Instance;
 use crate::clock::Instant;
@@ -15,40 +15,41 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time since loads were last heard up to which they count as shared: some reports may fail.
-const SHARED_FOR: Duration = Duration::from_secs(1);
+/// Time since the last received loads up to which loads count as shared, long enough for some
+/// reports to fail.
+const MAX_SHARED_LOADS_AGE: Duration = Duration::from_secs(1);
 
-/// Loads that instances share.
+/// Loads of targets that instances exchange.
 #[derive(Debug, Default)]
 pub struct TargetLoads {
-    /// As the head of a hall.
+    /// Kept as the head of a hall.
     known: RefCell<SharedLoads>,
     /// When a head last answered.
-    heard: Cell<Option<Instant>>,
+    received_at: Cell<Option<Instant>>,
 }
 
 impl TargetLoads {
-    /// Whether loads are shared now.
+    /// Whether loads were received recently enough to count as shared.
     pub fn are_shared(&self) -> bool {
-        self.heard.get().is_some_and(|at| at.elapsed() < SHARED_FOR)
+        self.received_at.get().is_some_and(|at| at.elapsed() < MAX_SHARED_LOADS_AGE)
     }
 }
 
 impl<P: Platform> Instance<P> {
-    /// Loads that targets told this instance and that no other was told of.
+    /// Loads that targets reported to this instance and that are not yet reported to others.
     pub fn unreported_loads(&self) -> Vec<TargetLoad> {
         let now = Instant::now();
-        let untold = |target: &Rc<Target>| {
+        let unreported = |target: &Rc<Target>| {
             let (requests, at) = target.take_unreported_load()?;
             Some(TargetLoad::new(target.key.short(), requests, now.saturating_duration_since(at)))
         };
-        self.routing.borrow().targets().filter_map(untold).collect()
+        self.routing.borrow().targets().filter_map(unreported).collect()
     }
 
-    /// Takes loads that other instances were told.
+    /// Records loads that targets reported to other instances.
     pub fn record_remote_loads(&self, loads: &[TargetLoad]) {
         let now = Instant::now();
-        self.target_loads.heard.set(Some(now));
+        self.target_loads.received_at.set(Some(now));
         let by_target: HashMap<ShortKey, &TargetLoad> = loads.iter().map(|load| (load.target, load)).collect();
         for target in self.routing.borrow().targets() {
             let Some(load) = by_target.get(&target.key.short()) else { continue };
@@ -58,7 +59,8 @@
         }
     }
 
-    /// Takes the loads of a report as the head of a hall; gives those that its instances are told.
+    /// Records the loads of a report as the head of a hall; returns those for the reporting instance,
+    /// none if the report was forwarded by another hall.
     pub fn record_shared_loads(&self, report: &UsageReport) -> Vec<TargetLoad> {
         let (mut known, now) = (self.target_loads.known.borrow_mut(), Instant::now());
         let is_own = *report.hall == *self.settings().hall;
@@ -66,7 +68,7 @@
         if report.is_forwarded { Vec::new() } else { known.loads_for_instances(now) }
     }
 
-    /// Loads of the own hall that other halls are told.
+    /// Loads of this instance's hall to report to other halls.
     pub fn loads_for_halls(&self) -> Vec<TargetLoad> {
         self.target_loads.known.borrow_mut().loads_for_halls(Instant::now())
     }
