--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -92,7 +92,7 @@
     pub metrics: Metrics,
     /// The log output and its rate limit.
     pub log: Log,
-    /// Estimated size of a request in bytes.
+    /// Average number of bytes that a request puts on the link.
     pub request_size: RequestSize,
     change_log: ChangeLog,
 }
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -56,7 +56,7 @@
         (own.begin_report(now), over)
     }
 
-    /// Completes a report that the head received, but whose answer contained no shares.
+    /// Completes a report that was counted, but whose answer is not to be used.
     pub fn forget_report(&self) {
         self.own.borrow_mut().forget_report();
     }
--- a/src/state/store_copy.rs
+++ b/src/state/store_copy.rs
@@ -86,9 +86,9 @@
 
     /// Records any response of the store. It does not prove that the view is current.
     pub fn record_response(&self) {
-        let was_silent = self.health.is_lost();
+        let was_lost = self.health.is_lost();
         let has_recovered = self.health.record_response(self.view_age());
-        if was_silent || has_recovered {
+        if was_lost || has_recovered {
             // A watch that was pending meanwhile may be lost, even if no call failed: this
             // process may have been paused.
             self.reachable_again.notify_waiters();
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -111,16 +111,16 @@
         if listing.at.era > self.at.era {
             return self.begin_era(listing);
         }
-        let mut gone: Vec<String> = Vec::new();
+        let mut missing: Vec<String> = Vec::new();
         let listed: HashSet<&str> = listing.items.iter().map(|item| item.key.as_str()).collect();
         for (key, item) in &self.items {
             // A later page of the list may hold a key written after the first page.
             if !listed.contains(key.as_str()) && item.revision <= listing.at.revision {
-                gone.push(key.clone());
+                missing.push(key.clone());
             }
         }
         let mut events: Vec<Event> =
-            gone.into_iter().map(|key| Event::Delete { key, revision: listing.at.revision }).collect();
+            missing.into_iter().map(|key| Event::Delete { key, revision: listing.at.revision }).collect();
         events.extend(listing.items.into_iter().map(Event::Put));
         let changes = self.merge(events, listing.at);
         // Keys written and deleted before the list are missing from the changes.
@@ -133,9 +133,9 @@
     fn begin_era(&mut self, listing: Listing) -> Vec<Event> {
         let Listing { items, at } = listing;
         let listed: BTreeMap<String, Item> = items.into_iter().map(|item| (item.key.clone(), item)).collect();
-        let gone = self.items.keys().filter(|key| !listed.contains_key(*key));
+        let missing = self.items.keys().filter(|key| !listed.contains_key(*key));
         let mut changes: Vec<Event> =
-            gone.map(|key| Event::Delete { key: key.clone(), revision: at.revision }).collect();
+            missing.map(|key| Event::Delete { key: key.clone(), revision: at.revision }).collect();
         let differing = listed.values().filter(|item| self.items.get(&item.key) != Some(*item));
         changes.extend(differing.cloned().map(Event::Put));
         self.items = listed;
--- a/tests/eras.rs
+++ b/tests/eras.rs
@@ -1,4 +1,4 @@
-//! Eras of the store: which answers are accepted, and how a view applies them.
+//! Eras of the store: which responses are accepted, and how a view applies them.
 
 use lockloft::state::StoreCopy;
 use lockloft::store::era::{Era, LatestEra, Position};
@@ -25,7 +25,7 @@
 }
 
 #[test]
-fn answers_from_an_earlier_era_are_rejected_and_those_without_an_era_accepted() {
+fn responses_from_an_earlier_era_are_rejected_and_those_without_an_era_accepted() {
     let latest = LatestEra::default();
     assert_eq!(latest.check_response(None), Ok(Era(0)));
     assert_eq!(latest.check_response(Some(Era(2))), Ok(Era(2)));
@@ -40,8 +40,8 @@
     let mut view = StoreView::default();
     view.replace(list(&[item("a", 1), item("b", 9)], at(1, 9)));
     let changes = view.replace(list(&[item("a", 1), item("c", 3)], at(2, 4)));
-    let gone = Event::Delete { key: "b".to_owned(), revision: 4 };
-    assert_eq!(changes, [gone, Event::Put(item("c", 3))]);
+    let deleted = Event::Delete { key: "b".to_owned(), revision: 4 };
+    assert_eq!(changes, [deleted, Event::Put(item("c", 3))]);
     assert_eq!((keys(&view), view.at()), (vec!["a", "c"], at(2, 4)));
     assert!(view.changes_after(3).is_none(), "a peer gets the full view");
 }
@@ -66,10 +66,13 @@
     latest.observe(Era(2));
     copy.record_proof(Proof::List, Duration::ZERO, Era(1));
     assert!(copy.view_age().is_none() && copy.is_superseded());
-    // The latest era, but the view is still of the earlier one.
+    // The proof is from the latest era, but the view is still from the earlier one.
     copy.record_proof(Proof::Read, Duration::ZERO, Era(2));
     assert!(copy.view_age().is_none());
-    assert!(copy.apply_listing(list(&[item("b", 9)], at(1, 10))).is_empty(), "an answer in flight during the restore");
+    assert!(
+        copy.apply_listing(list(&[item("b", 9)], at(1, 10))).is_empty(),
+        "a response in transit during the restore"
+    );
     copy.apply_listing(list(&[item("a", 1)], at(2, 5)));
     copy.record_proof(Proof::List, Duration::ZERO, Era(2));
     assert!(copy.view_age().is_some() && !copy.is_superseded());
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -1,4 +1,4 @@
-//! How old an instance believes its view to be, and which proofs count.
+//! The age that an instance computes for its view, and which events count as proofs.
 
 use lockloft::state::StoreCopy;
 use lockloft::store::era::Era;
@@ -8,7 +8,7 @@
 const OLD: Duration = Duration::from_secs(20);
 const YOUNG: Duration = Duration::from_secs(1);
 
-/// A copy whose view was proven long ago.
+/// A copy whose view was proven current long ago.
 fn old_copy() -> StoreCopy {
     let copy = StoreCopy::default();
     copy.record_response();
@@ -21,33 +21,33 @@
 }
 
 #[test]
-fn a_view_is_as_old_as_its_latest_proof_was_on_arrival() {
+fn the_age_of_a_view_includes_the_age_of_its_latest_proof() {
     let freshness = Freshness::default();
     assert_eq!((freshness.age(), freshness.is_current()), (None, false));
     freshness.record_proof(Proof::Relay, YOUNG);
     assert!(freshness.age() >= Some(YOUNG) && freshness.is_current());
     freshness.record_proof(Proof::Watch, OLD);
-    assert!(freshness.age() < Some(OLD), "an older proof changes nothing");
+    assert!(freshness.age() < Some(OLD), "an older proof is ignored");
     let stale = Freshness::default();
     stale.record_proof(Proof::Peer, MAX_VIEW_AGE);
     assert!(!stale.is_current());
 }
 
 #[test]
-fn an_answer_of_the_store_proves_nothing_of_the_view() {
+fn a_response_of_the_store_does_not_prove_the_view_current() {
     let copy = old_copy();
     copy.record_response();
     assert!(!copy.is_lost());
-    assert!(!is_proven(&copy), "a watch that waits, and another call, have a connection each");
+    assert!(!is_proven(&copy), "a pending watch has another connection than the call");
 }
 
 #[test]
-fn an_answer_is_under_way_until_its_receipt_is_dropped() {
+fn a_response_counts_as_being_received_until_its_guard_is_dropped() {
     let copy = old_copy();
     let receiving = copy.begin_receiving();
     assert!(copy.is_receiving() && copy.is_receiving_directly());
     drop(receiving);
     assert!(!copy.is_receiving());
     copy.set_relay_receiving(true);
-    assert!(copy.is_receiving() && !copy.is_receiving_directly(), "the relay's is not this instance's own");
+    assert!(copy.is_receiving() && !copy.is_receiving_directly(), "only the relay is receiving");
 }
--- a/tests/model/client.rs
+++ b/tests/model/client.rs
@@ -1,9 +1,9 @@
-//! The way of one instance to the store: delays, cuts, answers that are long under way,
-//! and the client that the instance calls. What is under way goes on while the instance
-//! is frozen.
+//! The simulated link of one instance to the store, with delays, cuts and slow responses, and
+//! the client that the instance calls. Calls and responses in transit proceed while the
+//! instance is frozen.
 //!
-//! An answer never overtakes an earlier one, nor a call an earlier call, but for a watch
-//! that [`Link::reorders`] makes later.
+//! Calls arrive in the order in which they were sent, and so do responses, except a watch that
+//! is delayed by [`StoreLink::watch_delay`].
 
 use super::server::Server;
 use bytes::Bytes;
@@ -15,46 +15,46 @@
 use tokio::sync::{Notify, oneshot};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// Time of a call or the head of an answer on its way.
+/// Transfer time of a call or of the head of a response.
 pub const ONE_WAY: Duration = Duration::from_millis(5);
-/// Items on a page of a list.
-const PAGE: usize = 2;
-/// Bound of the platform's client on the time without an answer beyond the wait.
+/// Items per page of a list.
+const PAGE_SIZE: usize = 2;
+/// Time limit of the platform's client for the head of a response, in addition to the wait.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
 
-/// The way between an instance and the store.
+/// The link between an instance and the store.
 #[derive(Default)]
-pub struct Link {
-    /// Time for which the body of an answer is under way.
+pub struct StoreLink {
+    /// Transfer time of the body of a response.
     pub body: Cell<Duration>,
     /// Time between the pages of a list.
     pub page_gap: Cell<Duration>,
-    /// Whether the next answer to a watch is lost and its connection broken.
-    pub breaks_next: Cell<bool>,
-    /// How often the connection of a watch under way fell silent.
-    pub silences: Cell<u32>,
-    /// Whether the next small call falls on a silent connection.
-    pub loses_next: Cell<bool>,
-    /// Whether the events of the next answer to a watch come twice.
-    pub doubles_next: Cell<bool>,
-    /// Time by which a watch on its way to the store is later than other calls.
-    pub reorders: Cell<Duration>,
+    /// Whether the next response to a watch is lost and its connection broken.
+    pub loses_next_watch: Cell<bool>,
+    /// Number of times that the connection of a pending watch stopped delivering data.
+    pub silenced_watches: Cell<u32>,
+    /// Whether the next call other than a watch or a list gets no response.
+    pub loses_next_call: Cell<bool>,
+    /// Whether the events of the next response to a watch are duplicated.
+    pub duplicates_next: Cell<bool>,
+    /// Additional transfer time of a watch to the store, so that other calls overtake it.
+    pub watch_delay: Cell<Duration>,
     /// Whether calls are refused.
-    pub busy: Cell<bool>,
+    pub refuses: Cell<bool>,
     cut: Cell<bool>,
-    /// Counts outages that lost what was under way.
+    /// Number of outages in which everything in transit was lost.
     losses: Cell<u32>,
     healed: Notify,
     last: RefCell<[Option<Instant>; 2]>,
 }
 
-impl Link {
-    /// Holds whatever is sent from now on.
+impl StoreLink {
+    /// Holds back everything that is sent from now on.
     pub fn cut(&self) {
         self.cut.set(true);
     }
 
-    /// Delivers what was held, or loses it.
+    /// Delivers what was held back, or drops it.
     pub fn heal(&self, is_lost: bool) {
         if self.cut.replace(false) && is_lost {
             self.losses.set(self.losses.get() + 1);
@@ -62,23 +62,23 @@
         self.healed.notify_waiters();
     }
 
-    /// Ends all faults but a cut.
+    /// Ends all faults except a cut.
     pub fn end_faults(&self) {
         self.body.take();
         self.page_gap.take();
-        self.breaks_next.take();
-        self.loses_next.take();
-        self.doubles_next.take();
-        self.reorders.take();
-        self.busy.take();
+        self.loses_next_watch.take();
+        self.loses_next_call.take();
+        self.duplicates_next.take();
+        self.watch_delay.take();
+        self.refuses.take();
     }
 
-    /// Whether it is cut.
+    /// Whether the link is cut.
     pub fn is_cut(&self) -> bool {
         self.cut.get()
     }
 
-    async fn pass(&self, direction: usize, extra: Duration) {
+    async fn transmit(&self, direction: usize, extra: Duration) {
         loop {
             let healed = self.healed.notified();
             if !self.cut.get() {
@@ -100,74 +100,74 @@
 /// The client of the store of one instance.
 pub struct Client {
     pub server: Rc<Server>,
-    pub link: Rc<Link>,
+    pub link: Rc<StoreLink>,
     pub latest_era: Rc<LatestEra>,
 }
 
-struct Parts<T> {
-    /// The era that the answer reports.
+struct PendingResponse<T> {
+    /// The era that the response reports.
     head: oneshot::Receiver<Era>,
     body: oneshot::Receiver<T>,
 }
 
 impl Client {
-    /// Sends a call, by `late` later than others.
-    fn send<T: 'static>(&self, late: Duration, serve: impl AsyncFnOnce(&Server) -> T + 'static) -> Parts<T> {
+    /// Sends a call with the additional transfer time `late`.
+    fn send<T: 'static>(&self, late: Duration, serve: impl AsyncFnOnce(&Server) -> T + 'static) -> PendingResponse<T> {
         let (head_sender, head) = oneshot::channel();
         let (body_sender, body) = oneshot::channel();
         let (server, link) = (self.server.clone(), self.link.clone());
         tokio::task::spawn_local(async move {
             let losses = link.losses.get();
-            link.pass(0, late).await;
-            let answer = serve(&server).await;
+            link.transmit(0, late).await;
+            let response = serve(&server).await;
             let era = server.era();
-            link.pass(1, Duration::ZERO).await;
+            link.transmit(1, Duration::ZERO).await;
             if link.losses.get() != losses {
-                // The caller hears nothing until it gives up.
+                // The caller gets no response until it gives up.
                 sleep(Duration::from_secs(60)).await;
                 return;
             }
             let _ = head_sender.send(era);
             sleep(link.body.get()).await;
-            // The client gives up an answer that an outage stalls.
+            // The client gives up a response that an outage stalls.
             if !link.is_cut() {
-                let _ = body_sender.send(answer);
+                let _ = body_sender.send(response);
             }
         });
-        Parts { head, body }
+        PendingResponse { head, body }
     }
 
-    async fn small<T: 'static>(&self, serve: impl FnOnce(&Server) -> T + 'static) -> Result<T, StoreError> {
-        self.refuse_if_busy().await?;
-        if self.link.loses_next.take() {
+    async fn call<T: 'static>(&self, serve: impl FnOnce(&Server) -> T + 'static) -> Result<T, StoreError> {
+        self.check_refusal().await?;
+        if self.link.loses_next_call.take() {
             std::future::pending::<()>().await;
         }
-        let (sender, answer) = oneshot::channel();
+        let (sender, response) = oneshot::channel();
         let (server, link) = (self.server.clone(), self.link.clone());
         tokio::task::spawn_local(async move {
             let losses = link.losses.get();
-            link.pass(0, Duration::ZERO).await;
+            link.transmit(0, Duration::ZERO).await;
             let served = (serve(&server), server.era());
-            link.pass(1, Duration::ZERO).await;
+            link.transmit(1, Duration::ZERO).await;
             if link.losses.get() != losses {
                 sleep(Duration::from_secs(60)).await;
             }
             let _ = sender.send(served);
         });
-        let (answer, era) = answer.await.map_err(|_| StoreError::NoResponse)?;
+        let (response, era) = response.await.map_err(|_| StoreError::NoResponse)?;
         self.latest_era.check_response(Some(era))?;
-        Ok(answer)
+        Ok(response)
     }
 
-    /// The events come twice, and the first a third time.
-    fn double(events: &mut Vec<Event>) {
+    /// Repeats all events, and the first one a third time.
+    fn duplicate(events: &mut Vec<Event>) {
         let again = events.clone();
         events.extend(again);
         events.extend(events.first().cloned());
     }
 
-    async fn refuse_if_busy(&self) -> Result<(), StoreError> {
-        if !self.link.busy.get() {
+    async fn check_refusal(&self) -> Result<(), StoreError> {
+        if !self.link.refuses.get() {
             return Ok(());
         }
         sleep(2 * ONE_WAY).await;
@@ -175,8 +175,8 @@
     }
 
     async fn page(&self, after: String, begins: impl FnOnce()) -> Result<super::server::Page, StoreError> {
-        self.refuse_if_busy().await?;
-        let parts = self.send(Duration::ZERO, async move |server: &Server| server.page(&after, PAGE));
+        self.check_refusal().await?;
+        let parts = self.send(Duration::ZERO, async move |server: &Server| server.page(&after, PAGE_SIZE));
         let head = timeout(HEAD_TIMEOUT, parts.head).await;
         let era = head.map_err(|_| StoreError::NoResponse)?.map_err(|_| StoreError::NoResponse)?;
         self.latest_era.check_response(Some(era))?;
@@ -185,8 +185,8 @@
     }
 }
 
-fn lease_result(lives: bool) -> Result<(), StoreError> {
-    if lives { Ok(()) } else { Err(StoreError::LeaseExpired) }
+fn lease_result(is_valid: bool) -> Result<(), StoreError> {
+    if is_valid { Ok(()) } else { Err(StoreError::LeaseExpired) }
 }
 
 impl Store for Client {
@@ -220,12 +220,12 @@
         wait: Duration,
         on_response_start: impl FnOnce(),
     ) -> Result<WatchResponse, StoreError> {
-        let (late, silences) = (self.link.reorders.get(), self.link.silences.get());
-        self.refuse_if_busy().await?;
+        let (late, silenced_watches) = (self.link.watch_delay.get(), self.link.silenced_watches.get());
+        self.check_refusal().await?;
         let parts = self.send(late, async move |server: &Server| server.watch(after, wait).await);
         let head = async {
             let sent = parts.head.await;
-            if self.link.silences.get() != silences {
+            if self.link.silenced_watches.get() != silenced_watches {
                 std::future::pending::<()>().await;
             }
             sent
@@ -234,40 +234,40 @@
         let era = head.map_err(|_| StoreError::NoResponse)?.map_err(|_| StoreError::NoResponse)?;
         self.latest_era.check_response(Some(era))?;
         on_response_start();
-        let answer = parts.body.await.map_err(|_| StoreError::NoResponse)?;
-        if self.link.breaks_next.take() {
+        let response = parts.body.await.map_err(|_| StoreError::NoResponse)?;
+        if self.link.loses_next_watch.take() {
             return Err(StoreError::NoResponse);
         }
-        let Some((mut events, at)) = answer else { return Ok(WatchResponse::Compacted) };
-        if self.link.doubles_next.take() {
-            Self::double(&mut events);
+        let Some((mut events, at)) = response else { return Ok(WatchResponse::Compacted) };
+        if self.link.duplicates_next.take() {
+            Self::duplicate(&mut events);
         }
         Ok(WatchResponse::Events { events, at })
     }
 
     async fn count(&self, _: &str) -> Result<usize, StoreError> {
-        unimplemented!("the model's instances have no seeds")
+        unimplemented!("simulated instances have no seeds")
     }
 
     async fn position(&self) -> Result<Position, StoreError> {
-        self.small(|server| server.at()).await
+        self.call(|server| server.at()).await
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
-        self.small(move |server| server.grant(ttl)).await
+        self.call(move |server| server.grant(ttl)).await
     }
 
     async fn renew(&self, lease: LeaseId) -> Result<(), StoreError> {
-        lease_result(self.small(move |server| server.renew(lease.number)).await?)
+        lease_result(self.call(move |server| server.renew(lease.number)).await?)
     }
 
     async fn revoke(&self, lease: LeaseId) -> Result<(), StoreError> {
-        self.small(move |server| server.end(lease.number)).await
+        self.call(move |server| server.revoke(lease.number)).await
     }
 
     async fn put(&self, key: &str, value: Bytes, lease: LeaseId) -> Result<(), StoreError> {
         let key = key.to_owned();
-        lease_result(self.small(move |server| server.put_leased(&key, value, lease.number)).await?)
+        lease_result(self.call(move |server| server.put_leased(&key, value, lease.number)).await?)
     }
 
     async fn put_if(&self, _: &str, _: Bytes, _: u64) -> Result<(), StoreError> {
@@ -275,6 +275,6 @@
     }
 
     async fn put_leased_if(&self, _: &str, _: Bytes, _: LeaseId, _: u64) -> Result<(), StoreError> {
-        unimplemented!("the model's instances send no requests")
+        unimplemented!("simulated instances send no requests")
     }
 }
--- a/tests/model/freeze.rs
+++ b/tests/model/freeze.rs
@@ -1,35 +1,35 @@
-//! A process that stops while time goes on: its tasks are not polled until it goes on.
+//! A frozen process: its tasks are not polled until it is thawed, while time advances.
 
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll, Waker};
 
-/// Whether a process stands still.
+/// Whether a process is frozen.
 #[derive(Default)]
-pub struct Gate {
+pub struct FreezeGate {
     closed: Cell<bool>,
     waiting: RefCell<Vec<Waker>>,
 }
 
-impl Gate {
-    /// Stops the process.
+impl FreezeGate {
+    /// Freezes the process.
     pub fn close(&self) {
         self.closed.set(true);
     }
 
-    /// Lets the process go on.
+    /// Thaws the process and wakes its tasks.
     pub fn open(&self) {
         self.closed.set(false);
         self.waiting.take().into_iter().for_each(Waker::wake);
     }
 
-    /// Whether the process stands still.
+    /// Whether the process is frozen.
     pub fn is_closed(&self) -> bool {
         self.closed.get()
     }
 
-    /// A task of the process.
+    /// Wraps a task of the process so that it freezes with it.
     pub fn task<F: Future>(self: &Rc<Self>, future: F) -> Task<F> {
         Task { gate: self.clone(), future: Box::pin(future) }
     }
@@ -37,7 +37,7 @@
 
 /// A task of a process that may be frozen.
 pub struct Task<F> {
-    gate: Rc<Gate>,
+    gate: Rc<FreezeGate>,
     future: Pin<Box<F>>,
 }
 
--- a/tests/model/life.rs
+++ b/tests/model/life.rs
@@ -1,11 +1,11 @@
-//! One life of an instance: a real `Instance` with its tasks. What needs no connection to
-//! a peer is the program's own: `sync::watch`, `sync::membership`, the view, its age, the
-//! routing, and the answers to peers.
+//! One process of an instance: a real `Instance` with its tasks. Everything that needs no
+//! connection to a peer is the real code: `sync::watch`, `sync::membership`, the view, its age,
+//! the routing, and the responses to peers.
 
-use super::client::{Client, Link};
-use super::freeze::Gate;
-use super::peer::{POLL_WAIT, Way, ask};
-use super::platform::Words;
+use super::client::{Client, StoreLink};
+use super::freeze::FreezeGate;
+use super::peer::{POLL_WAIT, PeerLink, fetch_changes};
+use super::platform::TextPlatform;
 use super::server::Server;
 use lockloft::settings::Settings;
 use lockloft::state::Instance;
@@ -21,26 +21,26 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The relay of each instance, by position: two trees, of three and of one.
+/// The relay of each instance by position: two trees, with three instances and one.
 pub const RELAYS: [Option<usize>; 4] = [None, Some(0), Some(1), None];
-/// Time for which a relay that failed is not followed.
-const RETRY_AFTER: Duration = Duration::from_secs(5);
-/// Time between questions to peers while the view is stale.
-const ASK_EVERY: Duration = Duration::from_millis(400);
-/// Time between removals of targets whose grace is over.
-const SWEEP_EVERY: Duration = Duration::from_millis(500);
+/// Time for which a failed relay is not followed.
+const RELAY_RETRY_DELAY: Duration = Duration::from_secs(5);
+/// Time between requests to peers while the view is stale.
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(400);
+/// Time between removals of targets whose grace has ended.
+const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The instances that live, by position.
-pub type Fleet = Rc<RefCell<Vec<Option<Rc<Life>>>>>;
+/// The running instances by position; `None` where none runs.
+pub type Fleet = Rc<RefCell<Vec<Option<Rc<Process>>>>>;
 
-/// One life of an instance.
-pub struct Life {
+/// One process of an instance.
+pub struct Process {
     pub position: usize,
-    pub instance: Rc<Instance<Words>>,
+    pub instance: Rc<Instance<TextPlatform>>,
     pub cache: AnswerCache,
-    pub gate: Rc<Gate>,
-    pub way: Rc<Way>,
-    /// The configuration version and view position at the last check.
+    pub gate: Rc<FreezeGate>,
+    pub peer_link: Rc<PeerLink>,
+    /// The configuration version and the view position at the last check.
     pub seen: Cell<(u64, Position)>,
     tasks: RefCell<Vec<AbortHandle>>,
 }
@@ -48,7 +48,7 @@
 fn log() -> Log {
     static LOG: OnceLock<Log> = OnceLock::new();
     LOG.get_or_init(|| {
-        // Formatting lines that nobody reads would take most of the time.
+        // Formatting log lines would take most of the run time.
         let _ = tracing::subscriber::set_global_default(tracing::subscriber::NoSubscriber::new());
         Log::start(1_000)
     })
@@ -64,28 +64,27 @@
         [bounds]\nstop_s = 6\ndirectory_ttl_s = 5\nretry_ratio = 0.2\nretry_slack = 64\ncold_overage = 1.5\ncold_slack = 5\n\
         [limits]\nmemory_mb = 260\ndescriptors = 4100\n"
     );
-    Settings::parse(Path::new("node.toml"), &text).expect("the model's settings")
+    Settings::parse(Path::new("node.toml"), &text).expect("valid settings")
 }
 
-impl Life {
+impl Process {
     /// Starts an instance.
-    pub fn start(position: usize, server: &Rc<Server>, link: &Rc<Link>, fleet: &Fleet) {
+    pub fn start(position: usize, server: &Rc<Server>, link: &Rc<StoreLink>, fleet: &Fleet) {
         let client = Client { server: server.clone(), link: link.clone(), latest_era: Rc::default() };
-        let life = Rc::new(Life {
+        let process = Rc::new(Process {
             position,
             instance: Rc::new(Instance::new(settings(position), client, log())),
             cache: AnswerCache::default(),
             gate: Rc::default(),
-
-            way: Rc::default(),
+            peer_link: Rc::default(),
             seen: Cell::default(),
             tasks: RefCell::default(),
         });
-        fleet.borrow_mut()[position] = Some(life.clone());
-        life.spawn(update(life.clone(), fleet.clone()));
-        life.spawn(membership::run(life.instance.clone()));
-        life.spawn(ask_peers(life.clone(), fleet.clone()));
-        life.spawn(sweep(life.clone()));
+        fleet.borrow_mut()[position] = Some(process.clone());
+        process.spawn(update(process.clone(), fleet.clone()));
+        process.spawn(membership::run(process.instance.clone()));
+        process.spawn(fetch_from_peers(process.clone(), fleet.clone()));
+        process.spawn(remove_expired(process.clone()));
     }
 
     fn spawn(&self, future: impl Future<Output = ()> + 'static) {
@@ -93,58 +92,58 @@
         self.keep(task.abort_handle());
     }
 
-    /// Ends a task with this life.
+    /// Aborts a task when this process is killed.
     pub fn keep(&self, task: AbortHandle) {
         self.tasks.borrow_mut().push(task);
     }
 
-    /// Kills the instance.
+    /// Kills the process.
     pub fn kill(&self) {
         self.tasks.borrow().iter().for_each(AbortHandle::abort);
     }
 }
 
-/// Keeps the view current: through the nearest relay that has not failed lately, else by
-/// the program's own task.
-async fn update(life: Rc<Life>, fleet: Fleet) {
+/// Keeps the view current: through the nearest relay that has not failed recently, or
+/// otherwise by the real watch task.
+async fn update(process: Rc<Process>, fleet: Fleet) {
     let mut failed: [Option<Instant>; RELAYS.len()] = [None; RELAYS.len()];
     loop {
-        let is_usable = |relay: &usize| failed[*relay].is_none_or(|at| at.elapsed() >= RETRY_AFTER);
-        let relays = std::iter::successors(RELAYS[life.position], |relay| RELAYS[*relay]);
+        let is_usable = |relay: &usize| failed[*relay].is_none_or(|at| at.elapsed() >= RELAY_RETRY_DELAY);
+        let relays = std::iter::successors(RELAYS[process.position], |relay| RELAYS[*relay]);
         let Some(relay) = relays.into_iter().find(is_usable) else {
-            let _ = timeout(RETRY_AFTER, watch::run(life.instance.clone())).await;
+            let _ = timeout(RELAY_RETRY_DELAY, watch::run(process.instance.clone())).await;
             continue;
         };
         let other = fleet.borrow()[relay].clone();
         let is_followed = match other {
-            Some(other) => ask(&life, &other, POLL_WAIT, true).await.is_ok(),
+            Some(other) => fetch_changes(&process, &other, POLL_WAIT, true).await.is_ok(),
             None => false,
         };
         if !is_followed {
-            life.instance.store_copy.set_relay_receiving(false);
+            process.instance.store_copy.set_relay_receiving(false);
             failed[relay] = Some(Instant::now());
         }
     }
 }
 
-async fn ask_peers(life: Rc<Life>, fleet: Fleet) {
-    let mut next = life.position;
+async fn fetch_from_peers(process: Rc<Process>, fleet: Fleet) {
+    let mut next = process.position;
     loop {
-        sleep(ASK_EVERY).await;
-        if life.instance.store_copy.is_current() {
+        sleep(PEER_POLL_INTERVAL).await;
+        if process.instance.store_copy.is_current() {
             continue;
         }
         next = (next + 1) % RELAYS.len();
-        let other = fleet.borrow()[next].clone().filter(|_| next != life.position);
+        let other = fleet.borrow()[next].clone().filter(|_| next != process.position);
         if let Some(other) = other {
-            let _ = ask(&life, &other, Duration::ZERO, false).await;
+            let _ = fetch_changes(&process, &other, Duration::ZERO, false).await;
         }
     }
 }
 
-async fn sweep(life: Rc<Life>) {
+async fn remove_expired(process: Rc<Process>) {
     loop {
-        sleep(SWEEP_EVERY).await;
-        life.instance.remove_expired();
+        sleep(EXPIRY_INTERVAL).await;
+        process.instance.remove_expired();
     }
 }
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -1,14 +1,14 @@
-//! A model of a site: the real view, ages, routing and tasks of some instances; the
-//! network, the store and time are the model's.
+//! Simulation of a site: the view, its age, the routing and the tasks of several instances are
+//! the real code; the network, the store and time are simulated.
 //!
-//! | file | its job |
+//! | file | responsibility |
 //! |---|---|
-//! | `server`, `client` | the store, and the way of an instance to it |
-//! | `peer` | questions between instances |
-//! | `life`, `freeze` | an instance from start to end; a process that stands still |
+//! | `server`, `client` | the store, and the link of an instance to it |
+//! | `peer` | requests between instances |
+//! | `life`, `freeze` | an instance from start to end; a frozen process |
 //! | `platform` | keys and values |
 //! | `step` | the steps, and how often each is drawn |
-//! | `world` | what each step does, and what has to hold after each |
+//! | `world` | the effect of each step, and the invariants checked after each |
 
 mod client;
 mod freeze;
--- a/tests/model/platform.rs
+++ b/tests/model/platform.rs
@@ -1,4 +1,4 @@
-//! The platform of the model: keys and values as short words.
+//! The platform of the simulation: keys and values are short texts.
 
 use super::client::Client;
 use bytes::Bytes;
@@ -13,13 +13,13 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Key of the configuration; its value is the version and some padding.
+/// Key of the configuration; its value is the version and padding.
 pub const CONFIG: &str = "config";
 /// Key of the evacuation of the only hall.
 pub const EVACUATION: &str = "evacuated/a-1";
 
-/// The platform of the model.
-pub struct Words;
+/// The platform of the simulation.
+pub struct TextPlatform;
 
 /// The value of a target's registration.
 pub fn target_value(service: u8, port: u16, sequence: u64) -> String {
@@ -45,15 +45,15 @@
     }))
 }
 
-/// A member of a hall of its own: the model has a tree of its own, so that no connection
-/// is opened.
+/// A member in a separate hall: the simulation has its own relay tree, so the real code must
+/// not find a relay and open a connection.
 fn member(item: &Item, name: &str) -> Result<Record, RecordError> {
     let mut member: Member = serde_json::from_slice(&item.value).map_err(|error| RecordError::new(&item.key, error))?;
     member.hall = format!("of {name}");
     Ok(Record::Member { name: name.to_owned(), member })
 }
 
-impl Platform for Words {
+impl Platform for TextPlatform {
     type Store = Client;
 
     fn headers() -> HeaderNames {
--- a/tests/model/server.rs
+++ b/tests/model/server.rs
@@ -1,5 +1,5 @@
-//! The store of the model: keys with revisions, the times of their changes, leases, a
-//! history that can be compacted, lists of several pages, and snapshots from which it can be restored.
+//! The simulated store: keys with revisions, the times of their changes, leases, a history that
+//! can be compacted, lists with several pages, and snapshots from which it can be restored.
 
 use bytes::Bytes;
 use lockloft::store::era::{Era, Position};
@@ -14,7 +14,7 @@
 #[derive(Clone)]
 struct Lease {
     ttl: Duration,
-    ends: Instant,
+    expires_at: Instant,
     keys: Vec<String>,
 }
 
@@ -41,9 +41,9 @@
     /// The changes of the current era, including those restored from the snapshot; the index is the
     /// revision less 1.
     history: RefCell<Vec<Event>>,
-    /// All changes of all eras with their times, including those made by a restore.
+    /// The changes of all eras with their times, including those made by a restore.
     changes: RefCell<Vec<(Event, Instant)>>,
-    /// Watches after an earlier revision are told that history is gone.
+    /// Revision up to which the history is compacted; a watch after an earlier one fails.
     compacted: Cell<u64>,
     leases: RefCell<HashMap<u64, Lease>>,
     last_lease: Cell<u64>,
@@ -68,7 +68,7 @@
 }
 
 impl Server {
-    /// The era, which every answer reports.
+    /// The era, which every response reports.
     pub fn era(&self) -> Era {
         self.era.get()
     }
@@ -83,7 +83,7 @@
         Position { era: self.era(), revision: self.revision() }
     }
 
-    /// Takes a snapshot of its contents.
+    /// Returns a snapshot of the contents.
     pub fn snapshot(&self) -> Snapshot {
         Snapshot {
             items: self.items(),
@@ -109,15 +109,15 @@
         self.leases.replace(snapshot.leases);
         self.last_lease.set(snapshot.last_lease);
         let mut leases = self.leases.borrow_mut();
-        leases.values_mut().for_each(|lease| lease.ends = now + lease.ttl);
+        leases.values_mut().for_each(|lease| lease.expires_at = now + lease.ttl);
         let numbers: Vec<u64> = leases.keys().copied().collect();
         drop(leases);
         if !keeps_leases {
-            numbers.into_iter().for_each(|number| self.end(number));
+            numbers.into_iter().for_each(|number| self.revoke(number));
         }
     }
 
-    /// The items as they are.
+    /// The current items.
     pub fn items(&self) -> BTreeMap<String, Item> {
         self.items.borrow().clone()
     }
@@ -129,7 +129,7 @@
         self.record(Event::Put(item));
     }
 
-    /// Removes a key, if it is there.
+    /// Deletes a key if it exists.
     pub fn remove(&self, key: &str) {
         if self.items.borrow_mut().remove(key).is_some() {
             self.record(Event::Delete { key: key.to_owned(), revision: self.revision() + 1 });
@@ -142,12 +142,12 @@
         self.changed.notify_waiters();
     }
 
-    /// Forgets the history.
+    /// Compacts the whole history.
     pub fn compact(&self) {
         self.compacted.set(self.revision());
     }
 
-    /// The page of a list that begins after a key.
+    /// The page of a list that starts after a key.
     pub fn page(&self, after: &str, size: usize) -> Page {
         let items = self.items.borrow();
         let mut rest = items.values().filter(|item| item.key.as_str() > after);
@@ -155,10 +155,10 @@
         Page { items: page, at: self.at(), has_more: rest.next().is_some() }
     }
 
-    /// Changes after a revision, as soon as there is one or the wait is over; `None` where
-    /// history is gone, or the revision is later than the store's.
+    /// The changes after a revision, as soon as there is one or the wait times out; `None` if the
+    /// history is compacted, or the revision is later than the store's.
     pub async fn watch(&self, after: u64, wait: Duration) -> Option<(Vec<Event>, Position)> {
-        let ends = Instant::now() + wait;
+        let deadline = Instant::now() + wait;
         if after > self.revision() {
             return None;
         }
@@ -171,30 +171,30 @@
             if !events.is_empty() {
                 return Some((events, self.at()));
             }
-            if tokio::time::timeout_at(ends, changed).await.is_err() {
+            if tokio::time::timeout_at(deadline, changed).await.is_err() {
                 return Some((Vec::new(), self.at()));
             }
         }
     }
 
-    /// Takes a lease.
+    /// Grants a lease.
     pub fn grant(&self, ttl: Duration) -> LeaseId {
         self.last_lease.set(self.last_lease.get() + 1);
-        let lease = Lease { ttl, ends: Instant::now() + ttl, keys: Vec::new() };
+        let lease = Lease { ttl, expires_at: Instant::now() + ttl, keys: Vec::new() };
         self.leases.borrow_mut().insert(self.last_lease.get(), lease);
         LeaseId { number: self.last_lease.get(), era: self.era() }
     }
 
-    /// Renews a lease; false where it is over.
+    /// Renews a lease; false if it has expired.
     pub fn renew(&self, number: u64) -> bool {
         self.renewals.set(self.renewals.get() + 1);
         let mut leases = self.leases.borrow_mut();
         let Some(lease) = leases.get_mut(&number) else { return false };
-        lease.ends = Instant::now() + lease.ttl;
+        lease.expires_at = Instant::now() + lease.ttl;
         true
     }
 
-    /// Writes a key that goes with a lease; false where the lease is over.
+    /// Writes a key that is deleted with a lease; false if the lease has expired.
     pub fn put_leased(&self, key: &str, value: Bytes, number: u64) -> bool {
         let mut leases = self.leases.borrow_mut();
         let Some(lease) = leases.get_mut(&number) else { return false };
@@ -204,49 +204,50 @@
         true
     }
 
-    /// Ends a lease and removes its keys.
-    pub fn end(&self, number: u64) {
+    /// Revokes a lease and deletes its keys.
+    pub fn revoke(&self, number: u64) {
         let lease = self.leases.borrow_mut().remove(&number);
         for key in lease.into_iter().flat_map(|lease| lease.keys) {
             self.remove(&key);
         }
     }
 
-    /// Ends the leases whose time is over.
-    pub fn end_leases(&self) {
+    /// Revokes the leases that have expired.
+    pub fn expire_leases(&self) {
         let now = Instant::now();
-        let over: Vec<u64> = self.leases.borrow().iter().filter(|(_, lease)| lease.ends <= now).map(|l| *l.0).collect();
-        over.into_iter().for_each(|number| self.end(number));
+        let expired: Vec<u64> =
+            self.leases.borrow().iter().filter(|(_, lease)| lease.expires_at <= now).map(|l| *l.0).collect();
+        expired.into_iter().for_each(|number| self.revoke(number));
     }
 
-    /// Lets time pass that the steady clock of a suspended machine does not count: all that was
-    /// is so much longer ago, and leases have so much less left.
-    pub fn pass(&self, time: Duration) {
+    /// Advances time by a suspension that the monotonic clock does not count: moves all recorded
+    /// times into the past, and shortens the remaining time of the leases.
+    pub fn skip_time(&self, time: Duration) {
         let earlier = |at: &mut Instant| *at = at.checked_sub(time).unwrap_or(*at);
         self.changes.borrow_mut().iter_mut().for_each(|(_, at)| earlier(at));
-        self.leases.borrow_mut().values_mut().for_each(|lease| earlier(&mut lease.ends));
-        self.end_leases();
+        self.leases.borrow_mut().values_mut().for_each(|lease| earlier(&mut lease.expires_at));
+        self.expire_leases();
     }
 
-    /// How often leases were renewed.
+    /// Number of lease renewals.
     pub fn renewals(&self) -> u64 {
         self.renewals.get()
     }
 
-    /// Time of the first change that a view lacks; `None` where it lacks none. A key is as
-    /// old as the last time at which the store had it as the view has it.
-    pub fn lacking_since(&self, view: &StoreView) -> Option<Instant> {
+    /// Time of the first change that a view is missing; `None` if it is missing none. For each key,
+    /// only changes after the store last had the same value as the view count.
+    pub fn missing_since(&self, view: &StoreView) -> Option<Instant> {
         let changes = self.changes.borrow();
-        let mut lacking: HashMap<&str, Option<Instant>> = HashMap::new();
+        let mut missing: HashMap<&str, Option<Instant>> = HashMap::new();
         for (event, at) in changes.iter() {
             let has = match (event, view.item(event.key())) {
                 (Event::Put(put), Some(item)) => put == item,
                 (Event::Delete { .. }, None) => true,
                 _ => false,
             };
-            let first = lacking.entry(event.key()).or_default();
+            let first = missing.entry(event.key()).or_default();
             *first = if has { None } else { first.or(Some(*at)) };
         }
-        lacking.into_values().flatten().min()
+        missing.into_values().flatten().min()
     }
 }
--- a/tests/model/step.rs
+++ b/tests/model/step.rs
@@ -1,64 +1,64 @@
-//! The steps that a site of the model takes, and how often each is drawn.
+//! The steps of the simulation, and how often each is drawn.
 
 use super::life::RELAYS;
 use proptest::prelude::*;
 
-/// A step. Instances and slots are numbers; times are milliseconds.
+/// A step. Instances and slots are given by number, times in milliseconds.
 #[derive(Clone, Debug)]
 pub enum Step {
-    /// Time passes.
+    /// Time advances.
     Wait(u16),
     /// A later configuration, small or large.
     Configure(bool),
-    /// A target of a service starts at one of a few addresses; the one before is gone.
+    /// A target of a service starts at the address of a slot, and replaces the one before.
     StartTarget(u8, u8),
-    /// The target of an address is gone.
+    /// The target of a slot is deregistered.
     EndTarget(u8),
     /// A target writes its registration again.
     Heartbeat(u8),
     /// The hall's evacuation begins or ends.
     Evacuate(bool),
-    /// The store forgets its history.
+    /// The store compacts its history.
     Compact,
     /// The store takes a snapshot.
     Snapshot,
     /// The store is restored from its last snapshot, if any, with or without the leases in it; the
     /// operator and the targets repeat their lost writes after this delay.
     Restore(bool, u16),
-    /// Nothing passes between an instance and the store.
+    /// The link between an instance and the store is cut.
     Cut(usize),
-    /// It passes again.
+    /// The link to the store works again.
     Heal(usize),
-    /// The store refuses an instance's calls, or no longer.
+    /// The store refuses an instance's calls, or accepts them again.
     Busy(usize, bool),
-    /// Large answers of the store are this long under way.
+    /// The bodies of the store's responses take this long to arrive.
     SlowStore(usize, u16),
-    /// A watch on its way to the store is this much later than other calls.
+    /// A watch takes this much longer to reach the store than other calls.
     Reorder(usize, u16),
     /// Time between pages of a list.
     PageGap(usize, u16),
-    /// Questions to peers, heads and bodies of the answers are this long under way.
+    /// Transfer times of requests to peers, and of the heads and bodies of their responses.
     SlowPeers(usize, u16, u16, u16),
-    /// No peer's answer arrives, or each does again.
+    /// No response of a peer arrives, or all arrive again.
     CutPeers(usize, bool),
-    /// A value of the next answer of a peer cannot be decoded.
-    Garble(usize),
-    /// The next answer to a watch is lost.
-    LoseAnswer(usize),
-    /// The connection of the watch under way falls silent, without a word; others work.
+    /// A value of the next response of a peer cannot be decoded.
+    Corrupt(usize),
+    /// The next response to a watch is lost.
+    LoseResponse(usize),
+    /// The connection of the pending watch stops delivering data without an error; others work.
     SilenceWatch(usize),
-    /// The next call but a watch or a list falls on a silent connection.
+    /// The next call other than a watch or a list gets no response.
     SilenceCall(usize),
-    /// The events of the next answer to a watch come twice.
-    Double(usize),
-    /// The process stands still.
+    /// The events of the next response to a watch are duplicated.
+    Duplicate(usize),
+    /// The process is frozen.
     Freeze(usize),
-    /// It goes on.
+    /// The process is thawed.
     Thaw(usize),
-    /// All instances are suspended while the configuration changes: time passes, but not on their
-    /// steady clock.
+    /// All instances are suspended while the configuration changes: time advances, but not on their
+    /// monotonic clock.
     Suspend(u16),
-    /// The process ends.
+    /// The process is killed.
     Kill(usize),
     /// A process starts.
     Start(usize),
@@ -86,11 +86,11 @@
         1 => (one(), 0u16..500).prop_map(|(one, gap)| Step::PageGap(one, gap)),
         2 => (one(), 0u16..300, 0u16..300, 0u16..3_000).prop_map(|(o, up, down, body)| Step::SlowPeers(o, up, down, body)),
         1 => (one(), any::<bool>()).prop_map(|(one, on)| Step::CutPeers(one, on)),
-        2 => one().prop_map(Step::Garble),
-        1 => one().prop_map(Step::LoseAnswer),
+        2 => one().prop_map(Step::Corrupt),
+        1 => one().prop_map(Step::LoseResponse),
         2 => one().prop_map(Step::SilenceWatch),
         1 => one().prop_map(Step::SilenceCall),
-        1 => one().prop_map(Step::Double),
+        1 => one().prop_map(Step::Duplicate),
         2 => one().prop_map(Step::Freeze),
         2 => one().prop_map(Step::Thaw),
         1 => (1u16..6_000).prop_map(Step::Suspend),
--- a/tests/model/world.rs
+++ b/tests/model/world.rs
@@ -1,7 +1,7 @@
-//! A site of the model: what each step does to it, and what has to hold after each.
+//! The simulated site: the effect of each step, and the invariants checked after each.
 
-use super::client::Link;
-use super::life::{Fleet, Life, RELAYS};
+use super::client::StoreLink;
+use super::life::{Fleet, Process, RELAYS};
 use super::platform::{CONFIG, EVACUATION, target_value};
 use super::server::{Server, Snapshot};
 use super::step::Step;
@@ -14,29 +14,30 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-/// Time between two looks at all instances.
-const TICK: Duration = Duration::from_millis(20);
-/// By how much a believed age may be below the true one: a millisecond for each instance that
-/// passed the age on.
+/// Time between two checks of all instances.
+const CHECK_INTERVAL: Duration = Duration::from_millis(20);
+/// How far a computed age may be below the true one: one millisecond for each instance that
+/// forwarded the age.
 const TOLERANCE: Duration = Duration::from_millis(3);
-/// Length of an outage from which watches under way are lost for good.
-const LOSING: Duration = Duration::from_millis(4_000);
-/// Time without faults after which every view is the store: the time for which a relay
-/// that failed is left, an answer that is under way for seconds, and a watch.
-const QUIET: Duration = Duration::from_secs(10);
-/// Greatest believed age after quiet: that from which a view is stale, and a wait of a
-/// relay.
-const BELIEVED: Duration = Duration::from_millis(2_000);
-/// Time until all follow their relays, which were of no use as all started together.
-const COMES_UP: Duration = Duration::from_secs(7);
-/// Bytes of a large configuration: it is compressed between peers.
-const LARGE: usize = 20_000;
+/// Length of an outage from which calls in transit are lost.
+const MIN_LOSSY_OUTAGE: Duration = Duration::from_millis(4_000);
+/// Time without faults after which every view equals the store: the time for which a failed
+/// relay is not followed, plus a slow response of several seconds, plus a watch.
+const CONVERGENCE_TIME: Duration = Duration::from_secs(10);
+/// Maximum computed age of the view after convergence: the age from which a view is stale, plus
+/// one wait of a request to a relay.
+const MAX_CONVERGED_AGE: Duration = Duration::from_millis(2_000);
+/// Time until all instances follow their relays: these are not usable at first, since all
+/// instances start together.
+const STARTUP_TIME: Duration = Duration::from_secs(7);
+/// Size of a large configuration, which is compressed between peers.
+const LARGE_CONFIG_BYTES: usize = 20_000;
 
-/// A site.
-pub struct World {
+/// A simulated site.
+pub struct Simulation {
     pub server: Rc<Server>,
     pub fleet: Fleet,
-    pub links: Vec<Rc<Link>>,
+    pub links: Vec<Rc<StoreLink>>,
     cut_at: Vec<Option<Instant>>,
     version: u64,
     /// The last sequence number used in a target's id or registration.
@@ -49,26 +50,26 @@
     rewrite_at: Cell<Option<Instant>>,
 }
 
-/// Runs steps on a site that has come up; then all faults end and every instance has to
-/// have the store's state.
+/// Runs steps on a started site, then ends all faults and checks that every instance converges
+/// to the store's state.
 pub fn run(steps: &[Step]) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build().unwrap();
     LocalSet::new().block_on(&runtime, async {
-        let mut world = World::start().await;
+        let mut simulation = Simulation::start().await;
         for step in steps {
-            world.take(step).await;
+            simulation.apply(step).await;
         }
-        world.settle().await;
+        simulation.heal_and_converge().await;
     });
 }
 
-impl World {
-    /// A site with a configuration, two targets, and all instances up.
+impl Simulation {
+    /// Starts a site with a configuration, two targets and all instances.
     pub async fn start() -> Self {
-        let links: Vec<Rc<Link>> = RELAYS.iter().map(|_| Rc::default()).collect();
+        let links: Vec<Rc<StoreLink>> = RELAYS.iter().map(|_| Rc::default()).collect();
         let fleet = Fleet::default();
         fleet.borrow_mut().resize_with(RELAYS.len(), || None);
-        let mut world = Self {
+        let mut simulation = Self {
             server: Rc::default(),
             fleet,
             links,
@@ -79,34 +80,34 @@
             snapshot: None,
             rewrite_at: Cell::default(),
         };
-        world.configure(false);
-        world.start_target(0, 0);
-        world.start_target(1, 1);
+        simulation.configure(false);
+        simulation.start_target(0, 0);
+        simulation.start_target(1, 1);
         for position in 0..RELAYS.len() {
-            world.start_life(position);
+            simulation.start_process(position);
         }
-        world.wait(COMES_UP).await;
-        world
+        simulation.wait(STARTUP_TIME).await;
+        simulation
     }
 
-    /// The instance of a position, where it lives.
-    pub fn life(&self, position: usize) -> Option<Rc<Life>> {
+    /// The process of an instance; `None` if it is not running.
+    pub fn process(&self, position: usize) -> Option<Rc<Process>> {
         self.fleet.borrow()[position].clone()
     }
 
-    /// Lets time pass; looks at all instances again and again.
+    /// Advances time, and checks all instances at each interval.
     pub async fn wait(&self, time: Duration) {
         let ends = Instant::now() + time;
         while Instant::now() < ends {
-            sleep(TICK.min(ends - Instant::now())).await;
-            self.server.end_leases();
+            sleep(CHECK_INTERVAL.min(ends - Instant::now())).await;
+            self.server.expire_leases();
             self.repeat_lost_writes();
             self.check();
         }
     }
 
-    /// Takes a step.
-    pub async fn take(&mut self, step: &Step) {
+    /// Applies a step.
+    pub async fn apply(&mut self, step: &Step) {
         match *step {
             Step::Wait(time) => self.wait(Duration::from_millis(time.into())).await,
             Step::Configure(is_large) => self.configure(is_large),
@@ -119,63 +120,63 @@
             Step::Restore(keeps_leases, delay) => self.restore(keeps_leases, Duration::from_millis(delay.into())),
             Step::Compact => self.server.compact(),
             Step::Suspend(time) => self.suspend(Duration::from_millis(time.into())),
-            _ => self.take_fault(step),
+            _ => self.inject_fault(step),
         }
         self.check();
     }
 
-    fn take_fault(&mut self, step: &Step) {
+    fn inject_fault(&mut self, step: &Step) {
         let time = |time: u16| Duration::from_millis(time.into());
         match *step {
             Step::Cut(one) => self.cut(one),
             Step::Heal(one) => self.heal(one),
-            Step::Busy(one, is_busy) => self.links[one].busy.set(is_busy),
+            Step::Busy(one, is_busy) => self.links[one].refuses.set(is_busy),
             Step::SlowStore(one, body) => self.links[one].body.set(time(body)),
-            Step::Reorder(one, late) => self.links[one].reorders.set(time(late)),
+            Step::Reorder(one, late) => self.links[one].watch_delay.set(time(late)),
             Step::PageGap(one, gap) => self.links[one].page_gap.set(time(gap)),
-            Step::LoseAnswer(one) => self.links[one].breaks_next.set(true),
-            Step::SilenceWatch(one) => self.links[one].silences.set(self.links[one].silences.get() + 1),
-            Step::SilenceCall(one) => self.links[one].loses_next.set(true),
-            Step::Double(one) => self.links[one].doubles_next.set(true),
-            Step::Start(one) => self.start_life(one),
+            Step::LoseResponse(one) => self.links[one].loses_next_watch.set(true),
+            Step::SilenceWatch(one) => self.links[one].silenced_watches.set(self.links[one].silenced_watches.get() + 1),
+            Step::SilenceCall(one) => self.links[one].loses_next_call.set(true),
+            Step::Duplicate(one) => self.links[one].duplicates_next.set(true),
+            Step::Start(one) => self.start_process(one),
             Step::Kill(one) => self.kill(one),
-            _ => self.take_fault_of_life(step),
+            _ => self.inject_process_fault(step),
         }
     }
 
-    fn take_fault_of_life(&self, step: &Step) {
+    fn inject_process_fault(&self, step: &Step) {
         let time = |time: u16| Duration::from_millis(time.into());
         let (Step::SlowPeers(one, ..)
         | Step::CutPeers(one, _)
-        | Step::Garble(one)
+        | Step::Corrupt(one)
         | Step::Freeze(one)
         | Step::Thaw(one)) = *step
         else {
-            unreachable!("{step:?} is taken above")
+            unreachable!("{step:?} is handled above")
         };
-        let Some(life) = self.life(one) else { return };
+        let Some(process) = self.process(one) else { return };
         match *step {
             Step::SlowPeers(_, up, down, body) => {
-                life.way.up.set(time(up));
-                life.way.down.set(time(down));
-                life.way.body.set(time(body));
+                process.peer_link.up.set(time(up));
+                process.peer_link.down.set(time(down));
+                process.peer_link.body.set(time(body));
             }
-            Step::CutPeers(_, is_cut) => life.way.cut.set(is_cut),
-            Step::Garble(_) => life.way.garbles_next.set(true),
-            Step::Freeze(_) => life.gate.close(),
-            _ => life.gate.open(),
+            Step::CutPeers(_, is_cut) => process.peer_link.cut.set(is_cut),
+            Step::Corrupt(_) => process.peer_link.corrupts_next.set(true),
+            Step::Freeze(_) => process.gate.close(),
+            _ => process.gate.open(),
         }
     }
 
     fn configure(&mut self, is_large: bool) {
         self.version += 1;
-        let padding = "x".repeat(if is_large { LARGE } else { 0 });
+        let padding = "x".repeat(if is_large { LARGE_CONFIG_BYTES } else { 0 });
         self.put(CONFIG, format!("{} {padding}", self.version));
     }
 
     fn suspend(&mut self, time: Duration) {
         self.configure(false);
-        self.server.pass(time);
+        self.server.skip_time(time);
         clock::suspend(time);
     }
 
@@ -226,7 +227,7 @@
         self.last_sequence.get()
     }
 
-    /// Each start has an id of its own, the address is that of the slot.
+    /// Starts a target with a new id at the address of the slot.
     fn start_target(&self, slot: u8, service: u8) {
         self.end_target(slot);
         let next = self.next_sequence();
@@ -252,75 +253,75 @@
         self.links[position].cut();
     }
 
-    /// What was under way arrives, but after a long outage it is lost without a word.
+    /// Restores the link. What was in transit arrives, but is silently lost after a long outage.
     fn heal(&mut self, position: usize) {
         let cut_at = self.cut_at[position].take();
-        let is_long = cut_at.is_some_and(|at| at.elapsed() >= LOSING);
+        let is_long = cut_at.is_some_and(|at| at.elapsed() >= MIN_LOSSY_OUTAGE);
         self.links[position].heal(is_long);
     }
 
-    fn start_life(&self, position: usize) {
-        if self.life(position).is_none() {
-            Life::start(position, &self.server, &self.links[position], &self.fleet);
+    fn start_process(&self, position: usize) {
+        if self.process(position).is_none() {
+            Process::start(position, &self.server, &self.links[position], &self.fleet);
         }
     }
 
     fn kill(&self, position: usize) {
-        let life = self.fleet.borrow_mut()[position].take();
-        life.iter().for_each(|life| life.kill());
+        let process = self.fleet.borrow_mut()[position].take();
+        process.iter().for_each(|process| process.kill());
     }
 
-    /// Ends all faults, waits, and compares every instance with the store.
-    pub async fn settle(&mut self) {
+    /// Ends all faults, waits, and checks every instance against the store.
+    pub async fn heal_and_converge(&mut self) {
         for position in 0..RELAYS.len() {
             self.heal(position);
-            self.start_life(position);
+            self.start_process(position);
             self.links[position].end_faults();
-            let life = self.life(position).expect("it was started");
-            life.way.end_faults();
-            life.gate.open();
+            let process = self.process(position).expect("it was started");
+            process.peer_link.end_faults();
+            process.gate.open();
         }
-        self.wait(QUIET).await;
+        self.wait(CONVERGENCE_TIME).await;
         for position in 0..RELAYS.len() {
-            self.check_converged(&self.life(position).expect("it was started"));
+            self.check_converged(&self.process(position).expect("it was started"));
         }
     }
 
-    /// What holds at any time.
+    /// Checks the invariants that hold at any time.
     pub fn check(&self) {
-        for life in self.fleet.borrow().iter().flatten().filter(|life| !life.gate.is_closed()) {
-            self.check_life(life);
+        for process in self.fleet.borrow().iter().flatten().filter(|process| !process.gate.is_closed()) {
+            self.check_process(process);
         }
     }
 
-    fn check_life(&self, life: &Life) {
-        let position = life.position;
-        let version = life.instance.routing.borrow().config.as_ref().map_or(0, |config| config.version);
-        let view = life.instance.store_copy.view();
-        let (seen_version, seen_at) = life.seen.replace((version, view.at()));
+    fn check_process(&self, process: &Process) {
+        let position = process.position;
+        let version = process.instance.routing.borrow().config.as_ref().map_or(0, |config| config.version);
+        let view = process.instance.store_copy.view();
+        let (seen_version, seen_at) = process.seen.replace((version, view.at()));
         assert!(version >= seen_version, "instance {position} went back from version {seen_version} to {version}");
         assert!(view.at() >= seen_at, "instance {position} went back from {seen_at:?} to {:?}", view.at());
-        let Some(believed) = life.instance.store_copy.view_age() else { return };
-        let lacking = self.server.lacking_since(&view).map(|since| since.elapsed()).unwrap_or_default();
+        let Some(computed) = process.instance.store_copy.view_age() else { return };
+        let missing = self.server.missing_since(&view).map(|since| since.elapsed()).unwrap_or_default();
         assert!(
-            believed + TOLERANCE >= lacking,
-            "instance {position} believes its view at {:?} to be {believed:?} old, but it lacks a change of {lacking:?} ago",
+            computed + TOLERANCE >= missing,
+            "instance {position} computes an age of {computed:?} for its view at {:?}, but misses a change of {missing:?} ago",
             view.at()
         );
     }
 
-    fn check_converged(&self, life: &Life) {
-        let position = life.position;
+    fn check_converged(&self, process: &Process) {
+        let position = process.position;
         let items = self.server.items();
-        let view = life.instance.store_copy.view();
+        let view = process.instance.store_copy.view();
         let known: BTreeMap<_, _> = view.items().map(|item| (item.key.clone(), item.clone())).collect();
         assert_eq!(known, items, "instance {position} at {:?} has not converged", view.at());
-        let age = life.instance.store_copy.view_age();
-        assert!(age.is_some_and(|age| age < BELIEVED), "instance {position} believes its view to be {age:?} old");
-        let routing = life.instance.routing.borrow();
+        let age = process.instance.store_copy.view_age();
+        assert!(age.is_some_and(|age| age < MAX_CONVERGED_AGE), "instance {position} computes a view age of {age:?}");
+        let routing = process.instance.routing.borrow();
         assert_eq!(routing.config.as_ref().map(|config| config.version), Some(self.version), "instance {position}");
         assert_eq!(routing.is_evacuated("a-1"), items.contains_key(EVACUATION), "instance {position}");
-        // An id is that of an address and a start.
+        // An id identifies one start of a target at an address.
         let targets: BTreeMap<String, String> =
             routing.targets().map(|target| (target.id.to_string(), target.service.to_string())).collect();
         let service = |value: &[u8]| String::from_utf8_lossy(value).split(' ').next().map(str::to_owned);
