--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -210,7 +210,7 @@
     /// The body for the caller. The reader of a large one takes over the connection and the in-flight
     /// count at the target.
     fn response_body(self, read: ReadBody, connection: ReusableConnection) -> ResponseBody {
-        let (held_answers, new_guard) = (self.held_answers, || self.requests.count());
+        let (held_answers, new_guard) = (self.held_answers, || self.requests.track());
         match read {
             ReadBody::Buffered(bytes) => {
                 connection.release(&self.in_flight);
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -19,7 +19,7 @@
 use crate::net::buffered_bytes::BufferTotal;
 use crate::net::request_body::BodyError;
 use crate::platform::Platform;
-use crate::state::{Counted, Instance};
+use crate::state::{InFlightGuard, Instance};
 use bytes::Bytes;
 use hyper::body::{Body, Frame, SizeHint};
 use prometheus::IntCounterVec;
@@ -60,12 +60,12 @@
     shared: Rc<SharedAnswer>,
     reader: Option<AbortHandle>,
     /// Counts the response as in flight if there is no reader to do so.
-    _request_guard: Option<Counted>,
+    _request_guard: Option<InFlightGuard>,
 }
 
 impl HeldAnswer {
     /// A response that is complete and in memory.
-    pub fn buffered(bytes: Bytes, total: &Rc<BufferTotal>, request_guard: Counted) -> Self {
+    pub fn buffered(bytes: Bytes, total: &Rc<BufferTotal>, request_guard: InFlightGuard) -> Self {
         let shared = Rc::new(SharedAnswer::new(total, Progress::Complete));
         shared.push(bytes);
         Self { shared, reader: None, _request_guard: Some(request_guard) }
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_answer/reader.rs
@@ -14,7 +14,7 @@
 use crate::proxy::held_answer::HeldAnswerContext;
 use crate::proxy::held_answer::shared::SharedAnswer;
 use crate::proxy::response_body::ReusableConnection;
-use crate::state::Counted;
+use crate::state::InFlightGuard;
 use bytes::Bytes;
 use hyper::body::{Body, Frame, Incoming};
 use hyper::header::HeaderValue;
@@ -40,7 +40,7 @@
     /// The caller's request id; `None` if it sent none.
     pub request_id: Option<HeaderValue>,
     /// Counts the request as in flight at this instance until the caller has the response.
-    pub request_guard: Counted,
+    pub request_guard: InFlightGuard,
 }
 
 /// Result of waiting for the next frame.
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -58,7 +58,7 @@
 /// the metrics and the access log.
 pub async fn handle<P: Platform>(instance: &Instance<P>, request: Request<CallerBody>) -> Response<ResponseBody> {
     let now = Instant::now();
-    instance.requests.mark_arrival(now);
+    instance.requests.record_arrival(now);
     let arrival = request.extensions().get().copied().unwrap_or(Arrival { read_at: now, is_early: false });
     let started = arrival.read_at;
     if arrival.is_early {
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -1,7 +1,7 @@
-//! The requests of callers that an instance works on.
+//! The requests of callers that an instance is processing.
 //!
-//! Owns their number, the arrival of the last one and the bytes held of bodies and answers. The
-//! proxy updates it; the planned stop and the metrics read it. Relies on [`BufferTotal`].
+//! Owns their number, the arrival time of the last one and the bytes of bodies and responses held in
+//! memory. The proxy updates it; the planned stop and the metrics read it. Relies on [`BufferTotal`].
 
 use crate::clock::Instant;
 use crate::net::buffered_bytes::BufferTotal;
@@ -9,7 +9,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Requests in flight, and what they hold.
+/// Number of requests in flight and the bytes buffered for them.
 #[derive(Debug)]
 pub struct Requests {
     in_flight: Rc<Cell<u32>>,
@@ -20,16 +20,16 @@
 
 /// Counts a request as in flight until it is dropped.
 #[derive(Debug)]
-pub struct Counted(Rc<Cell<u32>>);
+pub struct InFlightGuard(Rc<Cell<u32>>);
 
-impl Drop for Counted {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
 }
 
 impl Requests {
-    /// No requests yet; `now` counts as the last arrival.
+    /// Starts without requests; `now` counts as the arrival of the last one.
     pub fn new(now: Instant) -> Self {
         Self {
             in_flight: Rc::default(),
@@ -49,34 +49,34 @@
         self.in_flight.set(self.in_flight.get() - 1);
     }
 
-    /// Counts a request for as long as its answer is under way to the caller.
-    pub fn count(&self) -> Counted {
+    /// Counts a request until the guard is dropped, while its response is sent to the caller.
+    pub fn track(&self) -> InFlightGuard {
         self.begin();
-        Counted(self.in_flight.clone())
+        InFlightGuard(self.in_flight.clone())
     }
 
-    /// Counts requests that were read before their turn on their connection.
+    /// Adjusts the number of pipelined requests that wait for their turn on their connection.
     pub fn count_unanswered(&self, change: i64) {
         self.unanswered.set(self.unanswered.get() + change);
     }
 
-    /// Requests that were read before their turn and are not answered.
+    /// Number of pipelined requests that wait for their turn.
     pub fn unanswered(&self) -> u64 {
         u64::try_from(self.unanswered.get()).unwrap_or(0)
     }
 
     /// Whether no request is in flight and none waits for its turn.
-    pub fn are_over(&self) -> bool {
+    pub fn are_finished(&self) -> bool {
         self.in_flight.get() == 0 && self.unanswered.get() == 0
     }
 
-    /// Requests in flight.
+    /// Number of requests in flight.
     pub fn in_flight(&self) -> u32 {
         self.in_flight.get()
     }
 
     /// Records the arrival of a request.
-    pub fn mark_arrival(&self, now: Instant) {
+    pub fn record_arrival(&self, now: Instant) {
         self.last_arrival.set(now);
     }
 
@@ -85,7 +85,7 @@
         self.last_arrival.get().elapsed()
     }
 
-    /// Bytes held of request bodies and answers.
+    /// Bytes of request bodies and responses held in memory.
     pub fn buffered_bytes(&self) -> u64 {
         self.buffered_bytes.get()
     }
--- a/src/sync/peers/change_set.rs
+++ b/src/sync/peers/change_set.rs
@@ -39,7 +39,7 @@
     fn from(event: &Event) -> Self {
         let value = match event {
             Event::Put(item) => Some(STANDARD.encode(&item.value)),
-            Event::Gone { .. } => None,
+            Event::Delete { .. } => None,
         };
         Self { key: event.key().to_owned(), revision: event.revision(), value }
     }
@@ -50,7 +50,7 @@
 
     fn try_from(change: WireChange) -> Result<Self, ChangeError> {
         let WireChange { key, revision, value } = change;
-        let Some(text) = value else { return Ok(Event::Gone { key, revision }) };
+        let Some(text) = value else { return Ok(Event::Delete { key, revision }) };
         match STANDARD.decode(text) {
             Ok(value) => Ok(Event::Put(Item { key, value: Bytes::from(value), revision })),
             Err(source) => Err(ChangeError { key, revision, source }),
@@ -161,17 +161,17 @@
         let (at, age) = (self.position(), self.view_age());
         instance.store_copy.latest_era().observe(at.era);
         if let Some(age) = self.recovery_age_ms {
-            instance.store_copy.mark_peer_recovery(Duration::from_millis(age) + self.delay);
+            instance.store_copy.record_peer_recovery(Duration::from_millis(age) + self.delay);
         }
         let events = self.events.into_iter().map(Event::try_from).collect::<Result<Vec<Event>, _>>()?;
         if self.is_full {
             let items = events.into_iter().filter_map(item).collect();
-            instance.take_listing(Listing { items, at }, source);
+            instance.apply_listing(Listing { items, at }, source);
         } else {
-            instance.take_events(events, at, source);
+            instance.apply_events(events, at, source);
         }
         if let Some(age) = age {
-            instance.store_copy.mark_current(proof, age, at.era);
+            instance.store_copy.record_proof(proof, age, at.era);
         }
         Ok(())
     }
@@ -186,6 +186,6 @@
 fn item(event: Event) -> Option<Item> {
     match event {
         Event::Put(item) => Some(item),
-        Event::Gone { .. } => None,
+        Event::Delete { .. } => None,
     }
 }
--- a/tests/removed_policies.rs
+++ b/tests/removed_policies.rs
@@ -21,7 +21,7 @@
 }
 
 fn removed(at: u64) -> Event {
-    Event::Gone { key: "policies".into(), revision: at }
+    Event::Delete { key: "policies".into(), revision: at }
 }
 
 /// Applies an event; returns the revision in force and whether the event was rejected.
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -25,21 +25,21 @@
 #[test]
 fn a_view_ages_while_the_machine_is_suspended() {
     let freshness = Freshness::default();
-    freshness.prove(Proof::Watch, Duration::ZERO);
+    freshness.record_proof(Proof::Watch, Duration::ZERO);
     assert!(freshness.is_current());
     simulate_suspension(SUSPENSION);
     assert!(freshness.age() >= Some(SUSPENSION) && !freshness.is_current());
-    freshness.prove(Proof::Read, Duration::ZERO);
+    freshness.record_proof(Proof::Read, Duration::ZERO);
     assert!(freshness.is_current(), "a proof after the suspension makes the view current");
 }
 
 #[test]
 fn the_store_counts_as_lost_after_a_suspension_until_it_answers() {
     let copy = StoreCopy::default();
-    copy.mark_answered();
+    copy.record_response();
     simulate_suspension(SUSPENSION);
     assert!(copy.is_lost());
-    copy.mark_answered();
+    copy.record_response();
     assert!(!copy.is_lost());
 }
 
