--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -9,7 +9,7 @@
 use crate::platform::Platform;
 use crate::proxy::answer_body::AnswerBody;
 use crate::state::Instance;
-use crate::sync::peers::{self, AnswerCache, ChangesQuestion, ServedChanges};
+use crate::sync::peers::{self, ChangesRequest, ChangesResponse, ResponseCache};
 use crate::sync::{limits, usage};
 use hyper::header::{CONTENT_ENCODING, HeaderValue};
 use hyper::{Method, Request, Response, StatusCode};
@@ -21,19 +21,19 @@
 /// Answers peers, operators, and whoever reads the metrics.
 pub struct PeerListener<P: Platform> {
     instance: Rc<Instance<P>>,
-    cache: AnswerCache,
+    cache: ResponseCache,
 }
 
 impl<P: Platform> PeerListener<P> {
     /// Answers for this instance.
     pub fn new(instance: Rc<Instance<P>>) -> Self {
-        Self { instance, cache: AnswerCache::default() }
+        Self { instance, cache: ResponseCache::default() }
     }
 
     async fn changes(&self, request: &Request<CallerBody>) -> Response<AnswerBody> {
         let query = request.uri().query().unwrap_or("");
         let takes_gzip = gzip::is_accepted(request.headers());
-        let asked = ChangesQuestion { query, takes_gzip };
+        let asked = ChangesRequest { query, accepts_gzip: takes_gzip };
         changes_response(peers::serve_changes(&self.instance, &self.cache, asked).await)
     }
 
@@ -73,12 +73,12 @@
     }
 }
 
-fn changes_response(served: ServedChanges) -> Response<AnswerBody> {
+fn changes_response(served: ChangesResponse) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::buffered(served.body.bytes));
     let headers = response.headers_mut();
-    headers.insert(peers::COMPUTED_AFTER, served.computed_after_ms.into());
+    headers.insert(peers::COMPUTED_AFTER_HEADER, served.computed_after_ms.into());
     if served.is_receiving {
-        headers.insert(peers::RECEIVING, HeaderValue::from_static("1"));
+        headers.insert(peers::RECEIVING_HEADER, HeaderValue::from_static("1"));
     }
     if served.body.is_compressed {
         headers.insert(CONTENT_ENCODING, HeaderValue::from_static(GZIP));
--- a/src/sync/backoff.rs
+++ b/src/sync/backoff.rs
@@ -29,13 +29,13 @@
 
 impl Backoff {
     /// Records a failure; returns the wait before the next call.
-    pub fn wait(&mut self) -> Duration {
+    pub fn next_delay(&mut self) -> Duration {
         self.wait_up_to(MAX_WAIT)
     }
 
     /// The same where nothing that callers notice depends on the call: the view is current
     /// without it.
-    pub fn patient_wait(&mut self) -> Duration {
+    pub fn next_long_delay(&mut self) -> Duration {
         self.wait_up_to(MAX_PATIENT_WAIT)
     }
 
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -97,7 +97,7 @@
             // `call` has counted and logged the failure.
             Err(error) => {
                 was_unanswered |= error == StoreError::Silent;
-                sleep(backoff.wait()).await;
+                sleep(backoff.next_delay()).await;
             }
         }
     }
--- a/src/sync/heads.rs
+++ b/src/sync/heads.rs
@@ -10,7 +10,7 @@
 use crate::net::whole_body::{ReadError, ReadLimits, read_whole};
 use crate::platform::Platform;
 use crate::state::Instance;
-use crate::sync::peers::{PeerError, PeerLink};
+use crate::sync::peers::{PeerConnection, PeerError};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 use std::cell::RefCell;
@@ -82,7 +82,7 @@
 /// Links to heads, and those heads that failed.
 #[derive(Default)]
 pub struct HeadLinks {
-    links: RefCell<HashMap<SocketAddr, PeerLink>>,
+    links: RefCell<HashMap<SocketAddr, PeerConnection>>,
     /// Calls in a row that a head did not answer.
     silent: RefCell<HashMap<SocketAddr, u32>>,
     /// Until when a head is passed over.
@@ -104,9 +104,9 @@
                 return Some(answer);
             }
             Ok(Err(error)) => error,
-            Err(_) => PeerError::Silent.into(),
+            Err(_) => PeerError::NoResponse.into(),
         };
-        let is_silent = matches!(error, TellError::Peer(PeerError::Silent | PeerError::Slow { .. }));
+        let is_silent = matches!(error, TellError::Peer(PeerError::NoResponse | PeerError::ResponseTimedOut { .. }));
         if !is_silent || self.count_silence(head) >= MAX_SILENT {
             self.pass_over(head, R::PATH, &error);
         }
@@ -117,7 +117,7 @@
         let open = self.links.borrow_mut().remove(&head);
         let mut link = match open {
             Some(link) => link,
-            None => PeerLink::open(head).await?,
+            None => PeerConnection::open(head).await?,
         };
         let body = link.post(R::PATH, encode(report), CALL_TIME).await?;
         let answer = decode(&body)?;
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -131,8 +131,8 @@
             Duration::ZERO
         }
         // `call` has counted the failure, and the health of the store logs an outage.
-        Err(_) if instance.store_copy.is_current() => backoff.patient_wait(),
-        Err(_) => backoff.wait(),
+        Err(_) if instance.store_copy.is_current() => backoff.next_long_delay(),
+        Err(_) => backoff.next_delay(),
     }
 }
 
--- a/src/sync/peers/change_set.rs
+++ b/src/sync/peers/change_set.rs
@@ -122,12 +122,12 @@
     }
 
     /// The JSON form.
-    pub fn json(&self) -> Vec<u8> {
+    pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("changes are plain strings")
     }
 
     /// The same changes, received `delay` after their ages were worked out.
-    pub fn older_by(self, delay: Duration) -> Self {
+    pub fn with_delay(self, delay: Duration) -> Self {
         Self { delay, ..self }
     }
 
@@ -137,13 +137,13 @@
     }
 
     /// Age of the sender's view as the sender gave it.
-    pub fn sender_age(&self) -> Option<Duration> {
+    pub fn reported_age(&self) -> Option<Duration> {
         self.view_age_ms.map(Duration::from_millis)
     }
 
     /// Time since the sender's view was last proven current.
     pub fn view_age(&self) -> Option<Duration> {
-        self.sender_age().map(|age| age + self.delay)
+        self.reported_age().map(|age| age + self.delay)
     }
 
     /// Applies the changes to an instance's view, and records the age of the sender's view as proof
--- a/src/sync/peers/link.rs
+++ b/src/sync/peers/connection.rs
@@ -4,7 +4,7 @@
 //! link is not silence: it is read for as long as it comes along. Relies on
 //! [`crate::net::whole_body`] for that, and on [`crate::net::gzip`].
 
-use super::{CHANGES_PATH, COMPUTED_AFTER, ChangeSet, RECEIVING};
+use super::{CHANGES_PATH, COMPUTED_AFTER_HEADER, ChangeSet, RECEIVING_HEADER};
 use crate::clock::{Instant, timeout};
 use crate::net::dial;
 use crate::net::gzip::{self, GZIP, GzipError};
@@ -38,28 +38,28 @@
 pub enum PeerError {
     /// No byte of an answer came in time.
     #[error("the peer did not answer in time")]
-    Silent,
+    NoResponse,
     /// An answer began and did not come along.
     #[error("the peer's answer came too slowly: {received} bytes came in time, but not the end")]
-    Slow {
+    ResponseTimedOut {
         /// Bytes of the body that had come.
         received: usize,
     },
     /// The connection broke or could not be made.
     #[error("the connection to the peer broke: {0}")]
-    Broken(String),
+    ConnectionFailed(String),
     /// The answer is not a set of changes.
     #[error("the peer's answer cannot be read: {0}; check the peer's version")]
-    Unreadable(#[source] serde_json::Error),
+    InvalidResponse(#[source] serde_json::Error),
     /// The answer cannot be decompressed.
     #[error("the peer's answer cannot be read: {0}")]
-    Damaged(#[from] GzipError),
+    InvalidCompression(#[from] GzipError),
 }
 
 impl From<ReadError> for PeerError {
     fn from(error: ReadError) -> Self {
         match error {
-            ReadError::TimedOut { received } => PeerError::Slow { received },
+            ReadError::TimedOut { received } => PeerError::ResponseTimedOut { received },
             ReadError::Broken(error) => broken(error),
             ReadError::TooLarge(_) => broken(error),
         }
@@ -67,30 +67,30 @@
 }
 
 /// A connection to a peer. Dropped, it is closed.
-pub struct PeerLink {
+pub struct PeerConnection {
     /// Where the peer listens.
     pub peer: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
 }
 
-impl Drop for PeerLink {
+impl Drop for PeerConnection {
     fn drop(&mut self) {
         self.driver.abort();
     }
 }
 
 fn broken(error: impl std::fmt::Display) -> PeerError {
-    PeerError::Broken(error.to_string())
+    PeerError::ConnectionFailed(error.to_string())
 }
 
-impl PeerLink {
+impl PeerConnection {
     /// Connects to a peer.
     ///
     /// # Errors
     /// [`PeerError`] where it cannot be reached in time.
     pub async fn open(peer: SocketAddr) -> Result<Self, PeerError> {
-        let opened = timeout(ANSWER_TIMEOUT, dial::connect(peer)).await.map_err(|_| PeerError::Silent)?;
+        let opened = timeout(ANSWER_TIMEOUT, dial::connect(peer)).await.map_err(|_| PeerError::NoResponse)?;
         let (sender, connection) = handshake(TokioIo::new(opened.map_err(broken)?)).await.map_err(broken)?;
         let driver = tokio::task::spawn_local(connection).abort_handle();
         Ok(Self { peer, sender, driver })
@@ -106,7 +106,7 @@
         let request = Request::post(path).header(HOST, host).body(Full::new(body)).map_err(broken)?;
         let until = Instant::now() + limit;
         let head = timeout(limit, self.sender.send_request(request)).await;
-        let response = head.map_err(|_| PeerError::Silent)?.map_err(broken)?;
+        let response = head.map_err(|_| PeerError::NoResponse)?.map_err(broken)?;
         if response.status() != StatusCode::OK {
             return Err(broken(format!("it answered {}", response.status())));
         }
@@ -120,7 +120,7 @@
     ///
     /// # Errors
     /// [`PeerError`]; the link cannot be used again.
-    pub async fn ask(&mut self, question: PeerQuestion, wait: Duration) -> Result<PeerAnswer, PeerError> {
+    pub async fn request_changes(&mut self, question: PeerRequest, wait: Duration) -> Result<PeerResponse, PeerError> {
         let request = Request::builder()
             .uri(question.uri(wait))
             .header(HOST, self.peer.to_string())
@@ -129,23 +129,23 @@
             .map_err(broken)?;
         let asked = Instant::now();
         let head = timeout(wait + ANSWER_TIMEOUT, self.sender.send_request(request)).await;
-        let response = head.map_err(|_| PeerError::Silent)?.map_err(broken)?;
-        Ok(PeerAnswer { response, asked, begun: Instant::now() })
+        let response = head.map_err(|_| PeerError::NoResponse)?.map_err(broken)?;
+        Ok(PeerResponse { response, asked, begun: Instant::now() })
     }
 }
 
 /// A question to a peer for changes.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PeerQuestion {
+pub struct PeerRequest {
     /// The position up to which this instance has the changes.
     after: Position,
     /// The latest era of the store known to this instance.
     latest_era: Era,
 }
 
-impl PeerQuestion {
+impl PeerRequest {
     /// Asks for the changes that a copy of the store lacks.
-    pub fn of(copy: &StoreCopy) -> Self {
+    pub fn for_copy(copy: &StoreCopy) -> Self {
         Self { after: copy.view().at(), latest_era: copy.latest_era().get() }
     }
 
@@ -161,16 +161,16 @@
 }
 
 /// The answer of a peer, of which the head has come.
-pub struct PeerAnswer {
+pub struct PeerResponse {
     response: Response<Incoming>,
     asked: Instant,
     begun: Instant,
 }
 
-impl PeerAnswer {
+impl PeerResponse {
     /// Whether the peer's view is stale, but an answer with changes is under way to it.
     pub fn is_receiving(&self) -> bool {
-        self.response.headers().contains_key(RECEIVING)
+        self.response.headers().contains_key(RECEIVING_HEADER)
     }
 
     /// Reads the changes, for `total` at most. Their ages include the time that the
@@ -185,8 +185,8 @@
         if gzip::is_used(&head.headers) {
             body = gzip::decompress(&body)?;
         }
-        let changes: ChangeSet = serde_json::from_slice(&body).map_err(PeerError::Unreadable)?;
-        Ok(changes.older_by(time_since_computed(&head.headers, self.asked, self.begun)))
+        let changes: ChangeSet = serde_json::from_slice(&body).map_err(PeerError::InvalidResponse)?;
+        Ok(changes.with_delay(time_since_computed(&head.headers, self.asked, self.begun)))
     }
 }
 
@@ -194,7 +194,7 @@
 /// older version does not say when it did; the time since the answer began then stands
 /// for it, which leaves out that of the head on its way.
 fn time_since_computed(headers: &HeaderMap, asked: Instant, begun: Instant) -> Duration {
-    let told = headers.get(COMPUTED_AFTER).and_then(|value| value.to_str().ok()?.parse::<i64>().ok());
+    let told = headers.get(COMPUTED_AFTER_HEADER).and_then(|value| value.to_str().ok()?.parse::<i64>().ok());
     let Some(after_ms) = told else { return begun.elapsed() };
     let after = Duration::from_millis(after_ms.unsigned_abs());
     if after_ms < 0 { asked.elapsed() + after } else { asked.elapsed().saturating_sub(after) }
--- a/src/sync/peers/mod.rs
+++ b/src/sync/peers/mod.rs
@@ -6,24 +6,24 @@
 //! | file | its job |
 //! |---|---|
 //! | `change_set` | the form of the changes on the wire |
-//! | `link` | a connection to a peer |
-//! | `serve`, `answer_cache` | answers to peers |
-//! | `unreadable` | the bounded log of answers that cannot be read |
+//! | `connection` | a connection to a peer |
+//! | `serve`, `response_cache` | answers to peers |
+//! | `invalid_response_log` | the bounded log of answers that cannot be read |
 //!
 //! Owns the task that asks peers while the view is stale. Relies on the list of members in the
 //! view, or on the settings' seeds, for addresses.
 
-mod answer_cache;
 mod change_set;
-mod link;
+mod connection;
+mod invalid_response_log;
+mod response_cache;
 mod serve;
-mod unreadable;
 
-pub use answer_cache::AnswerCache;
 pub use change_set::{ChangeError, ChangeSet, PeerPosition};
-pub use link::{PeerError, PeerLink, PeerQuestion};
-pub use serve::{ChangesQuestion, ServedChanges, serve_changes};
-pub use unreadable::UnreadableLog;
+pub use connection::{PeerConnection, PeerError, PeerRequest};
+pub use invalid_response_log::UnreadableLog;
+pub use response_cache::ResponseCache;
+pub use serve::{ChangesRequest, ChangesResponse, serve_changes};
 
 use crate::clock::sleep;
 use crate::platform::Platform;
@@ -40,9 +40,9 @@
 pub const CHANGES_PATH: &str = "/changes";
 /// Header of an answer: milliseconds from the question's arrival until the ages in the
 /// body were worked out, so that who asked knows how old they are on arrival.
-pub const COMPUTED_AFTER: &str = "computed-after-ms";
+pub const COMPUTED_AFTER_HEADER: &str = "computed-after-ms";
 /// Header of an answer whose sender's view is stale, but is receiving changes.
-pub const RECEIVING: &str = "receiving-changes";
+pub const RECEIVING_HEADER: &str = "receiving-changes";
 /// Time between questions to random peers while the view is stale: with the 1.3 s until it is,
 /// below the shortest bound on lag (2 s).
 const ASK_EVERY: Duration = Duration::from_millis(400);
@@ -66,7 +66,9 @@
             Ok(()) => {}
             // Seeds and members may be gone or cut off as well; another peer is asked
             // next, and the loss of the store has its own line.
-            Err(AskError::Peer(PeerError::Silent | PeerError::Slow { .. } | PeerError::Broken(_))) => {}
+            Err(FetchError::Peer(
+                PeerError::NoResponse | PeerError::ResponseTimedOut { .. } | PeerError::ConnectionFailed(_),
+            )) => {}
             Err(error) => unreadable.report(peer, &error),
         }
     }
@@ -74,7 +76,7 @@
 
 /// Why a peer's changes were not taken.
 #[derive(Debug, Error)]
-pub enum AskError {
+pub enum FetchError {
     /// It gave none.
     #[error(transparent)]
     Peer(#[from] PeerError),
@@ -84,10 +86,10 @@
 }
 
 /// Asks a peer once. Its proof that the view is current counts only with its changes.
-async fn ask<P: Platform>(instance: &Instance<P>, peer: SocketAddr) -> Result<(), AskError> {
-    let question = PeerQuestion::of(&instance.store_copy);
-    let mut link = PeerLink::open(peer).await?;
-    let answer = link.ask(question, Duration::ZERO).await?;
+async fn ask<P: Platform>(instance: &Instance<P>, peer: SocketAddr) -> Result<(), FetchError> {
+    let question = PeerRequest::for_copy(&instance.store_copy);
+    let mut connection = PeerConnection::open(peer).await?;
+    let answer = connection.request_changes(question, Duration::ZERO).await?;
     let changes = answer.read(ANSWER_TIME).await?;
     Ok(changes.apply(instance, "peer", Proof::Peer)?)
 }
--- a/src/sync/peers/answer_cache.rs
+++ b/src/sync/peers/response_cache.rs
@@ -30,7 +30,7 @@
 
 /// The last compressed answer.
 #[derive(Default)]
-pub struct AnswerCache {
+pub struct ResponseCache {
     last: RefCell<Option<Cached>>,
 }
 
@@ -40,7 +40,7 @@
     body: ChangesBody,
 }
 
-impl AnswerCache {
+impl ResponseCache {
     /// The changes after a peer's position, compressed where that is worth it.
     pub fn compressed<P: Platform>(&self, instance: &Instance<P>, after: PeerPosition) -> ChangesBody {
         let at = instance.store_copy.view().at();
@@ -67,7 +67,7 @@
     /// The changes after a peer's position, uncompressed.
     pub fn plain<P: Platform>(instance: &Instance<P>, after: PeerPosition) -> Self {
         let computed_at = Instant::now();
-        let bytes = Bytes::from(ChangeSet::after(instance, after).json());
+        let bytes = Bytes::from(ChangeSet::after(instance, after).to_json());
         Self { bytes, is_compressed: false, computed_at }
     }
 }
--- a/src/sync/peers/serve.rs
+++ b/src/sync/peers/serve.rs
@@ -4,7 +4,7 @@
 //! the view in [`crate::state`].
 
 use super::PeerPosition;
-use super::answer_cache::{AnswerCache, ChangesBody};
+use super::response_cache::{ChangesBody, ResponseCache};
 use crate::clock::{Instant, sleep, timeout};
 use crate::platform::Platform;
 use crate::state::Instance;
@@ -19,15 +19,15 @@
 
 /// A peer's question.
 #[derive(Clone, Copy, Debug)]
-pub struct ChangesQuestion<'a> {
+pub struct ChangesRequest<'a> {
     /// The query of its URI.
     pub query: &'a str,
     /// Whether the peer reads compressed answers.
-    pub takes_gzip: bool,
+    pub accepts_gzip: bool,
 }
 
 /// An answer to a peer.
-pub struct ServedChanges {
+pub struct ChangesResponse {
     /// The body.
     pub body: ChangesBody,
     /// Time from the question until its ages were worked out, milliseconds; below 0 where
@@ -41,9 +41,9 @@
 /// or once the wait that the peer asked for is over.
 pub async fn serve_changes<P: Platform>(
     instance: &Instance<P>,
-    cache: &AnswerCache,
-    asked: ChangesQuestion<'_>,
-) -> ServedChanges {
+    cache: &ResponseCache,
+    asked: ChangesRequest<'_>,
+) -> ChangesResponse {
     let arrived = Instant::now();
     let question = Question::parse(asked.query);
     instance.store_copy.latest_era().observe(question.latest_era);
@@ -56,12 +56,12 @@
         // The peer then follows another relay.
         () = turns_stale(instance) => {}
     }
-    let body = match asked.takes_gzip {
+    let body = match asked.accepts_gzip {
         true => cache.compressed(instance, question.after),
         false => ChangesBody::plain(instance, question.after),
     };
     let computed_after_ms = milliseconds_between(arrived, body.computed_at);
-    ServedChanges { body, computed_after_ms, is_receiving: instance.store_copy.is_receiving() }
+    ChangesResponse { body, computed_after_ms, is_receiving: instance.store_copy.is_receiving() }
 }
 
 /// From one moment to another; below 0 where the other came first.
--- a/src/sync/policies.rs
+++ b/src/sync/policies.rs
@@ -45,7 +45,7 @@
         sleep(RANK_WAIT * rank(&instance)).await;
         while let Err(error) = write_if_later(&instance, &value).await {
             // `document_call` counts failures, and the health of the store logs outages.
-            let wait = if error == StoreError::Conflict { CONFLICT_WAIT } else { backoff.wait() };
+            let wait = if error == StoreError::Conflict { CONFLICT_WAIT } else { backoff.next_delay() };
             sleep(wait).await;
         }
         backoff.reset();
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -10,7 +10,7 @@
 //! - Name and hall of this instance, from the settings.
 //! - Era and age of the relay's view, as its answer gives them. A view from an earlier era than the
 //!   latest known one is stale at any age; from `MAX_VIEW_AGE` (1.3 s) on the relay
-//!   is not followed beyond [`stale_patience`], while it is receiving an answer with changes from
+//!   is not followed beyond [`stale_relay_timeout`], while it is receiving an answer with changes from
 //!   `MAX_RECEIVING_AGE` (3 s) on: another relay of the hall would seldom have them sooner.
 //! - Failures of relays that this instance saw, kept for `RETRY_AFTER` (5 s).
 //!
@@ -33,8 +33,8 @@
 use crate::platform::Platform;
 use crate::state::Instance;
 use crate::store::freshness::{MAX_VIEW_AGE, Proof};
-use crate::sync::peers::{AskError, PeerError, PeerLink, PeerQuestion, UnreadableLog};
-use crate::sync::relay_tree::{ancestors, position, relays_before, stale_patience};
+use crate::sync::peers::{FetchError, PeerConnection, PeerError, PeerRequest, UnreadableLog};
+use crate::sync::relay_tree::{ancestors, position, relays_before, stale_relay_timeout};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -71,7 +71,7 @@
 enum RelayError {
     /// It gave no answer that can be used.
     #[error(transparent)]
-    Ask(#[from] AskError),
+    Ask(#[from] FetchError),
     /// Its view is older than [`MAX_VIEW_AGE`], was never current, or is from an earlier era of the
     /// store than the latest known one.
     #[error("the relay's view is stale")]
@@ -88,11 +88,11 @@
     /// Its name in the log.
     fn as_str(&self) -> &'static str {
         match self {
-            RelayError::Ask(AskError::Peer(PeerError::Silent)) => "silent",
-            RelayError::Ask(AskError::Peer(PeerError::Slow { .. })) => "slow",
-            RelayError::Ask(AskError::Peer(PeerError::Broken(_))) => "broken",
-            RelayError::Ask(AskError::Peer(PeerError::Unreadable(_) | PeerError::Damaged(_)))
-            | RelayError::Ask(AskError::Change(_)) => UNREADABLE,
+            RelayError::Ask(FetchError::Peer(PeerError::NoResponse)) => "silent",
+            RelayError::Ask(FetchError::Peer(PeerError::ResponseTimedOut { .. })) => "slow",
+            RelayError::Ask(FetchError::Peer(PeerError::ConnectionFailed(_))) => "broken",
+            RelayError::Ask(FetchError::Peer(PeerError::InvalidResponse(_) | PeerError::InvalidCompression(_)))
+            | RelayError::Ask(FetchError::Change(_)) => UNREADABLE,
             RelayError::Stale => "stale",
         }
     }
@@ -103,7 +103,7 @@
 pub struct RelayClient {
     /// The seed that is followed until this instance is a member for the first time.
     seed: Option<SocketAddr>,
-    link: Option<PeerLink>,
+    connection: Option<PeerConnection>,
     /// Relays that failed, and when they may be followed again.
     failed: HashMap<SocketAddr, Instant>,
     /// Relays that failed since one answered.
@@ -171,7 +171,7 @@
             return false;
         }
         let since = *self.stale_since.get_or_insert_with(Instant::now);
-        since.elapsed() < stale_patience(position(instance))
+        since.elapsed() < stale_relay_timeout(position(instance))
     }
 
     /// Notes that the store failed as well: relays are asked again.
@@ -183,7 +183,7 @@
         if error.as_str() == UNREADABLE {
             self.unreadable.report(relay, error);
         }
-        self.link = None;
+        self.connection = None;
         self.seed = self.seed.filter(|seed| *seed != relay);
         instance.store_copy.set_relay_receiving(false);
         let now = Instant::now();
@@ -199,12 +199,12 @@
     }
 
     async fn ask<P: Platform>(&mut self, instance: &Instance<P>, relay: SocketAddr) -> Result<(), RelayError> {
-        let link = match &mut self.link {
-            Some(link) if link.peer == relay => link,
-            other => other.insert(PeerLink::open(relay).await?),
+        let connection = match &mut self.connection {
+            Some(connection) if connection.peer == relay => connection,
+            other => other.insert(PeerConnection::open(relay).await?),
         };
-        let question = PeerQuestion::of(&instance.store_copy);
-        let answer = link.ask(question, POLL_WAIT).await?;
+        let question = PeerRequest::for_copy(&instance.store_copy);
+        let answer = connection.request_changes(question, POLL_WAIT).await?;
         let is_receiving = answer.is_receiving();
         instance.store_copy.set_relay_receiving(is_receiving);
         let receipt = instance.store_copy.begin_receipt();
@@ -212,10 +212,10 @@
         drop(receipt);
         let max_age = if is_receiving { MAX_RECEIVING_AGE } else { MAX_VIEW_AGE };
         let is_superseded = changes.position().era < instance.store_copy.latest_era().get();
-        if is_superseded || changes.sender_age().is_none_or(|age| age >= max_age) {
+        if is_superseded || changes.reported_age().is_none_or(|age| age >= max_age) {
             return Err(RelayError::Stale);
         }
-        changes.apply(instance, "relay", Proof::Relay).map_err(AskError::from)?;
+        changes.apply(instance, "relay", Proof::Relay).map_err(FetchError::from)?;
         instance.metrics.relayed.inc();
         Ok(())
     }
--- a/src/sync/relay_tree.rs
+++ b/src/sync/relay_tree.rs
@@ -13,7 +13,7 @@
 /// Instances that one serves while no relay has failed; after failures it may be more.
 /// Bounds the bytes of the busiest one; a hall of 17 needs three levels. Of 300
 /// instances the busiest sent 3,467 kB/s without a tree, 1,895 with one.
-pub const FOLLOWERS: usize = 4;
+pub const FOLLOWERS_PER_RELAY: usize = 4;
 /// Time that the first followers of a hall give a stale relay, and each next four give those
 /// before them: a list of 1,400 keys over a slow link (0.2 s). With the age at which a view is
 /// stale the first ones ask the store 1.6 s after the last proof, below the shortest bound (2 s).
@@ -25,7 +25,7 @@
 }
 
 fn parent(position: usize) -> Option<usize> {
-    Some(position.checked_sub(1)? / FOLLOWERS)
+    Some(position.checked_sub(1)? / FOLLOWERS_PER_RELAY)
 }
 
 /// How long an instance stays with relays that answer but whose views are stale, by its position
@@ -37,8 +37,8 @@
 /// asking the store already, or follows one that does; those behind it ask once the first ones
 /// have had no success. Random peers are asked meanwhile, so that an instance among relays
 /// that the store refuses has a current view as soon as any other has one.
-pub fn stale_patience(position: usize) -> Duration {
-    PATIENCE_STEP * (1 + position.saturating_sub(1) / FOLLOWERS) as u32
+pub fn stale_relay_timeout(position: usize) -> Duration {
+    PATIENCE_STEP * (1 + position.saturating_sub(1) / FOLLOWERS_PER_RELAY) as u32
 }
 
 /// The instances of this one's hall whose names sort before its own, in order.
--- a/src/sync/start.rs
+++ b/src/sync/start.rs
@@ -34,7 +34,7 @@
 use crate::store::freshness::{MAX_VIEW_AGE, Proof};
 use crate::store::{Store, StoreError};
 use crate::sync::call::call;
-use crate::sync::peers::{AskError, ChangeSet, PeerLink, PeerQuestion};
+use crate::sync::peers::{ChangeSet, FetchError, PeerConnection, PeerRequest};
 use crate::sync::{ALL_KEYS, SEED_TIME};
 use rand::seq::SliceRandom;
 use std::net::SocketAddr;
@@ -138,10 +138,10 @@
     }
 }
 
-async fn ask(seed: SocketAddr) -> Result<ChangeSet, AskError> {
-    let mut link = PeerLink::open(seed).await?;
+async fn ask(seed: SocketAddr) -> Result<ChangeSet, FetchError> {
+    let mut connection = PeerConnection::open(seed).await?;
     // From the initial position, so that the answer is a full view.
-    let answer = link.ask(PeerQuestion::default(), SEED_TIME).await?;
+    let answer = connection.request_changes(PeerRequest::default(), SEED_TIME).await?;
     Ok(answer.read(SEED_TIME).await?)
 }
 
--- a/src/sync/strikes.rs
+++ b/src/sync/strikes.rs
@@ -108,7 +108,7 @@
                 Err(Postponed::One(Duration::ZERO))
             }
             // `call` has counted the failure, and the health of the store logs an outage.
-            Err(_) => Err(Postponed::All(self.backoff.wait())),
+            Err(_) => Err(Postponed::All(self.backoff.next_delay())),
         }
     }
 
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -79,7 +79,7 @@
                 relays.store_failed();
                 instance.store_copy.mark_failed(next.as_str(), &error);
                 instance.metrics.store_failures.inc();
-                sleep(backoff.wait()).await;
+                sleep(backoff.next_delay()).await;
             }
         }
     }
--- a/standins/tests/relay.rs
+++ b/standins/tests/relay.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::program;
-use lockloft::sync::relay_tree::FOLLOWERS;
+use lockloft::sync::relay_tree::FOLLOWERS_PER_RELAY;
 use standins::scene::{look_route, start_target};
 use standins::site::{InstanceProcess, RouteSpec, Site};
 use standins::store::Trouble;
@@ -101,7 +101,7 @@
     let site = Site::start(program()).await;
     let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let mut instances = hall(&site, FOLLOWERS + 3).await;
+    let mut instances = hall(&site, FOLLOWERS_PER_RELAY + 3).await;
     watches_for_evacuations(&site, &instances, &["b-1"]).await;
     instances.remove(0).kill();
     watches_for_evacuations(&site, &instances, &["b-2"]).await;
@@ -115,9 +115,9 @@
     let site = Site::start(program()).await;
     let _target = start_target(&site, "u-1", "a-1").await;
     site.configure(1, &shop(), &["shop"]);
-    let instances = hall(&site, FOLLOWERS + 3).await;
+    let instances = hall(&site, FOLLOWERS_PER_RELAY + 3).await;
     watches_for_evacuations(&site, &instances, &["b-1"]).await;
-    let leaf = &instances[FOLLOWERS + 2];
+    let leaf = &instances[FOLLOWERS_PER_RELAY + 2];
     let left = |instance: &InstanceProcess| instance.events("relay_left").len();
     let before: Vec<usize> = instances.iter().map(left).collect();
     let answers = async || leaf.metric("lockloft_entry_relay_answers_total", "").await;
--- a/standins/tests/stale_halls.rs
+++ b/standins/tests/stale_halls.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::program;
-use lockloft::sync::relay_tree::{FOLLOWERS, stale_patience};
+use lockloft::sync::relay_tree::{FOLLOWERS_PER_RELAY, stale_relay_timeout};
 use standins::scene::look_route;
 use standins::site::{InstanceProcess, RouteSpec, Site};
 use standins::store::Trouble;
@@ -42,13 +42,13 @@
         instance.wait_status("/new/x", 503).await;
     }
     let left = left(&hall);
-    assert!(left <= 2 * FOLLOWERS, "{left} of {HALL} left their relays");
+    assert!(left <= 2 * FOLLOWERS_PER_RELAY, "{left} of {HALL} left their relays");
 }
 
 #[test]
 fn those_behind_wait_longer() {
-    let waits: Vec<Duration> = (0..HALL).map(stale_patience).collect();
+    let waits: Vec<Duration> = (0..HALL).map(stale_relay_timeout).collect();
     assert!(waits.is_sorted());
-    assert_eq!(waits[1], waits[FOLLOWERS]);
-    assert!(waits[FOLLOWERS] < waits[FOLLOWERS + 1]);
+    assert_eq!(waits[1], waits[FOLLOWERS_PER_RELAY]);
+    assert!(waits[FOLLOWERS_PER_RELAY] < waits[FOLLOWERS_PER_RELAY + 1]);
 }
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -8,7 +8,7 @@
 use lockloft::model::config::{Route, WeightedService};
 use lockloft::store::view::StoreView;
 use lockloft::store::{Event, Item, Listing};
-use lockloft::sync::relay_tree::{FOLLOWERS, ancestors};
+use lockloft::sync::relay_tree::{FOLLOWERS_PER_RELAY, ancestors};
 use proptest::prelude::*;
 use scene::{config, route};
 use std::collections::BTreeMap;
@@ -164,7 +164,7 @@
                 followers[*relay] += 1;
             }
         }
-        prop_assert!(followers.iter().all(|count| *count <= FOLLOWERS));
+        prop_assert!(followers.iter().all(|count| *count <= FOLLOWERS_PER_RELAY));
     }
 }
 
@@ -256,9 +256,9 @@
     use lockloft::sync::backoff::Backoff;
     use std::time::Duration;
     let mut backoff = Backoff::default();
-    let total: Duration = (0..10).map(|_| backoff.wait()).sum();
+    let total: Duration = (0..10).map(|_| backoff.next_delay()).sum();
     assert!(total > Duration::from_secs(4), "ten calls in {total:?}");
-    assert!((0..50).all(|_| backoff.wait() < Duration::from_secs(1)), "a bound on what is learned late");
+    assert!((0..50).all(|_| backoff.next_delay() < Duration::from_secs(1)), "a bound on what is learned late");
     backoff.reset();
-    assert!(backoff.wait() < Duration::from_millis(350));
+    assert!(backoff.next_delay() < Duration::from_millis(350));
 }
--- a/tests/model/life.rs
+++ b/tests/model/life.rs
@@ -10,7 +10,7 @@
 use lockloft::settings::Settings;
 use lockloft::state::Instance;
 use lockloft::store::era::Position;
-use lockloft::sync::peers::AnswerCache;
+use lockloft::sync::peers::ResponseCache;
 use lockloft::sync::{membership, watch};
 use lockloft::telemetry::log::Log;
 use std::cell::{Cell, RefCell};
@@ -37,7 +37,7 @@
 pub struct Life {
     pub position: usize,
     pub instance: Rc<Instance<Words>>,
-    pub cache: AnswerCache,
+    pub cache: ResponseCache,
     pub gate: Rc<Gate>,
     pub way: Rc<Way>,
     /// The configuration version and view position at the last check.
@@ -74,7 +74,7 @@
         let life = Rc::new(Life {
             position,
             instance: Rc::new(Instance::new(settings(position), client, log())),
-            cache: AnswerCache::default(),
+            cache: ResponseCache::default(),
             gate: Rc::default(),
 
             way: Rc::default(),
--- a/tests/model/peer.rs
+++ b/tests/model/peer.rs
@@ -6,7 +6,7 @@
 use lockloft::clock::{Instant, timeout};
 use lockloft::net::gzip;
 use lockloft::store::freshness::{MAX_VIEW_AGE, Proof};
-use lockloft::sync::peers::{ChangeSet, ChangesQuestion, PeerQuestion, ServedChanges, serve_changes};
+use lockloft::sync::peers::{ChangeSet, ChangesRequest, ChangesResponse, PeerRequest, serve_changes};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -55,7 +55,7 @@
 fn send(
     from: &Life,
     to: &Rc<Life>,
-    question: PeerQuestion,
+    question: PeerRequest,
     wait: Duration,
 ) -> (oneshot::Receiver<Head>, oneshot::Receiver<Vec<u8>>) {
     let (head_sender, head) = oneshot::channel();
@@ -72,7 +72,7 @@
         if way.cut.get() {
             return;
         }
-        let ServedChanges { computed_after_ms, is_receiving, .. } = served;
+        let ChangesResponse { computed_after_ms, is_receiving, .. } = served;
         let _ = head_sender.send(Head { computed_after_ms, is_receiving });
         sleep(way.body.get()).await;
         let _ = body_sender.send(bytes);
@@ -81,12 +81,12 @@
 }
 
 /// What the instance that is asked serves; `None` where it ends meanwhile.
-async fn serve(to: &Rc<Life>, question: PeerQuestion, wait: Duration) -> Option<ServedChanges> {
+async fn serve(to: &Rc<Life>, question: PeerRequest, wait: Duration) -> Option<ChangesResponse> {
     let life = to.clone();
     let answer = async move {
         let uri = question.uri(wait);
         let query = uri.split_once('?').map_or("", |(_, query)| query);
-        serve_changes(&life.instance, &life.cache, ChangesQuestion { query, takes_gzip: true }).await
+        serve_changes(&life.instance, &life.cache, ChangesRequest { query, accepts_gzip: true }).await
     };
     let task = tokio::task::spawn_local(to.gate.task(answer));
     to.keep(task.abort_handle());
@@ -106,7 +106,7 @@
 /// Asks for changes once and takes them in; a relay has to be current.
 pub async fn ask(from: &Life, to: &Rc<Life>, wait: Duration, is_relay: bool) -> Result<(), Left> {
     let copy = &from.instance.store_copy;
-    let question = PeerQuestion::of(copy);
+    let question = PeerRequest::for_copy(copy);
     let asked = Instant::now();
     let (head, body) = send(from, to, question, wait);
     let head = timeout(wait + ANSWER_TIMEOUT, head).await.map_err(|_| Left::Failed)?.map_err(|_| Left::Failed)?;
@@ -119,10 +119,10 @@
     let body = timeout(total, body).await.map_err(|_| Left::Failed)?.map_err(|_| Left::Failed)?;
     drop(receipt);
     let changes: ChangeSet = serde_json::from_slice(&garble(body, &from.way)).map_err(|_| Left::Failed)?;
-    let changes = changes.older_by(since_computed(head.computed_after_ms, asked));
+    let changes = changes.with_delay(since_computed(head.computed_after_ms, asked));
     let max_age = if head.is_receiving { MAX_RECEIVING_AGE } else { MAX_VIEW_AGE };
     let is_superseded = changes.position().era < copy.latest_era().get();
-    if is_relay && (is_superseded || changes.sender_age().is_none_or(|age| age >= max_age)) {
+    if is_relay && (is_superseded || changes.reported_age().is_none_or(|age| age >= max_age)) {
         return Err(Left::Stale);
     }
     changes.apply(&from.instance, "peer", proof).map_err(|_| Left::Failed)
