--- a/src/sync/backoff.rs
+++ b/src/sync/backoff.rs
@@ -9,14 +9,14 @@
 /// Wait after the first failure; doubled with each further one. Waits that
 /// double lowered the calls of a day on which the store refuses a third of 74 instances from 3,114
 /// to 2,300.
-const FIRST_WAIT: Duration = Duration::from_millis(250);
+const INITIAL_DELAY: Duration = Duration::from_millis(250);
 /// Longest wait, before jitter: with it and a call's timeout, a recovery of the store is
 /// noticed within the shortest bound on lag (2 s).
-const MAX_WAIT: Duration = Duration::from_millis(700);
+const MAX_DELAY: Duration = Duration::from_millis(700);
 /// Longest such wait where the view is current all the same, so that many instances that the store
 /// refuses make few calls. An instance that is refused
 /// longer stays out of the directory, which costs callers nothing while there are others.
-const MAX_PATIENT_WAIT: Duration = Duration::from_millis(2_400);
+const MAX_LONG_DELAY: Duration = Duration::from_millis(2_400);
 /// Random factor of each wait, so that instances that lost the store together do not call it
 /// together.
 const JITTER: std::ops::Range<f64> = 0.7..1.3;
@@ -30,19 +30,19 @@
 impl Backoff {
     /// Records a failure; returns the wait before the next call.
     pub fn next_delay(&mut self) -> Duration {
-        self.wait_up_to(MAX_WAIT)
+        self.delay_up_to(MAX_DELAY)
     }
 
     /// The same where nothing that callers notice depends on the call: the view is current
     /// without it.
     pub fn next_long_delay(&mut self) -> Duration {
-        self.wait_up_to(MAX_PATIENT_WAIT)
+        self.delay_up_to(MAX_LONG_DELAY)
     }
 
-    fn wait_up_to(&mut self, longest: Duration) -> Duration {
-        let wait = FIRST_WAIT.saturating_mul(2u32.saturating_pow(self.failures)).min(longest);
+    fn delay_up_to(&mut self, max_delay: Duration) -> Duration {
+        let delay = INITIAL_DELAY.saturating_mul(2u32.saturating_pow(self.failures)).min(max_delay);
         self.failures = self.failures.saturating_add(1);
-        wait.mul_f64(rand::rng().random_range(JITTER))
+        delay.mul_f64(rand::rng().random_range(JITTER))
     }
 
     /// Records a success.
--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -14,7 +14,7 @@
 
 /// Slowest link over which a document has to pass, bytes a second: a tenth of 10 Mbit/s. A call has
 /// its time beyond [`CALL_TIMEOUT`], so that a large one is not begun anew for its size.
-const SLOWEST_LINK: u32 = 125_000;
+const MIN_LINK_RATE: u32 = 125_000;
 
 /// Waits for the answer to a small call; `kind` is its label in the metrics.
 ///
@@ -23,9 +23,9 @@
 pub async fn call<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
-    answer: impl Future<Output = Result<T, StoreError>>,
+    response: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    call_within(instance, kind, CALL_TIMEOUT, answer).await
+    call_within(instance, kind, CALL_TIMEOUT, response).await
 }
 
 /// Waits for the answer to a call that carries a document of so many bytes, as [`call`]
@@ -37,22 +37,22 @@
     instance: &Instance<P>,
     kind: &str,
     size: usize,
-    answer: impl Future<Output = Result<T, StoreError>>,
+    response: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     // Base64 makes four bytes of three.
-    let on_wire = size as f64 * 4.0 / 3.0;
-    let carried = Duration::from_secs_f64(on_wire / f64::from(SLOWEST_LINK));
-    call_within(instance, kind, CALL_TIMEOUT + carried, answer).await
+    let encoded_size = size as f64 * 4.0 / 3.0;
+    let transfer_time = Duration::from_secs_f64(encoded_size / f64::from(MIN_LINK_RATE));
+    call_within(instance, kind, CALL_TIMEOUT + transfer_time, response).await
 }
 
 async fn call_within<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
     limit: Duration,
-    answer: impl Future<Output = Result<T, StoreError>>,
+    response: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     instance.metrics.store_calls.with_label_values(&[kind]).inc();
-    let result = timeout(limit, answer).await.unwrap_or(Err(StoreError::Silent));
+    let result = timeout(limit, response).await.unwrap_or(Err(StoreError::Silent));
     match &result {
         Ok(_) | Err(StoreError::LeaseOver | StoreError::Conflict | StoreError::EarlierEra) => {
             instance.store_copy.mark_answered()
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -28,7 +28,7 @@
 use crate::store::era::Position;
 use crate::store::freshness::{MAX_VIEW_AGE, Proof};
 use crate::store::{Store, StoreError};
-use crate::sync::RECEIVING_POLL;
+use crate::sync::RECEIVING_POLL_INTERVAL;
 use crate::sync::backoff::Backoff;
 use crate::sync::call::call;
 use std::time::Duration;
@@ -42,10 +42,10 @@
 const DELIVERY_TIME: Duration = Duration::from_millis(300);
 /// Time that a watch has to answer by itself before the store is asked beside it: one of a store
 /// that changes often proves the view without a read.
-const FIRST_WAIT: Duration = Duration::from_millis(150);
+const INITIAL_DELAY: Duration = Duration::from_millis(150);
 /// Time before a read while the store is lost: renewals show sooner that it answers again, but an
 /// instance that starts or stops makes none.
-const LOST_WAIT: Duration = Duration::from_millis(1_500);
+const LOST_STORE_DELAY: Duration = Duration::from_millis(1_500);
 
 // A view that one read after the other confirms does not turn stale between two.
 const _: () = assert!(MAX_VIEW_AGE.as_millis() > CONFIRM_AGE.as_millis() + DELIVERY_TIME.as_millis());
@@ -57,46 +57,46 @@
     Behind { at: Position },
     /// A read got no answer: connections may have gone silent, and the watch has shown
     /// nothing since.
-    Unanswered,
+    NoResponse,
 }
 
 /// Confirms the view whenever it is `CONFIRM_AGE` old; completes once the watch beside it
 /// has to be begun anew.
-pub async fn until_watch_is_lost<P: Platform>(instance: &Instance<P>) {
-    let begun = Instant::now();
-    let lost = find_lost_watch(instance).await;
-    let (waited_ms, after) = (begun.elapsed().as_millis() as u64, instance.store_copy.view().at().revision);
+pub async fn wait_until_watch_is_lost<P: Platform>(instance: &Instance<P>) {
+    let started_at = Instant::now();
+    let lost = detect_lost_watch(instance).await;
+    let (waited_ms, after) = (started_at.elapsed().as_millis() as u64, instance.store_copy.view().at().revision);
     match lost {
         LostWatch::Behind { at: Position { era, revision } } => {
             tracing::warn!(event = "watch_lost", reason = "behind", waited_ms, after, revision, era = era.0);
         }
-        LostWatch::Unanswered => tracing::info!(event = "watch_lost", reason = "unanswered", waited_ms, after),
+        LostWatch::NoResponse => tracing::info!(event = "watch_lost", reason = "unanswered", waited_ms, after),
     }
 }
 
-async fn find_lost_watch<P: Platform>(instance: &Instance<P>) -> LostWatch {
+async fn detect_lost_watch<P: Platform>(instance: &Instance<P>) -> LostWatch {
     let copy = &instance.store_copy;
     let mut backoff = Backoff::default();
-    let mut was_unanswered = false;
-    sleep(FIRST_WAIT).await;
+    let mut had_no_response = false;
+    sleep(INITIAL_DELAY).await;
     loop {
         sleep(CONFIRM_AGE.saturating_sub(copy.view_age().unwrap_or(CONFIRM_AGE))).await;
         // Meanwhile a read proves nothing.
         if copy.has_receipt() {
-            sleep(RECEIVING_POLL).await;
+            sleep(RECEIVING_POLL_INTERVAL).await;
             continue;
         }
         if copy.is_lost() {
-            sleep(LOST_WAIT).await;
+            sleep(LOST_STORE_DELAY).await;
         }
-        let asked = Instant::now();
+        let requested_at = Instant::now();
         match call(instance, "revision", instance.store.position()).await {
-            Ok(at) if !confirm(instance, at, asked).await => return LostWatch::Behind { at },
-            Ok(_) if was_unanswered => return LostWatch::Unanswered,
+            Ok(at) if !confirm(instance, at, requested_at).await => return LostWatch::Behind { at },
+            Ok(_) if had_no_response => return LostWatch::NoResponse,
             Ok(_) => backoff.reset(),
             // `call` has counted and logged the failure.
             Err(error) => {
-                was_unanswered |= error == StoreError::Silent;
+                had_no_response |= error == StoreError::Silent;
                 sleep(backoff.next_delay()).await;
             }
         }
@@ -104,7 +104,7 @@
 }
 
 /// Whether the view has reached the store's position, or the watch may still deliver it.
-async fn confirm<P: Platform>(instance: &Instance<P>, at: Position, asked: Instant) -> bool {
+async fn confirm<P: Platform>(instance: &Instance<P>, at: Position, requested_at: Instant) -> bool {
     let copy = &instance.store_copy;
     if copy.view().at() < at {
         sleep(DELIVERY_TIME).await;
@@ -112,6 +112,6 @@
     if copy.view().at() < at {
         return copy.has_receipt();
     }
-    copy.mark_current(Proof::Read, asked.elapsed(), at.era);
+    copy.mark_current(Proof::Read, requested_at.elapsed(), at.era);
     true
 }
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -37,9 +37,9 @@
 
 /// Time between looks whether an answer with changes is still under way: short against the bounds
 /// on lag (2 s).
-const RECEIVING_POLL: Duration = Duration::from_millis(100);
+const RECEIVING_POLL_INTERVAL: Duration = Duration::from_millis(100);
 /// Longest time for which an instance that starts asks seeds: after a loss of power these start
 /// later than others, and need the time of a list.
-const SEED_TIME: Duration = Duration::from_millis(900);
+const SEED_TIMEOUT: Duration = Duration::from_millis(900);
 /// The prefix of all keys.
 const ALL_KEYS: &str = "";
--- a/src/sync/peers/connection.rs
+++ b/src/sync/peers/connection.rs
@@ -26,12 +26,12 @@
 /// Longest time to open a connection, to begin an answer beyond the wait asked for, and without a
 /// byte of one that has begun. With the wait of 0.7 s of a relay it makes 1.3 s, after which a view
 /// is stale.
-const ANSWER_TIMEOUT: Duration = Duration::from_millis(600);
+const STALL_TIMEOUT: Duration = Duration::from_millis(600);
 /// Largest body of an answer, bytes: several times the largest view (some 4 MB at 3,000 targets).
-const MAX_ANSWER_SIZE: usize = 12 << 20;
+const MAX_RESPONSE_SIZE: usize = 12 << 20;
 
 /// Largest answer to a body that was posted, bytes: some thousand tenants.
-const MAX_POSTED_SIZE: usize = 64 << 10;
+const MAX_POST_RESPONSE_SIZE: usize = 64 << 10;
 
 /// Why a peer gave no changes.
 #[derive(Debug, Error)]
@@ -60,8 +60,8 @@
     fn from(error: ReadError) -> Self {
         match error {
             ReadError::TimedOut { received } => PeerError::ResponseTimedOut { received },
-            ReadError::Broken(error) => broken(error),
-            ReadError::TooLarge(_) => broken(error),
+            ReadError::Broken(error) => connection_failed(error),
+            ReadError::TooLarge(_) => connection_failed(error),
         }
     }
 }
@@ -80,7 +80,7 @@
     }
 }
 
-fn broken(error: impl std::fmt::Display) -> PeerError {
+fn connection_failed(error: impl std::fmt::Display) -> PeerError {
     PeerError::ConnectionFailed(error.to_string())
 }
 
@@ -90,28 +90,29 @@
     /// # Errors
     /// [`PeerError`] where it cannot be reached in time.
     pub async fn open(peer: SocketAddr) -> Result<Self, PeerError> {
-        let opened = timeout(ANSWER_TIMEOUT, dial::connect(peer)).await.map_err(|_| PeerError::NoResponse)?;
-        let (sender, connection) = handshake(TokioIo::new(opened.map_err(broken)?)).await.map_err(broken)?;
+        let opened = timeout(STALL_TIMEOUT, dial::connect(peer)).await.map_err(|_| PeerError::NoResponse)?;
+        let (sender, connection) =
+            handshake(TokioIo::new(opened.map_err(connection_failed)?)).await.map_err(connection_failed)?;
         let driver = tokio::task::spawn_local(connection).abort_handle();
         Ok(Self { peer, sender, driver })
     }
 
-    /// Posts a body to a path; gives the body of the answer, of `MAX_POSTED_SIZE` at most. All of it
+    /// Posts a body to a path; gives the body of the answer, of `MAX_POST_RESPONSE_SIZE` at most. All of it
     /// takes `limit` at most.
     ///
     /// # Errors
     /// [`PeerError`]; the link cannot be used again.
     pub async fn post(&mut self, path: &str, body: Bytes, limit: Duration) -> Result<Bytes, PeerError> {
         let host = self.peer.to_string();
-        let request = Request::post(path).header(HOST, host).body(Full::new(body)).map_err(broken)?;
-        let until = Instant::now() + limit;
+        let request = Request::post(path).header(HOST, host).body(Full::new(body)).map_err(connection_failed)?;
+        let deadline = Instant::now() + limit;
         let head = timeout(limit, self.sender.send_request(request)).await;
-        let response = head.map_err(|_| PeerError::NoResponse)?.map_err(broken)?;
+        let response = head.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
         if response.status() != StatusCode::OK {
-            return Err(broken(format!("it answered {}", response.status())));
+            return Err(connection_failed(format!("it answered {}", response.status())));
         }
-        let total = until.saturating_duration_since(Instant::now());
-        let limits = ReadLimits { stall: total, total, size: MAX_POSTED_SIZE };
+        let total = deadline.saturating_duration_since(Instant::now());
+        let limits = ReadLimits { stall: total, total, size: MAX_POST_RESPONSE_SIZE };
         Ok(read_whole(response.into_body(), limits).await?)
     }
 
@@ -120,17 +121,17 @@
     ///
     /// # Errors
     /// [`PeerError`]; the link cannot be used again.
-    pub async fn request_changes(&mut self, question: PeerRequest, wait: Duration) -> Result<PeerResponse, PeerError> {
+    pub async fn request_changes(&mut self, request: PeerRequest, wait: Duration) -> Result<PeerResponse, PeerError> {
         let request = Request::builder()
-            .uri(question.uri(wait))
+            .uri(request.uri(wait))
             .header(HOST, self.peer.to_string())
             .header(ACCEPT_ENCODING, GZIP)
             .body(Full::default())
-            .map_err(broken)?;
-        let asked = Instant::now();
-        let head = timeout(wait + ANSWER_TIMEOUT, self.sender.send_request(request)).await;
-        let response = head.map_err(|_| PeerError::NoResponse)?.map_err(broken)?;
-        Ok(PeerResponse { response, asked, begun: Instant::now() })
+            .map_err(connection_failed)?;
+        let requested_at = Instant::now();
+        let head = timeout(wait + STALL_TIMEOUT, self.sender.send_request(request)).await;
+        let response = head.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
+        Ok(PeerResponse { response, requested_at, response_started_at: Instant::now() })
     }
 }
 
@@ -163,8 +164,8 @@
 /// The answer of a peer, of which the head has come.
 pub struct PeerResponse {
     response: Response<Incoming>,
-    asked: Instant,
-    begun: Instant,
+    requested_at: Instant,
+    response_started_at: Instant,
 }
 
 impl PeerResponse {
@@ -180,22 +181,22 @@
     /// [`PeerError`]; the link cannot be used again.
     pub async fn read(self, total: Duration) -> Result<ChangeSet, PeerError> {
         let (head, body) = self.response.into_parts();
-        let limits = ReadLimits { stall: ANSWER_TIMEOUT, total, size: MAX_ANSWER_SIZE };
+        let limits = ReadLimits { stall: STALL_TIMEOUT, total, size: MAX_RESPONSE_SIZE };
         let mut body = read_whole(body, limits).await?;
         if gzip::is_used(&head.headers) {
             body = gzip::decompress(&body)?;
         }
         let changes: ChangeSet = serde_json::from_slice(&body).map_err(PeerError::InvalidResponse)?;
-        Ok(changes.with_delay(time_since_computed(&head.headers, self.asked, self.begun)))
+        Ok(changes.with_delay(time_since_computed(&head.headers, self.requested_at, self.response_started_at)))
     }
 }
 
 /// Upper bound on the time since the peer worked out the ages in its answer. A peer of an
 /// older version does not say when it did; the time since the answer began then stands
 /// for it, which leaves out that of the head on its way.
-fn time_since_computed(headers: &HeaderMap, asked: Instant, begun: Instant) -> Duration {
-    let told = headers.get(COMPUTED_AFTER_HEADER).and_then(|value| value.to_str().ok()?.parse::<i64>().ok());
-    let Some(after_ms) = told else { return begun.elapsed() };
+fn time_since_computed(headers: &HeaderMap, requested_at: Instant, response_started_at: Instant) -> Duration {
+    let reported = headers.get(COMPUTED_AFTER_HEADER).and_then(|value| value.to_str().ok()?.parse::<i64>().ok());
+    let Some(after_ms) = reported else { return response_started_at.elapsed() };
     let after = Duration::from_millis(after_ms.unsigned_abs());
-    if after_ms < 0 { asked.elapsed() + after } else { asked.elapsed().saturating_sub(after) }
+    if after_ms < 0 { requested_at.elapsed() + after } else { requested_at.elapsed().saturating_sub(after) }
 }
--- a/src/sync/peers/invalid_response_log.rs
+++ b/src/sync/peers/invalid_response_log.rs
@@ -8,22 +8,22 @@
 use std::time::Duration;
 
 /// Time between lines: a peer of another version would give one with every answer.
-const REPORT_EVERY: Duration = Duration::from_secs(5);
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Logs unreadable answers, at most once each `REPORT_EVERY`.
+/// Logs unreadable answers, at most once each `LOG_INTERVAL`.
 #[derive(Debug, Default)]
-pub struct UnreadableLog {
-    reported_at: Option<Instant>,
+pub struct InvalidResponseLog {
+    logged_at: Option<Instant>,
 }
 
-impl UnreadableLog {
+impl InvalidResponseLog {
     /// Logs that the answer of `peer` cannot be read, unless a line was written lately.
-    pub fn report(&mut self, peer: SocketAddr, error: &impl Display) {
+    pub fn log(&mut self, peer: SocketAddr, error: &impl Display) {
         let now = Instant::now();
-        if self.reported_at.is_some_and(|reported| now.duration_since(reported) < REPORT_EVERY) {
+        if self.logged_at.is_some_and(|logged_at| now.duration_since(logged_at) < LOG_INTERVAL) {
             return;
         }
-        self.reported_at = Some(now);
+        self.logged_at = Some(now);
         tracing::warn!(event = "peer_answer_unreadable", %peer, %error);
     }
 }
--- a/src/sync/peers/mod.rs
+++ b/src/sync/peers/mod.rs
@@ -21,7 +21,7 @@
 
 pub use change_set::{ChangeError, ChangeSet, PeerPosition};
 pub use connection::{PeerConnection, PeerError, PeerRequest};
-pub use invalid_response_log::UnreadableLog;
+pub use invalid_response_log::InvalidResponseLog;
 pub use response_cache::ResponseCache;
 pub use serve::{ChangesRequest, ChangesResponse, serve_changes};
 
@@ -29,7 +29,7 @@
 use crate::platform::Platform;
 use crate::state::Instance;
 use crate::store::freshness::Proof;
-use crate::sync::SEED_TIME;
+use crate::sync::SEED_TIMEOUT;
 use rand::seq::IndexedRandom;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -45,31 +45,31 @@
 pub const RECEIVING_HEADER: &str = "receiving-changes";
 /// Time between questions to random peers while the view is stale: with the 1.3 s until it is,
 /// below the shortest bound on lag (2 s).
-const ASK_EVERY: Duration = Duration::from_millis(400);
+const PEER_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
 /// Longest time for a random peer's answer, after which another is asked: an answer that is
 /// compressed takes a tenth on a link of 10 Mbit/s.
-const ANSWER_TIME: Duration = Duration::from_secs(2);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
 /// Asks random peers for changes while the view is stale, until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
-    let mut unreadable = UnreadableLog::default();
+    let mut invalid_responses = InvalidResponseLog::default();
     // At first seeds are asked for a current view; a stale one is better than none only then.
-    sleep(SEED_TIME).await;
+    sleep(SEED_TIMEOUT).await;
     loop {
-        sleep(ASK_EVERY).await;
+        sleep(PEER_POLL_INTERVAL).await;
         if instance.store_copy.is_current() {
             continue;
         }
-        let Some(peer) = pick(&instance) else { continue };
-        match ask(&instance, peer).await {
+        let Some(peer) = random_peer(&instance) else { continue };
+        match fetch_changes(&instance, peer).await {
             Ok(()) => {}
             // Seeds and members may be gone or cut off as well; another peer is asked
             // next, and the loss of the store has its own line.
             Err(FetchError::Peer(
                 PeerError::NoResponse | PeerError::ResponseTimedOut { .. } | PeerError::ConnectionFailed(_),
             )) => {}
-            Err(error) => unreadable.report(peer, &error),
+            Err(error) => invalid_responses.log(peer, &error),
         }
     }
 }
@@ -86,16 +86,16 @@
 }
 
 /// Asks a peer once. Its proof that the view is current counts only with its changes.
-async fn ask<P: Platform>(instance: &Instance<P>, peer: SocketAddr) -> Result<(), FetchError> {
-    let question = PeerRequest::for_copy(&instance.store_copy);
+async fn fetch_changes<P: Platform>(instance: &Instance<P>, peer: SocketAddr) -> Result<(), FetchError> {
+    let request = PeerRequest::for_copy(&instance.store_copy);
     let mut connection = PeerConnection::open(peer).await?;
-    let answer = connection.request_changes(question, Duration::ZERO).await?;
-    let changes = answer.read(ANSWER_TIME).await?;
+    let response = connection.request_changes(request, Duration::ZERO).await?;
+    let changes = response.read(RESPONSE_TIMEOUT).await?;
     Ok(changes.apply(instance, "peer", Proof::Peer)?)
 }
 
 /// A random peer: a member of the view or a seed.
-fn pick<P: Platform>(instance: &Instance<P>) -> Option<SocketAddr> {
+fn random_peer<P: Platform>(instance: &Instance<P>) -> Option<SocketAddr> {
     let settings = instance.settings();
     let mut peers = instance.routing.borrow().peer_addresses(&settings.name);
     peers.extend(settings.seeds.iter().filter(|seed| **seed != settings.listen.peers));
--- a/src/sync/peers/response_cache.rs
+++ b/src/sync/peers/response_cache.rs
@@ -15,7 +15,7 @@
 
 /// Time for which an answer is given again: its ages grow by it. The followers of a relay ask
 /// within milliseconds of one another.
-const CACHE_TIME: Duration = Duration::from_millis(300);
+const CACHE_TTL: Duration = Duration::from_millis(300);
 
 /// A body for a peer.
 #[derive(Clone)]
@@ -59,7 +59,7 @@
     fn find(&self, after: PeerPosition, at: Position) -> Option<ChangesBody> {
         let last = self.last.borrow();
         let cached = last.as_ref().filter(|cached| (cached.after, cached.at) == (after, at))?;
-        (cached.body.computed_at.elapsed() < CACHE_TIME).then(|| cached.body.clone())
+        (cached.body.computed_at.elapsed() < CACHE_TTL).then(|| cached.body.clone())
     }
 }
 
--- a/src/sync/peers/serve.rs
+++ b/src/sync/peers/serve.rs
@@ -10,7 +10,7 @@
 use crate::state::Instance;
 use crate::store::era::{Era, Position};
 use crate::store::freshness::MAX_VIEW_AGE;
-use crate::sync::RECEIVING_POLL;
+use crate::sync::RECEIVING_POLL_INTERVAL;
 use std::time::Duration;
 
 /// Longest time that a question waits for changes: above the 0.7 s for which relays are asked;
@@ -42,38 +42,38 @@
 pub async fn serve_changes<P: Platform>(
     instance: &Instance<P>,
     cache: &ResponseCache,
-    asked: ChangesRequest<'_>,
+    request: ChangesRequest<'_>,
 ) -> ChangesResponse {
-    let arrived = Instant::now();
-    let question = Question::parse(asked.query);
-    instance.store_copy.latest_era().observe(question.latest_era);
+    let received_at = Instant::now();
+    let query = ChangesQuery::parse(request.query);
+    instance.store_copy.latest_era().observe(query.latest_era);
     // A confirmation is passed on at once, so that it crosses each level of the relay
     // tree without another wait.
     let confirmed = instance.store_copy.confirmed();
     tokio::select! {
-        _ = timeout(question.wait.min(MAX_WAIT), changed_after(instance, question.after)) => {}
+        _ = timeout(query.wait.min(MAX_WAIT), wait_for_change(instance, query.after)) => {}
         () = confirmed => {}
         // The peer then follows another relay.
-        () = turns_stale(instance) => {}
+        () = wait_until_stale(instance) => {}
     }
-    let body = match asked.accepts_gzip {
-        true => cache.compressed(instance, question.after),
-        false => ChangesBody::plain(instance, question.after),
+    let body = match request.accepts_gzip {
+        true => cache.compressed(instance, query.after),
+        false => ChangesBody::plain(instance, query.after),
     };
-    let computed_after_ms = milliseconds_between(arrived, body.computed_at);
+    let computed_after_ms = milliseconds_between(received_at, body.computed_at);
     ChangesResponse { body, computed_after_ms, is_receiving: instance.store_copy.is_receiving() }
 }
 
 /// From one moment to another; below 0 where the other came first.
-fn milliseconds_between(one: Instant, other: Instant) -> i64 {
-    let after = other.saturating_duration_since(one).as_millis() as i64;
-    let before = one.saturating_duration_since(other);
+fn milliseconds_between(from: Instant, to: Instant) -> i64 {
+    let after = to.saturating_duration_since(from).as_millis() as i64;
+    let before = from.saturating_duration_since(to);
     // Rounded up, so that no age becomes younger.
     if before.is_zero() { after } else { -(before.as_millis() as i64 + 1) }
 }
 
 /// Waits until the view is beyond a peer's position.
-async fn changed_after<P: Platform>(instance: &Instance<P>, after: PeerPosition) {
+async fn wait_for_change<P: Platform>(instance: &Instance<P>, after: PeerPosition) {
     loop {
         let changed = instance.store_copy.changed();
         let at = instance.store_copy.view().at();
@@ -87,7 +87,7 @@
 /// Waits until the view is stale and no answer with changes is under way to it: while one
 /// is, no other relay would have them sooner. An instance that has just started has no view
 /// yet; whoever asks for its first one waits for it.
-async fn turns_stale<P: Platform>(instance: &Instance<P>) {
+async fn wait_until_stale<P: Platform>(instance: &Instance<P>) {
     loop {
         let Some(age) = instance.store_copy.view_age() else {
             instance.store_copy.confirmed().await;
@@ -96,14 +96,14 @@
         let fresh_for = MAX_VIEW_AGE.saturating_sub(age);
         match (fresh_for.is_zero(), instance.store_copy.is_receiving()) {
             (true, false) => return,
-            (true, true) => sleep(RECEIVING_POLL).await,
+            (true, true) => sleep(RECEIVING_POLL_INTERVAL).await,
             (false, _) => sleep(fresh_for).await,
         }
     }
 }
 
 /// What a peer asks for.
-struct Question {
+struct ChangesQuery {
     /// The position up to which it has the changes.
     after: PeerPosition,
     /// The latest era known to it.
@@ -112,7 +112,7 @@
     wait: Duration,
 }
 
-impl Question {
+impl ChangesQuery {
     /// Reads a query. A missing or broken number counts as 0 and is not logged: the
     /// answer is then the full view at once, which is correct for every peer.
     fn parse(query: &str) -> Self {
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -12,7 +12,7 @@
 //!   latest known one is stale at any age; from `MAX_VIEW_AGE` (1.3 s) on the relay
 //!   is not followed beyond [`stale_relay_timeout`], while it is receiving an answer with changes from
 //!   `MAX_RECEIVING_AGE` (3 s) on: another relay of the hall would seldom have them sooner.
-//! - Failures of relays that this instance saw, kept for `RETRY_AFTER` (5 s).
+//! - Failures of relays that this instance saw, kept for `RELAY_RETRY_DELAY` (5 s).
 //!
 //! **Why.** A watch by each instance multiplies the store's calls and bytes; a tree bounds
 //! what the busiest instance sends.
@@ -33,8 +33,8 @@
 use crate::platform::Platform;
 use crate::state::Instance;
 use crate::store::freshness::{MAX_VIEW_AGE, Proof};
-use crate::sync::peers::{FetchError, PeerConnection, PeerError, PeerRequest, UnreadableLog};
-use crate::sync::relay_tree::{ancestors, position, relays_before, stale_relay_timeout};
+use crate::sync::peers::{FetchError, InvalidResponseLog, PeerConnection, PeerError, PeerRequest};
+use crate::sync::relay_tree::{ancestors, position_in_hall, preceding_relays, stale_relay_timeout};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -47,11 +47,11 @@
 /// Time for which a relay that failed is not followed: about the length of a disruption;
 /// each attempt at a dead relay costs up to 1.3 s of lag. Half and double change what
 /// callers get by 2 in 1,000 at most.
-const RETRY_AFTER: Duration = Duration::from_secs(5);
+const RELAY_RETRY_DELAY: Duration = Duration::from_secs(5);
 /// Longest time for a whole answer: ten times that of a configuration of 1 MB over 10 Mbit/s,
 /// uncompressed. It ends the answer of a relay that sends a byte now and then; a stale view
 /// meanwhile has random peers asked.
-const ANSWER_TIME: Duration = Duration::from_secs(10);
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
 /// Age of a relay's view up to which it is followed while it is receiving an answer with changes:
 /// the operators' bound where halls have more than three instances.
 const MAX_RECEIVING_AGE: Duration = Duration::from_secs(3);
@@ -61,17 +61,17 @@
 const MAX_FAILURES: u32 = 2;
 
 /// Time between questions to a relay that is stale.
-const STALE_POLL: Duration = Duration::from_millis(100);
+const STALE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Name of answers that cannot be read, in the log.
-const UNREADABLE: &str = "unreadable";
+const INVALID_RESPONSE: &str = "unreadable";
 
 /// Why a relay is no longer followed.
 #[derive(Debug, Error)]
 enum RelayError {
     /// It gave no answer that can be used.
     #[error(transparent)]
-    Ask(#[from] FetchError),
+    Fetch(#[from] FetchError),
     /// Its view is older than [`MAX_VIEW_AGE`], was never current, or is from an earlier era of the
     /// store than the latest known one.
     #[error("the relay's view is stale")]
@@ -80,7 +80,7 @@
 
 impl From<PeerError> for RelayError {
     fn from(error: PeerError) -> Self {
-        RelayError::Ask(error.into())
+        RelayError::Fetch(error.into())
     }
 }
 
@@ -88,11 +88,11 @@
     /// Its name in the log.
     fn as_str(&self) -> &'static str {
         match self {
-            RelayError::Ask(FetchError::Peer(PeerError::NoResponse)) => "silent",
-            RelayError::Ask(FetchError::Peer(PeerError::ResponseTimedOut { .. })) => "slow",
-            RelayError::Ask(FetchError::Peer(PeerError::ConnectionFailed(_))) => "broken",
-            RelayError::Ask(FetchError::Peer(PeerError::InvalidResponse(_) | PeerError::InvalidCompression(_)))
-            | RelayError::Ask(FetchError::Change(_)) => UNREADABLE,
+            RelayError::Fetch(FetchError::Peer(PeerError::NoResponse)) => "silent",
+            RelayError::Fetch(FetchError::Peer(PeerError::ResponseTimedOut { .. })) => "slow",
+            RelayError::Fetch(FetchError::Peer(PeerError::ConnectionFailed(_))) => "broken",
+            RelayError::Fetch(FetchError::Peer(PeerError::InvalidResponse(_) | PeerError::InvalidCompression(_)))
+            | RelayError::Fetch(FetchError::Change(_)) => INVALID_RESPONSE,
             RelayError::Stale => "stale",
         }
     }
@@ -111,19 +111,19 @@
     /// Since when the relays that answered were stale.
     stale_since: Option<Instant>,
     /// Until when the store is asked instead of relays.
-    direct_until: Option<Instant>,
-    unreadable: UnreadableLog,
+    watch_store_until: Option<Instant>,
+    invalid_responses: InvalidResponseLog,
 }
 
 impl RelayClient {
     /// The client of an instance that follows a seed at first, where it has one.
-    pub fn starting_from(seed: Option<SocketAddr>) -> Self {
+    pub fn with_seed(seed: Option<SocketAddr>) -> Self {
         Self { seed, ..Self::default() }
     }
 
     /// The relay to ask now; `None` where this instance watches the store itself.
-    pub fn relay<P: Platform>(&mut self, instance: &Instance<P>) -> Option<SocketAddr> {
-        if self.direct_until.is_some_and(|until| Instant::now() < until) {
+    pub fn select_relay<P: Platform>(&mut self, instance: &Instance<P>) -> Option<SocketAddr> {
+        if self.watch_store_until.is_some_and(|until| Instant::now() < until) {
             return None;
         }
         // The members of a hall that starts are known once its own registration is seen.
@@ -134,7 +134,7 @@
         if self.seed.is_some() {
             return self.seed;
         }
-        let relays = relays_before(instance);
+        let relays = preceding_relays(instance);
         let now = Instant::now();
         let is_usable = |relay: &SocketAddr| self.failed.get(relay).is_none_or(|until| *until <= now);
         let ancestors = ancestors(relays.len()).map(|position| relays[position]);
@@ -142,73 +142,83 @@
     }
 
     /// When a relay that was left may be followed again; `None` where none was left lately.
-    pub fn next_relay_at(&self) -> Option<Instant> {
+    pub fn next_retry_at(&self) -> Option<Instant> {
         let now = Instant::now();
-        let direct_until = self.direct_until.filter(|until| *until > now);
-        direct_until.or_else(|| self.failed.values().copied().filter(|until| *until > now).min())
+        let watch_store_until = self.watch_store_until.filter(|until| *until > now);
+        watch_store_until.or_else(|| self.failed.values().copied().filter(|until| *until > now).min())
     }
 
     /// Asks the relay for changes and applies them; where it fails or its view is stale,
-    /// it is not followed for `RETRY_AFTER`.
+    /// it is not followed for `RELAY_RETRY_DELAY`.
     pub async fn follow<P: Platform>(&mut self, instance: &Instance<P>, relay: SocketAddr) {
-        let asked = Instant::now();
-        match self.ask(instance, relay).await {
+        let requested_at = Instant::now();
+        match self.request_changes(instance, relay).await {
             Ok(()) => {
                 self.failures = 0;
                 self.stale_since = None;
             }
-            Err(RelayError::Stale) if self.is_patient(instance) => sleep(STALE_POLL).await,
-            Err(error) => self.leave(instance, relay, &error, asked),
+            Err(RelayError::Stale) if self.tolerates_stale_relay(instance) => sleep(STALE_POLL_INTERVAL).await,
+            Err(error) => self.stop_following(instance, relay, &error, requested_at),
         }
     }
 
     /// Whether this instance stays with a stale relay for now; not where its own calls to the
     /// store have just proven its view.
-    fn is_patient<P: Platform>(&mut self, instance: &Instance<P>) -> bool {
+    fn tolerates_stale_relay<P: Platform>(&mut self, instance: &Instance<P>) -> bool {
         let copy = &instance.store_copy;
         let is_proven_by_others = matches!(copy.view_proof(), Some(Proof::Relay | Proof::Peer));
         if copy.is_current() && !is_proven_by_others {
             return false;
         }
         let since = *self.stale_since.get_or_insert_with(Instant::now);
-        since.elapsed() < stale_relay_timeout(position(instance))
+        since.elapsed() < stale_relay_timeout(position_in_hall(instance))
     }
 
     /// Notes that the store failed as well: relays are asked again.
-    pub fn store_failed(&mut self) {
-        self.direct_until = None;
+    pub fn record_store_failure(&mut self) {
+        self.watch_store_until = None;
     }
 
-    fn leave<P: Platform>(&mut self, instance: &Instance<P>, relay: SocketAddr, error: &RelayError, asked: Instant) {
-        if error.as_str() == UNREADABLE {
-            self.unreadable.report(relay, error);
+    fn stop_following<P: Platform>(
+        &mut self,
+        instance: &Instance<P>,
+        relay: SocketAddr,
+        error: &RelayError,
+        requested_at: Instant,
+    ) {
+        if error.as_str() == INVALID_RESPONSE {
+            self.invalid_responses.log(relay, error);
         }
         self.connection = None;
         self.seed = self.seed.filter(|seed| *seed != relay);
         instance.store_copy.set_relay_receiving(false);
         let now = Instant::now();
         self.failed.retain(|_, until| *until > now);
-        self.failed.insert(relay, now + RETRY_AFTER);
+        self.failed.insert(relay, now + RELAY_RETRY_DELAY);
         self.stale_since = None;
         self.failures += 1;
         if self.failures >= MAX_FAILURES {
             self.failures = 0;
-            self.direct_until = Some(now + RETRY_AFTER);
+            self.watch_store_until = Some(now + RELAY_RETRY_DELAY);
         }
-        log_left(relay, error, instance.store_copy.view().at().revision, now - asked);
+        log_left(relay, error, instance.store_copy.view().at().revision, now - requested_at);
     }
 
-    async fn ask<P: Platform>(&mut self, instance: &Instance<P>, relay: SocketAddr) -> Result<(), RelayError> {
+    async fn request_changes<P: Platform>(
+        &mut self,
+        instance: &Instance<P>,
+        relay: SocketAddr,
+    ) -> Result<(), RelayError> {
         let connection = match &mut self.connection {
             Some(connection) if connection.peer == relay => connection,
             other => other.insert(PeerConnection::open(relay).await?),
         };
-        let question = PeerRequest::for_copy(&instance.store_copy);
-        let answer = connection.request_changes(question, POLL_WAIT).await?;
-        let is_receiving = answer.is_receiving();
+        let request = PeerRequest::for_copy(&instance.store_copy);
+        let response = connection.request_changes(request, POLL_WAIT).await?;
+        let is_receiving = response.is_receiving();
         instance.store_copy.set_relay_receiving(is_receiving);
         let receipt = instance.store_copy.begin_receipt();
-        let changes = answer.read(ANSWER_TIME).await?;
+        let changes = response.read(RESPONSE_TIMEOUT).await?;
         drop(receipt);
         let max_age = if is_receiving { MAX_RECEIVING_AGE } else { MAX_VIEW_AGE };
         let is_superseded = changes.position().era < instance.store_copy.latest_era().get();
--- a/src/sync/relay_tree.rs
+++ b/src/sync/relay_tree.rs
@@ -17,7 +17,7 @@
 /// Time that the first followers of a hall give a stale relay, and each next four give those
 /// before them: a list of 1,400 keys over a slow link (0.2 s). With the age at which a view is
 /// stale the first ones ask the store 1.6 s after the last proof, below the shortest bound (2 s).
-const PATIENCE_STEP: Duration = Duration::from_millis(250);
+const STALE_TIMEOUT_STEP: Duration = Duration::from_millis(250);
 
 /// Positions of the instances above `position` in its hall's tree, nearest first.
 pub fn ancestors(position: usize) -> impl Iterator<Item = usize> {
@@ -38,11 +38,11 @@
 /// have had no success. Random peers are asked meanwhile, so that an instance among relays
 /// that the store refuses has a current view as soon as any other has one.
 pub fn stale_relay_timeout(position: usize) -> Duration {
-    PATIENCE_STEP * (1 + position.saturating_sub(1) / FOLLOWERS_PER_RELAY) as u32
+    STALE_TIMEOUT_STEP * (1 + position.saturating_sub(1) / FOLLOWERS_PER_RELAY) as u32
 }
 
 /// The instances of this one's hall whose names sort before its own, in order.
-pub fn relays_before<P: Platform>(instance: &Instance<P>) -> Vec<SocketAddr> {
+pub fn preceding_relays<P: Platform>(instance: &Instance<P>) -> Vec<SocketAddr> {
     let settings = instance.settings.borrow().clone();
     let routing = instance.routing.borrow();
     let before = routing.members.iter().take_while(|(name, _)| **name < settings.name);
@@ -50,6 +50,6 @@
 }
 
 /// Position of this instance in its hall; 0 is the first, which follows none.
-pub fn position<P: Platform>(instance: &Instance<P>) -> usize {
-    relays_before(instance).len()
+pub fn position_in_hall<P: Platform>(instance: &Instance<P>) -> usize {
+    preceding_relays(instance).len()
 }
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -14,8 +14,8 @@
 use crate::sync::backoff::Backoff;
 use crate::sync::confirm;
 use crate::sync::relay::RelayClient;
-use crate::sync::start::{Start, start};
-use crate::sync::{ALL_KEYS, RECEIVING_POLL};
+use crate::sync::start::{InitialView, fetch_initial_view};
+use crate::sync::{ALL_KEYS, RECEIVING_POLL_INTERVAL};
 use std::rc::Rc;
 use std::time::Duration;
 
@@ -48,8 +48,8 @@
 
 /// Runs until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
-    let Start { seed, has_view } = start(&instance).await;
-    let mut relays = RelayClient::starting_from(seed);
+    let InitialView { seed, has_view } = fetch_initial_view(&instance).await;
+    let mut relays = RelayClient::with_seed(seed);
     let mut next = if has_view { Step::Watch } else { Step::List };
     let mut backoff = Backoff::default();
     loop {
@@ -58,7 +58,7 @@
         }
         // Whom to follow is known with a first view.
         let has_view = instance.store_copy.view_age().is_some();
-        if let Some(relay) = relays.relay(&instance).filter(|_| has_view) {
+        if let Some(relay) = relays.select_relay(&instance).filter(|_| has_view) {
             relays.follow(&instance, relay).await;
             // The relay's changes may be newer than those of the last list or watch.
             next = Step::Watch;
@@ -68,7 +68,7 @@
         instance.store_copy.set_relay_receiving(false);
         let result = match next {
             Step::List => list(&instance).await,
-            Step::Watch => watch(&instance, relays.next_relay_at()).await,
+            Step::Watch => watch(&instance, relays.next_retry_at()).await,
         };
         match result {
             Ok(then) => {
@@ -76,7 +76,7 @@
                 backoff.reset();
             }
             Err(error) => {
-                relays.store_failed();
+                relays.record_store_failure();
                 instance.store_copy.mark_failed(next.as_str(), &error);
                 instance.metrics.store_failures.inc();
                 sleep(backoff.next_delay()).await;
@@ -88,7 +88,7 @@
 /// Lists all keys. Changes since its begin are for the watch that follows.
 async fn list<P: Platform>(instance: &Instance<P>) -> Result<Step, StoreError> {
     instance.metrics.store_calls.with_label_values(&[Step::List.as_str()]).inc();
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let mut receipt = None;
     let begin = || receipt = Some(instance.store_copy.begin_receipt());
     let listed = timeout(LIST_TIMEOUT, instance.store.list(ALL_KEYS, begin)).await;
@@ -96,7 +96,7 @@
     instance.store_copy.mark_answered();
     let era = listing.at.era;
     instance.take_listing(listing, "list");
-    instance.store_copy.mark_current(Proof::List, asked.elapsed(), era);
+    instance.store_copy.mark_current(Proof::List, requested_at.elapsed(), era);
     Ok(Step::Watch)
 }
 
@@ -104,9 +104,9 @@
 /// quiet one, so it is begun anew once a read shows a change that it has not brought, and
 /// once the store is reachable after an outage. It ends once a later era is known, since
 /// its revision is not valid in that era.
-async fn watch<P: Platform>(instance: &Instance<P>, next_relay: Option<Instant>) -> Result<Step, StoreError> {
+async fn watch<P: Platform>(instance: &Instance<P>, relay_retry_at: Option<Instant>) -> Result<Step, StoreError> {
     instance.metrics.store_calls.with_label_values(&[Step::Watch.as_str()]).inc();
-    let asked = Instant::now();
+    let requested_at = Instant::now();
     let after = instance.store_copy.view().at().revision;
     let mut receipt = None;
     let begin = || receipt = Some(instance.store_copy.begin_receipt());
@@ -114,16 +114,16 @@
         biased;
         answer = instance.store.watch(ALL_KEYS, after, WATCH_WAIT, begin) => answer?,
         () = instance.store_copy.superseded() => return Ok(Step::List),
-        () = outage_ends(instance) => return Ok(Step::Watch),
-        () = confirm::until_watch_is_lost(instance) => return Ok(Step::Watch),
-        () = relay_returns(instance, next_relay) => return Ok(Step::Watch),
+        () = wait_for_recovery(instance) => return Ok(Step::Watch),
+        () = confirm::wait_until_watch_is_lost(instance) => return Ok(Step::Watch),
+        () = wait_for_relay(instance, relay_retry_at) => return Ok(Step::Watch),
     };
     instance.store_copy.mark_answered();
     match answer {
         Watched::HistoryGone => Ok(Step::List),
         Watched::Events { events, at } => {
             instance.take_events(events, at, "watch");
-            instance.store_copy.mark_current(Proof::Watch, asked.elapsed(), at.era);
+            instance.store_copy.mark_current(Proof::Watch, requested_at.elapsed(), at.era);
             if instance.store_copy.is_superseded() {
                 return Ok(Step::List);
             }
@@ -137,7 +137,7 @@
 
 /// Completes once the store is reachable after an outage, unless an answer is under way: it
 /// would be begun anew from its first byte, and one that the outage broke ends by itself.
-async fn outage_ends<P: Platform>(instance: &Instance<P>) {
+async fn wait_for_recovery<P: Platform>(instance: &Instance<P>) {
     loop {
         instance.store_copy.reachable_again().await;
         if !instance.store_copy.has_receipt() {
@@ -148,12 +148,12 @@
 
 /// Completes at the time at which a relay may be followed again, or after the answer that is
 /// under way then; never where there is no such time.
-async fn relay_returns<P: Platform>(instance: &Instance<P>, next_relay: Option<Instant>) {
-    match next_relay {
+async fn wait_for_relay<P: Platform>(instance: &Instance<P>, relay_retry_at: Option<Instant>) {
+    match relay_retry_at {
         Some(at) => sleep_until(at).await,
         None => std::future::pending().await,
     }
     while instance.store_copy.has_receipt() {
-        sleep(RECEIVING_POLL).await;
+        sleep(RECEIVING_POLL_INTERVAL).await;
     }
 }
