--- a/src/sync/backoff.rs
+++ b/src/sync/backoff.rs
@@ -1,40 +1,39 @@
-//! Exponential backoff between failed calls to the store: each call is charged, refused
-//! ones too, and all instances share the store.
+//! Exponential backoff after failed calls to the store: every call has a cost, also a refused one, and
+//! all instances share the store.
 //!
-//! Owns the count of failures in a row. Relies on nothing.
+//! Owns the number of consecutive failures. Relies on nothing.
 
 use rand::Rng;
 use std::time::Duration;
 
-/// Wait after the first failure; doubled with each further one. Waits that
-/// double lowered the calls of a day on which the store refuses a third of 74 instances from 3,114
-/// to 2,300.
+/// Delay after the first failure; doubled with each further one. On a day on which the store refuses
+/// a third of 74 instances, doubling lowered the number of calls from 3,114 to 2,300.
 const INITIAL_DELAY: Duration = Duration::from_millis(250);
-/// Longest wait, before jitter: with it and a call's timeout, a recovery of the store is
-/// noticed within the shortest bound on lag (2 s).
+/// Maximum delay, before jitter: with it and a call's timeout, a recovery of the store is detected
+/// within the shortest bound on lag (2 s).
 const MAX_DELAY: Duration = Duration::from_millis(700);
-/// Longest such wait where the view is current all the same, so that many instances that the store
-/// refuses make few calls. An instance that is refused
-/// longer stays out of the directory, which costs callers nothing while there are others.
+/// Maximum delay, before jitter, while the view is current without the call, so that many instances
+/// that the store refuses make few calls. The instance is missing from the directory for longer,
+/// which does not affect callers while there are other instances.
 const MAX_LONG_DELAY: Duration = Duration::from_millis(2_400);
-/// Random factor of each wait, so that instances that lost the store together do not call it
-/// together.
+/// Random factor of each delay, so that instances which lost the store at the same time do not call
+/// it at the same time.
 const JITTER: std::ops::Range<f64> = 0.7..1.3;
 
-/// Counts failures in a row.
+/// Counts consecutive failures of one kind of call and computes the delay before the next one.
 #[derive(Debug, Default)]
 pub struct Backoff {
     failures: u32,
 }
 
 impl Backoff {
-    /// Records a failure; returns the wait before the next call.
+    /// Records a failure; returns the delay before the next call.
     pub fn next_delay(&mut self) -> Duration {
         self.delay_up_to(MAX_DELAY)
     }
 
-    /// The same where nothing that callers notice depends on the call: the view is current
-    /// without it.
+    /// Records a failure of a call that callers do not depend on, since the view is current without
+    /// it; returns the delay before the next call, which may be longer.
     pub fn next_long_delay(&mut self) -> Duration {
         self.delay_up_to(MAX_LONG_DELAY)
     }
@@ -45,7 +44,7 @@
         delay.mul_f64(rand::rng().random_range(JITTER))
     }
 
-    /// Records a success.
+    /// Records a success: the next failure has the initial delay.
     pub fn reset(&mut self) {
         self.failures = 0;
     }
--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -1,6 +1,6 @@
-//! One call to the store: bounded in time, counted, and recorded in the store's health.
+//! A call to the store, with a timeout; it is counted in the metrics and recorded in the store's health.
 //!
-//! Owns the timeout. Relies on [`crate::state`] for the counters and the health.
+//! Owns the timeouts. Relies on [`crate::state`] for the counters and the health.
 
 use crate::clock::timeout;
 use crate::platform::Platform;
@@ -8,18 +8,19 @@
 use crate::store::StoreError;
 use std::time::Duration;
 
-/// Longest wait for an answer: three in a row fit into a lease, and it is twice the time of a slow
-/// call.
+/// Timeout of a call without a document: three in a row fit into the TTL of a lease, and it is twice
+/// the duration of a slow call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Slowest link over which a document has to pass, bytes a second: a tenth of 10 Mbit/s. A call has
-/// its time beyond [`CALL_TIMEOUT`], so that a large one is not begun anew for its size.
+/// Lowest rate at which a document has to be transferred, bytes per second: a tenth of 10 Mbit/s. The
+/// transfer time is added to [`CALL_TIMEOUT`], so that a large document does not time out for its
+/// size.
 const MIN_LINK_RATE: u32 = 125_000;
 
-/// Waits for the answer to a small call; `kind` is its label in the metrics.
+/// Waits for the response to a small call; `kind` is its label in the metrics.
 ///
 /// # Errors
-/// [`StoreError`]; [`StoreError::Silent`] where it timed out.
+/// [`StoreError`]; [`StoreError::Silent`] if it timed out.
 pub async fn call<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
@@ -28,18 +29,17 @@
     call_within(instance, kind, CALL_TIMEOUT, response).await
 }
 
-/// Waits for the answer to a call that carries a document of so many bytes, as [`call`]
-/// does.
+/// Waits, as [`call`] does, for the response to a call that transfers a document of `size` bytes.
 ///
 /// # Errors
-/// [`StoreError`]; [`StoreError::Silent`] where it timed out.
+/// [`StoreError`]; [`StoreError::Silent`] if it timed out.
 pub async fn document_call<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
     size: usize,
     response: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    // Base64 makes four bytes of three.
+    // Base64 encodes three bytes as four.
     let encoded_size = size as f64 * 4.0 / 3.0;
     let transfer_time = Duration::from_secs_f64(encoded_size / f64::from(MIN_LINK_RATE));
     call_within(instance, kind, CALL_TIMEOUT + transfer_time, response).await
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -1,26 +1,27 @@
-//! Confirmation of the view while a watch waits.
+//! Confirms that the view is current while a watch waits.
 //!
-//! **Rule.** A read reports the store's position. A view that has reached it was current
-//! when the read was sent; a watch that does not bring it within `DELIVERY_TIME` is lost.
+//! **Rule.** A read returns the store's position. A view that has reached it was current when the
+//! read was sent; a watch that does not deliver it within `DELIVERY_TIME` is lost.
 //!
 //! **Inputs**
-//! - The store's position, by a read of its own; as old as the time since it was sent.
+//! - The store's position, from a separate read; at most as old as the time since it was sent.
 //! - The position and the age of the view; exact.
-//! - Whether an answer with changes is under way to this instance; exact.
+//! - Whether a response with changes is being received by this instance; exact.
 //!
-//! **Why.** A watch that waits looks like one whose connection fell silent, whose answer was
-//! lost or whose call an outage swallowed. An answer on another connection says that the
-//! store answers, and nothing of the watch. The position is the same on each connection.
-//! Without this rule a lost watch hid changes for 23 s from a view that was believed 0.5 s old.
+//! **Why.** A waiting watch looks like one whose connection is dead, or whose request or response was
+//! lost in an outage. A response on another connection shows that the store responds, but not that
+//! the watch still exists. The store's position is the same on each connection. Without this
+//! rule a lost watch hid changes for 23 s from a view that was taken to be 0.5 s old.
 //!
-//! **Guards** the promise that a believed age is never below the true one, and bounds the
-//! time for which a lost watch hides a change: `CONFIRM_AGE`, two ways to the store, and
-//! `DELIVERY_TIME`, 1.3 s together, and a call's timeout and a backoff, another second, where
-//! the read is lost as well.
+//! **Guards** the promise that the recorded age of the view is never below the true age, and bounds
+//! the time for which a lost watch hides a change: `CONFIRM_AGE`, a round trip to the store and
+//! `DELIVERY_TIME`, together 1.3 s; if the read is lost as well, a call's timeout and a backoff add
+//! another second.
 //!
 //! **Test**: `tests/freshness_model.rs`, `standins/tests/silent_connections.rs`.
 //!
-//! Owns nothing. Relies on [`super::watch`] to run it beside a watch, and to begin that anew.
+//! Owns no state. Relies on [`super::watch`] to run it concurrently with a watch, and to restart a
+//! lost one.
 
 use crate::clock::{Instant, sleep};
 use crate::platform::Platform;
@@ -33,35 +34,34 @@
 use crate::sync::call::call;
 use std::time::Duration;
 
-/// Age of the view at which the store is asked: with a call between regions (some 80 ms) well below
-/// that of a stale view. Changes that arrive more often spare the reads.
+/// Age of the view at which the store's position is read: with a call between regions (about 80 ms)
+/// well below the age of a stale view. If changes arrive more often, no reads are needed.
 const CONFIRM_AGE: Duration = Duration::from_millis(800);
-/// Time that a watch has to bring a change which a read has shown: several ways between regions (35
-/// ms), and an answer of a slow store (0.24 s). Too short, it costs a call; too long,
-/// it delays a change.
+/// Time within which a watch has to deliver a change that a read has shown: several times the
+/// latency between regions (35 ms), and the response time of a slow store (0.24 s). Too short, it
+/// costs a call; too long, it delays a change.
 const DELIVERY_TIME: Duration = Duration::from_millis(300);
-/// Time that a watch has to answer by itself before the store is asked beside it: one of a store
-/// that changes often proves the view without a read.
+/// Time from the start of a watch to the first read: if the store changes often, the watch proves
+/// the view current without a read.
 const INITIAL_DELAY: Duration = Duration::from_millis(150);
-/// Time before a read while the store is lost: renewals show sooner that it answers again, but an
-/// instance that starts or stops makes none.
+/// Delay before a read while the store is lost: lease renewals show sooner that it responds again,
+/// but an instance that starts or stops makes none.
 const LOST_STORE_DELAY: Duration = Duration::from_millis(1_500);
 
-// A view that one read after the other confirms does not turn stale between two.
+// A view that every read confirms does not turn stale between two reads.
 const _: () = assert!(MAX_VIEW_AGE.as_millis() > CONFIRM_AGE.as_millis() + DELIVERY_TIME.as_millis());
 
-/// Why a watch is begun anew.
+/// Why a watch has to be restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum LostWatch {
-    /// The store is at a later position than the watch has delivered.
+    /// The store's position `at` is later than that delivered by the watch.
     Behind { at: Position },
-    /// A read got no answer: connections may have gone silent, and the watch has shown
-    /// nothing since.
+    /// A read got no response: connections may be dead, and the watch has delivered nothing since.
     NoResponse,
 }
 
-/// Confirms the view whenever it is `CONFIRM_AGE` old; completes once the watch beside it
-/// has to be begun anew.
+/// Confirms the view whenever it is `CONFIRM_AGE` old; completes once the concurrent watch has to be
+/// restarted.
 pub async fn wait_until_watch_is_lost<P: Platform>(instance: &Instance<P>) {
     let started_at = Instant::now();
     let lost = detect_lost_watch(instance).await;
@@ -81,7 +81,7 @@
     sleep(INITIAL_DELAY).await;
     loop {
         sleep(CONFIRM_AGE.saturating_sub(copy.view_age().unwrap_or(CONFIRM_AGE))).await;
-        // Meanwhile a read proves nothing.
+        // While a response is being received, a read proves nothing about the watch.
         if copy.has_receipt() {
             sleep(RECEIVING_POLL_INTERVAL).await;
             continue;
@@ -89,9 +89,9 @@
         if copy.is_lost() {
             sleep(LOST_STORE_DELAY).await;
         }
-        let requested_at = Instant::now();
+        let sent_at = Instant::now();
         match call(instance, "revision", instance.store.position()).await {
-            Ok(at) if !confirm(instance, at, requested_at).await => return LostWatch::Behind { at },
+            Ok(at) if !confirm(instance, at, sent_at).await => return LostWatch::Behind { at },
             Ok(_) if had_no_response => return LostWatch::NoResponse,
             Ok(_) => backoff.reset(),
             // `call` has counted and logged the failure.
@@ -103,8 +103,9 @@
     }
 }
 
-/// Whether the view has reached the store's position, or the watch may still deliver it.
-async fn confirm<P: Platform>(instance: &Instance<P>, at: Position, requested_at: Instant) -> bool {
+/// Whether the view has reached the store's position, or the watch may still deliver it; records the
+/// proof in the first case.
+async fn confirm<P: Platform>(instance: &Instance<P>, at: Position, sent_at: Instant) -> bool {
     let copy = &instance.store_copy;
     if copy.view().at() < at {
         sleep(DELIVERY_TIME).await;
@@ -112,6 +113,6 @@
     if copy.view().at() < at {
         return copy.has_receipt();
     }
-    copy.mark_current(Proof::Read, requested_at.elapsed(), at.era);
+    copy.mark_current(Proof::Read, sent_at.elapsed(), at.era);
     true
 }
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -1,19 +1,19 @@
-//! How an instance keeps its view of the store current, and itself registered.
+//! The tasks that keep an instance's view of the store current and the instance registered.
 //!
-//! | file | its job |
+//! | module | purpose |
 //! |---|---|
-//! | `start` | the first view, from a seed where one has it |
-//! | `watch` | the task that lists and watches, or follows a relay |
-//! | `confirm` | reads that show whether a watch that waits has missed a change |
-//! | `relay`, `relay_tree` | the relay that is followed; the tree of a hall |
-//! | `peers` | changes exchanged between instances; peers asked while the store is lost |
-//! | `membership` | the instance's own key, under a lease |
-//! | `policies` | writes policies again that a restored store lacks |
-//! | `strikes` | what this instance knows of requests under which targets ended |
-//! | `usage` | what tenants use, told to the heads of the halls |
-//! | `limits` | rate limits of targets, told to the heads of the halls |
-//! | `heads` | links to the heads of the halls |
-//! | `call`, `backoff` | one call to the store; waits between failed ones |
+//! | `start` | the initial view, from a seed if one has a current view |
+//! | `watch` | the task that lists and watches the store, or follows a relay |
+//! | `confirm` | reads that detect whether a waiting watch has missed a change |
+//! | `relay`, `relay_tree` | the client of the relay; the relay tree of a hall |
+//! | `peers` | changes exchanged between instances; requests to random peers while the view is stale |
+//! | `membership` | the instance's own key, kept under a lease |
+//! | `policies` | rewrites policies that a restored store lacks |
+//! | `strikes` | strikes against requests under which targets crashed |
+//! | `usage` | usage of tenants, reported to the heads of the halls |
+//! | `limits` | rate limits of targets, reported to the heads of the halls |
+//! | `heads` | connections to the heads of the halls |
+//! | `call`, `backoff` | one call to the store; delays after failed calls |
 //!
 //! Owns these tasks; the view that they update is in [`crate::state`]. Relies on
 //! [`crate::store`] for the calls and the health of the store.
@@ -35,11 +35,11 @@
 
 use std::time::Duration;
 
-/// Time between looks whether an answer with changes is still under way: short against the bounds
-/// on lag (2 s).
+/// Time between checks whether a response with changes is still being received: short relative to
+/// the shortest bound on lag (2 s).
 const RECEIVING_POLL_INTERVAL: Duration = Duration::from_millis(100);
-/// Longest time for which an instance that starts asks seeds: after a loss of power these start
-/// later than others, and need the time of a list.
+/// Maximum time for which a starting instance requests a view from the seeds: after a power failure
+/// seeds may start later than other instances and have to list the store first.
 const SEED_TIMEOUT: Duration = Duration::from_millis(900);
-/// The prefix of all keys.
+/// Prefix that every key has.
 const ALL_KEYS: &str = "";
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -1,33 +1,34 @@
-//! The relay tree: one instance of a hall watches the store, the others receive its
-//! changes through a tree in which each instance serves a few ([`crate::sync::relay_tree`]). One
-//! whose relay fails or has a stale view follows another for a while; where there is none, or the second in
-//! a row fails, it watches the store itself. An instance that started from a seed's view
-//! follows the seed until it is a member itself.
+//! The client of a relay. One instance of a hall watches the store; the others receive its changes
+//! through a tree in which each instance serves a few ([`crate::sync::relay_tree`]). An instance
+//! whose relay fails or has a stale view follows another relay for a while; if there is none, or two
+//! in a row fail, it watches the store itself. A starting instance follows a seed, if there is
+//! one, until it is a member itself.
 //!
 //! **Inputs**
-//! - Names, halls and peer addresses of the members; as old as the view: current to 1.3 s
-//!   while store or relay answers, older while they do not.
+//! - Names, halls and peer addresses of the members; as old as the view: at most 1.3 s while the
+//!   store or the relay responds, older while they do not.
 //! - Name and hall of this instance, from the settings.
-//! - Era and age of the relay's view, as its answer gives them. A view from an earlier era than the
-//!   latest known one is stale at any age; from `MAX_VIEW_AGE` (1.3 s) on the relay
-//!   is not followed beyond [`stale_relay_timeout`], while it is receiving an answer with changes from
-//!   `MAX_RECEIVING_AGE` (3 s) on: another relay of the hall would seldom have them sooner.
-//! - Failures of relays that this instance saw, kept for `RELAY_RETRY_DELAY` (5 s).
+//! - Era and age of the relay's view, from its response. A view from an earlier era than the latest
+//!   known one is stale at any age. Otherwise it is stale from `MAX_VIEW_AGE` (1.3 s) on, or from
+//!   `MAX_RECEIVING_AGE` (3 s) on while the relay is receiving a response with changes: another relay
+//!   of the hall would seldom have them sooner. A stale relay is not followed beyond
+//!   [`stale_relay_timeout`].
+//! - Relays that failed for this instance; kept for `RELAY_RETRY_DELAY` (5 s).
 //!
-//! **Why.** A watch by each instance multiplies the store's calls and bytes; a tree bounds
-//! what the busiest instance sends.
+//! **Why.** A watch by each instance multiplies the calls and bytes of the store; a tree bounds the
+//! bytes that the busiest instance sends.
 //!
-//! A relay is left for silence, never for the size of its answer: a large value over a slow
-//! link takes longer than any bound on silence, and would be begun anew at each relay.
+//! A relay is given up when it stops sending, not because its response is large: a large value over
+//! a slow link takes longer than any such timeout, and its transfer would restart at each relay.
 //!
-//! **Guards** the promises that an instance's view stays current with a bounded load on store
-//! and relays, that a relay with a stale view is not followed, and that relays which fail one
-//! after the other delay a change by the time of two.
+//! **Guards** the promises that an instance's view stays current with a bounded load on the store and
+//! the relays, that a relay with a stale view is not followed, and that relays which fail one after
+//! the other delay a change by the timeouts of at most two.
 //!
 //! **Test**: `standins/tests/relay.rs`, `standins/tests/stale_halls.rs`.
 //!
-//! Owns the connection to the relay and the relays that failed. Relies on the members in
-//! the view for the order, and on [`crate::sync::peers`] for the answers.
+//! Owns the connection to the relay and the relays that failed. Relies on the members in the view for
+//! their order, and on [`crate::sync::peers`] for requests and responses.
 
 use crate::clock::{Instant, sleep};
 use crate::platform::Platform;
@@ -40,40 +41,40 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// How long one question to the relay waits for changes. A frozen relay is noticed within
-/// this and the link's timeout, 1.3 s together. With the relay the calls of a quiet day of
-/// 12 instances fell from 229 to 175.
+/// Maximum wait for changes of one request to the relay. A frozen relay is detected within this and
+/// the connection's timeout, together 1.3 s. With relays, the calls of 12 instances on a day with few
+/// changes fell from 229 to 175.
 const POLL_WAIT: Duration = Duration::from_millis(700);
-/// Time for which a relay that failed is not followed: about the length of a disruption;
-/// each attempt at a dead relay costs up to 1.3 s of lag. Half and double change what
-/// callers get by 2 in 1,000 at most.
+/// Time for which a relay that failed is not followed: about the length of a disruption; each attempt
+/// to follow a dead relay costs up to 1.3 s of lag. Half and twice this value change the results of
+/// at most 2 in 1,000 requests of callers.
 const RELAY_RETRY_DELAY: Duration = Duration::from_secs(5);
-/// Longest time for a whole answer: ten times that of a configuration of 1 MB over 10 Mbit/s,
-/// uncompressed. It ends the answer of a relay that sends a byte now and then; a stale view
-/// meanwhile has random peers asked.
+/// Timeout of a complete response: ten times the transfer time of an uncompressed configuration of
+/// 1 MB over 10 Mbit/s. It ends the response of a relay that sends only a byte now and then; random
+/// peers are asked meanwhile if the view is stale.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(10);
-/// Age of a relay's view up to which it is followed while it is receiving an answer with changes:
-/// the operators' bound where halls have more than three instances.
+/// Age of a relay's view up to which it is followed while it is receiving a response with changes:
+/// the operators' bound on lag for halls of more than three instances.
 const MAX_RECEIVING_AGE: Duration = Duration::from_secs(3);
-/// Relays that fail one after the other before the store is asked: each takes up to 1.3 s, and a
-/// configuration has 3 s where halls have more than three instances. One would send all followers
-/// of a dead relay to the store.
+/// Relays that fail in a row before the instance watches the store itself: each takes up to 1.3 s,
+/// and a change of the configuration may take 3 s in halls of more than three instances. With 1, all
+/// followers of a dead relay would call the store.
 const MAX_FAILURES: u32 = 2;
 
-/// Time between questions to a relay that is stale.
+/// Time between requests to a relay whose view is stale.
 const STALE_POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Name of answers that cannot be read, in the log.
+/// Log reason of an invalid response.
 const INVALID_RESPONSE: &str = "unreadable";
 
 /// Why a relay is no longer followed.
 #[derive(Debug, Error)]
 enum RelayError {
-    /// It gave no answer that can be used.
+    /// The request failed or the response is invalid.
     #[error(transparent)]
     Fetch(#[from] FetchError),
-    /// Its view is older than [`MAX_VIEW_AGE`], was never current, or is from an earlier era of the
-    /// store than the latest known one.
+    /// Its view has reached [`MAX_VIEW_AGE`] ([`MAX_RECEIVING_AGE`] while it is receiving changes), was
+    /// never current, or is from an earlier era of the store than the latest known one.
     #[error("the relay's view is stale")]
     Stale,
 }
@@ -85,7 +86,7 @@
 }
 
 impl RelayError {
-    /// Its name in the log.
+    /// The `reason` of the log event `relay_left`.
     fn as_str(&self) -> &'static str {
         match self {
             RelayError::Fetch(FetchError::Peer(PeerError::NoResponse)) => "silent",
@@ -104,30 +105,30 @@
     /// The seed that is followed until this instance is a member for the first time.
     seed: Option<SocketAddr>,
     connection: Option<PeerConnection>,
-    /// Relays that failed, and when they may be followed again.
+    /// Relays that failed, and when each may be followed again.
     failed: HashMap<SocketAddr, Instant>,
-    /// Relays that failed since one answered.
+    /// Relays that failed in a row.
     failures: u32,
-    /// Since when the relays that answered were stale.
+    /// Since when the relays that respond have been stale.
     stale_since: Option<Instant>,
-    /// Until when the store is asked instead of relays.
+    /// Until when the store is watched instead of following a relay.
     watch_store_until: Option<Instant>,
     invalid_responses: InvalidResponseLog,
 }
 
 impl RelayClient {
-    /// The client of an instance that follows a seed at first, where it has one.
+    /// A client that follows `seed` first, if there is one.
     pub fn with_seed(seed: Option<SocketAddr>) -> Self {
         Self { seed, ..Self::default() }
     }
 
-    /// The relay to ask now; `None` where this instance watches the store itself.
+    /// The relay to follow now; `None` if this instance has to watch the store itself.
     pub fn select_relay<P: Platform>(&mut self, instance: &Instance<P>) -> Option<SocketAddr> {
         if self.watch_store_until.is_some_and(|until| Instant::now() < until) {
             return None;
         }
-        // The members of a hall that starts are known once its own registration is seen.
-        // One whose registration expires later goes on with its hall, not with the seeds.
+        // Once its own registration is in the view, an instance knows the other members of its hall.
+        // It keeps following its hall, not the seed, if that registration expires later.
         if instance.routing.borrow().members.contains_key(&instance.settings.borrow().name) {
             self.seed = None;
         }
@@ -141,29 +142,30 @@
         ancestors.chain(relays.iter().copied()).find(is_usable)
     }
 
-    /// When a relay that was left may be followed again; `None` where none was left lately.
+    /// When a relay that failed may be followed again; `None` if none failed within
+    /// `RELAY_RETRY_DELAY`.
     pub fn next_retry_at(&self) -> Option<Instant> {
         let now = Instant::now();
         let watch_store_until = self.watch_store_until.filter(|until| *until > now);
         watch_store_until.or_else(|| self.failed.values().copied().filter(|until| *until > now).min())
     }
 
-    /// Asks the relay for changes and applies them; where it fails or its view is stale,
-    /// it is not followed for `RELAY_RETRY_DELAY`.
+    /// Requests changes from the relay and applies them. A relay that fails, or whose view has been
+    /// stale for too long, is not followed for `RELAY_RETRY_DELAY`.
     pub async fn follow<P: Platform>(&mut self, instance: &Instance<P>, relay: SocketAddr) {
-        let requested_at = Instant::now();
+        let sent_at = Instant::now();
         match self.request_changes(instance, relay).await {
             Ok(()) => {
                 self.failures = 0;
                 self.stale_since = None;
             }
             Err(RelayError::Stale) if self.tolerates_stale_relay(instance) => sleep(STALE_POLL_INTERVAL).await,
-            Err(error) => self.stop_following(instance, relay, &error, requested_at),
+            Err(error) => self.stop_following(instance, relay, &error, sent_at),
         }
     }
 
-    /// Whether this instance stays with a stale relay for now; not where its own calls to the
-    /// store have just proven its view.
+    /// Whether this instance keeps following a stale relay for now; false if its own calls to the
+    /// store prove its view current.
     fn tolerates_stale_relay<P: Platform>(&mut self, instance: &Instance<P>) -> bool {
         let copy = &instance.store_copy;
         let is_proven_by_others = matches!(copy.view_proof(), Some(Proof::Relay | Proof::Peer));
@@ -174,7 +176,7 @@
         since.elapsed() < stale_relay_timeout(position_in_hall(instance))
     }
 
-    /// Notes that the store failed as well: relays are asked again.
+    /// Records that the store failed as well, so that relays are followed again.
     pub fn record_store_failure(&mut self) {
         self.watch_store_until = None;
     }
@@ -184,7 +186,7 @@
         instance: &Instance<P>,
         relay: SocketAddr,
         error: &RelayError,
-        requested_at: Instant,
+        sent_at: Instant,
     ) {
         if error.as_str() == INVALID_RESPONSE {
             self.invalid_responses.log(relay, error);
@@ -201,7 +203,7 @@
             self.failures = 0;
             self.watch_store_until = Some(now + RELAY_RETRY_DELAY);
         }
-        log_left(relay, error, instance.store_copy.view().at().revision, now - requested_at);
+        log_left(relay, error, instance.store_copy.view().at().revision, now - sent_at);
     }
 
     async fn request_changes<P: Platform>(
@@ -231,8 +233,8 @@
     }
 }
 
-/// Logs that a relay is no longer followed: `after` is the revision that it was asked
-/// about, `took` the time since.
+/// Logs that a relay is no longer followed: `after` is the revision of this instance's view, `took`
+/// the time since the request.
 fn log_left(relay: SocketAddr, error: &RelayError, after: u64, took: Duration) {
     let (reason, took_ms) = (error.as_str(), took.as_millis() as u64);
     tracing::info!(event = "relay_left", %relay, reason, %error, after, took_ms);
--- a/src/sync/relay_tree.rs
+++ b/src/sync/relay_tree.rs
@@ -1,8 +1,8 @@
-//! The tree of a hall: which instances one may follow, in which order, and how long it stays with
-//! one whose view is stale. An instance follows only instances whose names sort before its own, so
-//! there is no cycle.
+//! The relay tree of a hall: which instances an instance may follow, in which order, and for how long
+//! it follows one whose view is stale. An instance follows only instances whose names sort before its
+//! own, so there is no cycle.
 //!
-//! Owns the shape of the tree. Relies on the members in the view for the order.
+//! Owns the shape of the tree. Relies on the members in the view for their order.
 //! Test: `standins/tests/relay.rs`, `standins/tests/stale_halls.rs`.
 
 use crate::platform::Platform;
@@ -10,16 +10,17 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Instances that one serves while no relay has failed; after failures it may be more.
-/// Bounds the bytes of the busiest one; a hall of 17 needs three levels. Of 300
-/// instances the busiest sent 3,467 kB/s without a tree, 1,895 with one.
+/// Maximum number of followers of an instance while no relay has failed; after failures it may have
+/// more. Bounds the bytes that the busiest instance sends; a hall of 17 needs three levels. Of 300
+/// instances, the busiest sent 3,467 kB/s without a tree and 1,895 kB/s with it.
 pub const FOLLOWERS_PER_RELAY: usize = 4;
-/// Time that the first followers of a hall give a stale relay, and each next four give those
-/// before them: a list of 1,400 keys over a slow link (0.2 s). With the age at which a view is
-/// stale the first ones ask the store 1.6 s after the last proof, below the shortest bound (2 s).
+/// Time for which the first followers of a hall follow a stale relay, and by which it grows with each
+/// further four instances: a list of 1,400 keys over a slow link takes 0.2 s. With the age at which a
+/// view is stale, the first followers call the store 1.6 s after the last proof, below the shortest
+/// bound on lag (2 s).
 const STALE_TIMEOUT_STEP: Duration = Duration::from_millis(250);
 
-/// Positions of the instances above `position` in its hall's tree, nearest first.
+/// Positions of the ancestors of the instance at `position` in its hall's tree, parent first.
 pub fn ancestors(position: usize) -> impl Iterator<Item = usize> {
     std::iter::successors(parent(position), |position| parent(*position))
 }
@@ -28,20 +29,21 @@
     Some(position.checked_sub(1)? / FOLLOWERS_PER_RELAY)
 }
 
-/// How long an instance stays with relays that answer but whose views are stale, by its position
-/// in the hall.
+/// How long the instance at a position in its hall follows relays that respond but whose views are
+/// stale.
 ///
-/// **Load pattern**: the store stops bringing changes to all, or forgets its history. The views
-/// of a hall turn stale together, and where each instance then asks the store itself, 295 of them
-/// make 3,900 calls in six seconds. A relay that answers is
-/// asking the store already, or follows one that does; those behind it ask once the first ones
-/// have had no success. Random peers are asked meanwhile, so that an instance among relays
-/// that the store refuses has a current view as soon as any other has one.
+/// **Load pattern**: the store delivers no more changes to any watch, or compacts its history. The
+/// views of a hall turn stale together; if each instance then calls the store itself, 295 of them
+/// make 3,900 calls in six seconds. A relay that responds is calling the store already, or follows
+/// one that does; its followers call the store once the first instances have had no success. Random
+/// peers are asked meanwhile, so that an instance whose relays the store refuses has a current view
+/// as soon as any other instance has one.
 pub fn stale_relay_timeout(position: usize) -> Duration {
     STALE_TIMEOUT_STEP * (1 + position.saturating_sub(1) / FOLLOWERS_PER_RELAY) as u32
 }
 
-/// The instances of this one's hall whose names sort before its own, in order.
+/// Peer addresses of the instances of this instance's hall whose names sort before its own, in order
+/// of names.
 pub fn preceding_relays<P: Platform>(instance: &Instance<P>) -> Vec<SocketAddr> {
     let settings = instance.settings.borrow().clone();
     let routing = instance.routing.borrow();
@@ -49,7 +51,7 @@
     before.filter(|(_, member)| *member.hall == *settings.hall).map(|(_, member)| member.peer).collect()
 }
 
-/// Position of this instance in its hall; 0 is the first, which follows none.
+/// Position of this instance in its hall by name; 0 is the first instance, which has no relay.
 pub fn position_in_hall<P: Platform>(instance: &Instance<P>) -> usize {
     preceding_relays(instance).len()
 }
--- a/src/sync/start.rs
+++ b/src/sync/start.rs
@@ -1,32 +1,32 @@
-//! The first view of an instance that starts: from a seed, and from the store only where no
-//! seed has a current one.
+//! The initial view of a starting instance: from a seed, and from the store only if no seed has a
+//! current view.
 //!
-//! **Rule.** An instance that is no seed itself asks the seeds for their whole view, in random
-//! order, the next one `SEED_INTERVAL` (0.15 s) after the last, and takes the first current one. It
-//! lists the store at once where fewer than `LARGE_FLEET_SIZE` (128) instances are registered and the
-//! store holds anything, and otherwise where no seed has answered within `SEED_TIMEOUT` (0.9 s). Until
-//! its own registration is in its view it follows a seed as a relay ([`super::relay`]). A seed
-//! lists the store.
+//! **Rule.** An instance that is not a seed requests the full view from the seeds, in random order,
+//! one more seed every `SEED_INTERVAL` (0.15 s), and applies the first current view. It lists the
+//! store at once if fewer than `LARGE_FLEET_SIZE` (128) instances are registered and the store is not
+//! empty; otherwise it does so if no seed has sent a current view within `SEED_TIMEOUT` (0.9 s).
+//! Until its own registration is in its view, it follows a seed as its relay ([`super::relay`]). A
+//! seed lists the store.
 //!
 //! **Inputs**
-//! - Addresses of the seeds and its own, from the settings; a seed may be gone.
-//! - Number of registered instances, by a read of the store that may be seconds old.
-//! - Age of a seed's view, as its answer gives it; from `MAX_VIEW_AGE` (1.3 s) on the view is
-//!   not taken, so that a seed that is cut off starts nobody.
+//! - Addresses of the seeds and of this instance, from the settings; a seed may no longer exist.
+//! - Number of registered instances, from a read of the store that may be seconds old.
+//! - Age of a seed's view, from its response and the time since; a view of `MAX_VIEW_AGE` (1.3 s) or
+//!   older is rejected, so that no instance starts from a seed that is partitioned from the store.
 //!
-//! **Why.** The load pattern is the start of a whole fleet, after power returns for instance:
-//! each instance listed all keys and watched the store until it knew the members of its hall.
-//! With 295 instances and 1,077 targets that was eight calls an instance within three seconds
-//! and 160 MB through the store's link; each waited for the others' lists. In a fleet of 12 a list
-//! takes 0.06 s, and callers would wait for seeds that start as well.
+//! **Why.** The load pattern is the start of a whole fleet, for instance after a power failure. If
+//! every instance lists all keys and watches the store until it knows the members of its hall, 295
+//! instances with 1,077 targets make eight calls each within three seconds and transfer 160 MB over
+//! the store's link, and each list waits for the others. In a fleet of 12 a list takes 0.06 s, and
+//! callers would have to wait for seeds that are starting as well.
 //!
-//! **Guards** the promise that a start of all instances at once costs the store a few lists, and
-//! that an instance starts without any other one.
+//! **Guards** the promises that a simultaneous start of all instances costs the store only a few
+//! lists, and that an instance can start without any other instance.
 //!
 //! **Test**: `standins/tests/fleet_start.rs`.
 //!
-//! Owns nothing beyond the start. Relies on [`super::peers`] for the questions, and on the seed
-//! to answer once it has a view.
+//! Owns no state after the start. Relies on [`super::peers`] for the requests, and on the seed to
+//! respond once it has a view.
 
 use crate::clock::{Instant, sleep, sleep_until};
 use crate::platform::Platform;
@@ -42,25 +42,25 @@
 use std::time::Duration;
 use tokio::task::JoinSet;
 
-/// Time after which the next seed is asked as well: over a way between regions (25 ms) and the
-/// time of a list at the seed. Follows from these.
+/// Time after which one more seed is sent a request: longer than the latency between regions (25 ms)
+/// plus the time that the seed needs for a list.
 const SEED_INTERVAL: Duration = Duration::from_millis(150);
-/// Registered instances from which the seeds are waited for: the keys of a smaller fleet are a
-/// page or two of a list.
+/// Number of registered instances from which on an instance waits for the seeds: the keys of a
+/// smaller fleet fit into one or two pages of a list.
 const LARGE_FLEET_SIZE: usize = 128;
-/// Time between questions to a seed that cannot be reached: it may be starting as well.
+/// Time between requests to a seed that has sent no current view: it may be starting as well.
 const SEED_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 
-/// How an instance starts.
+/// The result of the search for an initial view.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InitialView {
-    /// The seed to follow at first; `None` for a seed, and where there is none.
+    /// The seed to follow until this instance is a member; `None` for a seed and without seeds.
     pub seed: Option<SocketAddr>,
-    /// Whether its view was taken; else the store has to be listed.
+    /// Whether a seed's view was applied; if not, the store has to be listed.
     pub has_view: bool,
 }
 
-/// Takes the first view from a seed, or finds that the store has to be listed.
+/// Applies the view of a seed, or reports that the store has to be listed.
 pub async fn fetch_initial_view<P: Platform>(instance: &Instance<P>) -> InitialView {
     let settings = instance.settings();
     let mut seeds = settings.seeds.clone();
@@ -76,7 +76,8 @@
     loop {
         tokio::select! {
             biased;
-            // A question that panicked is one without an answer; its panic is on standard error.
+            // A request whose task panicked counts as one without a response; the panic is printed to
+            // standard error.
             Some(Ok((seed, changes))) = requests.join_next() => {
                 if apply_view(instance, changes) {
                     let revision = instance.store_copy.view().at().revision;
@@ -97,7 +98,7 @@
     without_view
 }
 
-/// Asks seeds, the next one `SEED_INTERVAL` after the last.
+/// Requests the seeds' views concurrently, each `SEED_INTERVAL` after the one before.
 fn request_views(seeds: Vec<SocketAddr>) -> JoinSet<(SocketAddr, ChangeSet)> {
     let mut requests = JoinSet::new();
     for (seed, number) in seeds.into_iter().zip(0..) {
@@ -109,8 +110,8 @@
     requests
 }
 
-/// Whether a list of the store is short. Where the store does not say, or holds nothing yet that
-/// a caller could be served by, seeds are waited for.
+/// Whether a list of the store is short. False if the store does not respond or is still empty, so
+/// that the instance waits for the seeds.
 async fn is_small_fleet<P: Platform>(instance: &Instance<P>) -> bool {
     match count_keys(instance, P::own_prefix()).await {
         Ok(0) => count_keys(instance, ALL_KEYS).await.is_ok_and(|keys| keys > 0),
@@ -124,11 +125,11 @@
     call(instance, "count", instance.store.count(prefix)).await
 }
 
-/// Asks a seed until it gives a current view; it waits until it has one. Who asks bounds the
-/// time.
+/// Requests the view of a seed until it is current; the seed delays its response until it has a
+/// view. The caller limits the time.
 async fn fetch_current_view(seed: SocketAddr) -> ChangeSet {
     loop {
-        // Why there was none changes nothing: the next question may find the seed started.
+        // The error is ignored: the seed may have started by the next request.
         if let Ok(changes) = fetch_view(seed).await
             && changes.view_age().is_some_and(|age| age < MAX_VIEW_AGE)
         {
@@ -140,13 +141,13 @@
 
 async fn fetch_view(seed: SocketAddr) -> Result<ChangeSet, FetchError> {
     let mut connection = PeerConnection::open(seed).await?;
-    // From the initial position, so that the answer is a full view.
+    // A request from the initial position returns the full view.
     let response = connection.request_changes(PeerRequest::default(), SEED_TIMEOUT).await?;
     Ok(response.read(SEED_TIMEOUT).await?)
 }
 
-/// Takes a seed's view; false if it cannot be read, or is from an earlier era of the store than
-/// the latest known one.
+/// Applies a seed's view; false if it is invalid, or from an earlier era of the store than the
+/// latest known one.
 fn apply_view<P: Platform>(instance: &Instance<P>, changes: ChangeSet) -> bool {
     match changes.apply(instance, "seed", Proof::Peer) {
         Ok(()) => instance.store_copy.view_age().is_some(),
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -1,10 +1,10 @@
-//! The task that keeps the view current, from the first one on: through the hall's relay, or by a watch of its
-//! own over all keys, and a list where the store's history is compacted or a later era of the store
-//! becomes known ([`crate::store::era`]).
+//! The task that loads the initial view and keeps it current: through the hall's relay, or by its
+//! own watch on all keys. It lists the store if the store's history is compacted or a later era of
+//! the store becomes known ([`crate::store::era`]).
 //!
-//! Owns the order of these calls and the backoff between them. Relies on
-//! [`super::start`] for the first view, on [`super::relay`] for whether there is a relay to follow, and on [`super::confirm`] for
-//! whether a watch that waits still stands.
+//! Owns the order of these calls and the backoff between them. Relies on [`super::start`] for the
+//! initial view, on [`super::relay`] for the relay to follow, and on [`super::confirm`] to detect a
+//! lost watch.
 
 use crate::clock::{Instant, sleep, sleep_until, timeout};
 use crate::platform::Platform;
@@ -19,14 +19,14 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Longest time that one watch waits: the store allows 30 s, a shorter wait costs more calls.
+/// Maximum wait of one watch: the store allows 30 s; a shorter wait costs more calls.
 const WATCH_WAIT: Duration = Duration::from_secs(20);
-/// Pause before the next watch, so that a burst of changes costs one call: a fifth of the
-/// shortest bound on lag (2 s). At 60 ms the calls of a quiet day of 12 instances were 474
-/// in place of 229.
+/// Pause before the next watch, so that a burst of changes costs one call: a fifth of the shortest
+/// bound on lag (2 s). At 60 ms, 12 instances made 474 calls on a day with few changes, instead of
+/// 229.
 const WATCH_PAUSE: Duration = Duration::from_millis(400);
-/// Longest time for a list of all pages: ten times that of 3 MB over 10 Mbit/s. A store that is
-/// silent or stalls is noticed by the client's own limits on each page.
+/// Timeout of a list with all its pages: ten times the transfer time of 3 MB over 10 Mbit/s. A store
+/// that does not respond or stalls is detected by the store client's own timeouts for each page.
 const LIST_TIMEOUT: Duration = Duration::from_secs(25);
 
 /// The next call to the store.
@@ -37,7 +37,7 @@
 }
 
 impl Step {
-    /// Its name in metrics and log.
+    /// The label of the call in metrics and log lines.
     fn as_str(self) -> &'static str {
         match self {
             Step::List => "list",
@@ -46,7 +46,7 @@
     }
 }
 
-/// Runs until the process ends.
+/// Keeps the view current until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let InitialView { seed, has_view } = fetch_initial_view(&instance).await;
     let mut relays = RelayClient::with_seed(seed);
@@ -56,15 +56,15 @@
         if instance.store_copy.is_superseded() {
             next = Step::List;
         }
-        // Whom to follow is known with a first view.
+        // The members, and with them the relay, are unknown before the initial view.
         let has_view = instance.store_copy.view_age().is_some();
         if let Some(relay) = relays.select_relay(&instance).filter(|_| has_view) {
             relays.follow(&instance, relay).await;
-            // The relay's changes may be newer than those of the last list or watch.
+            // The relay's changes may be newer than the last list or watch, so that no list is needed.
             next = Step::Watch;
             continue;
         }
-        // What the last relay said of itself holds no longer.
+        // The state reported by the previous relay no longer applies.
         instance.store_copy.set_relay_receiving(false);
         let result = match next {
             Step::List => list(&instance).await,
@@ -85,10 +85,10 @@
     }
 }
 
-/// Lists all keys. Changes since its begin are for the watch that follows.
+/// Lists all keys. The watch that follows returns the changes made during the list.
 async fn list<P: Platform>(instance: &Instance<P>) -> Result<Step, StoreError> {
     instance.metrics.store_calls.with_label_values(&[Step::List.as_str()]).inc();
-    let requested_at = Instant::now();
+    let sent_at = Instant::now();
     let mut receipt = None;
     let begin = || receipt = Some(instance.store_copy.begin_receipt());
     let listed = timeout(LIST_TIMEOUT, instance.store.list(ALL_KEYS, begin)).await;
@@ -96,47 +96,48 @@
     instance.store_copy.mark_answered();
     let era = listing.at.era;
     instance.take_listing(listing, "list");
-    instance.store_copy.mark_current(Proof::List, requested_at.elapsed(), era);
+    instance.store_copy.mark_current(Proof::List, sent_at.elapsed(), era);
     Ok(Step::Watch)
 }
 
-/// Waits for changes, until a relay may be followed again. A watch that is lost looks like a
-/// quiet one, so it is begun anew once a read shows a change that it has not brought, and
-/// once the store is reachable after an outage. It ends once a later era is known, since
-/// its revision is not valid in that era.
+/// Waits for changes, until a relay may be followed again. A lost watch looks like one without
+/// changes, so the watch is restarted once a read shows a change that it has not delivered, and once
+/// the store is reachable after an outage. It ends once a later era is known, since its revision is
+/// not valid in that era.
 async fn watch<P: Platform>(instance: &Instance<P>, relay_retry_at: Option<Instant>) -> Result<Step, StoreError> {
     instance.metrics.store_calls.with_label_values(&[Step::Watch.as_str()]).inc();
-    let requested_at = Instant::now();
+    let sent_at = Instant::now();
     let after = instance.store_copy.view().at().revision;
     let mut receipt = None;
     let begin = || receipt = Some(instance.store_copy.begin_receipt());
-    let answer = tokio::select! {
+    let response = tokio::select! {
         biased;
-        answer = instance.store.watch(ALL_KEYS, after, WATCH_WAIT, begin) => answer?,
+        response = instance.store.watch(ALL_KEYS, after, WATCH_WAIT, begin) => response?,
         () = instance.store_copy.superseded() => return Ok(Step::List),
         () = wait_for_recovery(instance) => return Ok(Step::Watch),
         () = confirm::wait_until_watch_is_lost(instance) => return Ok(Step::Watch),
         () = wait_for_relay(instance, relay_retry_at) => return Ok(Step::Watch),
     };
     instance.store_copy.mark_answered();
-    match answer {
+    match response {
         Watched::HistoryGone => Ok(Step::List),
         Watched::Events { events, at } => {
             instance.take_events(events, at, "watch");
-            instance.store_copy.mark_current(Proof::Watch, requested_at.elapsed(), at.era);
+            instance.store_copy.mark_current(Proof::Watch, sent_at.elapsed(), at.era);
             if instance.store_copy.is_superseded() {
                 return Ok(Step::List);
             }
             let took = receipt.take().map_or(Duration::ZERO, |receipt| receipt.age());
-            // A slow answer has gathered changes meanwhile.
+            // Changes have accumulated while a slow response was received.
             sleep(WATCH_PAUSE.saturating_sub(took)).await;
             Ok(Step::Watch)
         }
     }
 }
 
-/// Completes once the store is reachable after an outage, unless an answer is under way: it
-/// would be begun anew from its first byte, and one that the outage broke ends by itself.
+/// Completes once the store is reachable after an outage, unless a response is being received: a
+/// restart would discard the part already received, and a response broken by the outage fails by
+/// itself.
 async fn wait_for_recovery<P: Platform>(instance: &Instance<P>) {
     loop {
         instance.store_copy.reachable_again().await;
@@ -146,8 +147,8 @@
     }
 }
 
-/// Completes at the time at which a relay may be followed again, or after the answer that is
-/// under way then; never where there is no such time.
+/// Completes at the time from which a relay may be followed again, or once a response that is being
+/// received at that time is complete; never without such a time.
 async fn wait_for_relay<P: Platform>(instance: &Instance<P>, relay_retry_at: Option<Instant>) {
     match relay_retry_at {
         Some(at) => sleep_until(at).await,
