--- a/src/sync/peers/change_set.rs
+++ b/src/sync/peers/change_set.rs
@@ -1,8 +1,8 @@
-//! The changes of the store as peers exchange them: the JSON form, and its translation
-//! from and to events of the store.
+//! The wire format of store changes between peers: JSON, and its conversion from and to events of the
+//! store.
 //!
-//! Owns the names on the wire, which must stay: instances of two versions run side by
-//! side during an update. Relies on the shared state to apply changes.
+//! Owns the JSON names, which must stay: instances of two versions run side by side during an update.
+//! Relies on the shared state to apply changes.
 
 use crate::platform::Platform;
 use crate::state::Instance;
@@ -25,12 +25,12 @@
     source: base64::DecodeError,
 }
 
-/// One change.
+/// A change of one key.
 #[derive(Debug, Serialize, Deserialize)]
 struct WireChange {
     key: String,
     revision: u64,
-    /// Base64; absent where the key was removed.
+    /// Base64; absent if the key was deleted.
     #[serde(default, skip_serializing_if = "Option::is_none")]
     value: Option<String>,
 }
@@ -58,17 +58,17 @@
     }
 }
 
-/// The position up to which a peer that asks has the changes, as given in its question.
+/// The position up to which the requesting peer has the changes, as given in its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PeerPosition {
-    /// The revision.
+    /// The revision; 0 if the peer has no view.
     pub revision: u64,
-    /// The era of the revision; `None` if the question gives none, as from a peer of an older
-    /// version. Other than 0, the revision is then taken to be of the answering instance's era.
+    /// The era of the revision; `None` if the request gives none, as from a peer of an older version.
+    /// A revision other than 0 then counts as one of the serving instance's era.
     pub era: Option<Era>,
 }
 
-/// The answer to a peer that asks what changed after a revision.
+/// The changes after a position, as sent to a peer.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct ChangeSet {
     /// The revision up to which the sender's view is complete.
@@ -78,31 +78,29 @@
     /// from a sender of an older version.
     #[serde(default, skip_serializing_if = "Era::is_unknown")]
     era: Era,
-    /// Milliseconds since the sender's view was last proven current; absent where it
-    /// never was.
+    /// Milliseconds since the sender's view was last proven current; absent if it never was.
     #[serde(rename = "age_ms", default, skip_serializing_if = "Option::is_none")]
     view_age_ms: Option<u64>,
-    /// Milliseconds since the sender saw the store recover from an outage; absent where
-    /// there was none.
+    /// Milliseconds since the sender saw the store recover from an outage; absent if it saw none.
     #[serde(rename = "returned_ms", default, skip_serializing_if = "Option::is_none")]
     recovery_age_ms: Option<u64>,
-    /// Whether the events are all items rather than changes.
+    /// Whether the events are all items of the view rather than changes.
     #[serde(rename = "whole")]
     is_full: bool,
     events: Vec<WireChange>,
-    /// Time since the ages were worked out, as the receiver measured it.
+    /// Time since the ages were computed, as measured by the receiver.
     #[serde(skip)]
     delay: Duration,
 }
 
 impl ChangeSet {
-    /// What changed in an instance's view after a peer's position; the full view where those
-    /// changes are no longer kept, or the peer's position is of an earlier era. A peer with a later
-    /// era gets no events, since it rejects those of an earlier one.
+    /// The changes of an instance's view after a peer's position; the full view if those changes are
+    /// no longer kept or the peer's position is of an earlier era. A peer with a later era gets no
+    /// events, since it rejects those of an earlier one.
     pub fn after<P: Platform>(instance: &Instance<P>, after: PeerPosition) -> Self {
         let view = instance.store_copy.view();
         let Position { era, revision } = view.at();
-        // An empty view can enter an era only by a full view.
+        // An empty view can move to an era only by a full view.
         let needs_full_view = after.revision == 0 && !era.is_unknown();
         let is_same_era = after.era.map_or(!needs_full_view, |after| after == era);
         let (is_full, events) = match view.changes_after(after.revision).filter(|_| is_same_era) {
@@ -121,12 +119,12 @@
         }
     }
 
-    /// The JSON form.
+    /// The JSON body of a response.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).expect("changes are plain strings")
     }
 
-    /// The same changes, received `delay` after their ages were worked out.
+    /// The same changes, received `delay` after their ages were computed.
     pub fn with_delay(self, delay: Duration) -> Self {
         Self { delay, ..self }
     }
@@ -136,22 +134,23 @@
         Position { era: self.era, revision: self.revision }
     }
 
-    /// Age of the sender's view as the sender gave it.
+    /// Age of the sender's view when the sender computed it; `None` if it was never proven current.
     pub fn reported_age(&self) -> Option<Duration> {
         self.view_age_ms.map(Duration::from_millis)
     }
 
-    /// Time since the sender's view was last proven current.
+    /// Time since the sender's view was last proven current; `None` if it never was.
     pub fn view_age(&self) -> Option<Duration> {
         self.reported_age().map(|age| age + self.delay)
     }
 
     /// Applies the changes to an instance's view, and records the age of the sender's view as proof
-    /// that it is current. Older changes, and changes and proofs from an earlier era, are ignored.
+    /// that it was current. Older changes, and changes and proofs from an earlier era, are ignored.
+    /// `source` names the sender in log lines.
     ///
     /// # Errors
-    /// `ChangeError` where a change cannot be decoded; none is then applied, but a
-    /// recovery of the store that the sender saw is recorded all the same.
+    /// [`ChangeError`] if a change cannot be decoded. No change is applied then, but the sender's
+    /// latest era and a recovery of the store that it saw are recorded all the same.
     pub fn apply<P: Platform>(
         self,
         instance: &Instance<P>,
@@ -181,8 +180,7 @@
     age.as_millis() as u64
 }
 
-/// The item of an event. A full view has no removals: a key that is not among its items
-/// does not exist.
+/// The item of a put. A full view has no deletions: a key that is not among its items does not exist.
 fn item(event: Event) -> Option<Item> {
     match event {
         Event::Put(item) => Some(item),
--- a/src/sync/peers/connection.rs
+++ b/src/sync/peers/connection.rs
@@ -1,8 +1,8 @@
-//! A connection to a peer, over which it is asked for changes.
+//! A connection to a peer, for requests for changes and for posts of reports.
 //!
-//! Owns the connection, and how long a peer may be silent. A large answer over a slow
-//! link is not silence: it is read for as long as it comes along. Relies on
-//! [`crate::net::whole_body`] for that, and on [`crate::net::gzip`].
+//! Owns the connection and its timeouts. A large response over a slow link does not count as stalled
+//! while bytes keep arriving. Relies on [`crate::net::whole_body`] for that, and on
+//! [`crate::net::gzip`].
 
 use super::{CHANGES_PATH, COMPUTED_AFTER_HEADER, ChangeSet, RECEIVING_HEADER};
 use crate::clock::{Instant, timeout};
@@ -23,36 +23,37 @@
 use thiserror::Error;
 use tokio::task::AbortHandle;
 
-/// Longest time to open a connection, to begin an answer beyond the wait asked for, and without a
-/// byte of one that has begun. With the wait of 0.7 s of a relay it makes 1.3 s, after which a view
-/// is stale.
+/// Maximum time to open a connection, until a response starts after the requested wait, and without
+/// a byte of a response that has started. With the wait of 0.7 s at a relay it makes 1.3 s, after
+/// which a view is stale.
 const STALL_TIMEOUT: Duration = Duration::from_millis(600);
-/// Largest body of an answer, bytes: several times the largest view (some 4 MB at 3,000 targets).
+/// Maximum response body, bytes: several times the largest view (about 4 MB at 3,000 targets).
 const MAX_RESPONSE_SIZE: usize = 12 << 20;
 
-/// Largest answer to a body that was posted, bytes: some thousand tenants.
+/// Maximum response body to a post, bytes: enough for some thousand tenants.
 const MAX_POST_RESPONSE_SIZE: usize = 64 << 10;
 
-/// Why a peer gave no changes.
+/// Why a request to a peer failed.
 #[derive(Debug, Error)]
 pub enum PeerError {
-    /// No byte of an answer came in time.
-    #[error("the peer did not answer in time")]
+    /// The connection was not opened, or no response started, in time.
+    #[error("the peer did not respond in time")]
     NoResponse,
-    /// An answer began and did not come along.
-    #[error("the peer's answer came too slowly: {received} bytes came in time, but not the end")]
+    /// A response started but was not complete in time, or stalled.
+    #[error("the peer's response was not complete in time: {received} bytes were received")]
     ResponseTimedOut {
-        /// Bytes of the body that had come.
+        /// Bytes of the body that were received.
         received: usize,
     },
-    /// The connection broke or could not be made.
-    #[error("the connection to the peer broke: {0}")]
+    /// The connection failed or could not be opened, the response is too large, or a post got a
+    /// status other than 200. Holds the cause.
+    #[error("the request to the peer failed: {0}")]
     ConnectionFailed(String),
-    /// The answer is not a set of changes.
-    #[error("the peer's answer cannot be read: {0}; check the peer's version")]
+    /// The response is not a valid [`ChangeSet`].
+    #[error("the peer's response is invalid: {0}; check the peer's version")]
     InvalidResponse(#[source] serde_json::Error),
-    /// The answer cannot be decompressed.
-    #[error("the peer's answer cannot be read: {0}")]
+    /// The response cannot be decompressed.
+    #[error("the peer's response is invalid: {0}")]
     InvalidCompression(#[from] GzipError),
 }
 
@@ -66,9 +67,9 @@
     }
 }
 
-/// A connection to a peer. Dropped, it is closed.
+/// A connection to a peer; closed when dropped.
 pub struct PeerConnection {
-    /// Where the peer listens.
+    /// The address on which the peer listens for peers.
     pub peer: SocketAddr,
     sender: SendRequest<Full<Bytes>>,
     driver: AbortHandle,
@@ -88,7 +89,7 @@
     /// Connects to a peer.
     ///
     /// # Errors
-    /// [`PeerError`] where it cannot be reached in time.
+    /// [`PeerError`] if it cannot be reached in time.
     pub async fn open(peer: SocketAddr) -> Result<Self, PeerError> {
         let opened = timeout(STALL_TIMEOUT, dial::connect(peer)).await.map_err(|_| PeerError::NoResponse)?;
         let (sender, connection) =
@@ -97,11 +98,11 @@
         Ok(Self { peer, sender, driver })
     }
 
-    /// Posts a body to a path; gives the body of the answer, of `MAX_POST_RESPONSE_SIZE` at most. All of it
-    /// takes `limit` at most.
+    /// Posts a body to a path within `limit`; returns the body of the response, which may have
+    /// `MAX_POST_RESPONSE_SIZE` at most.
     ///
     /// # Errors
-    /// [`PeerError`]; the link cannot be used again.
+    /// [`PeerError`]; the connection cannot be used again.
     pub async fn post(&mut self, path: &str, body: Bytes, limit: Duration) -> Result<Bytes, PeerError> {
         let host = self.peer.to_string();
         let request = Request::post(path).header(HOST, host).body(Full::new(body)).map_err(connection_failed)?;
@@ -109,18 +110,18 @@
         let head = timeout(limit, self.sender.send_request(request)).await;
         let response = head.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
         if response.status() != StatusCode::OK {
-            return Err(connection_failed(format!("it answered {}", response.status())));
+            return Err(connection_failed(format!("status {}", response.status())));
         }
         let total = deadline.saturating_duration_since(Instant::now());
         let limits = ReadLimits { stall: total, total, size: MAX_POST_RESPONSE_SIZE };
         Ok(read_whole(response.into_body(), limits).await?)
     }
 
-    /// Asks for changes after this instance's position; the peer waits up to `wait` for one. The
-    /// answer has begun when this returns.
+    /// Requests the changes after this instance's position; the peer waits up to `wait` for one.
+    /// Returns once the head of the response has arrived.
     ///
     /// # Errors
-    /// [`PeerError`]; the link cannot be used again.
+    /// [`PeerError`]; the connection cannot be used again.
     pub async fn request_changes(&mut self, request: PeerRequest, wait: Duration) -> Result<PeerResponse, PeerError> {
         let request = Request::builder()
             .uri(request.uri(wait))
@@ -128,14 +129,14 @@
             .header(ACCEPT_ENCODING, GZIP)
             .body(Full::default())
             .map_err(connection_failed)?;
-        let requested_at = Instant::now();
+        let sent_at = Instant::now();
         let head = timeout(wait + STALL_TIMEOUT, self.sender.send_request(request)).await;
         let response = head.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
-        Ok(PeerResponse { response, requested_at, response_started_at: Instant::now() })
+        Ok(PeerResponse { response, sent_at, response_started_at: Instant::now() })
     }
 }
 
-/// A question to a peer for changes.
+/// A request to a peer for changes.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PeerRequest {
     /// The position up to which this instance has the changes.
@@ -145,12 +146,12 @@
 }
 
 impl PeerRequest {
-    /// Asks for the changes that a copy of the store lacks.
+    /// A request for the changes that a copy of the store lacks.
     pub fn for_copy(copy: &StoreCopy) -> Self {
         Self { after: copy.view().at(), latest_era: copy.latest_era().get() }
     }
 
-    /// Path and query. The eras are omitted if the store reports none.
+    /// Path and query of the request. The eras are omitted if the store reports none.
     pub fn uri(self, wait: Duration) -> String {
         let Self { after: Position { era, revision }, latest_era } = self;
         let eras = match latest_era.is_unknown() {
@@ -161,24 +162,23 @@
     }
 }
 
-/// The answer of a peer, of which the head has come.
+/// A peer's response whose head has arrived.
 pub struct PeerResponse {
     response: Response<Incoming>,
-    requested_at: Instant,
+    sent_at: Instant,
     response_started_at: Instant,
 }
 
 impl PeerResponse {
-    /// Whether the peer's view is stale, but an answer with changes is under way to it.
+    /// Whether the peer or its relay is receiving a response with changes.
     pub fn is_receiving(&self) -> bool {
         self.response.headers().contains_key(RECEIVING_HEADER)
     }
 
-    /// Reads the changes, for `total` at most. Their ages include the time that the
-    /// answer was under way.
+    /// Reads the changes, for `total` at most. Their ages include the transfer time of the response.
     ///
     /// # Errors
-    /// [`PeerError`]; the link cannot be used again.
+    /// [`PeerError`]; the connection cannot be used again.
     pub async fn read(self, total: Duration) -> Result<ChangeSet, PeerError> {
         let (head, body) = self.response.into_parts();
         let limits = ReadLimits { stall: STALL_TIMEOUT, total, size: MAX_RESPONSE_SIZE };
@@ -187,16 +187,16 @@
             body = gzip::decompress(&body)?;
         }
         let changes: ChangeSet = serde_json::from_slice(&body).map_err(PeerError::InvalidResponse)?;
-        Ok(changes.with_delay(time_since_computed(&head.headers, self.requested_at, self.response_started_at)))
+        Ok(changes.with_delay(time_since_computed(&head.headers, self.sent_at, self.response_started_at)))
     }
 }
 
-/// Upper bound on the time since the peer worked out the ages in its answer. A peer of an
-/// older version does not say when it did; the time since the answer began then stands
-/// for it, which leaves out that of the head on its way.
-fn time_since_computed(headers: &HeaderMap, requested_at: Instant, response_started_at: Instant) -> Duration {
+/// Upper bound on the time since the peer computed the ages in its response. A peer of an older
+/// version does not report when it did so. The time since the head arrived is then used, which leaves
+/// out the latency of the head.
+fn time_since_computed(headers: &HeaderMap, sent_at: Instant, response_started_at: Instant) -> Duration {
     let reported = headers.get(COMPUTED_AFTER_HEADER).and_then(|value| value.to_str().ok()?.parse::<i64>().ok());
     let Some(after_ms) = reported else { return response_started_at.elapsed() };
     let after = Duration::from_millis(after_ms.unsigned_abs());
-    if after_ms < 0 { requested_at.elapsed() + after } else { requested_at.elapsed().saturating_sub(after) }
+    if after_ms < 0 { sent_at.elapsed() + after } else { sent_at.elapsed().saturating_sub(after) }
 }
--- a/src/sync/peers/invalid_response_log.rs
+++ b/src/sync/peers/invalid_response_log.rs
@@ -1,23 +1,23 @@
-//! Log lines for answers of peers that cannot be read.
+//! Log lines for invalid responses of peers.
 //!
-//! Owns the bound on such lines; the caller decides what follows from the answer.
+//! Owns the rate limit of these lines; the caller handles the error.
 
 use crate::clock::Instant;
 use std::fmt::Display;
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Time between lines: a peer of another version would give one with every answer.
+/// Minimum time between two lines: a peer of another version would cause one with every response.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
 
-/// Logs unreadable answers, at most once each `LOG_INTERVAL`.
+/// Logs invalid responses, at most once per `LOG_INTERVAL`.
 #[derive(Debug, Default)]
 pub struct InvalidResponseLog {
     logged_at: Option<Instant>,
 }
 
 impl InvalidResponseLog {
-    /// Logs that the answer of `peer` cannot be read, unless a line was written lately.
+    /// Logs that the response of `peer` is invalid, unless a line was written within `LOG_INTERVAL`.
     pub fn log(&mut self, peer: SocketAddr, error: &impl Display) {
         let now = Instant::now();
         if self.logged_at.is_some_and(|logged_at| now.duration_since(logged_at) < LOG_INTERVAL) {
--- a/src/sync/peers/mod.rs
+++ b/src/sync/peers/mod.rs
@@ -1,17 +1,16 @@
-//! Changes of the store exchanged between instances, so that one instance of a hall
-//! watches for all, and an instance whose view is stale receives them from any peer,
-//! whatever holds them up: the store, its relay, or a link that carries a large answer
-//! slowly.
+//! The exchange of store changes between instances. Through it one instance of a hall watches the
+//! store for all, and an instance whose view is stale gets the changes from any peer, whatever the
+//! cause: the store, its relay, or a slow link with a large response.
 //!
-//! | file | its job |
+//! | module | purpose |
 //! |---|---|
-//! | `change_set` | the form of the changes on the wire |
+//! | `change_set` | the wire format of the changes |
 //! | `connection` | a connection to a peer |
-//! | `serve`, `response_cache` | answers to peers |
-//! | `invalid_response_log` | the bounded log of answers that cannot be read |
+//! | `serve`, `response_cache` | responses to peers |
+//! | `invalid_response_log` | rate-limited log lines for invalid responses |
 //!
-//! Owns the task that asks peers while the view is stale. Relies on the list of members in the
-//! view, or on the settings' seeds, for addresses.
+//! Owns the task that requests changes from peers while the view is stale. Relies on the members in
+//! the view and on the seeds in the settings for addresses.
 
 mod change_set;
 mod connection;
@@ -38,23 +37,25 @@
 
 /// Path at which an instance serves its changes.
 pub const CHANGES_PATH: &str = "/changes";
-/// Header of an answer: milliseconds from the question's arrival until the ages in the
-/// body were worked out, so that who asked knows how old they are on arrival.
+/// Response header: milliseconds from the arrival of the request until the ages in the body were
+/// computed, so that the receiver can tell how old they are; negative for a cached body that was
+/// computed before.
 pub const COMPUTED_AFTER_HEADER: &str = "computed-after-ms";
-/// Header of an answer whose sender's view is stale, but is receiving changes.
+/// Response header, present while the sender or its relay is receiving a response with changes.
 pub const RECEIVING_HEADER: &str = "receiving-changes";
-/// Time between questions to random peers while the view is stale: with the 1.3 s until it is,
-/// below the shortest bound on lag (2 s).
+/// Time between requests to random peers while the view is stale: together with the 1.3 s after which
+/// it is stale, below the shortest bound on lag (2 s).
 const PEER_POLL_INTERVAL: Duration = Duration::from_millis(400);
 
-/// Longest time for a random peer's answer, after which another is asked: an answer that is
-/// compressed takes a tenth on a link of 10 Mbit/s.
+/// Timeout of a random peer's complete response, after which another peer is asked: a compressed
+/// response takes a tenth of it on a link of 10 Mbit/s.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(2);
 
-/// Asks random peers for changes while the view is stale, until the process ends.
+/// Requests changes from random peers while the view is stale, until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let mut invalid_responses = InvalidResponseLog::default();
-    // At first seeds are asked for a current view; a stale one is better than none only then.
+    // During the start, `sync::start` requests a current view from the seeds; only after that is a
+    // stale view accepted.
     sleep(SEED_TIMEOUT).await;
     loop {
         sleep(PEER_POLL_INTERVAL).await;
@@ -64,8 +65,8 @@
         let Some(peer) = random_peer(&instance) else { continue };
         match fetch_changes(&instance, peer).await {
             Ok(()) => {}
-            // Seeds and members may be gone or cut off as well; another peer is asked
-            // next, and the loss of the store has its own line.
+            // Not logged: seeds and members may have stopped or be unreachable as well, another peer is
+            // asked next, and the loss of the store is logged elsewhere.
             Err(FetchError::Peer(
                 PeerError::NoResponse | PeerError::ResponseTimedOut { .. } | PeerError::ConnectionFailed(_),
             )) => {}
@@ -74,18 +75,19 @@
     }
 }
 
-/// Why a peer's changes were not taken.
+/// Why a peer's changes were not applied.
 #[derive(Debug, Error)]
 pub enum FetchError {
-    /// It gave none.
+    /// The request failed.
     #[error(transparent)]
     Peer(#[from] PeerError),
-    /// One of them cannot be decoded.
+    /// A change cannot be decoded.
     #[error(transparent)]
     Change(#[from] ChangeError),
 }
 
-/// Asks a peer once. Its proof that the view is current counts only with its changes.
+/// Requests changes from a peer once. The peer's proof that its view is current is recorded only once
+/// its changes are applied.
 async fn fetch_changes<P: Platform>(instance: &Instance<P>, peer: SocketAddr) -> Result<(), FetchError> {
     let request = PeerRequest::for_copy(&instance.store_copy);
     let mut connection = PeerConnection::open(peer).await?;
@@ -94,7 +96,7 @@
     Ok(changes.apply(instance, "peer", Proof::Peer)?)
 }
 
-/// A random peer: a member of the view or a seed.
+/// The address of a random peer, a member in the view or a seed; `None` if there are none.
 fn random_peer<P: Platform>(instance: &Instance<P>) -> Option<SocketAddr> {
     let settings = instance.settings();
     let mut peers = instance.routing.borrow().peer_addresses(&settings.name);
--- a/src/sync/peers/response_cache.rs
+++ b/src/sync/peers/response_cache.rs
@@ -1,7 +1,7 @@
-//! The last large answer to a peer, compressed, for the other peers that ask the same: the
-//! followers of a relay have the same revision and ask at the same time.
+//! Caches the last large response to a peer, compressed, for other peers with the same request: the
+//! followers of a relay have the same revision and send their requests at the same time.
 //!
-//! Owns that one answer. Relies on [`super::ChangeSet`] for its content.
+//! Owns that response. Relies on [`super::ChangeSet`] for its content.
 
 use super::{ChangeSet, PeerPosition};
 use crate::clock::Instant;
@@ -13,22 +13,22 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// Time for which an answer is given again: its ages grow by it. The followers of a relay ask
-/// within milliseconds of one another.
+/// Time for which a response is reused; its receivers add the time since its ages were computed. The
+/// followers of a relay send their requests within milliseconds of one another.
 const CACHE_TTL: Duration = Duration::from_millis(300);
 
-/// A body for a peer.
+/// The body of a response to a peer.
 #[derive(Clone)]
 pub struct ChangesBody {
-    /// JSON, compressed or not.
+    /// JSON, compressed with gzip if `is_compressed`.
     pub bytes: Bytes,
-    /// Whether it is compressed.
+    /// Whether `bytes` is compressed.
     pub is_compressed: bool,
-    /// When the ages in it were worked out.
+    /// When the ages in the body were computed.
     pub computed_at: Instant,
 }
 
-/// The last compressed answer.
+/// The last compressed response, with the request and the view that it belongs to.
 #[derive(Default)]
 pub struct ResponseCache {
     last: RefCell<Option<Cached>>,
@@ -41,7 +41,7 @@
 }
 
 impl ResponseCache {
-    /// The changes after a peer's position, compressed where that is worth it.
+    /// The changes after a peer's position, compressed from `gzip::MIN_SIZE` on.
     pub fn compressed<P: Platform>(&self, instance: &Instance<P>, after: PeerPosition) -> ChangesBody {
         let at = instance.store_copy.view().at();
         if let Some(body) = self.find(after, at) {
--- a/src/sync/peers/serve.rs
+++ b/src/sync/peers/serve.rs
@@ -1,7 +1,7 @@
-//! Answers to peers that ask for changes: a long poll.
+//! Serves changes to peers by long polling.
 //!
-//! Owns the bound on its wait, and the last large answer. Relies on the notifications of
-//! the view in [`crate::state`].
+//! Owns the bound on the wait. Relies on the notifications of the view in [`crate::state`], and on
+//! [`super::response_cache`] for large responses.
 
 use super::PeerPosition;
 use super::response_cache::{ChangesBody, ResponseCache};
@@ -13,32 +13,32 @@
 use crate::sync::RECEIVING_POLL_INTERVAL;
 use std::time::Duration;
 
-/// Longest time that a question waits for changes: above the 0.7 s for which relays are asked;
-/// protects the instance that answers.
+/// Maximum wait of a request for changes: above the 0.7 s requested from relays; limits how long
+/// a request occupies the serving instance.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// A peer's question.
+/// A peer's request for changes.
 #[derive(Clone, Copy, Debug)]
 pub struct ChangesRequest<'a> {
-    /// The query of its URI.
+    /// The query of the request URI.
     pub query: &'a str,
-    /// Whether the peer reads compressed answers.
+    /// Whether the peer accepts a compressed response.
     pub accepts_gzip: bool,
 }
 
-/// An answer to a peer.
+/// A response to a peer.
 pub struct ChangesResponse {
-    /// The body.
+    /// The changes.
     pub body: ChangesBody,
-    /// Time from the question until its ages were worked out, milliseconds; below 0 where
-    /// the answer had been made for another peer before.
+    /// Milliseconds from the arrival of the request until the ages in the body were computed; negative
+    /// if the body was cached for another peer before.
     pub computed_after_ms: i64,
-    /// Whether an answer with changes is under way to this instance.
+    /// Whether this instance, or its relay, is receiving a response with changes.
     pub is_receiving: bool,
 }
 
-/// Answers a peer as soon as the view changes, is confirmed to be current or turns stale,
-/// or once the wait that the peer asked for is over.
+/// Responds to a peer as soon as the view is beyond the peer's position, is confirmed to be current or
+/// turns stale, or once the requested wait is over.
 pub async fn serve_changes<P: Platform>(
     instance: &Instance<P>,
     cache: &ResponseCache,
@@ -47,13 +47,13 @@
     let received_at = Instant::now();
     let query = ChangesQuery::parse(request.query);
     instance.store_copy.latest_era().observe(query.latest_era);
-    // A confirmation is passed on at once, so that it crosses each level of the relay
-    // tree without another wait.
+    // A confirmation is passed on at once, so that it passes each level of the relay tree without
+    // another wait.
     let confirmed = instance.store_copy.confirmed();
     tokio::select! {
         _ = timeout(query.wait.min(MAX_WAIT), wait_for_change(instance, query.after)) => {}
         () = confirmed => {}
-        // The peer then follows another relay.
+        // The peer can then follow another relay.
         () = wait_until_stale(instance) => {}
     }
     let body = match request.accepts_gzip {
@@ -64,11 +64,11 @@
     ChangesResponse { body, computed_after_ms, is_receiving: instance.store_copy.is_receiving() }
 }
 
-/// From one moment to another; below 0 where the other came first.
+/// Milliseconds from one instant to another; negative if `to` is earlier.
 fn milliseconds_between(from: Instant, to: Instant) -> i64 {
     let after = to.saturating_duration_since(from).as_millis() as i64;
     let before = from.saturating_duration_since(to);
-    // Rounded up, so that no age becomes younger.
+    // Rounded up, so that the receiver computes no age below the true one.
     if before.is_zero() { after } else { -(before.as_millis() as i64 + 1) }
 }
 
@@ -84,9 +84,8 @@
     }
 }
 
-/// Waits until the view is stale and no answer with changes is under way to it: while one
-/// is, no other relay would have them sooner. An instance that has just started has no view
-/// yet; whoever asks for its first one waits for it.
+/// Waits until the view is stale and no response with changes is being received: while one is, no
+/// other relay would have them sooner. Before the initial view of an instance, requests wait for it.
 async fn wait_until_stale<P: Platform>(instance: &Instance<P>) {
     loop {
         let Some(age) = instance.store_copy.view_age() else {
@@ -102,19 +101,19 @@
     }
 }
 
-/// What a peer asks for.
+/// The parsed query of a request.
 struct ChangesQuery {
-    /// The position up to which it has the changes.
+    /// The position up to which the peer has the changes.
     after: PeerPosition,
-    /// The latest era known to it.
+    /// The latest era known to the peer.
     latest_era: Era,
-    /// Longest time to wait for more.
+    /// How long the peer asks to wait for changes.
     wait: Duration,
 }
 
 impl ChangesQuery {
-    /// Reads a query. A missing or broken number counts as 0 and is not logged: the
-    /// answer is then the full view at once, which is correct for every peer.
+    /// Parses a query. A missing or invalid number counts as 0 and is not logged: the response is then
+    /// the full view at once, which is correct for every peer.
     fn parse(query: &str) -> Self {
         let parameter = |name: &str| {
             let found = url::form_urlencoded::parse(query.as_bytes()).find(|(other, _)| other == name);
