--- a/src/decision/failure/retry.rs
+++ b/src/decision/failure/retry.rs
@@ -22,8 +22,8 @@
 //! emptied either way. On average the instances together still send as many, 32 at once for a slack
 //! of 64; the probability that 410 instances send more than 64 at once is below 1 in 100,000.
 //!
-//! **Test**: `second_tries_stay_within_ratio_and_savings` and
-//! `members_share_half_of_the_slack_and_four_fifths_of_the_ratio` in `tests/logic.rs`;
+//! **Test**: `retries_stay_within_the_ratio_of_the_budget` and
+//! `members_share_half_of_the_retry_slack_and_four_fifths_of_the_ratio` in `tests/logic.rs`;
 //! `tests/retry_budgets.rs`; `standins/tests/retry_budget.rs`.
 
 use std::collections::HashMap;
--- a/src/decision/selection/split.rs
+++ b/src/decision/selection/split.rs
@@ -16,9 +16,9 @@
 //! **Guards** the promise that a split keeps its shares, within 0.1 over steady periods of 300
 //! requests or more of all instances together.
 //!
-//! **Test**: `a_split_keeps_its_shares_whatever_objects_come`,
+//! **Test**: `a_split_keeps_its_shares_for_any_sequence_of_objects`,
 //! `keys_of_a_split_stay_with_their_service_while_its_weight_grows` and
-//! `a_part_with_no_weight_gets_nothing` in `tests/logic.rs`.
+//! `a_service_with_zero_weight_gets_no_requests` in `tests/logic.rs`.
 
 use crate::hash::unit_interval;
 use crate::model::config::{Route, WeightedService};
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -1,4 +1,5 @@
-//! The pure parts of an instance against naive versions.
+//! Property tests of an instance's pure functions against naive implementations: the view of the store,
+//! routes, traffic splits, retry budgets and the relay tree; and tests of the settings and of backoff.
 
 mod scene;
 
@@ -13,7 +14,7 @@
 use scene::{config, route};
 use std::collections::BTreeMap;
 
-// The view of the store against a plain replay.
+// The view of the store against a replay of its history.
 
 #[derive(Clone, Debug)]
 enum Change {
@@ -25,7 +26,7 @@
     prop_oneof![3 => (0u8..6).prop_map(Change::Put), 1 => (0u8..6).prop_map(Change::Remove)]
 }
 
-/// The history of a store: after each revision, its events and its items.
+/// The history of a store: the events in order, and the items after each revision.
 struct History {
     events: Vec<Event>,
     states: Vec<BTreeMap<String, Item>>,
@@ -59,8 +60,8 @@
 }
 
 proptest! {
-    /// Watches, lists, late lists and peers in any order: the view is always
-    /// exactly the store at some revision, and never goes back.
+    /// After watches, lists, late lists and changes from a peer in any order, the view equals the store
+    /// at some revision, and its revision never decreases.
     #[test]
     fn the_view_is_the_store_at_a_revision_and_never_goes_back(
         changes in prop::collection::vec(change(), 1..40),
@@ -69,19 +70,20 @@
         let history = replay(&changes);
         let last = changes.len() as u64;
         let (mut view, mut peer) = (StoreView::default(), StoreView::default());
-        for (kind, part) in steps {
+        for (kind, fraction) in steps {
             let before = view.at().revision;
-            let some = (part * (last + 1) as f64) as u64;
+            let revision = (fraction * (last + 1) as f64) as u64;
             let listing = |at: u64| Listing { items: history.states[at as usize].values().cloned().collect(), at: at.into() };
             let events = |after: u64, to: u64| history.events[after as usize..to.max(after) as usize].to_vec();
             match kind {
-                0 => { view.replace(listing(some)); }
-                1 => { let to = some.max(before); view.apply(events(before, to), to.into()); }
-                2 => { peer.replace(listing(some)); }
+                0 => { view.replace(listing(revision)); }
+                1 => { let to = revision.max(before); view.apply(events(before, to), to.into()); }
+                2 => { peer.replace(listing(revision)); }
                 _ => {
-                    let told: Option<Vec<Event>> = peer.changes_after(before).map(|told| told.cloned().collect());
-                    match told {
-                        Some(told) => { view.apply(told, peer.at()); }
+                    let peer_changes: Option<Vec<Event>> =
+                        peer.changes_after(before).map(|events| events.cloned().collect());
+                    match peer_changes {
+                        Some(peer_changes) => { view.apply(peer_changes, peer.at()); }
                         None => { view.replace(Listing { items: peer.items().cloned().collect(), at: peer.at() }); }
                     }
                 }
@@ -91,7 +93,7 @@
         }
     }
 
-    /// The longest prefix of the host wins, as in a search of all routes.
+    /// The route of the host with the longest matching prefix is found, as by a search of all routes.
     #[test]
     fn a_route_is_found_as_a_naive_search_finds_it(
         prefixes in prop::collection::btree_set(("[ab]", "(/[xy]){0,3}/"), 1..12),
@@ -110,10 +112,9 @@
         prop_assert_eq!(found.map(|key| config.route(key).name.clone()), naive);
     }
 
-    /// Whatever objects come, the counted shares of a split stay near its
-    /// weights.
+    /// Each service of a split gets a share of the requests near its weight, whatever their objects.
     #[test]
-    fn a_split_keeps_its_shares_whatever_objects_come(
+    fn a_split_keeps_its_shares_for_any_sequence_of_objects(
         weight in 0.05f64..0.95,
         objects in prop::collection::vec(any::<u64>(), 8..60),
     ) {
@@ -129,30 +130,30 @@
             ones += usize::from(&*weighted.service == "one");
         }
         let share = ones as f64 / 2_000.0;
-        prop_assert!((share - weight).abs() < 0.2, "{} of {}", share, weight);
+        prop_assert!((share - weight).abs() < 0.2, "a share of {} at a weight of {}", share, weight);
     }
 
-    /// Second tries never exceed the ratio and what was saved.
+    /// Retries never exceed the ratio of the retry budget.
     #[test]
-    fn second_tries_stay_within_ratio_and_savings(asks in prop::collection::vec(any::<bool>(), 1..500)) {
+    fn retries_stay_within_the_ratio_of_the_budget(attempts in prop::collection::vec(any::<bool>(), 1..500)) {
         let mut budget = RetryBudget::new(0.1, 5.0);
-        let (mut requests, mut tries) = (0u32, 0u32);
-        for wants in asks {
+        let (mut requests, mut retries) = (0u32, 0u32);
+        for wants_retry in attempts {
             budget.deposit();
             requests += 1;
-            if wants && budget.withdraw(0.0) {
-                tries += 1;
+            if wants_retry && budget.withdraw(0.0) {
+                retries += 1;
             }
-            prop_assert!(f64::from(tries) <= 0.1 * f64::from(requests) + 1e-6);
+            prop_assert!(f64::from(retries) <= 0.1 * f64::from(requests) + 1e-6);
         }
     }
 }
 
 proptest! {
-    /// Every instance but the first has a relay before it, and none has more
-    /// followers than it can tell.
+    /// Every instance but the first follows a relay before it, and no instance has more followers than
+    /// `FOLLOWERS_PER_RELAY`.
     #[test]
-    fn the_tree_of_a_hall_is_bounded_and_has_no_circle(count in 1usize..400) {
+    fn the_relay_tree_of_a_hall_is_bounded_and_has_no_cycle(count in 1usize..400) {
         let mut followers = vec![0; count];
         for position in 0..count {
             let path: Vec<usize> = ancestors(position).collect();
@@ -169,9 +170,9 @@
 }
 
 #[test]
-fn members_share_half_of_the_slack_and_four_fifths_of_the_ratio() {
-    for (slack, members, saved) in [(64.0, 1, 32.0), (64.0, 4, 8.0), (64.0, 0, 32.0), (0.0, 3, 0.0)] {
-        assert_eq!(max_balance(slack, members), saved, "slack {slack}, {members} members");
+fn members_share_half_of_the_retry_slack_and_four_fifths_of_the_ratio() {
+    for (slack, members, balance) in [(64.0, 1, 32.0), (64.0, 4, 8.0), (64.0, 0, 32.0), (0.0, 3, 0.0)] {
+        assert_eq!(max_balance(slack, members), balance, "slack {slack}, {members} members");
     }
     let mut budget = member_budget(0.2, 64.0, 4);
     let retries = (0..1_000)
@@ -196,16 +197,16 @@
         TrafficSplits::default().peek(&split, key).service.to_string()
     };
     let at_one = |weight: f64| (0..4_000).filter(|key| service_of(weight, *key) == "one").collect::<Vec<u64>>();
-    let (few, more) = (at_one(0.3), at_one(0.5));
-    for (keys, weight) in [(&few, 0.3), (&more, 0.5)] {
+    let (before, after) = (at_one(0.3), at_one(0.5));
+    for (keys, weight) in [(&before, 0.3), (&after, 0.5)] {
         let share = keys.len() as f64 / 4_000.0;
-        assert!((share - weight).abs() < 0.03, "{share} of the keys at a weight of {weight}");
+        assert!((share - weight).abs() < 0.03, "a share of {share} of the keys at a weight of {weight}");
     }
-    assert!(few.iter().all(|key| more.contains(key)), "a key left the service whose weight grew");
+    assert!(before.iter().all(|key| after.contains(key)), "a key left the service whose weight grew");
 }
 
 #[test]
-fn a_part_with_no_weight_gets_nothing() {
+fn a_service_with_zero_weight_gets_no_requests() {
     let mut split = route("split", "a", "/");
     split.services = vec![
         WeightedService { service: "none".into(), weight: 0.0 },
@@ -217,7 +218,7 @@
     }
 }
 
-// Settings.
+// Settings and backoff.
 
 const SETTINGS: &str = "[instance]\nname = \"e-1\"\nhall = \"a-1\"\nregion = \"a\"\n\
     [listen]\ncallers = \"127.0.0.1:1\"\nreadiness = \"127.0.0.1:2\"\ndirectory = \"127.0.0.1:3\"\npeers = \"127.0.0.1:4\"\n\
@@ -226,12 +227,12 @@
     [limits]\nmemory_mb = 260\ndescriptors = 4100\n";
 
 #[test]
-fn settings_with_a_missing_or_wrong_field_name_file_field_and_remedy() {
+fn errors_about_missing_or_invalid_settings_name_file_field_and_remedy() {
     use lockloft::settings::Settings;
     let path = std::path::Path::new("node.toml");
     assert!(Settings::parse(path, SETTINGS).is_ok());
     assert!(Settings::parse(path, &format!("novelty = 1\n{SETTINGS}")).is_ok());
-    let wrong = [
+    let invalid = [
         ("name = \"e-1\"", "", "name"),
         ("name = \"e-1\"", "name = \"e/1\"", "instance.name"),
         ("hall = \"a-1\"", "hall = \"\"", "instance.hall"),
@@ -244,7 +245,7 @@
         ("memory_mb = 260", "memory_mb = 0", "limits.memory_mb"),
         ("\"127.0.0.1:5\"", "\"nowhere\"", "address"),
     ];
-    for (from, to, field) in wrong {
+    for (from, to, field) in invalid {
         let error = Settings::parse(path, &SETTINGS.replace(from, to)).unwrap_err().to_string();
         assert!(error.contains("node.toml") && error.contains(field), "{error}");
         assert!(error.contains("give") || error.contains("correct"), "no remedy in: {error}");
@@ -252,13 +253,13 @@
 }
 
 #[test]
-fn waits_for_an_unreachable_store_grow_and_start_again_once_it_answers() {
+fn delays_for_an_unreachable_store_grow_and_are_reset_once_it_responds() {
     use lockloft::sync::backoff::Backoff;
     use std::time::Duration;
     let mut backoff = Backoff::default();
     let total: Duration = (0..10).map(|_| backoff.next_delay()).sum();
-    assert!(total > Duration::from_secs(4), "ten calls in {total:?}");
-    assert!((0..50).all(|_| backoff.next_delay() < Duration::from_secs(1)), "a bound on what is learned late");
+    assert!(total > Duration::from_secs(4), "ten failed calls within {total:?}");
+    assert!((0..50).all(|_| backoff.next_delay() < Duration::from_secs(1)), "a delay above the maximum with jitter");
     backoff.reset();
     assert!(backoff.next_delay() < Duration::from_millis(350));
 }
