--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -1,6 +1,6 @@
-//! One call to the store: bounded in time, counted, and recorded in the store's health.
+//! A call to the store, with a timeout; it is counted in the metrics and recorded in the store's health.
 //!
-//! Owns the timeout. Relies on [`crate::state`] for the counters and the health.
+//! Owns the timeouts. Relies on [`crate::state`] for the counters and the health.
 
 use crate::clock::timeout;
 use crate::platform::Platform;
@@ -8,51 +8,51 @@
 use crate::store::StoreError;
 use std::time::Duration;
 
-/// Longest wait for an answer: three in a row fit into a lease, and it is twice the time of a slow
-/// call.
+/// Timeout of a call without a document: three in a row fit into the TTL of a lease, and it is twice
+/// the duration of a slow call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Slowest link over which a document has to pass, bytes a second: a tenth of 10 Mbit/s. A call has
-/// its time beyond [`CALL_TIMEOUT`], so that a large one is not begun anew for its size.
-const SLOWEST_LINK: u32 = 125_000;
+/// Lowest rate at which a document has to be transferred, bytes per second: a tenth of 10 Mbit/s. The
+/// transfer time is added to [`CALL_TIMEOUT`], so that a large document does not time out for its
+/// size.
+const MIN_LINK_RATE: u32 = 125_000;
 
-/// Waits for the answer to a small call; `kind` is its label in the metrics.
+/// Waits for the response to a small call; `kind` is its label in the metrics.
 ///
 /// # Errors
-/// [`StoreError`]; [`StoreError::NoResponse`] where it timed out.
+/// [`StoreError`]; [`StoreError::NoResponse`] if it timed out.
 pub async fn call<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
-    answer: impl Future<Output = Result<T, StoreError>>,
+    response: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    call_within(instance, kind, CALL_TIMEOUT, answer).await
+    call_within(instance, kind, CALL_TIMEOUT, response).await
 }
 
-/// Waits for the answer to a call that carries a document of so many bytes, as [`call`]
-/// does.
+/// Waits, as [`call`] does, for the response to a call that transfers a document of `size` bytes.
 ///
 /// # Errors
-/// [`StoreError`]; [`StoreError::NoResponse`] where it timed out.
+/// [`StoreError`]; [`StoreError::NoResponse`] if it timed out.
 pub async fn document_call<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
     size: usize,
-    answer: impl Future<Output = Result<T, StoreError>>,
+    response: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
-    // Base64 makes four bytes of three.
-    let on_wire = size as f64 * 4.0 / 3.0;
-    let carried = Duration::from_secs_f64(on_wire / f64::from(SLOWEST_LINK));
-    call_within(instance, kind, CALL_TIMEOUT + carried, answer).await
+    // Base64 encodes three bytes as four.
+    let encoded_size = size as f64 * 4.0 / 3.0;
+    let transfer_time = Duration::from_secs_f64(encoded_size / f64::from(MIN_LINK_RATE));
+    call_within(instance, kind, CALL_TIMEOUT + transfer_time, response).await
 }
 
 async fn call_within<P: Platform, T>(
     instance: &Instance<P>,
     kind: &str,
     limit: Duration,
-    answer: impl Future<Output = Result<T, StoreError>>,
+    response: impl Future<Output = Result<T, StoreError>>,
 ) -> Result<T, StoreError> {
     instance.metrics.store_calls.with_label_values(&[kind]).inc();
-    let result = timeout(limit, answer).await.unwrap_or(Err(StoreError::NoResponse));
+    let result = timeout(limit, response).await.unwrap_or(Err(StoreError::NoResponse));
     match &result {
         Ok(_) | Err(StoreError::LeaseExpired | StoreError::Conflict | StoreError::EarlierEra) => {
             instance.store_copy.record_response()
--- a/src/sync/peers/answer_cache.rs
+++ b/src/sync/peers/response_cache.rs
@@ -1,7 +1,7 @@
-//! The last large answer to a peer, compressed, for the other peers that ask the same: the
-//! followers of a relay have the same revision and ask at the same time.
+//! Caches the last large response to a peer, compressed, for other peers with the same request: the
+//! followers of a relay have the same revision and send their requests at the same time.
 //!
-//! Owns that one answer. Relies on [`super::ChangeSet`] for its content.
+//! Owns that response. Relies on [`super::ChangeSet`] for its content.
 
 use super::{ChangeSet, PeerPosition};
 use crate::clock::Instant;
@@ -13,24 +13,24 @@
 use std::cell::RefCell;
 use std::time::Duration;
 
-/// Time for which an answer is given again: its ages grow by it. The followers of a relay ask
-/// within milliseconds of one another.
-const CACHE_TIME: Duration = Duration::from_millis(300);
+/// Time for which a response is reused; its receivers add the time since its ages were computed. The
+/// followers of a relay send their requests within milliseconds of one another.
+const CACHE_TTL: Duration = Duration::from_millis(300);
 
-/// A body for a peer.
+/// The body of a response to a peer.
 #[derive(Clone)]
 pub struct ChangesBody {
-    /// JSON, compressed or not.
+    /// JSON, compressed with gzip if `is_compressed`.
     pub bytes: Bytes,
-    /// Whether it is compressed.
+    /// Whether `bytes` is compressed.
     pub is_compressed: bool,
-    /// When the ages in it were worked out.
+    /// When the ages in the body were computed.
     pub computed_at: Instant,
 }
 
-/// The last compressed answer.
+/// The last compressed response, with the request and the view that it belongs to.
 #[derive(Default)]
-pub struct AnswerCache {
+pub struct ResponseCache {
     last: RefCell<Option<Cached>>,
 }
 
@@ -40,8 +40,8 @@
     body: ChangesBody,
 }
 
-impl AnswerCache {
-    /// The changes after a peer's position, compressed where that is worth it.
+impl ResponseCache {
+    /// The changes after a peer's position, compressed from `gzip::MIN_SIZE` on.
     pub fn compressed<P: Platform>(&self, instance: &Instance<P>, after: PeerPosition) -> ChangesBody {
         let at = instance.store_copy.view().at();
         if let Some(body) = self.find(after, at) {
@@ -59,7 +59,7 @@
     fn find(&self, after: PeerPosition, at: Position) -> Option<ChangesBody> {
         let last = self.last.borrow();
         let cached = last.as_ref().filter(|cached| (cached.after, cached.at) == (after, at))?;
-        (cached.body.computed_at.elapsed() < CACHE_TIME).then(|| cached.body.clone())
+        (cached.body.computed_at.elapsed() < CACHE_TTL).then(|| cached.body.clone())
     }
 }
 
@@ -67,7 +67,7 @@
     /// The changes after a peer's position, uncompressed.
     pub fn plain<P: Platform>(instance: &Instance<P>, after: PeerPosition) -> Self {
         let computed_at = Instant::now();
-        let bytes = Bytes::from(ChangeSet::after(instance, after).json());
+        let bytes = Bytes::from(ChangeSet::after(instance, after).to_json());
         Self { bytes, is_compressed: false, computed_at }
     }
 }
--- a/src/sync/peers/serve.rs
+++ b/src/sync/peers/serve.rs
@@ -1,79 +1,79 @@
-//! Answers to peers that ask for changes: a long poll.
+//! Serves changes to peers by long polling.
 //!
-//! Owns the bound on its wait, and the last large answer. Relies on the notifications of
-//! the view in [`crate::state`].
+//! Owns the bound on the wait. Relies on the notifications of the view in [`crate::state`], and on
+//! [`super::response_cache`] for large responses.
 
 use super::PeerPosition;
-use super::answer_cache::{AnswerCache, ChangesBody};
+use super::response_cache::{ChangesBody, ResponseCache};
 use crate::clock::{Instant, sleep, timeout};
 use crate::platform::Platform;
 use crate::state::Instance;
 use crate::store::era::{Era, Position};
 use crate::store::freshness::MAX_VIEW_AGE;
-use crate::sync::RECEIVING_POLL;
+use crate::sync::RECEIVING_POLL_INTERVAL;
 use std::time::Duration;
 
-/// Longest time that a question waits for changes: above the 0.7 s for which relays are asked;
-/// protects the instance that answers.
+/// Maximum wait of a request for changes: above the 0.7 s requested from relays; limits how long
+/// a request occupies the serving instance.
 const MAX_WAIT: Duration = Duration::from_secs(5);
 
-/// A peer's question.
+/// A peer's request for changes.
 #[derive(Clone, Copy, Debug)]
-pub struct ChangesQuestion<'a> {
-    /// The query of its URI.
+pub struct ChangesRequest<'a> {
+    /// The query of the request URI.
     pub query: &'a str,
-    /// Whether the peer reads compressed answers.
-    pub takes_gzip: bool,
+    /// Whether the peer accepts a compressed response.
+    pub accepts_gzip: bool,
 }
 
-/// An answer to a peer.
-pub struct ServedChanges {
-    /// The body.
+/// A response to a peer.
+pub struct ChangesResponse {
+    /// The changes.
     pub body: ChangesBody,
-    /// Time from the question until its ages were worked out, milliseconds; below 0 where
-    /// the answer had been made for another peer before.
+    /// Milliseconds from the arrival of the request until the ages in the body were computed; negative
+    /// if the body was cached for another peer before.
     pub computed_after_ms: i64,
-    /// Whether an answer with changes is under way to this instance.
+    /// Whether this instance, or its relay, is receiving a response with changes.
     pub is_receiving: bool,
 }
 
-/// Answers a peer as soon as the view changes, is confirmed to be current or turns stale,
-/// or once the wait that the peer asked for is over.
+/// Responds to a peer as soon as the view is beyond the peer's position, is confirmed to be current or
+/// turns stale, or once the requested wait is over.
 pub async fn serve_changes<P: Platform>(
     instance: &Instance<P>,
-    cache: &AnswerCache,
-    asked: ChangesQuestion<'_>,
-) -> ServedChanges {
-    let arrived = Instant::now();
-    let question = Question::parse(asked.query);
-    instance.store_copy.latest_era().observe(question.latest_era);
-    // A confirmation is passed on at once, so that it crosses each level of the relay
-    // tree without another wait.
+    cache: &ResponseCache,
+    request: ChangesRequest<'_>,
+) -> ChangesResponse {
+    let received_at = Instant::now();
+    let query = ChangesQuery::parse(request.query);
+    instance.store_copy.latest_era().observe(query.latest_era);
+    // A confirmation is passed on at once, so that it passes each level of the relay tree without
+    // another wait.
     let confirmed = instance.store_copy.confirmed();
     tokio::select! {
-        _ = timeout(question.wait.min(MAX_WAIT), changed_after(instance, question.after)) => {}
+        _ = timeout(query.wait.min(MAX_WAIT), wait_for_change(instance, query.after)) => {}
         () = confirmed => {}
-        // The peer then follows another relay.
-        () = turns_stale(instance) => {}
+        // The peer can then follow another relay.
+        () = wait_until_stale(instance) => {}
     }
-    let body = match asked.takes_gzip {
-        true => cache.compressed(instance, question.after),
-        false => ChangesBody::plain(instance, question.after),
+    let body = match request.accepts_gzip {
+        true => cache.compressed(instance, query.after),
+        false => ChangesBody::plain(instance, query.after),
     };
-    let computed_after_ms = milliseconds_between(arrived, body.computed_at);
-    ServedChanges { body, computed_after_ms, is_receiving: instance.store_copy.is_receiving() }
+    let computed_after_ms = milliseconds_between(received_at, body.computed_at);
+    ChangesResponse { body, computed_after_ms, is_receiving: instance.store_copy.is_receiving() }
 }
 
-/// From one moment to another; below 0 where the other came first.
-fn milliseconds_between(one: Instant, other: Instant) -> i64 {
-    let after = other.saturating_duration_since(one).as_millis() as i64;
-    let before = one.saturating_duration_since(other);
-    // Rounded up, so that no age becomes younger.
+/// Milliseconds from one instant to another; negative if `to` is earlier.
+fn milliseconds_between(from: Instant, to: Instant) -> i64 {
+    let after = to.saturating_duration_since(from).as_millis() as i64;
+    let before = from.saturating_duration_since(to);
+    // Rounded up, so that the receiver computes no age below the true one.
     if before.is_zero() { after } else { -(before.as_millis() as i64 + 1) }
 }
 
 /// Waits until the view is beyond a peer's position.
-async fn changed_after<P: Platform>(instance: &Instance<P>, after: PeerPosition) {
+async fn wait_for_change<P: Platform>(instance: &Instance<P>, after: PeerPosition) {
     loop {
         let changed = instance.store_copy.changed();
         let at = instance.store_copy.view().at();
@@ -84,10 +84,9 @@
     }
 }
 
-/// Waits until the view is stale and no answer with changes is under way to it: while one
-/// is, no other relay would have them sooner. An instance that has just started has no view
-/// yet; whoever asks for its first one waits for it.
-async fn turns_stale<P: Platform>(instance: &Instance<P>) {
+/// Waits until the view is stale and no response with changes is being received: while one is, no
+/// other relay would have them sooner. Before the initial view of an instance, requests wait for it.
+async fn wait_until_stale<P: Platform>(instance: &Instance<P>) {
     loop {
         let Some(age) = instance.store_copy.view_age() else {
             instance.store_copy.confirmed().await;
@@ -96,25 +95,25 @@
         let fresh_for = MAX_VIEW_AGE.saturating_sub(age);
         match (fresh_for.is_zero(), instance.store_copy.is_receiving()) {
             (true, false) => return,
-            (true, true) => sleep(RECEIVING_POLL).await,
+            (true, true) => sleep(RECEIVING_POLL_INTERVAL).await,
             (false, _) => sleep(fresh_for).await,
         }
     }
 }
 
-/// What a peer asks for.
-struct Question {
-    /// The position up to which it has the changes.
+/// The parsed query of a request.
+struct ChangesQuery {
+    /// The position up to which the peer has the changes.
     after: PeerPosition,
-    /// The latest era known to it.
+    /// The latest era known to the peer.
     latest_era: Era,
-    /// Longest time to wait for more.
+    /// How long the peer asks to wait for changes.
     wait: Duration,
 }
 
-impl Question {
-    /// Reads a query. A missing or broken number counts as 0 and is not logged: the
-    /// answer is then the full view at once, which is correct for every peer.
+impl ChangesQuery {
+    /// Parses a query. A missing or invalid number counts as 0 and is not logged: the response is then
+    /// the full view at once, which is correct for every peer.
     fn parse(query: &str) -> Self {
         let parameter = |name: &str| {
             let found = url::form_urlencoded::parse(query.as_bytes()).find(|(other, _)| other == name);
--- a/tests/model/peer.rs
+++ b/tests/model/peer.rs
@@ -6,7 +6,7 @@
 use lockloft::clock::{Instant, timeout};
 use lockloft::net::gzip;
 use lockloft::store::freshness::{MAX_VIEW_AGE, Proof};
-use lockloft::sync::peers::{ChangeSet, ChangesQuestion, PeerQuestion, ServedChanges, serve_changes};
+use lockloft::sync::peers::{ChangeSet, ChangesRequest, ChangesResponse, PeerRequest, serve_changes};
 use std::cell::Cell;
 use std::rc::Rc;
 use std::time::Duration;
@@ -55,7 +55,7 @@
 fn send(
     from: &Process,
     to: &Rc<Process>,
-    request: PeerQuestion,
+    request: PeerRequest,
     wait: Duration,
 ) -> (oneshot::Receiver<Head>, oneshot::Receiver<Vec<u8>>) {
     let (head_sender, head) = oneshot::channel();
@@ -72,7 +72,7 @@
         if peer_link.cut.get() {
             return;
         }
-        let ServedChanges { computed_after_ms, is_receiving, .. } = served;
+        let ChangesResponse { computed_after_ms, is_receiving, .. } = served;
         let _ = head_sender.send(Head { computed_after_ms, is_receiving });
         sleep(peer_link.body.get()).await;
         let _ = body_sender.send(bytes);
@@ -81,12 +81,12 @@
 }
 
 /// The response of the peer; `None` if its process is killed meanwhile.
-async fn serve(to: &Rc<Process>, request: PeerQuestion, wait: Duration) -> Option<ServedChanges> {
+async fn serve(to: &Rc<Process>, request: PeerRequest, wait: Duration) -> Option<ChangesResponse> {
     let process = to.clone();
     let response = async move {
         let uri = request.uri(wait);
         let query = uri.split_once('?').map_or("", |(_, query)| query);
-        serve_changes(&process.instance, &process.cache, ChangesQuestion { query, takes_gzip: true }).await
+        serve_changes(&process.instance, &process.cache, ChangesRequest { query, accepts_gzip: true }).await
     };
     let task = tokio::task::spawn_local(to.gate.task(response));
     to.keep(task.abort_handle());
@@ -106,7 +106,7 @@
 /// Requests changes once and applies them; those of a relay only if its view is current.
 pub async fn fetch_changes(from: &Process, to: &Rc<Process>, wait: Duration, is_relay: bool) -> Result<(), FetchError> {
     let copy = &from.instance.store_copy;
-    let request = PeerQuestion::of(copy);
+    let request = PeerRequest::for_copy(copy);
     let requested_at = Instant::now();
     let (head, body) = send(from, to, request, wait);
     let head =
@@ -121,10 +121,10 @@
     drop(receiving);
     let changes: ChangeSet =
         serde_json::from_slice(&corrupt_value(body, &from.peer_link)).map_err(|_| FetchError::Failed)?;
-    let changes = changes.older_by(since_computed(head.computed_after_ms, requested_at));
+    let changes = changes.with_delay(since_computed(head.computed_after_ms, requested_at));
     let max_age = if head.is_receiving { MAX_RECEIVING_AGE } else { MAX_VIEW_AGE };
     let is_superseded = changes.position().era < copy.latest_era().get();
-    if is_relay && (is_superseded || changes.sender_age().is_none_or(|age| age >= max_age)) {
+    if is_relay && (is_superseded || changes.reported_age().is_none_or(|age| age >= max_age)) {
         return Err(FetchError::Stale);
     }
     changes.apply(&from.instance, "peer", proof).map_err(|_| FetchError::Failed)
