--- a/src/sync/heads.rs
+++ b/src/sync/heads.rs
@@ -21,9 +21,9 @@
 
 /// Longest time for a call to a head: twice in a row it is below the age of an answer (1 s) by the
 /// time that the next head in order needs.
-pub const CALL_TIME: Duration = Duration::from_millis(300);
+pub const CALL_TIMEOUT: Duration = Duration::from_millis(300);
 /// Heads that one report is sent to at most, one after the other.
-pub const MAX_TRIES: usize = 3;
+pub const MAX_REPORT_ATTEMPTS: usize = 3;
 
 /// Calls in a row without an answer after which a head is passed over: one may be lost.
 const MAX_SILENT: u32 = 2;
@@ -33,13 +33,13 @@
 
 /// Why a head took no report.
 #[derive(Debug, Error)]
-enum TellError {
+enum SendReportError {
     /// It gave no answer.
     #[error(transparent)]
     Peer(#[from] PeerError),
     /// Its answer cannot be read.
     #[error("the head's answer cannot be read: {0}; check its version")]
-    Unreadable(#[from] postcard::Error),
+    InvalidResponse(#[from] postcard::Error),
 }
 
 /// What a head is told.
@@ -52,21 +52,21 @@
 
 /// Why a report is refused.
 #[derive(Debug, Error)]
-pub enum RefusedReport {
+pub enum ReportError {
     /// It did not come whole.
     #[error("the report did not come whole: {0}; send it again")]
-    Broken(#[from] ReadError),
+    Incomplete(#[from] ReadError),
     /// It is no report.
     #[error("the report cannot be read: {0}; check the version of the instance that sent it")]
-    Unreadable(#[from] postcard::Error),
+    Invalid(#[from] postcard::Error),
 }
 
 /// Reads a report of `size` bytes at most.
 ///
 /// # Errors
-/// [`RefusedReport`].
-pub async fn read_report<R: HeadReport>(body: CallerBody, size: usize) -> Result<R, RefusedReport> {
-    let limits = ReadLimits { stall: CALL_TIME, total: CALL_TIME, size };
+/// [`ReportError`].
+pub async fn read_report<R: HeadReport>(body: CallerBody, size: usize) -> Result<R, ReportError> {
+    let limits = ReadLimits { stall: CALL_TIMEOUT, total: CALL_TIMEOUT, size };
     Ok(decode(&read_whole(body, limits).await?)?)
 }
 
@@ -74,22 +74,22 @@
 #[derive(Clone, Copy)]
 pub enum OwnHead {
     /// It is this instance.
-    Here,
+    Local,
     /// It listens for its peers here.
-    At(SocketAddr),
+    Remote(SocketAddr),
 }
 
 /// Links to heads, and those heads that failed.
 #[derive(Default)]
-pub struct HeadLinks {
-    links: RefCell<HashMap<SocketAddr, PeerLink>>,
+pub struct HeadConnections {
+    connections: RefCell<HashMap<SocketAddr, PeerLink>>,
     /// Calls in a row that a head did not answer.
     silent: RefCell<HashMap<SocketAddr, u32>>,
     /// Until when a head is passed over.
     failed: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
-impl HeadLinks {
+impl HeadConnections {
     /// Whether a head may be asked: it did not fail lately.
     pub fn may_ask(&self, peer: SocketAddr) -> bool {
         self.failed.borrow().get(&peer).is_none_or(|until| *until <= Instant::now())
@@ -97,8 +97,8 @@
 
     /// Sends a report to a head. One that cannot be reached is passed over for a while, one that is
     /// silent from the second time on.
-    pub async fn tell<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Option<R::Answer> {
-        let error = match timeout(CALL_TIME, self.call(head, report)).await {
+    pub async fn send_report<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Option<R::Answer> {
+        let error = match timeout(CALL_TIMEOUT, self.call(head, report)).await {
             Ok(Ok(answer)) => {
                 self.silent.borrow_mut().remove(&head);
                 return Some(answer);
@@ -106,22 +106,22 @@
             Ok(Err(error)) => error,
             Err(_) => PeerError::Silent.into(),
         };
-        let is_silent = matches!(error, TellError::Peer(PeerError::Silent | PeerError::Slow { .. }));
+        let is_silent = matches!(error, SendReportError::Peer(PeerError::Silent | PeerError::Slow { .. }));
         if !is_silent || self.count_silence(head) >= MAX_SILENT {
             self.pass_over(head, R::PATH, &error);
         }
         None
     }
 
-    async fn call<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Result<R::Answer, TellError> {
-        let open = self.links.borrow_mut().remove(&head);
+    async fn call<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Result<R::Answer, SendReportError> {
+        let open = self.connections.borrow_mut().remove(&head);
         let mut link = match open {
             Some(link) => link,
             None => PeerLink::open(head).await?,
         };
-        let body = link.post(R::PATH, encode(report), CALL_TIME).await?;
+        let body = link.post(R::PATH, encode(report), CALL_TIMEOUT).await?;
         let answer = decode(&body)?;
-        self.links.borrow_mut().insert(head, link);
+        self.connections.borrow_mut().insert(head, link);
         Ok(answer)
     }
 
@@ -132,7 +132,7 @@
         *count
     }
 
-    fn pass_over(&self, head: SocketAddr, path: &str, error: &TellError) {
+    fn pass_over(&self, head: SocketAddr, path: &str, error: &SendReportError) {
         tracing::info!(event = "usage_not_told", %head, path, %error);
         self.silent.borrow_mut().remove(&head);
         let now = Instant::now();
@@ -148,14 +148,14 @@
         let routing = instance.routing.borrow();
         let is_member = routing.members.contains_key(&settings.name);
         if let Some(head) = heads(&routing.members, |peer| self.may_ask(peer)).get(&*settings.hall) {
-            return Some(if head.name == settings.name { OwnHead::Here } else { OwnHead::At(head.peer) });
+            return Some(if head.name == settings.name { OwnHead::Local } else { OwnHead::Remote(head.peer) });
         }
         if is_member {
-            return Some(OwnHead::Here);
+            return Some(OwnHead::Local);
         }
         let seeds = settings.seeds.iter().copied();
         let mut others = seeds.filter(|seed| *seed != settings.listen.peers && self.may_ask(*seed));
-        others.next().map(OwnHead::At)
+        others.next().map(OwnHead::Remote)
     }
 
     /// The heads of the other halls.
@@ -168,10 +168,10 @@
     }
 
     /// Closes links to instances that are heads no longer, but for the own one and `others`.
-    pub fn keep_heads<P: Platform>(&self, instance: &Instance<P>, others: &[(String, SocketAddr)]) {
+    pub fn close_unused<P: Platform>(&self, instance: &Instance<P>, others: &[(String, SocketAddr)]) {
         let own = self.own_head(instance);
-        let is_own = |peer| matches!(own, Some(OwnHead::At(head)) if head == peer);
+        let is_own = |peer| matches!(own, Some(OwnHead::Remote(head)) if head == peer);
         let is_other = |peer| others.iter().any(|(_, other)| *other == peer);
-        self.links.borrow_mut().retain(|peer, _| is_own(*peer) || is_other(*peer));
+        self.connections.borrow_mut().retain(|peer, _| is_own(*peer) || is_other(*peer));
     }
 }
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -17,8 +17,8 @@
 use crate::net::server::CallerBody;
 use crate::platform::Platform;
 use crate::state::Instance;
-use crate::sync::heads::{HeadLinks, HeadReport, MAX_TRIES, OwnHead, RefusedReport, read_report};
-use crate::sync::usage::LOADS_FROM;
+use crate::sync::heads::{HeadConnections, HeadReport, MAX_REPORT_ATTEMPTS, OwnHead, ReportError, read_report};
+use crate::sync::usage::MIN_INSTANCES_TO_SHARE_LOADS;
 use bytes::Bytes;
 use std::rc::Rc;
 use std::time::Duration;
@@ -39,16 +39,16 @@
 /// Takes a report as the head of a hall; gives the answer's form on the wire.
 ///
 /// # Errors
-/// [`RefusedReport`]; nothing is taken then.
-pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, RefusedReport> {
+/// [`ReportError`]; nothing is taken then.
+pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, ReportError> {
     let report: LimitReport = read_report(body, MAX_REPORT_SIZE).await?;
     Ok(encode(&instance.take_limits(&report)))
 }
 
 /// Tells heads of targets' limits, until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
-    let links = Rc::new(HeadLinks::default());
-    spawn_local(forward_all(instance.clone(), links.clone()));
+    let connections = Rc::new(HeadConnections::default());
+    spawn_local(forward_all(instance.clone(), connections.clone()));
     let mut reported = Instant::now();
     loop {
         let longest = if instance.knows_limits() { REPORT_INTERVAL } else { LOOK_EVERY };
@@ -57,24 +57,24 @@
         if instance.update_limits() || asks_for_limits(&instance) {
             sleep_until(reported + MIN_REPORT_INTERVAL).await;
             reported = Instant::now();
-            report(&instance, &links).await;
+            report(&instance, &connections).await;
         }
     }
 }
 
 /// Whether the instances are so many that most of them send a target little.
 fn asks_for_limits<P: Platform>(instance: &Instance<P>) -> bool {
-    instance.routing.borrow().members.count() >= LOADS_FROM
+    instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
 
 /// Tells the head of the own hall, and the next one where it does not answer.
-async fn report<P: Platform>(instance: &Instance<P>, links: &HeadLinks) {
-    for _ in 0..MAX_TRIES {
-        let Some(head) = links.own_head(instance) else { return };
+async fn report<P: Platform>(instance: &Instance<P>, connections: &HeadConnections) {
+    for _ in 0..MAX_REPORT_ATTEMPTS {
+        let Some(head) = connections.own_head(instance) else { return };
         let report = instance.limit_report();
         let answer = match head {
-            OwnHead::Here => Some(instance.take_limits(&report)),
-            OwnHead::At(peer) => links.tell(peer, &report).await,
+            OwnHead::Local => Some(instance.take_limits(&report)),
+            OwnHead::Remote(peer) => connections.send_report(peer, &report).await,
         };
         match answer {
             Some(answer) => return instance.hear_shares(&answer),
@@ -84,18 +84,18 @@
 }
 
 /// Tells the heads of other halls what this one was told, until the process ends.
-async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, links: Rc<HeadLinks>) {
+async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
     loop {
         sleep(FORWARD_INTERVAL).await;
-        let others = links.other_heads(&instance);
-        links.keep_heads(&instance, &others);
+        let others = connections.other_heads(&instance);
+        connections.close_unused(&instance, &others);
         if !instance.rate_limits.forwards() {
             continue;
         }
         for (hall, head) in others {
-            let (instance, links) = (instance.clone(), links.clone());
+            let (instance, connections) = (instance.clone(), connections.clone());
             spawn_local(async move {
-                match links.tell(head, &instance.forwarded_limits()).await {
+                match connections.send_report(head, &instance.forwarded_limits()).await {
                     Some(_) => instance.rate_limits.hear_hall(&hall),
                     None => instance.metrics.limits_untold.inc(),
                 }
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -17,7 +17,7 @@
 use crate::net::server::CallerBody;
 use crate::platform::Platform;
 use crate::state::Instance;
-use crate::sync::heads::{HeadLinks, HeadReport, MAX_TRIES, OwnHead, RefusedReport, read_report};
+use crate::sync::heads::{HeadConnections, HeadReport, MAX_REPORT_ATTEMPTS, OwnHead, ReportError, read_report};
 use bytes::Bytes;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -28,7 +28,7 @@
 /// Path at which an instance takes reports.
 pub const USAGE_PATH: &str = "/usage";
 /// Instances from which loads are shared: below, each one sends to a target several times a second.
-pub const LOADS_FROM: usize = 32;
+pub const MIN_INSTANCES_TO_SHARE_LOADS: usize = 32;
 /// Time between looks whether a tenant has a quota.
 const LOOK_EVERY: Duration = Duration::from_secs(1);
 /// Largest report, bytes: some ten thousand tenants.
@@ -42,16 +42,16 @@
 /// Takes a report as the head of a hall; gives the answer's form on the wire.
 ///
 /// # Errors
-/// [`RefusedReport`]; nothing is counted then.
-pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, RefusedReport> {
+/// [`ReportError`]; nothing is counted then.
+pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, ReportError> {
     let report: UsageReport = read_report(body, MAX_REPORT_SIZE).await?;
     Ok(encode(&instance.take_usage(&report)))
 }
 
 /// Tells heads what tenants use here and what targets told, until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
-    let known = Rc::new(HeadLinks::default());
-    spawn_local(forward_all(instance.clone(), known.clone()));
+    let connections = Rc::new(HeadConnections::default());
+    spawn_local(forward_all(instance.clone(), connections.clone()));
     let mut reported = Instant::now();
     loop {
         let longest = if is_needed(&instance) { REPORT_INTERVAL } else { LOOK_EVERY };
@@ -62,27 +62,27 @@
         }
         sleep_until(reported + MIN_REPORT_INTERVAL).await;
         reported = Instant::now();
-        report(&instance, &known).await;
+        report(&instance, &connections).await;
     }
 }
 
 /// Whether there is something to exchange: a tenant has a quota, or the instances are so many that
 /// each one's own traffic says little of targets' loads.
 fn is_needed<P: Platform>(instance: &Instance<P>) -> bool {
-    instance.quotas.is_needed() || instance.routing.borrow().members.count() >= LOADS_FROM
+    instance.quotas.is_needed() || instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
 
 /// Tells the head of the own hall, and the next one where it does not answer.
-async fn report<P: Platform>(instance: &Instance<P>, known: &HeadLinks) {
-    for _ in 0..MAX_TRIES {
-        let Some(head) = known.own_head(instance) else { return };
+async fn report<P: Platform>(instance: &Instance<P>, connections: &HeadConnections) {
+    for _ in 0..MAX_REPORT_ATTEMPTS {
+        let Some(head) = connections.own_head(instance) else { return };
         let report = own_report(instance);
         let answer = match head {
-            OwnHead::Here => match instance.take_own_usage(&report) {
+            OwnHead::Local => match instance.take_own_usage(&report) {
                 Some(answer) => Some(answer),
                 None => return instance.quotas.forget_report(),
             },
-            OwnHead::At(peer) => known.tell(peer, &report).await,
+            OwnHead::Remote(peer) => connections.send_report(peer, &report).await,
         };
         match answer {
             Some(answer) => {
@@ -111,7 +111,7 @@
 }
 
 /// Tells the heads of other halls what this one was told, until the process ends.
-async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, known: Rc<HeadLinks>) {
+async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
     let under_way: Rc<RefCell<Vec<String>>> = Rc::default();
     let mut forwarded = Instant::now();
     loop {
@@ -123,8 +123,8 @@
             sleep(LOOK_EVERY).await;
             continue;
         }
-        let others = known.other_heads(&instance);
-        known.keep_heads(&instance, &others);
+        let others = connections.other_heads(&instance);
+        connections.close_unused(&instance, &others);
         if !instance.quotas.is_head() {
             continue;
         }
@@ -133,16 +133,16 @@
                 continue;
             }
             under_way.borrow_mut().push(hall.clone());
-            let (instance, known, under_way) = (instance.clone(), known.clone(), under_way.clone());
+            let (instance, connections, under_way) = (instance.clone(), connections.clone(), under_way.clone());
             spawn_local(async move {
-                forward(&instance, &known, &hall, head).await;
+                forward(&instance, &connections, &hall, head).await;
                 under_way.borrow_mut().retain(|other| *other != hall);
             });
         }
     }
 }
 
-async fn forward<P: Platform>(instance: &Instance<P>, known: &HeadLinks, hall: &str, head: SocketAddr) {
+async fn forward<P: Platform>(instance: &Instance<P>, connections: &HeadConnections, hall: &str, head: SocketAddr) {
     let settings = instance.settings();
     let (tenants, over) = instance.quotas.begin_forward(hall);
     let report = UsageReport {
@@ -153,7 +153,7 @@
         tenants,
         loads: instance.loads_for_halls(),
     };
-    if known.tell(head, &report).await.is_none() {
+    if connections.send_report(head, &report).await.is_none() {
         instance.metrics.usage_untold.inc();
         instance.quotas.restore_forward(hall, report.tenants);
     }
