--- a/src/sync/heads.rs
+++ b/src/sync/heads.rs
@@ -26,10 +26,10 @@
 pub const MAX_REPORT_ATTEMPTS: usize = 3;
 
 /// Calls in a row without an answer after which a head is passed over: one may be lost.
-const MAX_SILENT: u32 = 2;
+const MAX_TIMEOUTS: u32 = 2;
 /// Time for which a head that failed is passed over: a dead one leaves the members meanwhile, so
 /// that the instances of its hall do not all try it again at one moment.
-const PASS_OVER: Duration = Duration::from_secs(5);
+const SKIP_TIME: Duration = Duration::from_secs(5);
 
 /// Why a head took no report.
 #[derive(Debug, Error)]
@@ -84,15 +84,15 @@
 pub struct HeadConnections {
     connections: RefCell<HashMap<SocketAddr, PeerLink>>,
     /// Calls in a row that a head did not answer.
-    silent: RefCell<HashMap<SocketAddr, u32>>,
+    timeouts: RefCell<HashMap<SocketAddr, u32>>,
     /// Until when a head is passed over.
-    failed: RefCell<HashMap<SocketAddr, Instant>>,
+    skipped_until: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 impl HeadConnections {
     /// Whether a head may be asked: it did not fail lately.
     pub fn may_ask(&self, peer: SocketAddr) -> bool {
-        self.failed.borrow().get(&peer).is_none_or(|until| *until <= Instant::now())
+        self.skipped_until.borrow().get(&peer).is_none_or(|until| *until <= Instant::now())
     }
 
     /// Sends a report to a head. One that cannot be reached is passed over for a while, one that is
@@ -100,45 +100,45 @@
     pub async fn send_report<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Option<R::Answer> {
         let error = match timeout(CALL_TIMEOUT, self.call(head, report)).await {
             Ok(Ok(answer)) => {
-                self.silent.borrow_mut().remove(&head);
+                self.timeouts.borrow_mut().remove(&head);
                 return Some(answer);
             }
             Ok(Err(error)) => error,
             Err(_) => PeerError::Silent.into(),
         };
-        let is_silent = matches!(error, SendReportError::Peer(PeerError::Silent | PeerError::Slow { .. }));
-        if !is_silent || self.count_silence(head) >= MAX_SILENT {
-            self.pass_over(head, R::PATH, &error);
+        let is_timeout = matches!(error, SendReportError::Peer(PeerError::Silent | PeerError::Slow { .. }));
+        if !is_timeout || self.count_timeout(head) >= MAX_TIMEOUTS {
+            self.skip(head, R::PATH, &error);
         }
         None
     }
 
     async fn call<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Result<R::Answer, SendReportError> {
-        let open = self.connections.borrow_mut().remove(&head);
-        let mut link = match open {
-            Some(link) => link,
+        let existing = self.connections.borrow_mut().remove(&head);
+        let mut connection = match existing {
+            Some(connection) => connection,
             None => PeerLink::open(head).await?,
         };
-        let body = link.post(R::PATH, encode(report), CALL_TIMEOUT).await?;
+        let body = connection.post(R::PATH, encode(report), CALL_TIMEOUT).await?;
         let answer = decode(&body)?;
-        self.connections.borrow_mut().insert(head, link);
+        self.connections.borrow_mut().insert(head, connection);
         Ok(answer)
     }
 
-    fn count_silence(&self, head: SocketAddr) -> u32 {
-        let mut silent = self.silent.borrow_mut();
-        let count = silent.entry(head).or_default();
+    fn count_timeout(&self, head: SocketAddr) -> u32 {
+        let mut timeouts = self.timeouts.borrow_mut();
+        let count = timeouts.entry(head).or_default();
         *count += 1;
         *count
     }
 
-    fn pass_over(&self, head: SocketAddr, path: &str, error: &SendReportError) {
+    fn skip(&self, head: SocketAddr, path: &str, error: &SendReportError) {
         tracing::info!(event = "usage_not_told", %head, path, %error);
-        self.silent.borrow_mut().remove(&head);
+        self.timeouts.borrow_mut().remove(&head);
         let now = Instant::now();
-        let mut failed = self.failed.borrow_mut();
-        failed.retain(|_, until| *until > now);
-        failed.insert(head, now + PASS_OVER);
+        let mut skipped_until = self.skipped_until.borrow_mut();
+        skipped_until.retain(|_, until| *until > now);
+        skipped_until.insert(head, now + SKIP_TIME);
     }
 
     /// The head of the own hall; a seed where no instance of the hall is known, `None` where there
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -27,7 +27,7 @@
 /// Path at which an instance takes reports.
 pub const LIMITS_PATH: &str = "/limits";
 /// Time between looks whether a limit is known.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Largest report, bytes: twice the most targets that one names.
 const MAX_REPORT_SIZE: usize = 16 << 10;
 
@@ -49,21 +49,21 @@
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let connections = Rc::new(HeadConnections::default());
     spawn_local(forward_all(instance.clone(), connections.clone()));
-    let mut reported = Instant::now();
+    let mut last_report_at = Instant::now();
     loop {
-        let longest = if instance.knows_limits() { REPORT_INTERVAL } else { LOOK_EVERY };
+        let interval = if instance.knows_limits() { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
         // Either way it is looked whether there is something to report.
-        let _ = timeout(longest, instance.rate_limits.report_due()).await;
-        if instance.update_limits() || asks_for_limits(&instance) {
-            sleep_until(reported + MIN_REPORT_INTERVAL).await;
-            reported = Instant::now();
+        let _ = timeout(interval, instance.rate_limits.report_due()).await;
+        if instance.update_limits() || polls_for_limits(&instance) {
+            sleep_until(last_report_at + MIN_REPORT_INTERVAL).await;
+            last_report_at = Instant::now();
             report(&instance, &connections).await;
         }
     }
 }
 
 /// Whether the instances are so many that most of them send a target little.
-fn asks_for_limits<P: Platform>(instance: &Instance<P>) -> bool {
+fn polls_for_limits<P: Platform>(instance: &Instance<P>) -> bool {
     instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
 
--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -38,44 +38,44 @@
 
 /// Time within which a written key appears in the view, else it is written again: longer than the
 /// pause between watches (0.4 s) and a relay's wait (0.7 s) together.
-const VISIBLE_WITHIN: Duration = Duration::from_millis(1_500);
+const VISIBILITY_TIMEOUT: Duration = Duration::from_millis(1_500);
 /// Longest random delay before an instance registers again in a later era, so that the instances of
 /// a fleet do not call the store at the same time.
 const MAX_REGISTRATION_JITTER: Duration = Duration::from_millis(500);
 /// Time between checks whether the instance is ready to register: short against its start.
-const READY_POLL: Duration = Duration::from_millis(300);
+const READY_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
 /// Registers this instance once it is ready, and withdraws the registration when it stops.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
-    let mut registered: Option<Registered> = None;
+    let mut registration: Option<Registration> = None;
     let mut backoff = Backoff::default();
     while !instance.lifecycle.is_stopping() {
         let wait = tokio::select! {
-            wait = step(&instance, &mut registered, &mut backoff) => wait,
+            wait = maintain_registration(&instance, &mut registration, &mut backoff) => wait,
             () = instance.lifecycle.stop_requested() => break,
         };
         tokio::select! {
             () = sleep(wait) => {}
-            () = lease_superseded(&instance, registered.as_ref()) => {}
+            () = wait_for_later_era(&instance, registration.as_ref()) => {}
             () = instance.lifecycle.stop_requested() => {}
         }
     }
     // Ending a lease from an earlier era could remove the keys of another writer.
-    if let Some(registered) = registered.filter(|registered| registered.is_from_latest_era(&instance)) {
-        withdraw(&instance, registered.lease).await;
+    if let Some(registration) = registration.filter(|registration| registration.is_from_latest_era(&instance)) {
+        deregister(&instance, registration.lease).await;
     }
 }
 
 /// Completes once a later era than that of the lease is known; never without a registration.
-async fn lease_superseded<P: Platform>(instance: &Instance<P>, registered: Option<&Registered>) {
-    match registered {
-        Some(registered) => instance.store_copy.latest_era().advanced_past(registered.lease.era).await,
+async fn wait_for_later_era<P: Platform>(instance: &Instance<P>, registration: Option<&Registration>) {
+    match registration {
+        Some(registration) => instance.store_copy.latest_era().advanced_past(registration.lease.era).await,
         None => std::future::pending().await,
     }
 }
 
 /// Ends the lease, which removes the key. It is tried once: the lease expires by itself.
-async fn withdraw<P: Platform>(instance: &Instance<P>, lease: LeaseId) {
+async fn deregister<P: Platform>(instance: &Instance<P>, lease: LeaseId) {
     if let Err(error) = call(instance, "end", instance.store.end(lease)).await {
         tracing::warn!(event = "lease_end_failed", %error);
     }
@@ -83,42 +83,42 @@
 
 /// The lease of a registration, and when the key was last written under it; `None` before
 /// the first write was answered.
-struct Registered {
+struct Registration {
     lease: LeaseId,
     written_at: Option<Instant>,
 }
 
-impl Registered {
+impl Registration {
     fn is_from_latest_era<P: Platform>(&self, instance: &Instance<P>) -> bool {
         self.lease.era == instance.store_copy.latest_era().get()
     }
 }
 
 /// Registers, renews or writes the key again; returns the wait before the next step.
-async fn step<P: Platform>(
+async fn maintain_registration<P: Platform>(
     instance: &Instance<P>,
-    registered: &mut Option<Registered>,
+    registration: &mut Option<Registration>,
     backoff: &mut Backoff,
 ) -> Duration {
     if !instance.is_ready() {
-        return READY_POLL;
+        return READY_POLL_INTERVAL;
     }
-    if registered.as_ref().is_some_and(|registered| !registered.is_from_latest_era(instance)) {
-        *registered = None;
+    if registration.as_ref().is_some_and(|registration| !registration.is_from_latest_era(instance)) {
+        *registration = None;
         return MAX_REGISTRATION_JITTER.mul_f64(rand::rng().random());
     }
-    let asked = Instant::now();
-    let result = match registered {
-        None => grant(instance).await.map(|lease| {
-            *registered = Some(Registered { lease, written_at: None });
+    let sent_at = Instant::now();
+    let result = match registration {
+        None => grant_lease(instance).await.map(|lease| {
+            *registration = Some(Registration { lease, written_at: None });
             Duration::ZERO
         }),
         Some(current) if is_key_missing(instance, current) => {
             let written = write_key(instance, current.lease).await;
-            written.map(|()| current.written_at = Some(Instant::now())).map(|()| until_renewal(asked))
+            written.map(|()| current.written_at = Some(Instant::now())).map(|()| time_until_renewal(sent_at))
         }
         Some(current) => {
-            call(instance, "renew", instance.store.renew(current.lease)).await.map(|()| until_renewal(asked))
+            call(instance, "renew", instance.store.renew(current.lease)).await.map(|()| time_until_renewal(sent_at))
         }
     };
     match result {
@@ -127,7 +127,7 @@
             wait
         }
         Err(StoreError::LeaseOver) => {
-            *registered = None;
+            *registration = None;
             Duration::ZERO
         }
         // `call` has counted the failure, and the health of the store logs an outage.
@@ -138,19 +138,19 @@
 
 /// Time until the lease is renewed again after a call that was sent at `asked`: the lease runs from
 /// the call's arrival, not from that of its answer, before which the machine may have been suspended.
-fn until_renewal(asked: Instant) -> Duration {
-    RENEW_EVERY.saturating_sub(asked.elapsed())
+fn time_until_renewal(sent_at: Instant) -> Duration {
+    RENEW_EVERY.saturating_sub(sent_at.elapsed())
 }
 
 /// Whether the key has to be written: it was not yet, or the view still lacks it
 /// `VISIBLE_WITHIN` after that.
-fn is_key_missing<P: Platform>(instance: &Instance<P>, registered: &Registered) -> bool {
-    let Some(written_at) = registered.written_at else { return true };
+fn is_key_missing<P: Platform>(instance: &Instance<P>, registration: &Registration) -> bool {
+    let Some(written_at) = registration.written_at else { return true };
     let name = &instance.settings.borrow().name;
-    written_at.elapsed() > VISIBLE_WITHIN && !instance.routing.borrow().members.contains_key(name)
+    written_at.elapsed() > VISIBILITY_TIMEOUT && !instance.routing.borrow().members.contains_key(name)
 }
 
-async fn grant<P: Platform>(instance: &Instance<P>) -> Result<LeaseId, StoreError> {
+async fn grant_lease<P: Platform>(instance: &Instance<P>) -> Result<LeaseId, StoreError> {
     let shortest = instance.settings().shortest_lease;
     call(instance, "grant", instance.store.grant(LEASE.max(shortest))).await
 }
--- a/src/sync/policies.rs
+++ b/src/sync/policies.rs
@@ -33,19 +33,19 @@
 
 /// Additional delay of each instance over the previous one by name, so that the first write reaches
 /// the views of most other instances before their turn.
-const RANK_WAIT: Duration = Duration::from_millis(20);
+const DELAY_PER_RANK: Duration = Duration::from_millis(20);
 /// Delay before the next attempt after a conflict, so that the conflicting write can reach the view.
-const CONFLICT_WAIT: Duration = Duration::from_millis(500);
+const CONFLICT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
 /// Writes lost policies again until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let mut backoff = Backoff::default();
     loop {
         let value = instance.lost_policies.next().await;
-        sleep(RANK_WAIT * rank(&instance)).await;
+        sleep(DELAY_PER_RANK * rank(&instance)).await;
         while let Err(error) = write_if_later(&instance, &value).await {
             // `document_call` counts failures, and the health of the store logs outages.
-            let wait = if error == StoreError::Conflict { CONFLICT_WAIT } else { backoff.wait() };
+            let wait = if error == StoreError::Conflict { CONFLICT_RETRY_DELAY } else { backoff.wait() };
             sleep(wait).await;
         }
         backoff.reset();
--- a/src/sync/strikes.rs
+++ b/src/sync/strikes.rs
@@ -34,10 +34,10 @@
 /// First strikes that one instance may report at once.
 const FIRST_STRIKE_BURST: f64 = 3.0;
 /// Time until the record that came first has arrived with the view.
-const CONFLICT_WAIT: Duration = Duration::from_millis(100);
+const CONFLICT_RETRY_DELAY: Duration = Duration::from_millis(100);
 /// Age up to which a lease is reused for further keys within its era; they expire up to this much
 /// earlier.
-const LEASE_REUSE: Duration = Duration::from_secs(30);
+const MAX_LEASE_REUSE_AGE: Duration = Duration::from_secs(30);
 
 /// Reports strikes until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
@@ -45,9 +45,9 @@
     loop {
         let fingerprint = instance.strike_reports.next().await;
         let Err(postponed) = reporter.report(&instance, fingerprint).await else { continue };
-        instance.strike_reports.add(fingerprint, Instant::now() + postponed.wait());
-        if let Postponed::All(wait) = postponed {
-            sleep(wait).await;
+        instance.strike_reports.add(fingerprint, Instant::now() + postponed.delay());
+        if let Postponed::AllReports(delay) = postponed {
+            sleep(delay).await;
         }
     }
 }
@@ -56,15 +56,15 @@
 #[derive(Clone, Copy, Debug)]
 enum Postponed {
     /// Something that concerns this request alone; the time until the next try.
-    One(Duration),
+    ThisReport(Duration),
     /// The store takes no writes: however many wait, one call is made in this time.
-    All(Duration),
+    AllReports(Duration),
 }
 
 impl Postponed {
-    fn wait(self) -> Duration {
+    fn delay(self) -> Duration {
         match self {
-            Postponed::One(wait) | Postponed::All(wait) => wait,
+            Postponed::ThisReport(delay) | Postponed::AllReports(delay) => delay,
         }
     }
 }
@@ -72,17 +72,17 @@
 #[derive(Default)]
 struct Reporter {
     /// For strikes below the limit, and requests that were answered.
-    strikes_lease: Option<Granted>,
+    strikes_lease: Option<LeaseGrant>,
     /// For a quarantine.
-    quarantine_lease: Option<Granted>,
-    first_strikes: FirstStrikes,
+    quarantine_lease: Option<LeaseGrant>,
+    first_strikes: FirstStrikeLimiter,
     backoff: Backoff,
 }
 
 #[derive(Clone, Copy)]
-struct Granted {
+struct LeaseGrant {
     lease: LeaseId,
-    at: Instant,
+    requested_at: Instant,
 }
 
 impl Reporter {
@@ -95,20 +95,20 @@
         let Some(report) = report else { return Ok(()) };
         if report.strikes == 1 {
             let members = instance.routing.borrow().members.count();
-            self.first_strikes.take(members, Instant::now()).map_err(Postponed::One)?;
+            self.first_strikes.try_take(members, Instant::now()).map_err(Postponed::ThisReport)?;
         }
         match self.write(instance, fingerprint, report).await {
             Ok(()) => {
                 self.backoff.reset();
                 Ok(())
             }
-            Err(StoreError::Conflict) => Err(Postponed::One(CONFLICT_WAIT)),
+            Err(StoreError::Conflict) => Err(Postponed::ThisReport(CONFLICT_RETRY_DELAY)),
             Err(StoreError::LeaseOver) => {
                 (self.strikes_lease, self.quarantine_lease) = (None, None);
-                Err(Postponed::One(Duration::ZERO))
+                Err(Postponed::ThisReport(Duration::ZERO))
             }
             // `call` has counted the failure, and the health of the store logs an outage.
-            Err(_) => Err(Postponed::All(self.backoff.wait())),
+            Err(_) => Err(Postponed::AllReports(self.backoff.wait())),
         }
     }
 
@@ -132,43 +132,44 @@
             false => (&mut self.quarantine_lease, QUARANTINE_TTL),
         };
         let era = instance.store_copy.latest_era().get();
-        let is_reusable = |granted: &Granted| granted.at.elapsed() < LEASE_REUSE && granted.lease.era == era;
-        if let Some(granted) = slot.filter(is_reusable) {
-            return Ok(granted.lease);
+        let is_reusable =
+            |grant: &LeaseGrant| grant.requested_at.elapsed() < MAX_LEASE_REUSE_AGE && grant.lease.era == era;
+        if let Some(grant) = slot.filter(is_reusable) {
+            return Ok(grant.lease);
         }
-        let at = Instant::now();
+        let requested_at = Instant::now();
         let lease = call(instance, "grant", instance.store.grant(ttl)).await?;
-        *slot = Some(Granted { lease, at });
+        *slot = Some(LeaseGrant { lease, requested_at });
         Ok(lease)
     }
 }
 
 /// First strikes that may be reported now.
-struct FirstStrikes {
-    saved: f64,
-    at: Option<Instant>,
+struct FirstStrikeLimiter {
+    tokens: f64,
+    updated_at: Option<Instant>,
 }
 
-impl Default for FirstStrikes {
+impl Default for FirstStrikeLimiter {
     fn default() -> Self {
-        Self { saved: FIRST_STRIKE_BURST, at: None }
+        Self { tokens: FIRST_STRIKE_BURST, updated_at: None }
     }
 }
 
-impl FirstStrikes {
+impl FirstStrikeLimiter {
     /// Takes one of this instance's part.
     ///
     /// # Errors
     /// The time until there is one.
-    fn take(&mut self, members: usize, now: Instant) -> Result<(), Duration> {
+    fn try_take(&mut self, members: usize, now: Instant) -> Result<(), Duration> {
         let rate = FIRST_STRIKE_RATE / members.max(1) as f64;
-        let passed = self.at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
-        self.at = Some(now);
-        self.saved = (self.saved + passed * rate).min(FIRST_STRIKE_BURST);
-        if self.saved < 1.0 {
-            return Err(Duration::from_secs_f64((1.0 - self.saved) / rate));
+        let passed = self.updated_at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
+        self.updated_at = Some(now);
+        self.tokens = (self.tokens + passed * rate).min(FIRST_STRIKE_BURST);
+        if self.tokens < 1.0 {
+            return Err(Duration::from_secs_f64((1.0 - self.tokens) / rate));
         }
-        self.saved -= 1.0;
+        self.tokens -= 1.0;
         Ok(())
     }
 }
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -30,7 +30,7 @@
 /// Instances from which loads are shared: below, each one sends to a target several times a second.
 pub const MIN_INSTANCES_TO_SHARE_LOADS: usize = 32;
 /// Time between looks whether a tenant has a quota.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Largest report, bytes: some ten thousand tenants.
 const MAX_REPORT_SIZE: usize = 256 << 10;
 
@@ -52,16 +52,16 @@
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let connections = Rc::new(HeadConnections::default());
     spawn_local(forward_all(instance.clone(), connections.clone()));
-    let mut reported = Instant::now();
+    let mut last_report_at = Instant::now();
     loop {
-        let longest = if is_needed(&instance) { REPORT_INTERVAL } else { LOOK_EVERY };
+        let interval = if is_needed(&instance) { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
         // Either way it is looked whether there is something to report.
-        let _ = timeout(longest, instance.quotas.report_due()).await;
+        let _ = timeout(interval, instance.quotas.report_due()).await;
         if !is_needed(&instance) {
             continue;
         }
-        sleep_until(reported + MIN_REPORT_INTERVAL).await;
-        reported = Instant::now();
+        sleep_until(last_report_at + MIN_REPORT_INTERVAL).await;
+        last_report_at = Instant::now();
         report(&instance, &connections).await;
     }
 }
@@ -76,7 +76,7 @@
 async fn report<P: Platform>(instance: &Instance<P>, connections: &HeadConnections) {
     for _ in 0..MAX_REPORT_ATTEMPTS {
         let Some(head) = connections.own_head(instance) else { return };
-        let report = own_report(instance);
+        let report = build_report(instance);
         let answer = match head {
             OwnHead::Local => match instance.take_own_usage(&report) {
                 Some(answer) => Some(answer),
@@ -97,7 +97,7 @@
     }
 }
 
-fn own_report<P: Platform>(instance: &Instance<P>) -> UsageReport {
+fn build_report<P: Platform>(instance: &Instance<P>) -> UsageReport {
     let settings = instance.settings();
     let (tenants, over) = instance.quotas.begin_report();
     UsageReport {
@@ -112,15 +112,15 @@
 
 /// Tells the heads of other halls what this one was told, until the process ends.
 async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
-    let under_way: Rc<RefCell<Vec<String>>> = Rc::default();
-    let mut forwarded = Instant::now();
+    let in_progress: Rc<RefCell<Vec<String>>> = Rc::default();
+    let mut last_forward_at = Instant::now();
     loop {
         // Either way the other halls are told.
         let _ = timeout(FORWARD_INTERVAL, instance.quotas.forward_due()).await;
-        sleep_until(forwarded + MIN_REPORT_INTERVAL).await;
-        forwarded = Instant::now();
+        sleep_until(last_forward_at + MIN_REPORT_INTERVAL).await;
+        last_forward_at = Instant::now();
         if !is_needed(&instance) {
-            sleep(LOOK_EVERY).await;
+            sleep(IDLE_CHECK_INTERVAL).await;
             continue;
         }
         let others = connections.other_heads(&instance);
@@ -129,14 +129,14 @@
             continue;
         }
         for (hall, head) in others {
-            if under_way.borrow().contains(&hall) {
+            if in_progress.borrow().contains(&hall) {
                 continue;
             }
-            under_way.borrow_mut().push(hall.clone());
-            let (instance, connections, under_way) = (instance.clone(), connections.clone(), under_way.clone());
+            in_progress.borrow_mut().push(hall.clone());
+            let (instance, connections, in_progress) = (instance.clone(), connections.clone(), in_progress.clone());
             spawn_local(async move {
                 forward(&instance, &connections, &hall, head).await;
-                under_way.borrow_mut().retain(|other| *other != hall);
+                in_progress.borrow_mut().retain(|other| *other != hall);
             });
         }
     }
