--- a/src/sync/membership.rs
+++ b/src/sync/membership.rs
@@ -1,26 +1,26 @@
-//! Membership: a ready instance keeps its own key in the store under a lease, renews the lease
-//! each `RENEW_EVERY` (1.2 s), and writes the key again where the view still lacks it.
+//! Membership: an instance that is ready keeps a key of its own in the store under a lease, renews
+//! the lease every 1.2 s, and writes the key again if the view lacks it.
 //!
 //! **Inputs**
-//! - Whether the instance is ready or stops; local, exact.
-//! - The members; as old as the view: current to 1.3 s while store or relay answers, older
-//!   while they do not.
+//! - Whether the instance is ready or stopping; local, exact.
+//! - The members; as old as the view: at most 1.3 s while the store or the relay responds, older
+//!   while neither does.
 //! - The store's shortest lease and the instance's name, addresses, hall and region, from the
 //!   settings at the time of the call.
 //!
-//! A lease from an earlier era of the store is neither renewed nor ended: the restored store may
-//! have issued its number to another writer. The instance takes a new lease and writes its key
+//! A lease from an earlier era of the store is neither renewed nor revoked: the restored store may
+//! have issued its number to another writer. The instance requests a new lease and writes its key
 //! again ([`crate::store::era`]).
 //!
-//! **Load pattern**: all instances learn of a new era within a second. Each takes its new lease
-//! after a random delay of up to `MAX_REGISTRATION_JITTER`.
+//! **Load pattern**: all instances learn of a new era within a second. Each requests its new lease
+//! after a random delay of up to `MAX_REGISTRATION_JITTER` (0.5 s).
 //!
-//! **Why.** A dead instance leaves the members when its lease expires, with no message. A key
-//! can be removed although its lease lives.
+//! **Why.** The lease removes a dead instance from the members without a message. The key can be
+//! deleted while the lease is alive, so that renewing the lease is not enough.
 //!
-//! **Guards** the promises that the members list the instances that take requests, and that a
-//! stopping one leaves at once, whatever call is under way, or with its lease where ending
-//! that fails.
+//! **Guards** the promises that the members are the instances that accept requests, and that a
+//! stopping instance leaves them at once, even during another call, or when its lease expires if it
+//! cannot be revoked.
 //!
 //! Owns the lease. Relies on the view to see whether the key is still there.
 
@@ -36,16 +36,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time within which a written key appears in the view, else it is written again: longer than the
-/// pause between watches (0.4 s) and a relay's wait (0.7 s) together.
+/// Time after which a key that was written but is not in the view is written again: longer than
+/// the pause between watches (0.4 s) and a relay's wait (0.7 s) together.
 const VISIBILITY_TIMEOUT: Duration = Duration::from_millis(1_500);
-/// Longest random delay before an instance registers again in a later era, so that the instances of
-/// a fleet do not call the store at the same time.
+/// Maximum random delay before an instance registers again in a later era, so that the instances do
+/// not all call the store at the same time.
 const MAX_REGISTRATION_JITTER: Duration = Duration::from_millis(500);
-/// Time between checks whether the instance is ready to register: short against its start.
+/// Time between checks whether the instance is ready to register: short compared with its start.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(300);
 
-/// Registers this instance once it is ready, and withdraws the registration when it stops.
+/// Registers this instance once it is ready, and deregisters it when it stops.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let mut registration: Option<Registration> = None;
     let mut backoff = Backoff::default();
@@ -60,13 +60,13 @@
             () = instance.lifecycle.stop_requested() => {}
         }
     }
-    // Ending a lease from an earlier era could remove the keys of another writer.
+    // Revoking a lease from an earlier era could delete the keys of another writer.
     if let Some(registration) = registration.filter(|registration| registration.is_from_latest_era(&instance)) {
         deregister(&instance, registration.lease).await;
     }
 }
 
-/// Completes once a later era than that of the lease is known; never without a registration.
+/// Completes once an era later than that of the lease is known; never without a registration.
 async fn wait_for_later_era<P: Platform>(instance: &Instance<P>, registration: Option<&Registration>) {
     match registration {
         Some(registration) => instance.store_copy.latest_era().advanced_past(registration.lease.era).await,
@@ -74,17 +74,18 @@
     }
 }
 
-/// Ends the lease, which removes the key. It is tried once: the lease expires by itself.
+/// Revokes the lease, which deletes the key. There is no second attempt, since the lease expires by
+/// itself.
 async fn deregister<P: Platform>(instance: &Instance<P>, lease: LeaseId) {
     if let Err(error) = call(instance, "end", instance.store.end(lease)).await {
         tracing::warn!(event = "lease_end_failed", %error);
     }
 }
 
-/// The lease of a registration, and when the key was last written under it; `None` before
-/// the first write was answered.
+/// The registration of this instance.
 struct Registration {
     lease: LeaseId,
+    /// When the key was last written under the lease; `None` before the first successful write.
     written_at: Option<Instant>,
 }
 
@@ -94,7 +95,8 @@
     }
 }
 
-/// Registers, renews or writes the key again; returns the wait before the next step.
+/// Requests a lease, writes the key or renews the lease, whichever is due. Returns the delay before
+/// the next call of this function.
 async fn maintain_registration<P: Platform>(
     instance: &Instance<P>,
     registration: &mut Option<Registration>,
@@ -130,26 +132,28 @@
             *registration = None;
             Duration::ZERO
         }
-        // `call` has counted the failure, and the health of the store logs an outage.
+        // `call` counts failures, and the health of the store logs outages.
         Err(_) if instance.store_copy.is_current() => backoff.patient_wait(),
         Err(_) => backoff.wait(),
     }
 }
 
-/// Time until the lease is renewed again after a call that was sent at `asked`: the lease runs from
-/// the call's arrival, not from that of its answer, before which the machine may have been suspended.
+/// Time until the next renewal after a call that was sent at `sent_at`. It is not counted from the
+/// response: the lease runs from the call's arrival at the store, and the machine may have been
+/// suspended before it received the response.
 fn time_until_renewal(sent_at: Instant) -> Duration {
     RENEW_EVERY.saturating_sub(sent_at.elapsed())
 }
 
-/// Whether the key has to be written: it was not yet, or the view still lacks it
-/// `VISIBLE_WITHIN` after that.
+/// Whether the key has to be written: either it has not been written yet, or the view still lacks
+/// it [`VISIBILITY_TIMEOUT`] after the last write.
 fn is_key_missing<P: Platform>(instance: &Instance<P>, registration: &Registration) -> bool {
     let Some(written_at) = registration.written_at else { return true };
     let name = &instance.settings.borrow().name;
     written_at.elapsed() > VISIBILITY_TIMEOUT && !instance.routing.borrow().members.contains_key(name)
 }
 
+/// Requests a lease that is no shorter than the store permits.
 async fn grant_lease<P: Platform>(instance: &Instance<P>) -> Result<LeaseId, StoreError> {
     let shortest = instance.settings().shortest_lease;
     call(instance, "grant", instance.store.grant(LEASE.max(shortest))).await
--- a/src/sync/policies.rs
+++ b/src/sync/policies.rs
@@ -2,8 +2,8 @@
 //!
 //! **Rule.** If the view had later policies than the restored store, the instance writes them again,
 //! on the condition that the key has not changed since the revision in the view. The first instance
-//! by name writes at once, each next one `RANK_WAIT` later, unless its view has these policies or
-//! later ones by then.
+//! by name writes at once, each further one `DELAY_PER_RANK` (20 ms) later, unless its view has these
+//! policies or later ones by then.
 //!
 //! **Inputs**
 //! - The policies in the view before the first list of the later era; exact.
@@ -11,7 +11,7 @@
 //!
 //! **Why.** After the restore only the instances still have these policies. Running instances keep
 //! them in force, but one that starts later would load the earlier ones from the store, and an apply
-//! through it would follow those, under a revision that the other instances have already passed.
+//! through it would be based on those, with a revision that the other instances have already passed.
 //!
 //! **Guards** the promise that applied policies stay in force after a restore, also at instances that
 //! start later.
@@ -31,13 +31,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Additional delay of each instance over the previous one by name, so that the first write reaches
-/// the views of most other instances before their turn.
+/// Delay of each instance after the previous one by name, so that the first write reaches the views
+/// of most other instances before their turn.
 const DELAY_PER_RANK: Duration = Duration::from_millis(20);
-/// Delay before the next attempt after a conflict, so that the conflicting write can reach the view.
+/// Delay before the next attempt after a conflict, in which the conflicting write can reach the view.
 const CONFLICT_RETRY_DELAY: Duration = Duration::from_millis(500);
 
-/// Writes lost policies again until the process ends.
+/// Writes policies again that the store has lost, until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let mut backoff = Backoff::default();
     loop {
@@ -52,7 +52,7 @@
     }
 }
 
-/// The number of members whose names sort before that of this instance.
+/// Number of members whose names sort before that of this instance.
 fn rank<P: Platform>(instance: &Instance<P>) -> u32 {
     let (routing, settings) = (instance.routing.borrow(), instance.settings());
     routing.members.names().take_while(|name| *name < settings.name.as_str()).count() as u32
--- a/src/sync/strikes.rs
+++ b/src/sync/strikes.rs
@@ -1,20 +1,22 @@
-//! Reports of strikes: what an instance knows of requests under which targets ended is written
-//! to the store, so that it reaches every instance with the view, and outlasts this one.
+//! Reports of strikes: writes the strikes against requests that an instance knows, and that requests
+//! were answered, to the store. The records reach every instance with the view, and outlast the
+//! instance that wrote them.
 //!
 //! **Inputs**
-//! - Requests whose strikes changed here ([`crate::state::StrikeReports`]), and what is to be
-//!   written of them ([`crate::decision::failure::quarantine`]).
-//! - The members, for this instance's part of the calls; as old as the view.
+//! - Requests whose strikes changed here ([`crate::state::StrikeReports`]), and the record to write
+//!   for each ([`crate::decision::failure::quarantine`]).
+//! - The number of members, for this instance's share of the rate; as old as the view.
 //!
-//! **Why.** Each write has the condition that the record is as this instance knows it: of two that
-//! count the same strike, one wins, and the other sees its record. The keys go with leases of their
-//! own, which nobody renews.
+//! **Why.** Each write requires that the record has not changed since the revision in the view: if
+//! two instances count the same strike, one write succeeds and the other instance receives its
+//! record. The keys are written under leases of their own that are never renewed, so that the
+//! records expire.
 //!
-//! **Guards** the promise that the third strike is known to all instances within a second while
-//! the store answers, and that targets lost in numbers do not fill the store: first strikes, of
-//! which most are cleared by the next try, wait for it and are bounded in number.
+//! **Guards** the promise that the third strike is known to all instances within a second while the
+//! store responds, and that the loss of many targets does not fill the store: first strikes, most of
+//! which the next try clears, are delayed and limited in number.
 //!
-//! Owns the leases. Test: `standins/tests/ending_requests.rs`.
+//! Owns the leases. **Test**: `standins/tests/ending_requests.rs`.
 
 use crate::clock::{Instant, sleep};
 use crate::decision::failure::quarantine::{QUARANTINE_THRESHOLD, QUARANTINE_TTL, STRIKES_TTL, StrikeReport};
@@ -28,15 +30,16 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// First strikes that all instances together report, a second: a quarter of what the store of the
-/// sites writes.
+/// First strikes that all instances together report, per second: a quarter of the writes that the
+/// store of the sites can take.
 const FIRST_STRIKE_RATE: f64 = 100.0;
-/// First strikes that one instance may report at once.
+/// Maximum number of first strikes that one instance reports at once.
 const FIRST_STRIKE_BURST: f64 = 3.0;
-/// Time until the record that came first has arrived with the view.
+/// Delay before the next attempt after a conflict, in which the record that was written first reaches
+/// the view.
 const CONFLICT_RETRY_DELAY: Duration = Duration::from_millis(100);
-/// Age up to which a lease is reused for further keys within its era; they expire up to this much
-/// earlier.
+/// Age up to which a lease is reused for further keys within its era; these keys expire up to this
+/// much earlier.
 const MAX_LEASE_REUSE_AGE: Duration = Duration::from_secs(30);
 
 /// Reports strikes until the process ends.
@@ -52,12 +55,13 @@
     }
 }
 
-/// Why a report was not written now.
+/// Why a report was not written, with the delay before the next attempt.
 #[derive(Clone, Copy, Debug)]
 enum Postponed {
-    /// Something that concerns this request alone; the time until the next try.
+    /// For a reason that concerns this report only.
     ThisReport(Duration),
-    /// The store takes no writes: however many wait, one call is made in this time.
+    /// The store accepts no writes. No other report is written during the delay, so that the number
+    /// of calls does not grow with the number of pending reports.
     AllReports(Duration),
 }
 
@@ -69,27 +73,30 @@
     }
 }
 
+/// Writes reports, at a limited rate and under shared leases.
 #[derive(Default)]
 struct Reporter {
-    /// For strikes below the limit, and requests that were answered.
+    /// For records below [`QUARANTINE_THRESHOLD`], including those of answered requests.
     strikes_lease: Option<LeaseGrant>,
-    /// For a quarantine.
+    /// For records of requests in quarantine.
     quarantine_lease: Option<LeaseGrant>,
     first_strikes: FirstStrikeLimiter,
     backoff: Backoff,
 }
 
+/// A lease that may be reused for further keys.
 #[derive(Clone, Copy)]
 struct LeaseGrant {
     lease: LeaseId,
+    /// When the call that granted it was sent.
     requested_at: Instant,
 }
 
 impl Reporter {
-    /// Writes what the store lacks of a request.
+    /// Writes the record of a request, if the store does not hold it already.
     ///
     /// # Errors
-    /// [`Postponed`] where that has to be tried again.
+    /// [`Postponed`] if the report has to be tried again.
     async fn report<P: Platform>(&mut self, instance: &Instance<P>, fingerprint: Fingerprint) -> Result<(), Postponed> {
         let report = instance.routing.borrow().quarantine.pending_report(fingerprint, Instant::now());
         let Some(report) = report else { return Ok(()) };
@@ -107,7 +114,7 @@
                 (self.strikes_lease, self.quarantine_lease) = (None, None);
                 Err(Postponed::ThisReport(Duration::ZERO))
             }
-            // `call` has counted the failure, and the health of the store logs an outage.
+            // `call` counts failures, and the health of the store logs outages.
             Err(_) => Err(Postponed::AllReports(self.backoff.wait())),
         }
     }
@@ -125,7 +132,8 @@
         call(instance, "put_strikes", put).await
     }
 
-    /// A lease that lasts as long as so many strikes count, granted lately.
+    /// A lease for a record of so many strikes, with the time for which these count: a recent one, or
+    /// else a new one.
     async fn lease<P: Platform>(&mut self, instance: &Instance<P>, strikes: u32) -> Result<LeaseId, StoreError> {
         let (slot, ttl) = match strikes < QUARANTINE_THRESHOLD {
             true => (&mut self.strikes_lease, STRIKES_TTL),
@@ -144,9 +152,11 @@
     }
 }
 
-/// First strikes that may be reported now.
+/// Token bucket with this instance's equal share of [`FIRST_STRIKE_RATE`].
 struct FirstStrikeLimiter {
+    /// First strikes that may be reported now, at most [`FIRST_STRIKE_BURST`].
     tokens: f64,
+    /// When tokens were last added; `None` before the first report.
     updated_at: Option<Instant>,
 }
 
@@ -157,10 +167,10 @@
 }
 
 impl FirstStrikeLimiter {
-    /// Takes one of this instance's part.
+    /// Takes a token; `members` is the number of instances that share the rate.
     ///
     /// # Errors
-    /// The time until there is one.
+    /// The time until a token is available.
     fn try_take(&mut self, members: usize, now: Instant) -> Result<(), Duration> {
         let rate = FIRST_STRIKE_RATE / members.max(1) as f64;
         let passed = self.updated_at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
