--- a/src/sync/heads.rs
+++ b/src/sync/heads.rs
@@ -1,7 +1,8 @@
-//! The heads of halls, as an instance finds them, and the links over which they are told things.
+//! Finds the heads of halls, and sends them reports over connections that are kept open.
 //!
-//! Owns the connections, one to each head, and which heads failed. Relies on
-//! [`crate::sync::peers`] for a connection, and on [`crate::decision::quota::heads`] for who is one.
+//! Owns the connections, one to each head, and the record of heads that failed. Relies on
+//! [`crate::sync::peers`] for a connection, and on [`crate::decision::quota::heads`] for the choice
+//! of heads.
 
 use crate::clock::{Instant, timeout};
 use crate::decision::quota::heads::{Head, heads};
@@ -19,84 +20,86 @@
 use std::time::Duration;
 use thiserror::Error;
 
-/// Longest time for a call to a head: twice in a row it is below the age of an answer (1 s) by the
-/// time that the next head in order needs.
+/// Timeout of a call to a head: after two timeouts in a row, the next head in order still has time
+/// to answer before the last answer is too old (1 s).
 pub const CALL_TIMEOUT: Duration = Duration::from_millis(300);
-/// Heads that one report is sent to at most, one after the other.
+/// Maximum number of attempts to send one report, one after the other, to the same head or the next
+/// one in order.
 pub const MAX_REPORT_ATTEMPTS: usize = 3;
 
-/// Calls in a row without an answer after which a head is passed over: one may be lost.
+/// Consecutive timeouts after which a head is skipped: a single call may be lost.
 const MAX_TIMEOUTS: u32 = 2;
-/// Time for which a head that failed is passed over: a dead one leaves the members meanwhile, so
-/// that the instances of its hall do not all try it again at one moment.
+/// Time for which a failed head is skipped: a dead one leaves the members in this time, so that the
+/// instances of its hall do not all retry it at the same moment.
 const SKIP_TIME: Duration = Duration::from_secs(5);
 
-/// Why a head took no report.
+/// Why a report could not be sent to a head.
 #[derive(Debug, Error)]
 enum SendReportError {
-    /// It gave no answer.
+    /// The call failed.
     #[error(transparent)]
     Peer(#[from] PeerError),
-    /// Its answer cannot be read.
-    #[error("the head's answer cannot be read: {0}; check its version")]
+    /// The answer cannot be decoded.
+    #[error("the head's answer cannot be decoded: {0}; check the version of that instance")]
     InvalidResponse(#[from] postcard::Error),
 }
 
-/// What a head is told.
+/// A report to the head of a hall.
 pub trait HeadReport: Serialize + DeserializeOwned {
-    /// Path at which heads take it.
+    /// Path at which heads accept it.
     const PATH: &'static str;
-    /// What they answer.
+    /// A head's answer to it.
     type Answer: DeserializeOwned;
 }
 
-/// Why a report is refused.
+/// Why a head rejects a report.
 #[derive(Debug, Error)]
 pub enum ReportError {
-    /// It did not come whole.
-    #[error("the report did not come whole: {0}; send it again")]
+    /// It was not received completely, or not in time, or is too large.
+    #[error("the report was not received completely: {0}; send it again")]
     Incomplete(#[from] ReadError),
-    /// It is no report.
-    #[error("the report cannot be read: {0}; check the version of the instance that sent it")]
+    /// It cannot be decoded.
+    #[error("the report cannot be decoded: {0}; check the version of the instance that sent it")]
     Invalid(#[from] postcard::Error),
 }
 
-/// Reads a report of `size` bytes at most.
+/// Reads and decodes a report of at most `size` bytes.
 ///
 /// # Errors
-/// [`ReportError`].
+/// [`ReportError`] if it is not received within [`CALL_TIMEOUT`], is too large or cannot be decoded.
 pub async fn read_report<R: HeadReport>(body: CallerBody, size: usize) -> Result<R, ReportError> {
     let limits = ReadLimits { stall: CALL_TIMEOUT, total: CALL_TIMEOUT, size };
     Ok(decode(&read_whole(body, limits).await?)?)
 }
 
-/// Where the head of the own hall is.
+/// The head of the own hall.
 #[derive(Clone, Copy)]
 pub enum OwnHead {
-    /// It is this instance.
+    /// This instance.
     Local,
-    /// It listens for its peers here.
+    /// Another instance, with its address for peers.
     Remote(SocketAddr),
 }
 
-/// Links to heads, and those heads that failed.
+/// Connections to the heads of halls, and which heads failed recently.
 #[derive(Default)]
 pub struct HeadConnections {
+    /// Open connections without a call in progress.
     connections: RefCell<HashMap<SocketAddr, PeerLink>>,
-    /// Calls in a row that a head did not answer.
+    /// Consecutive timeouts by head.
     timeouts: RefCell<HashMap<SocketAddr, u32>>,
-    /// Until when a head is passed over.
+    /// Until when a failed head is skipped.
     skipped_until: RefCell<HashMap<SocketAddr, Instant>>,
 }
 
 impl HeadConnections {
-    /// Whether a head may be asked: it did not fail lately.
+    /// Whether reports may be sent to an instance: it is not skipped after a failure.
     pub fn may_ask(&self, peer: SocketAddr) -> bool {
         self.skipped_until.borrow().get(&peer).is_none_or(|until| *until <= Instant::now())
     }
 
-    /// Sends a report to a head. One that cannot be reached is passed over for a while, one that is
-    /// silent from the second time on.
+    /// Sends a report to a head and returns its answer; `None` if that fails. A head that times out is
+    /// skipped for a while after the second timeout in a row, and after any other failure at once.
     pub async fn send_report<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Option<R::Answer> {
         let error = match timeout(CALL_TIMEOUT, self.call(head, report)).await {
             Ok(Ok(answer)) => {
@@ -113,6 +116,8 @@
         None
     }
 
+    /// Sends a report over the open connection or a new one, which is closed if this fails or is
+    /// cancelled.
     async fn call<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Result<R::Answer, SendReportError> {
         let existing = self.connections.borrow_mut().remove(&head);
         let mut connection = match existing {
@@ -125,6 +130,7 @@
         Ok(answer)
     }
 
+    /// Counts a timeout of a head; returns the number of consecutive ones.
     fn count_timeout(&self, head: SocketAddr) -> u32 {
         let mut timeouts = self.timeouts.borrow_mut();
         let count = timeouts.entry(head).or_default();
@@ -141,8 +147,8 @@
         skipped_until.insert(head, now + SKIP_TIME);
     }
 
-    /// The head of the own hall; a seed where no instance of the hall is known, `None` where there
-    /// is none either.
+    /// The head of the own hall among the members that are not skipped. If there is none: this instance
+    /// if it is a member, otherwise a seed; `None` if every seed is skipped or there is none.
     pub fn own_head<P: Platform>(&self, instance: &Instance<P>) -> Option<OwnHead> {
         let settings = instance.settings();
         let routing = instance.routing.borrow();
@@ -158,7 +164,7 @@
         others.next().map(OwnHead::Remote)
     }
 
-    /// The heads of the other halls.
+    /// The heads of the other halls, with the names of these halls and the heads' addresses for peers.
     pub fn other_heads<P: Platform>(&self, instance: &Instance<P>) -> Vec<(String, SocketAddr)> {
         let settings = instance.settings();
         let routing = instance.routing.borrow();
@@ -167,7 +173,8 @@
         others.map(|(hall, Head { peer, .. })| (hall.to_owned(), peer)).collect()
     }
 
-    /// Closes links to instances that are heads no longer, but for the own one and `others`.
+    /// Closes connections to instances other than the head of the own hall and `others`, the heads of
+    /// the other halls.
     pub fn close_unused<P: Platform>(&self, instance: &Instance<P>, others: &[(String, SocketAddr)]) {
         let own = self.own_head(instance);
         let is_own = |peer| matches!(own, Some(OwnHead::Remote(head)) if head == peer);
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -1,14 +1,15 @@
-//! The exchange of targets' rate limits: an instance tells the head of its hall what targets said
-//! and what it has to send them, heads tell each other.
+//! Exchange of targets' rate limits: each instance reports the limits that targets announced to it,
+//! and its demand for these targets, to the head of its hall, and heads report to each other.
 //!
-//! **Load pattern**: while a limit is known, each instance that knows one makes a small call each
-//! 0.2 s, a head one to each other hall each 0.3 s, and at once where far more than usual is to be
-//! sent, at most each 0.05 s. Of 32 instances or more each asks once a second while it knows no limit:
-//! so many would else send each their first requests without knowing of it. Fewer exchange nothing
-//! then.
+//! **Load pattern**: while a limit is known, each instance that knows one sends a small report every
+//! 0.2 s, and a head sends one to each other hall every 0.3 s. If a target gets or loses its limit,
+//! or far more than usual is to be sent to it, an instance reports at once, but at most every 0.05 s.
+//! With 32 instances or more, each also reports once a second while it knows no limit: otherwise so
+//! many instances would each send their first requests to a target without knowing its limit. With
+//! fewer, nothing is exchanged then.
 //!
 //! Owns the two tasks. Relies on [`crate::sync::heads`] for the connections and on
-//! [`crate::decision::capacity::rate_limit`] for the rule. Test: `standins/tests/rate_limits.rs`.
+//! [`crate::decision::capacity::rate_limit`] for the rule. **Test**: `standins/tests/rate_limits.rs`.
 
 use crate::clock::{Instant, sleep, sleep_until, timeout};
 use crate::decision::quota::{FORWARD_INTERVAL, MIN_REPORT_INTERVAL, REPORT_INTERVAL};
@@ -24,11 +25,12 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Path at which an instance takes reports.
+/// Path at which an instance accepts reports of limits.
 pub const LIMITS_PATH: &str = "/limits";
-/// Time between looks whether a limit is known.
+/// Time between checks whether there is something to report, while no limit is known.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Largest report, bytes: twice the most targets that one names.
+/// Maximum size of a report that is accepted, bytes: room for twice the targets that a report can
+/// contain.
 const MAX_REPORT_SIZE: usize = 16 << 10;
 
 impl HeadReport for LimitReport {
@@ -36,23 +38,23 @@
     type Answer = LimitAnswer;
 }
 
-/// Takes a report as the head of a hall; gives the answer's form on the wire.
+/// Records a report as the head of a hall; returns the encoded answer.
 ///
 /// # Errors
-/// [`ReportError`]; nothing is taken then.
+/// [`ReportError`] if the report is rejected; nothing is recorded then.
 pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, ReportError> {
     let report: LimitReport = read_report(body, MAX_REPORT_SIZE).await?;
     Ok(encode(&instance.take_limits(&report)))
 }
 
-/// Tells heads of targets' limits, until the process ends.
+/// Reports targets' limits, and the demand for these targets, to heads until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let connections = Rc::new(HeadConnections::default());
     spawn_local(forward_all(instance.clone(), connections.clone()));
     let mut last_report_at = Instant::now();
     loop {
         let interval = if instance.knows_limits() { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
-        // Either way it is looked whether there is something to report.
+        // Whether notified or not, checks if there is something to report.
         let _ = timeout(interval, instance.rate_limits.report_due()).await;
         if instance.update_limits() || polls_for_limits(&instance) {
             sleep_until(last_report_at + MIN_REPORT_INTERVAL).await;
@@ -62,12 +64,13 @@
     }
 }
 
-/// Whether the instances are so many that most of them send a target little.
+/// Whether to report without a known limit, to learn of limits that other instances know: there are
+/// so many instances that most of them send little to any one target.
 fn polls_for_limits<P: Platform>(instance: &Instance<P>) -> bool {
     instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
 
-/// Tells the head of the own hall, and the next one where it does not answer.
+/// Reports to the head of the own hall, or to the next one if that does not answer.
 async fn report<P: Platform>(instance: &Instance<P>, connections: &HeadConnections) {
     for _ in 0..MAX_REPORT_ATTEMPTS {
         let Some(head) = connections.own_head(instance) else { return };
@@ -83,7 +86,8 @@
     }
 }
 
-/// Tells the heads of other halls what this one was told, until the process ends.
+/// While this instance is a head, forwards the demand that its hall reported to the heads of other
+/// halls, until the process ends.
 async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
     loop {
         sleep(FORWARD_INTERVAL).await;
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -1,15 +1,18 @@
-//! The exchange of what tenants use and of the loads of targets: an instance tells the head of its
-//! hall, heads tell each other.
+//! Exchange of tenants' usage and of targets' loads: each instance reports to the head of its hall,
+//! and heads report to each other.
 //!
-//! **Load pattern**: each instance makes a small call each 0.2 s, a head one to each other hall each
-//! 0.3 s, and at once where a tenant sends far more than usual, at most each 0.05 s. Nothing is
-//! exchanged while no tenant has a quota and the instances are few.
+//! **Load pattern**: each instance sends a small report every 0.2 s, and a head sends one to each
+//! other hall every 0.3 s. If a tenant sends far more than usual, a report is sent at once, but at
+//! most every 0.05 s. Nothing is exchanged while no tenant has a quota and there are fewer than
+//! [`MIN_INSTANCES_TO_SHARE_LOADS`] (32) instances.
 //!
-//! **Why.** A call that fails makes its head passed over for a while, and the next one in order
-//! is told at once: a dead head costs one call. What was not answered is told again.
+//! **Why.** A head that cannot be reached is skipped for a while, and the report goes to the next one
+//! in order at once: a dead head costs one call, or two if they time out. Usage in a report without an
+//! answer is reported again.
 //!
-//! Owns the two tasks. Relies on [`crate::sync::heads`] for the connections, on [`crate::decision::quota`] and
-//! [`crate::decision::capacity::shared_loads`] for who is told what. Test: `standins/tests/quotas.rs`.
+//! Owns the two tasks. Relies on [`crate::sync::heads`] for the connections, and on
+//! [`crate::decision::quota`] and [`crate::decision::capacity::shared_loads`] for the contents of
+//! reports and answers. **Test**: `standins/tests/quotas.rs`.
 
 use crate::clock::{Instant, sleep, sleep_until, timeout};
 use crate::decision::quota::{FORWARD_INTERVAL, MIN_REPORT_INTERVAL, REPORT_INTERVAL};
@@ -25,13 +28,14 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Path at which an instance takes reports.
+/// Path at which an instance accepts reports of usage.
 pub const USAGE_PATH: &str = "/usage";
-/// Instances from which loads are shared: below, each one sends to a target several times a second.
+/// Number of instances from which loads are shared: with fewer, each instance sends to a target
+/// several times a second, and gets its load in the responses.
 pub const MIN_INSTANCES_TO_SHARE_LOADS: usize = 32;
-/// Time between looks whether a tenant has a quota.
+/// Time between checks whether there is something to exchange, while there is not.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Largest report, bytes: some ten thousand tenants.
+/// Maximum size of a report that is accepted, bytes: room for some ten thousand tenants.
 const MAX_REPORT_SIZE: usize = 256 << 10;
 
 impl HeadReport for UsageReport {
@@ -39,23 +43,23 @@
     type Answer = UsageAnswer;
 }
 
-/// Takes a report as the head of a hall; gives the answer's form on the wire.
+/// Counts a report as the head of a hall; returns the encoded answer.
 ///
 /// # Errors
-/// [`ReportError`]; nothing is counted then.
+/// [`ReportError`] if the report is rejected; nothing is counted then.
 pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, ReportError> {
     let report: UsageReport = read_report(body, MAX_REPORT_SIZE).await?;
     Ok(encode(&instance.take_usage(&report)))
 }
 
-/// Tells heads what tenants use here and what targets told, until the process ends.
+/// Reports to heads what tenants use here and which loads targets reported, until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let connections = Rc::new(HeadConnections::default());
     spawn_local(forward_all(instance.clone(), connections.clone()));
     let mut last_report_at = Instant::now();
     loop {
         let interval = if is_needed(&instance) { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
-        // Either way it is looked whether there is something to report.
+        // Whether notified or not, checks if there is something to report.
         let _ = timeout(interval, instance.quotas.report_due()).await;
         if !is_needed(&instance) {
             continue;
@@ -66,13 +70,13 @@
     }
 }
 
-/// Whether there is something to exchange: a tenant has a quota, or the instances are so many that
-/// each one's own traffic says little of targets' loads.
+/// Whether there is something to exchange: a tenant has a quota, or there are so many instances that
+/// each one learns little of targets' loads from its own traffic.
 fn is_needed<P: Platform>(instance: &Instance<P>) -> bool {
     instance.quotas.is_needed() || instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
 
-/// Tells the head of the own hall, and the next one where it does not answer.
+/// Reports to the head of the own hall, or to the next one if that does not answer.
 async fn report<P: Platform>(instance: &Instance<P>, connections: &HeadConnections) {
     for _ in 0..MAX_REPORT_ATTEMPTS {
         let Some(head) = connections.own_head(instance) else { return };
@@ -110,12 +114,14 @@
     }
 }
 
-/// Tells the heads of other halls what this one was told, until the process ends.
+/// While this instance is a head, forwards what its hall reported to the heads of other halls, until
+/// the process ends.
 async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
+    // Halls to which a report is being sent: they get no further one meanwhile.
     let in_progress: Rc<RefCell<Vec<String>>> = Rc::default();
     let mut last_forward_at = Instant::now();
     loop {
-        // Either way the other halls are told.
+        // Whether notified or not, reports to the other halls.
         let _ = timeout(FORWARD_INTERVAL, instance.quotas.forward_due()).await;
         sleep_until(last_forward_at + MIN_REPORT_INTERVAL).await;
         last_forward_at = Instant::now();
@@ -142,6 +148,7 @@
     }
 }
 
+/// Reports to the head of another hall; usage that it does not answer is sent again later.
 async fn forward<P: Platform>(instance: &Instance<P>, connections: &HeadConnections, hall: &str, head: SocketAddr) {
     let settings = instance.settings();
     let (tenants, over) = instance.quotas.begin_forward(hall);
