--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -1,15 +1,18 @@
-//! The exchange of what tenants use and of the loads of targets: an instance tells the head of its
-//! hall, heads tell each other.
+//! Exchange of tenants' usage and of targets' loads: each instance reports to the head of its hall,
+//! and heads report to each other.
 //!
-//! **Load pattern**: each instance makes a small call each 0.2 s, a head one to each other hall each
-//! 0.3 s, and at once where a tenant sends far more than usual, at most each 0.05 s. Nothing is
-//! exchanged while no tenant has a quota and the instances are few.
+//! **Load pattern**: each instance sends a small report every 0.2 s, and a head sends one to each
+//! other hall every 0.3 s. If a tenant sends far more than usual, a report is sent at once, but at
+//! most every 0.05 s. Nothing is exchanged while no tenant has a quota and there are fewer than
+//! [`MIN_INSTANCES_TO_SHARE_LOADS`] (32) instances.
 //!
-//! **Why.** A call that fails makes its head passed over for a while, and the next one in order
-//! is told at once: a dead head costs one call. What was not answered is told again.
+//! **Why.** A head that cannot be reached is skipped for a while, and the report goes to the next one
+//! in order at once: a dead head costs one call, or two if they time out. Usage in a report without an
+//! answer is reported again.
 //!
-//! Owns the two tasks. Relies on [`crate::sync::heads`] for the connections, on [`crate::decision::quota`] and
-//! [`crate::decision::capacity::shared_loads`] for who is told what. Test: `standins/tests/quotas.rs`.
+//! Owns the two tasks. Relies on [`crate::sync::heads`] for the connections, and on
+//! [`crate::decision::quota`] and [`crate::decision::capacity::shared_loads`] for the contents of
+//! reports and answers. **Test**: `standins/tests/quotas.rs`.
 
 use crate::clock::{Instant, sleep, sleep_until, timeout};
 use crate::decision::quota::{FORWARD_INTERVAL, MIN_REPORT_INTERVAL, REPORT_INTERVAL};
@@ -17,7 +20,7 @@
 use crate::net::server::CallerBody;
 use crate::platform::Platform;
 use crate::state::Instance;
-use crate::sync::heads::{HeadLinks, HeadReport, MAX_TRIES, OwnHead, RefusedReport, read_report};
+use crate::sync::heads::{HeadConnections, HeadReport, MAX_REPORT_ATTEMPTS, OwnHead, ReportError, read_report};
 use bytes::Bytes;
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -25,13 +28,14 @@
 use std::time::Duration;
 use tokio::task::spawn_local;
 
-/// Path at which an instance takes reports.
+/// Path at which an instance accepts reports of usage.
 pub const USAGE_PATH: &str = "/usage";
-/// Instances from which loads are shared: below, each one sends to a target several times a second.
-pub const LOADS_FROM: usize = 32;
-/// Time between looks whether a tenant has a quota.
-const LOOK_EVERY: Duration = Duration::from_secs(1);
-/// Largest report, bytes: some ten thousand tenants.
+/// Number of instances from which loads are shared: with fewer, each instance sends to a target
+/// several times a second, and gets its load in the responses.
+pub const MIN_INSTANCES_TO_SHARE_LOADS: usize = 32;
+/// Time between checks whether there is something to exchange, while there is not.
+const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Maximum size of a report that is accepted, bytes: room for some ten thousand tenants.
 const MAX_REPORT_SIZE: usize = 256 << 10;
 
 impl HeadReport for UsageReport {
@@ -39,50 +43,50 @@
     type Answer = UsageAnswer;
 }
 
-/// Takes a report as the head of a hall; gives the answer's form on the wire.
+/// Counts a report as the head of a hall; returns the encoded answer.
 ///
 /// # Errors
-/// [`RefusedReport`]; nothing is counted then.
-pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, RefusedReport> {
+/// [`ReportError`] if the report is rejected; nothing is counted then.
+pub async fn serve<P: Platform>(instance: &Instance<P>, body: CallerBody) -> Result<Bytes, ReportError> {
     let report: UsageReport = read_report(body, MAX_REPORT_SIZE).await?;
     Ok(encode(&instance.record_usage_report(&report)))
 }
 
-/// Tells heads what tenants use here and what targets told, until the process ends.
+/// Reports to heads what tenants use here and which loads targets reported, until the process ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
-    let known = Rc::new(HeadLinks::default());
-    spawn_local(forward_all(instance.clone(), known.clone()));
-    let mut reported = Instant::now();
+    let connections = Rc::new(HeadConnections::default());
+    spawn_local(forward_all(instance.clone(), connections.clone()));
+    let mut last_report_at = Instant::now();
     loop {
-        let longest = if is_needed(&instance) { REPORT_INTERVAL } else { LOOK_EVERY };
-        // Either way it is looked whether there is something to report.
-        let _ = timeout(longest, instance.quotas.report_due()).await;
+        let interval = if is_needed(&instance) { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
+        // Whether notified or not, checks if there is something to report.
+        let _ = timeout(interval, instance.quotas.report_due()).await;
         if !is_needed(&instance) {
             continue;
         }
-        sleep_until(reported + MIN_REPORT_INTERVAL).await;
-        reported = Instant::now();
-        report(&instance, &known).await;
+        sleep_until(last_report_at + MIN_REPORT_INTERVAL).await;
+        last_report_at = Instant::now();
+        report(&instance, &connections).await;
     }
 }
 
-/// Whether there is something to exchange: a tenant has a quota, or the instances are so many that
-/// each one's own traffic says little of targets' loads.
+/// Whether there is something to exchange: a tenant has a quota, or there are so many instances that
+/// each one learns little of targets' loads from its own traffic.
 fn is_needed<P: Platform>(instance: &Instance<P>) -> bool {
-    instance.quotas.is_needed() || instance.routing.borrow().members.count() >= LOADS_FROM
+    instance.quotas.is_needed() || instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
 
-/// Tells the head of the own hall, and the next one where it does not answer.
-async fn report<P: Platform>(instance: &Instance<P>, known: &HeadLinks) {
-    for _ in 0..MAX_TRIES {
-        let Some(head) = known.own_head(instance) else { return };
-        let report = own_report(instance);
+/// Reports to the head of the own hall, or to the next one if that does not answer.
+async fn report<P: Platform>(instance: &Instance<P>, connections: &HeadConnections) {
+    for _ in 0..MAX_REPORT_ATTEMPTS {
+        let Some(head) = connections.own_head(instance) else { return };
+        let report = build_report(instance);
         let answer = match head {
-            OwnHead::Here => match instance.record_own_usage_report(&report) {
+            OwnHead::Local => match instance.record_own_usage_report(&report) {
                 Some(answer) => Some(answer),
                 None => return instance.quotas.forget_report(),
             },
-            OwnHead::At(peer) => known.tell(peer, &report).await,
+            OwnHead::Remote(peer) => connections.send_report(peer, &report).await,
         };
         match answer {
             Some(answer) => {
@@ -97,7 +101,7 @@
     }
 }
 
-fn own_report<P: Platform>(instance: &Instance<P>) -> UsageReport {
+fn build_report<P: Platform>(instance: &Instance<P>) -> UsageReport {
     let settings = instance.settings();
     let (tenants, over) = instance.quotas.begin_report();
     UsageReport {
@@ -110,39 +114,42 @@
     }
 }
 
-/// Tells the heads of other halls what this one was told, until the process ends.
-async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, known: Rc<HeadLinks>) {
-    let under_way: Rc<RefCell<Vec<String>>> = Rc::default();
-    let mut forwarded = Instant::now();
+/// While this instance is a head, forwards what its hall reported to the heads of other halls, until
+/// the process ends.
+async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
+    // Halls to which a report is being sent: they get no further one meanwhile.
+    let in_progress: Rc<RefCell<Vec<String>>> = Rc::default();
+    let mut last_forward_at = Instant::now();
     loop {
-        // Either way the other halls are told.
+        // Whether notified or not, reports to the other halls.
         let _ = timeout(FORWARD_INTERVAL, instance.quotas.forward_due()).await;
-        sleep_until(forwarded + MIN_REPORT_INTERVAL).await;
-        forwarded = Instant::now();
+        sleep_until(last_forward_at + MIN_REPORT_INTERVAL).await;
+        last_forward_at = Instant::now();
         if !is_needed(&instance) {
-            sleep(LOOK_EVERY).await;
+            sleep(IDLE_CHECK_INTERVAL).await;
             continue;
         }
-        let others = known.other_heads(&instance);
-        known.keep_heads(&instance, &others);
+        let others = connections.other_heads(&instance);
+        connections.close_unused(&instance, &others);
         if !instance.quotas.is_head() {
             continue;
         }
         for (hall, head) in others {
-            if under_way.borrow().contains(&hall) {
+            if in_progress.borrow().contains(&hall) {
                 continue;
             }
-            under_way.borrow_mut().push(hall.clone());
-            let (instance, known, under_way) = (instance.clone(), known.clone(), under_way.clone());
+            in_progress.borrow_mut().push(hall.clone());
+            let (instance, connections, in_progress) = (instance.clone(), connections.clone(), in_progress.clone());
             spawn_local(async move {
-                forward(&instance, &known, &hall, head).await;
-                under_way.borrow_mut().retain(|other| *other != hall);
+                forward(&instance, &connections, &hall, head).await;
+                in_progress.borrow_mut().retain(|other| *other != hall);
             });
         }
     }
 }
 
-async fn forward<P: Platform>(instance: &Instance<P>, known: &HeadLinks, hall: &str, head: SocketAddr) {
+/// Reports to the head of another hall; usage that it does not answer is sent again later.
+async fn forward<P: Platform>(instance: &Instance<P>, connections: &HeadConnections, hall: &str, head: SocketAddr) {
     let settings = instance.settings();
     let (tenants, over) = instance.quotas.begin_forward(hall);
     let report = UsageReport {
@@ -153,7 +160,7 @@
         tenants,
         loads: instance.loads_for_halls(),
     };
-    if known.tell(head, &report).await.is_none() {
+    if connections.send_report(head, &report).await.is_none() {
         instance.metrics.usage_untold.inc();
         instance.quotas.restore_forward(hall, report.tenants);
     }
