--- a/src/decision/registry/routing/mod.rs
+++ b/src/decision/registry/routing/mod.rs
@@ -112,7 +112,7 @@
         for (service, targets) in self.targets.by_service() {
             let Some(service) = self.service(service) else { continue };
             for target in targets {
-                target.pool.share_connections(service.max_connections, self.members.count());
+                target.pool.limit_idle(service.max_connections, self.members.count());
             }
         }
     }
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -91,7 +91,7 @@
             is_unreadable_logged: Cell::default(),
             matching_policies: Cell::default(),
         };
-        target.begin_slow_start(registration.slow_start, now);
+        target.begin_slow_start(registration.slow_start_remaining, now);
         target
     }
 
@@ -101,7 +101,7 @@
     pub fn successor(&self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Self {
         let mut target = Self::new(registration, region, now);
         target.slow_start.replace(self.slow_start.borrow().clone());
-        target.begin_slow_start(registration.slow_start, now);
+        target.begin_slow_start(registration.slow_start_remaining, now);
         if registration.address == self.pool.address() {
             target.load.replace(self.load.borrow().for_successor(now));
             target.latency.replace(self.latency.borrow().clone());
@@ -127,7 +127,7 @@
         self.sequence.set(registration.sequence);
         self.state.set(registration.state);
         self.is_invalid.set(false);
-        self.begin_slow_start(registration.slow_start, now);
+        self.begin_slow_start(registration.slow_start_remaining, now);
     }
 
     /// Sequence number of the last accepted registration.
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -107,7 +107,7 @@
 
 impl<'a> Choice<'a> {
     fn new(routing: &'a Routing, config: &Config, query: &'a Query<'a>) -> Self {
-        let rank = config.rank(query.service, query.urgency());
+        let rank = config.urgency_rank(query.service, query.urgency());
         let max_load = max_load(rank);
         let mut choice = Self {
             routing,
--- a/src/model/config/mod.rs
+++ b/src/model/config/mod.rs
@@ -76,7 +76,7 @@
     }
 
     /// Number of distinct urgencies of the service's requests that are more urgent than this one.
-    pub fn rank(&self, service: &str, urgency: Urgency) -> usize {
+    pub fn urgency_rank(&self, service: &str, urgency: Urgency) -> usize {
         self.urgencies.get(service).map_or(0, |all| all.iter().filter(|other| **other < urgency).count())
     }
 }
--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -52,7 +52,7 @@
     /// Counter of this start's writes of the record; a lower number is older.
     pub sequence: u64,
     /// Remaining time of its slow start when the record was written.
-    pub slow_start: Duration,
+    pub slow_start_remaining: Duration,
 }
 
 impl TargetRegistration {
--- a/src/net/gzip.rs
+++ b/src/net/gzip.rs
@@ -26,7 +26,7 @@
 pub enum GzipError {
     /// The body is not valid gzip data, or is truncated.
     #[error("cannot decompress the body: {0}; check the peer's version")]
-    Damaged(#[from] std::io::Error),
+    InvalidData(#[from] std::io::Error),
     /// The decompressed body is larger than any that an instance sends.
     #[error("the decompressed body is larger than {MAX_SIZE} bytes; check that the address is that of an instance")]
     TooLarge,
@@ -55,7 +55,7 @@
 /// Decompresses a body.
 ///
 /// # Errors
-/// [`GzipError::Damaged`] if the data is invalid or truncated, [`GzipError::TooLarge`] if the result
+/// [`GzipError::InvalidData`] if the data is invalid or truncated, [`GzipError::TooLarge`] if the result
 /// exceeds the largest allowed size.
 pub fn decompress(body: &[u8]) -> Result<Bytes, GzipError> {
     let mut plain = Vec::new();
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -140,7 +140,7 @@
 
     /// Limits the number of idle connections to this instance's share of `max_connections`, the number
     /// that the target accepts from all `members` instances; 0 if its service sets none.
-    pub fn share_connections(&self, max_connections: u32, members: usize) {
+    pub fn limit_idle(&self, max_connections: u32, members: usize) {
         let share = max_connections as usize / IDLE_CONNECTIONS_DIVISOR / members.max(1);
         let max_idle = if max_connections == 0 { MAX_IDLE_CONNECTIONS } else { share.clamp(1, MAX_IDLE_CONNECTIONS) };
         self.max_idle.set(max_idle);
--- a/tests/gzip.rs
+++ b/tests/gzip.rs
@@ -28,8 +28,8 @@
 #[test]
 fn a_damaged_or_too_large_body_is_an_error() {
     let complete = compress(&[7; 100_000]);
-    assert!(matches!(decompress(&complete[..complete.len() / 2]), Err(GzipError::Damaged(_))));
-    assert!(matches!(decompress(b"plain text"), Err(GzipError::Damaged(_))));
+    assert!(matches!(decompress(&complete[..complete.len() / 2]), Err(GzipError::InvalidData(_))));
+    assert!(matches!(decompress(b"plain text"), Err(GzipError::InvalidData(_))));
     let too_large = compress(&vec![0; 50 << 20]);
     assert!(matches!(decompress(&too_large), Err(GzipError::TooLarge)));
 }
--- a/tests/model/platform.rs
+++ b/tests/model/platform.rs
@@ -41,7 +41,7 @@
         slots: 4,
         state: TargetState::Ready,
         sequence: sequence.parse().map_err(|error| RecordError::new(&item.key, error))?,
-        slow_start: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     }))
 }
 
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -249,7 +249,7 @@
         slots: 4,
         state: TargetState::Ready,
         sequence: 1,
-        slow_start: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     }
 }
 
--- a/tests/registrations.rs
+++ b/tests/registrations.rs
@@ -16,7 +16,7 @@
         slots: 4,
         state: TargetState::Ready,
         sequence,
-        slow_start: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     }
 }
 
@@ -84,8 +84,8 @@
     let mut targets = Targets::default();
     assert!(register(&mut targets, &registration(2), now));
     let address = "127.0.0.1:2".parse().unwrap();
-    let slow_start = Duration::from_secs(1);
-    let same = TargetRegistration { service: "lists".into(), address, slow_start, ..registration(2) };
+    let slow_start_remaining = Duration::from_secs(1);
+    let same = TargetRegistration { service: "lists".into(), address, slow_start_remaining, ..registration(2) };
     assert!(register(&mut targets, &same, now));
     let target = targets.get("t").unwrap();
     assert_eq!((&*target.service, target.pool.address()), ("shop", registration(2).address));
--- a/tests/restarted_targets.rs
+++ b/tests/restarted_targets.rs
@@ -19,7 +19,7 @@
         slots: 4,
         state: TargetState::Ready,
         sequence,
-        slow_start: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     }
 }
 
@@ -51,7 +51,7 @@
 #[test]
 fn no_observed_state_of_an_earlier_start_applies_to_the_next() {
     let now = Instant::now();
-    let cold = TargetRegistration { slow_start: Duration::from_secs(9), ..registration(Some(1_000), 40) };
+    let cold = TargetRegistration { slow_start_remaining: Duration::from_secs(9), ..registration(Some(1_000), 40) };
     let (mut targets, _) = register_all(&[cold]);
     let last = targets.get("t").unwrap().clone();
     let in_flight = last.begin_request(now);
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -102,7 +102,7 @@
                 slots: slots.parse().unwrap(),
                 state: if *state == "ready" { TargetState::Ready } else { TargetState::Draining },
                 sequence: sequence.parse().unwrap(),
-                slow_start: Duration::from_millis(cold_ms.parse().unwrap()),
+                slow_start_remaining: Duration::from_millis(cold_ms.parse().unwrap()),
             }),
             _ => Record::Unknown,
         })
--- a/tests/statements.rs
+++ b/tests/statements.rs
@@ -28,7 +28,7 @@
         slots: 4,
         state: TargetState::Ready,
         sequence,
-        slow_start: Duration::ZERO,
+        slow_start_remaining: Duration::ZERO,
     }
 }
 
