--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -49,8 +49,8 @@
         if instances.is_empty() {
             return ResponseBody::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
-        let answer = P::directory_answer(&instances, settings.directory_ttl);
-        let mut response = Response::new(ResponseBody::buffered(answer));
+        let body = P::directory_answer(&instances, settings.directory_ttl);
+        let mut response = Response::new(ResponseBody::buffered(body));
         response.headers_mut().insert(CONTENT_TYPE, HeaderValue::from_static("application/json"));
         response
     }
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -24,7 +24,7 @@
 /// Timeout for finding out that an address refuses connections: three round trips between the regions
 /// that are farthest apart (70 ms each). The request whose exchange ended waits for the result, which
 /// takes one round trip unless the target's machine stops responding at that moment.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+const CONNECT_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time after which a connection is not reused if the target states no time; less than targets
 /// are known to keep a connection open (10 s).
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
@@ -127,9 +127,9 @@
     }
 
     /// Whether the address refuses connections, which means that no process listens there any more.
-    /// False if the address is unreachable or there is no result within `PROBE_TIMEOUT`.
+    /// False if the address is unreachable or there is no result within `CONNECT_CHECK_TIMEOUT`.
     pub async fn refuses_connections(&self) -> bool {
-        let Ok(Err(error)) = timeout(PROBE_TIMEOUT, dial::connect(self.address)).await else { return false };
+        let Ok(Err(error)) = timeout(CONNECT_CHECK_TIMEOUT, dial::connect(self.address)).await else { return false };
         matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset)
     }
 
--- a/src/net/server/mod.rs
+++ b/src/net/server/mod.rs
@@ -38,8 +38,8 @@
         }
         match listener.accept().await {
             Ok((stream, _)) => {
-                let open_connection = OpenConnection::new(open_connections.clone());
-                tokio::task::spawn_local(serve(stream, handler.clone(), open_connection));
+                let guard = OpenConnectionGuard::new(open_connections.clone());
+                tokio::task::spawn_local(serve(stream, handler.clone(), guard));
             }
             // The other side has already closed the connection, or the process is out of file
             // descriptors until a connection closes. Both are temporary, and a line every 20 ms would
@@ -49,23 +49,23 @@
     }
 }
 
-async fn serve<H: Handler>(stream: TcpStream, handler: Rc<H>, _counted: OpenConnection) {
+async fn serve<H: Handler>(stream: TcpStream, handler: Rc<H>, _guard: OpenConnectionGuard) {
     // Fails only on a socket that is already closed, which the first read reports.
     let _ = stream.set_nodelay(true);
     connection::serve(stream, handler).await;
 }
 
 /// Counts a connection as open until it is dropped.
-struct OpenConnection(Rc<Cell<u32>>);
+struct OpenConnectionGuard(Rc<Cell<u32>>);
 
-impl OpenConnection {
+impl OpenConnectionGuard {
     fn new(count: Rc<Cell<u32>>) -> Self {
         count.set(count.get() + 1);
         Self(count)
     }
 }
 
-impl Drop for OpenConnection {
+impl Drop for OpenConnectionGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get() - 1);
     }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -109,7 +109,7 @@
     /// refusal the caller gets. The retry budget is charged last, so that every withdrawal is
     /// followed by a send.
     fn prepare_try(&mut self, costs_retry: bool, record: &mut AccessRecord) -> Result<PreparedTry, Refusal> {
-        self.request.check_key().map_err(|refusal| self.refusal_for(UnmetPrecondition::InvalidKey, refusal))?;
+        self.request.check_api_key().map_err(|refusal| self.refusal_for(UnmetPrecondition::InvalidKey, refusal))?;
         let strikes =
             admit(self.request).map_err(|refusal| self.refusal_for(UnmetPrecondition::Quarantined, refusal))?;
         // That an earlier try consumed a streamed body is not logged: the access log line has the
--- a/src/proxy/caller_request.rs
+++ b/src/proxy/caller_request.rs
@@ -55,7 +55,7 @@
     ///
     /// # Errors
     /// [`Refusal::NoKey`] or [`Refusal::KeyMoved`], as [`CallerTenant::check`].
-    pub fn check_key(&self) -> Result<(), Refusal> {
+    pub fn check_api_key(&self) -> Result<(), Refusal> {
         let Some(caller) = &self.caller else { return Ok(()) };
         match &self.instance.routing.borrow().config {
             Some(later) if later.version != self.config.version => caller.check(later),
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -19,7 +19,7 @@
 use crate::platform::HeaderNames;
 use crate::proxy::buffered_response::{ReadBody, read_body};
 use crate::proxy::held_answer::buffer::PART_SIZE;
-use crate::proxy::held_answer::{HeldAnswer, HeldAnswerContext, Progress, Reader, SharedAnswer};
+use crate::proxy::held_answer::{HeldAnswer, HeldAnswerContext, ReadProgress, Reader, SharedAnswer};
 use crate::proxy::response_body::{ResponseBody, ReusableConnection};
 use crate::proxy::response_check::{self, ResponseError};
 use crate::proxy::try_error::TryError;
@@ -220,7 +220,7 @@
                 }
             }
             ReadBody::Streamed(chunks, body) => {
-                let shared = Rc::new(SharedAnswer::new(&held_answers.total, Progress::Reading(body.size_hint())));
+                let shared = Rc::new(SharedAnswer::new(&held_answers.total, ReadProgress::Reading(body.size_hint())));
                 chunks.into_iter().for_each(|chunk| shared.push(chunk));
                 let (in_flight, deadline, request_id) = (self.in_flight, self.deadline, self.request_id.cloned());
                 let request_guard = new_guard();
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -13,7 +13,7 @@
 mod shared;
 
 pub use reader::Reader;
-pub use shared::{Progress, SharedAnswer};
+pub use shared::{ReadProgress, SharedAnswer};
 
 use crate::decision::refusal::held_answers::HeldAnswerLimits;
 use crate::net::buffered_bytes::BufferTotal;
@@ -66,7 +66,7 @@
 impl HeldAnswer {
     /// A response that is complete and in memory.
     pub fn buffered(bytes: Bytes, total: &Rc<BufferTotal>, request_guard: Counted) -> Self {
-        let shared = Rc::new(SharedAnswer::new(total, Progress::Complete));
+        let shared = Rc::new(SharedAnswer::new(total, ReadProgress::Complete));
         shared.push(bytes);
         Self { shared, reader: None, _request_guard: Some(request_guard) }
     }
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_answer/shared.rs
@@ -17,13 +17,13 @@
 
 /// How far the response was read from its target.
 #[derive(Debug)]
-pub enum Progress {
+pub enum ReadProgress {
     /// The body has not ended; size of the part that was not read yet.
     Reading(SizeHint),
     /// It was read completely.
     Complete,
     /// It was aborted; the error is taken when the caller's side reports it.
-    Broken(Option<BodyError>),
+    Aborted(Option<BodyError>),
 }
 
 #[derive(Debug)]
@@ -32,7 +32,7 @@
     trailers: Option<HeaderMap>,
     /// Most bytes that were held while the limits allowed more.
     max_held: u64,
-    progress: Progress,
+    progress: ReadProgress,
     /// Waker of the caller's side while it waits for bytes.
     waker: Option<Waker>,
 }
@@ -46,7 +46,7 @@
 
 impl SharedAnswer {
     /// A response without bytes yet, counted in `total`.
-    pub fn new(total: &Rc<BufferTotal>, progress: Progress) -> Self {
+    pub fn new(total: &Rc<BufferTotal>, progress: ReadProgress) -> Self {
         let state = State { buffer: AnswerBuffer::new(total), trailers: None, max_held: 0, progress, waker: None };
         Self { state: RefCell::new(state), consumed: Notify::new() }
     }
@@ -65,13 +65,13 @@
 
     /// Records the size of the part that was not read yet.
     pub fn set_remaining(&self, remaining: SizeHint) {
-        self.state.borrow_mut().progress = Progress::Reading(remaining);
+        self.state.borrow_mut().progress = ReadProgress::Reading(remaining);
     }
 
     /// Marks the response as complete.
     pub fn complete(&self) {
         let mut state = self.state.borrow_mut();
-        state.progress = Progress::Complete;
+        state.progress = ReadProgress::Complete;
         wake(&mut state);
     }
 
@@ -82,7 +82,7 @@
         if !matches!(error, BodyError::Broken(_)) {
             state.buffer.clear();
         }
-        state.progress = Progress::Broken(Some(error));
+        state.progress = ReadProgress::Aborted(Some(error));
         wake(&mut state);
     }
 
@@ -115,37 +115,37 @@
             return Poll::Ready(Some(Ok(Frame::data(part))));
         }
         match &mut state.progress {
-            Progress::Reading(_) => {
+            ReadProgress::Reading(_) => {
                 state.waker = Some(context.waker().clone());
                 self.consumed.notify_one();
                 Poll::Pending
             }
-            Progress::Complete => Poll::Ready(state.trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))),
-            Progress::Broken(error) => Poll::Ready(error.take().map(Err)),
+            ReadProgress::Complete => Poll::Ready(state.trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))),
+            ReadProgress::Aborted(error) => Poll::Ready(error.take().map(Err)),
         }
     }
 
     /// Whether the caller has the complete response, trailers included.
     pub fn is_end_stream(&self) -> bool {
         let state = self.state.borrow();
-        matches!(state.progress, Progress::Complete) && state.buffer.is_empty() && state.trailers.is_none()
+        matches!(state.progress, ReadProgress::Complete) && state.buffer.is_empty() && state.trailers.is_none()
     }
 
     /// Whether the caller has taken all bytes and no more will arrive.
     pub fn is_consumed(&self) -> bool {
         let state = self.state.borrow();
-        !matches!(state.progress, Progress::Reading(_)) && state.buffer.is_empty()
+        !matches!(state.progress, ReadProgress::Reading(_)) && state.buffer.is_empty()
     }
 
     /// Size of the part that the caller does not have yet.
     pub fn size_hint(&self) -> SizeHint {
         let state = self.state.borrow();
         match &state.progress {
-            Progress::Reading(remaining) => remaining
+            ReadProgress::Reading(remaining) => remaining
                 .exact()
                 .map_or_else(SizeHint::default, |remaining| SizeHint::with_exact(remaining + state.buffer.len())),
-            Progress::Complete => SizeHint::with_exact(state.buffer.len()),
-            Progress::Broken(_) => SizeHint::default(),
+            ReadProgress::Complete => SizeHint::with_exact(state.buffer.len()),
+            ReadProgress::Aborted(_) => SizeHint::default(),
         }
     }
 }
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -82,8 +82,8 @@
             IncomingBody::Buffered { bytes, .. } => Fingerprint::new(request, Some(bytes.len() as u64), [&bytes[..]]),
             IncomingBody::Streamed(streamed) => {
                 let length = streamed.as_ref().and_then(StreamedBody::length);
-                let head = streamed.iter().flat_map(|body| body.prefix(STREAMED_PREFIX_BYTES));
-                Fingerprint::new(request, length, head)
+                let prefix = streamed.iter().flat_map(|body| body.prefix(STREAMED_PREFIX_BYTES));
+                Fingerprint::new(request, length, prefix)
             }
         }
     }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -26,9 +26,9 @@
 pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
 
 /// Counts a request as in flight until it is dropped.
-struct ActiveRequest<'a, P: Platform>(&'a Instance<P>);
+struct ActiveRequestGuard<'a, P: Platform>(&'a Instance<P>);
 
-impl<'a, P: Platform> ActiveRequest<'a, P> {
+impl<'a, P: Platform> ActiveRequestGuard<'a, P> {
     fn new(instance: &'a Instance<P>) -> Self {
         instance.requests.begin();
         instance.metrics.active.inc();
@@ -36,7 +36,7 @@
     }
 }
 
-impl<P: Platform> Drop for ActiveRequest<'_, P> {
+impl<P: Platform> Drop for ActiveRequestGuard<'_, P> {
     fn drop(&mut self) {
         self.0.requests.end();
         self.0.metrics.active.dec();
@@ -59,7 +59,7 @@
     }
 }
 
-fn is_repeatable(route: &Route) -> bool {
+fn is_idempotent(route: &Route) -> bool {
     route.idempotency == Idempotency::Idempotent
 }
 
@@ -67,7 +67,7 @@
     type Body = ResponseBody;
 
     async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
-        let _active = ActiveRequest::new(&self.0);
+        let _active = ActiveRequestGuard::new(&self.0);
         request::handle(&self.0, request).await
     }
 
@@ -90,12 +90,12 @@
 
     fn may_begin_early(&self, head: &Parts) -> bool {
         // A large response that the caller cannot read yet would keep its target's slot occupied.
-        let may_begin = |route: &Route| is_repeatable(route) && !route.large_answers;
+        let may_begin = |route: &Route| is_idempotent(route) && !route.large_answers;
         !self.is_stopping() && self.has_memory_for_early_response() && self.has_route_where(head, may_begin)
     }
 
     fn allows_pipelining(&self, head: &Parts) -> bool {
-        self.has_route_where(head, is_repeatable)
+        self.has_route_where(head, is_idempotent)
     }
 
     fn is_stopping(&self) -> bool {
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -72,7 +72,7 @@
     Capped,
     /// A target refused the request without running it.
     #[error("the targets refused the request and did not run it; retry after the time in retry-after")]
-    TurnedAway,
+    NotExecuted,
     /// A target with free slots refused the request without running it.
     #[error("the targets shed load and did not run the request; retry at once")]
     Shed,
@@ -120,7 +120,7 @@
             Refusal::Limited => "limited",
             Refusal::Full => "full",
             Refusal::Capped => "capped",
-            Refusal::TurnedAway => "turned-away",
+            Refusal::NotExecuted => "turned-away",
             Refusal::Shed => "shed",
             Refusal::Unreachable => "unreachable",
             Refusal::TooLate => "too-late",
@@ -156,7 +156,7 @@
     /// is the time after which there is probably capacity.
     pub fn retry_after(self, capacity_wait: Duration) -> Option<Duration> {
         match self {
-            Refusal::Full | Refusal::Capped | Refusal::TurnedAway | Refusal::Unreachable | Refusal::TooLate => {
+            Refusal::Full | Refusal::Capped | Refusal::NotExecuted | Refusal::Unreachable | Refusal::TooLate => {
                 Some(capacity_wait)
             }
             Refusal::NoConfig | Refusal::NoTarget => Some(RETRY_AFTER_OUTAGE),
@@ -185,7 +185,7 @@
         match reason {
             FailureReason::NotTried => Refusal::NoTarget,
             FailureReason::Unreachable => Refusal::Unreachable,
-            FailureReason::NotExecuted => Refusal::TurnedAway,
+            FailureReason::NotExecuted => Refusal::NotExecuted,
             FailureReason::Shed => Refusal::Shed,
             FailureReason::Lost => Refusal::Lost,
             FailureReason::TimedOut => Refusal::TimedOut,
--- a/src/proxy/response_check.rs
+++ b/src/proxy/response_check.rs
@@ -71,12 +71,12 @@
 /// if the target rejects the request (503 or 429).
 pub fn response_signals<B>(names: &HeaderNames, response: &Response<B>) -> ResponseSignals {
     let values = |name| response.headers().get_all(name).iter().map(HeaderValue::as_bytes);
-    let turns_away = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
-    let pause = if turns_away { PauseSignal::parse(values(&RETRY_AFTER)) } else { PauseSignal::None };
+    let is_rejection = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
+    let pause = if is_rejection { PauseSignal::parse(values(&RETRY_AFTER)) } else { PauseSignal::None };
     ResponseSignals {
         limit: LimitSignal::parse(values(&names.rate_limit)),
         leaving: LeavingSignal::parse(values(&names.leaving)),
         pause,
-        is_rejection: turns_away,
+        is_rejection,
     }
 }
