--- a/src/decision/selection/cap_moves.rs
+++ b/src/decision/selection/cap_moves.rs
@@ -72,7 +72,7 @@
     }
 
     /// Whether the caps allow sending the request to the target. For decisions that send nothing,
-    /// whose charge is [`CapCharge::dry`](crate::policy::CapCharge::dry).
+    /// whose charge is [`CapCharge::dry_run`](crate::policy::CapCharge::dry_run).
     pub fn allows_move_to(&self, target: &Target) -> bool {
         let (Some(caps), Some(hall)) = (self.caps, self.default_hall()) else { return true };
         *hall == *target.hall || caps.allows_move()
