--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -3,13 +3,13 @@
 
 use super::selector::Selector;
 
-/// Rank of a target that no `prefer` policy selects.
+/// Rank of a target that no `prefer` policy matches.
 pub const UNRANKED: u16 = u16::MAX;
 
-/// What a policy does with the targets that it selects, for the requests that it selects.
+/// What a policy does with the targets that it matches, for the requests that it matches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// The requests may be sent only to targets that allow policies select.
+    /// The requests may be sent only to targets that allow policies match.
     Allow,
     /// The requests may not be sent to the targets.
     Deny,
@@ -28,13 +28,13 @@
 pub struct Policy {
     /// Name, unique among policies.
     pub name: String,
-    /// Selects requests by their labels.
+    /// Matches requests by their labels.
     pub requests: Selector,
-    /// Selects targets by their labels; empty if a policy that is only a cap omits it.
+    /// Matches targets by their labels; empty if the policy has only a cap and no `places`.
     pub places: Selector,
     /// What the policy does.
     pub action: Action,
-    /// Maximum share of the selected requests that may be moved to another hall, 0 to 1;
+    /// Maximum share of the matched requests that may be moved to another hall, 0 to 1;
     /// `None` where the policy has no cap.
     pub cap: Option<f64>,
 }
--- a/src/policy/cap_charge.rs
+++ b/src/policy/cap_charge.rs
@@ -1,4 +1,4 @@
-//! The deposits and withdrawals that one request has made at the caps that select it.
+//! The deposits and withdrawals that one request has made at the caps that match it.
 //! [`super::credit`] describes the rule.
 
 use super::policies::Policies;
@@ -6,7 +6,7 @@
 use std::cell::Cell;
 
 /// The deposits and withdrawals of one request over all its tries: at each service of a
-/// split, other caps may select it. Reset when the policies change between tries.
+/// split, other caps may match it. Reset when the policies change between tries.
 #[derive(Debug, Default)]
 pub struct CapCharge {
     /// Revision of the policies to which the sets below refer; 0 before the first try.
@@ -15,8 +15,8 @@
     deposited: Cell<PolicySet>,
     /// Caps from which a move of this request has been withdrawn.
     withdrawn: Cell<PolicySet>,
-    /// Whether no credit is changed: a move is allowed if a request that arrived now
-    /// could be moved.
+    /// Whether this is a dry run, which changes no credit. A move is allowed in it if a
+    /// request that arrived now could be moved.
     is_dry_run: bool,
 }
 
@@ -26,7 +26,7 @@
         Self { is_dry_run: true, ..Self::default() }
     }
 
-    /// Deposits at the caps that select the request, once at each.
+    /// Deposits at the caps that match the request, once at each.
     pub(super) fn deposit(&self, policies: &Policies, caps: PolicySet) {
         if self.is_dry_run {
             return;
@@ -40,7 +40,7 @@
         self.deposited.set(self.deposited.get().union(due));
     }
 
-    /// Withdraws a move from the caps that select the request, once from each.
+    /// Withdraws a move from the caps that match the request, once from each.
     ///
     /// # Errors
     /// The position of the first cap without enough credit; nothing is withdrawn then.
--- a/src/policy/check.rs
+++ b/src/policy/check.rs
@@ -5,9 +5,9 @@
 //! removed by the platform at any time.
 //!
 //! A document in the store was checked by the program that applied it, perhaps an older
-//! version. Weights in it that sum to more than 1 don't keep it from coming into force, so
-//! that instances of all versions apply the same policies: the weights that are last in
-//! name order get the rest of the scale.
+//! version. It takes effect even if weights in it sum to more than 1, so that instances of all
+//! versions apply the same policies. The last of these weights in name order then get
+//! only what the others leave of the scale.
 
 use super::action::Policy;
 use super::document::PolicyDocument;
--- a/src/policy/credit.rs
+++ b/src/policy/credit.rs
@@ -1,18 +1,18 @@
 //! The credit of caps, which bounds how many requests are moved. A request is moved out of
-//! the hall of its default target only if every cap that selects it has credit for a whole
+//! the hall of its default target only if every cap that matches it has credit for a whole
 //! move.
 //!
-//! **Inputs.** The caps that select the request: each a share of the selected requests,
-//! 0 to 1. Each cap's [`Credit`]: this instance's own count, in moves, exact to the
-//! request; it starts at 0 with each revision of the policies. Whether the request has made
+//! **Inputs.** The caps that match the request: each a share of the matched requests,
+//! 0 to 1. Each cap's [`Credit`], in moves: counted by this instance, so it has no age; it
+//! starts at 0 with each revision of the policies. Whether the request has made
 //! a deposit or withdrawal before: its [`CapCharge`](super::CapCharge).
 //! The caller decides what a move is: the target that the request would be sent to is in
 //! another hall than the default target, which is the one that it would go to if no target
 //! were draining, drained, cold, full or ejected
 //! ([`crate::decision::selection::cap_moves`]).
 //!
-//! **Rule.** A request deposits `cap` at each cap when the cap first selects it, and nothing
-//! at later tries; at the services of a split, other caps may select it. A move withdraws 1
+//! **Rule.** A request deposits `cap` at each cap when the cap first matches it, and nothing
+//! at later tries; at the services of a split, other caps may match it. A move withdraws 1
 //! from each cap, or from none if one of them has less; a request withdraws at most one move
 //! from each cap. Credit never exceeds 1. A request that is tried again under a later
 //! revision is treated as a new one.
@@ -21,9 +21,9 @@
 //! requests, it holds for their sum. The limit of 1 prevents a burst of moves after quiet
 //! hours.
 //!
-//! **What it guards.** The moved share never exceeds the cap: counted from the first request
-//! of a revision, an instance moves at most `cap * requests`, and in any later window at
-//! most `cap * requests + 1`. All instances together obey the same bound, with one extra
+//! **Guards** the promise that the moved share never exceeds the cap: counted from the first
+//! request of a revision, an instance moves at most `cap * requests`, and in any later window
+//! at most `cap * requests + 1`. All instances together obey the same bound, with one extra
 //! request for each instance.
 //!
 //! **Tests.** `tests/cap_credit.rs` against plain sums, `tests/naive_choice.rs` against a
@@ -41,7 +41,7 @@
 pub struct Credit(Cell<i64>);
 
 impl Credit {
-    /// Adds the deposit of one selected request under `cap`, 0 to 1.
+    /// Adds the deposit of one matched request under `cap`, 0 to 1.
     pub fn deposit(&self, cap: f64) {
         self.add(deposit_amount(cap));
     }
--- a/src/policy/error.rs
+++ b/src/policy/error.rs
@@ -82,7 +82,7 @@
         /// Maximum number of items of this kind.
         max: usize,
     },
-    /// Weights that may select the same request sum to more than 1.
+    /// Weights that may match the same request sum to more than 1.
     #[error(
         "{location}: the weights of {names} may select one request and sum to {sum}, more than 1; remedy: lower them, or let them select other requests"
     )]
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -1,4 +1,4 @@
-//! The policies that select one request, and their verdict on each target.
+//! The policies that match one request, and their verdict on each target.
 //!
 //! [`super`] lists the order in which they apply.
 
@@ -17,13 +17,13 @@
 /// hashes of the key.
 const WEIGHT_SEED: u64 = 0x9e37_79b9;
 
-/// The policies that select a request.
+/// The policies that match a request.
 #[derive(Debug)]
 pub struct MatchedPolicies<'a> {
     policies: Rc<Policies>,
     set: PolicySet,
-    /// Position of the weight policy to whose targets the request is sent; `None` if the
-    /// request is in the share of none.
+    /// Position of the weight policy to whose targets the request is sent; `None` if it is in
+    /// no policy's share.
     weight: Option<usize>,
     /// The policies that have affected the choice so far.
     applied: Cell<PolicySet>,
@@ -31,7 +31,7 @@
 }
 
 impl<'a> MatchedPolicies<'a> {
-    /// Finds the policies that select a request with this affinity hash; `None` if there
+    /// Finds the policies that match a request with this affinity hash; `None` if there
     /// are none. Deposits at their caps, once over all tries of the request.
     pub fn find(
         policies: &Rc<Policies>,
@@ -145,8 +145,8 @@
     }
 }
 
-/// The weight in whose part of the scale from 0 to 1 the point lies. The weights occupy the
-/// scale in name order.
+/// Position of the weight policy whose part of the scale from 0 to 1 contains `point`; `None` if
+/// no part does. The policies divide the scale in name order.
 fn pick_weight(policies: &Policies, set: PolicySet, point: f64) -> Option<usize> {
     let mut start = 0.0;
     for position in set.intersection(policies.by_action.weight).positions() {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,14 +1,15 @@
-//! The operators' policies. They allow, deny, drain, prefer and weight targets for selected
-//! requests, and cap how many requests are moved. The platform's configuration defines which
+//! The operators' policies. They allow, deny, drain, prefer and weight targets for the requests
+//! that they match, and cap how many requests are moved. The platform's configuration defines which
 //! services, routes and targets exist; policies define how instances use them.
 //!
-//! A policy selects requests and targets (its `places`) by their labels and has one action.
-//! If several policies select the same request, their actions take precedence in this order:
+//! A policy matches requests and targets (its `places`) by their labels and has one action.
+//! If several policies match the same request, their actions take precedence in this order:
 //! 1. `drain` and `deny` exclude targets, whatever other policies allow;
-//! 2. `allow` excludes all targets that no allow policy selects;
+//! 2. `allow` excludes all targets that no allow policy matches;
 //! 3. `cap` limits how many requests are moved out of the default target's hall;
-//! 4. `weight`: the weights that select a request share a scale from 0 to 1 in name order;
-//! 5. `prefer`: the smallest rank of the policies that select a target is its rank.
+//! 4. `weight`: the weight policies that match a request divide a scale from 0 to 1 in name
+//!    order;
+//! 5. `prefer`: the smallest rank of the policies that match a target is its rank.
 //!
 //! | module | contents |
 //! |---|---|
@@ -22,7 +23,7 @@
 //! | [`label`], [`selector`] | interned labels; tests on them |
 //! | `facts`, `labels` | the attributes that labels are read from; the labels of a target or request |
 //! | `policies`, `set` | the policies of one document; sets of them |
-//! | `matched`, `verdict` | the policies that select one request; their verdict on a target |
+//! | `matched`, `verdict` | the policies that match one request; their verdict on a target |
 //! | [`credit`], `cap_charge` | the rule of caps; the deposits and withdrawals of one request |
 //!
 //! Depends on [`crate::hash`] only. [`crate::decision::registry::routing`] holds the policies
--- a/src/policy/raw.rs
+++ b/src/policy/raw.rs
@@ -59,9 +59,9 @@
     pub(super) drain: bool,
     /// Rank; a smaller one is preferred.
     pub(super) prefer: Option<u16>,
-    /// Share of the selected requests that is sent to `places`, 0 to 1.
+    /// Share of the matched requests that is sent to `places`, 0 to 1.
     pub(super) weight: Option<f64>,
-    /// Maximum share of the selected requests that may be moved, 0 to 1.
+    /// Maximum share of the matched requests that may be moved, 0 to 1.
     pub(super) cap: Option<f64>,
     pub(super) limit: Option<RawLimit>,
     pub(super) priority: Option<u8>,
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawPace {
-    /// Share of the selected requests that each step adds, above 0 and up to 1.
+    /// Share of the matched requests that each step adds, above 0 and up to 1.
     pub(super) share: f64,
     /// Time between steps.
     #[serde(with = "humantime_serde")]
--- a/src/policy/read_policy.rs
+++ b/src/policy/read_policy.rs
@@ -27,8 +27,7 @@
             remedy: "add places = { .. }; places = {} selects all",
         });
     }
-    // Without places the policy is a cap, which applies whatever the target: the empty selector
-    // suffices.
+    // A policy without `places` is a cap, which applies to all targets: the empty selector matches them.
     let places = raw.places.clone().unwrap_or_default();
     check_label_count(location(""), [&raw.requests, &places], interner)?;
     Ok(Policy {
--- a/src/policy/share.rs
+++ b/src/policy/share.rs
@@ -1,4 +1,4 @@
-//! The check of shares of the selected requests, which are numbers from 0 to 1.
+//! The check of shares of the matched requests, which are numbers from 0 to 1.
 
 use super::error::{Location, PolicyError};
 use super::file::CheckResult;
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -7,11 +7,11 @@
 pub enum PolicyVerdict {
     /// No policy excludes the target. A smaller order is preferred.
     Permitted(PolicyOrder),
-    /// A deny policy selects the target.
+    /// A deny policy matches the target.
     Denied,
-    /// Allow policies select the request, but none of them selects the target.
+    /// Allow policies match the request, but none of them matches the target.
     NotAllowed,
-    /// A drain policy selects the target. Without it the target would be permitted in this
+    /// A drain policy matches the target. Without it the target would be permitted in this
     /// order, which caps need: a move away from the target is charged.
     Drained(PolicyOrder),
 }
@@ -21,7 +21,7 @@
 pub struct PolicyOrder {
     /// Whether a weight sends the request to other targets.
     pub outside_weight: bool,
-    /// Smallest rank of the prefer policies that select the target; [`UNRANKED`] without any.
+    /// Smallest rank of the prefer policies that match the target; [`UNRANKED`] without any.
     pub rank: u16,
 }
 
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -1,7 +1,7 @@
-//! The check that weights that may select the same request sum to 1 at most.
+//! The check that weights that may match the same request sum to 1 at most.
 //!
-//! Whether they may is decided by their selectors alone, because the labels that operators
-//! assign and those of requests change. Holds no state; depends on [`super::selector`].
+//! Only the selectors decide which weights these are, because the labels that operators assign and
+//! those of requests change. Holds no state; depends on [`super::selector`].
 
 use super::action::{Action, Policy};
 use super::error::{Location, PolicyError};
@@ -12,7 +12,7 @@
 /// less than any share that an operator writes on purpose.
 const ROUNDING_TOLERANCE: f64 = 1e-9;
 /// Maximum number of selector tests that are examined for one document, which limits the time of
-/// the check. 128 weights with one test each, of which no two select the same request, take 16,384.
+/// the check. 128 weights with one test each, of which no two match the same request, take 16,384.
 const MAX_TESTS: usize = 2_000_000;
 
 /// A weight policy with its location.
@@ -22,7 +22,7 @@
     share: f64,
 }
 
-/// Rejects weights that may select the same request and sum to more than 1.
+/// Rejects weights that may match the same request and sum to more than 1.
 ///
 /// # Errors
 /// [`PolicyError::WeightSum`] at the last of these weights in name order, which would get less
@@ -40,7 +40,7 @@
     }
 }
 
-/// A depth-first search through the sets of weights that may select the same request.
+/// A depth-first search through the sets of weights that may match the same request.
 struct OverlapSearch<'a> {
     weights: &'a [Weight<'a>],
     /// Positions of the weights in the current set, ascending.
