--- a/src/clock.rs
+++ b/src/clock.rs
@@ -26,8 +26,8 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-/// Minimum time that counts as a suspension: longer than what passes between the readings of the two
-/// clocks, shorter than the precision that any bound depends on.
+/// Minimum time that counts as a suspension: longer than the time between the readings of the two
+/// clocks, shorter than the precision that any bound needs.
 const MIN_SUSPENSION: Duration = Duration::from_millis(10);
 /// Maximum time between the readings of the monotonic clock before and after that of the other clock.
 /// If more has passed, this thread was paused in between, and the offset is not exact.
@@ -104,7 +104,7 @@
     clock_gettime(clock).expect("the system has the clock").into()
 }
 
-/// Advances this thread's clock by `time` without the monotonic clock, as a suspension of the machine
+/// Advances this thread's clock by `time` but not the monotonic clock, as a suspension of the machine
 /// does. For tests, which cannot suspend the machine.
 #[doc(hidden)]
 pub fn simulate_suspension(time: Duration) {
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -7,9 +7,9 @@
 //!
 //! **Why callers may keep a response for the whole bound.** When it expires, callers send a new request
 //! and wait for the response: a round trip, or 1 s if the instance that they ask is dead. An
-//! address that died in the meantime costs a caller one connection attempt, since it is left out from
-//! then on. A stopping instance serves requests that end in time and refuses the others at
-//! once ([`crate::decision::refusal::stop`]).
+//! instance that died in the meantime costs a caller one connection attempt: the caller does not try
+//! its address again. A stopping instance serves requests that can end in time and refuses the others
+//! at once ([`crate::decision::refusal::stop`]).
 
 use crate::decision::selection::directory::{self, OwnInstance};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
--- a/src/model/config/mod.rs
+++ b/src/model/config/mod.rs
@@ -52,10 +52,10 @@
         Self { tenants, urgencies, ..self }
     }
 
-    /// The route with a key of this config.
+    /// The route with a key of this configuration.
     ///
     /// # Panics
-    /// May panic on a key of another config, which may have more routes.
+    /// May panic on a key of another configuration, which may have more routes.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.routes[key.0]
     }
--- a/src/model/config/route.rs
+++ b/src/model/config/route.rs
@@ -29,7 +29,7 @@
 /// Requests with one host and path prefix, and how they are sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Route {
-    /// Name, unique in the config.
+    /// Name, unique in the configuration.
     pub name: Rc<str>,
     /// Host in lower case, without a port.
     pub host: String,
--- a/src/model/config/service.rs
+++ b/src/model/config/service.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-/// Settings of a service that apply to each of its targets.
+/// A group of targets that can serve the same requests, and the settings that apply to each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
     /// Maximum number of connections that a target accepts from all instances together.
--- a/src/model/config/tenant.rs
+++ b/src/model/config/tenant.rs
@@ -49,7 +49,7 @@
 /// Callers that share a set of API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name, unique in the config; sent to targets with each request.
+    /// Name, unique in the configuration; sent to targets with each request.
     pub name: Rc<str>,
     /// Its API keys; empty if all were revoked.
     pub api_keys: Vec<ApiKey>,
@@ -82,7 +82,7 @@
     EmptyKey(Rc<str>),
 }
 
-/// The tenants of a config, indexed by name and API key.
+/// The tenants of a configuration, indexed by name and API key.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     all: Vec<Tenant>,
@@ -122,10 +122,10 @@
         self.all.is_empty()
     }
 
-    /// The tenant with a key of this config.
+    /// The tenant with a key of this configuration.
     ///
     /// # Panics
-    /// May panic on a key of another config, which may have more tenants.
+    /// May panic on a key of another configuration, which may have more tenants.
     pub fn get(&self, key: TenantKey) -> &Tenant {
         &self.all[key.0]
     }
@@ -140,7 +140,7 @@
         self.by_name.get(name).map(|key| self.get(*key))
     }
 
-    /// All tenants, in the order of the config.
+    /// All tenants, in the order of the configuration.
     pub fn iter(&self) -> impl Iterator<Item = &Tenant> {
         self.all.iter()
     }
--- a/src/model/member.rs
+++ b/src/model/member.rs
@@ -20,7 +20,7 @@
     pub capacity: Capacity,
 }
 
-/// Capacity of an instance's machine, from its settings. Zero means unknown, as an absent value does.
+/// Capacity of an instance's machine, from its settings. A value of zero means unknown too.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Capacity {
     /// CPU capacity, thousandths of a core; `None` if unknown.
--- a/src/model/rate_limits.rs
+++ b/src/model/rate_limits.rs
@@ -1,4 +1,5 @@
-//! Messages between instances about the rate limits of targets, with their wire format.
+//! Messages between instances about the rate limits of targets, with their wire format. The head of a
+//! hall is the instance that aggregates the reports of the hall's instances.
 //!
 //! Owns the wire format. It is encoded as in [`crate::model::usage`], and the rules for changes given
 //! there apply here too.
--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -14,8 +14,8 @@
     Draining,
 }
 
-/// Time at which a target's process started, Unix milliseconds. Distinguishes the starts of targets
-/// with one id.
+/// Time at which a target's process started, Unix milliseconds. Distinguishes the starts of a
+/// target that keeps its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartTime(pub u64);
 
--- a/src/model/usage.rs
+++ b/src/model/usage.rs
@@ -42,9 +42,9 @@
 pub struct TargetLoad {
     /// Key of the target.
     pub target: ShortKey,
-    /// Requests running or waiting at the target; 255 stands for more too.
+    /// Requests running or waiting at the target; 255 means 255 or more.
     pub requests: u8,
-    /// Time since the response, in units of [`AGE_UNIT`], rounded down; 255 stands for more too.
+    /// Time since the response, in units of [`AGE_UNIT`], rounded down; 255 means 255 or more.
     pub age: u8,
 }
 
@@ -64,8 +64,8 @@
     }
 }
 
-/// Report of an instance to another one. Its requests are reported to no other instance of the
-/// receiver's hall.
+/// Report of an instance to another one. The requests that it counts are reported to no other instance
+/// of the receiver's hall.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UsageReport {
     /// Name of the instance that sends the report.
