--- a/src/net/chunks.rs
+++ b/src/net/chunks.rs
@@ -14,7 +14,7 @@
 }
 
 /// The size of a body of which `chunks` were read and a part of size `rest` is still to come; unknown
-/// where the size of the rest is.
+/// if `rest` is.
 pub fn size_with_rest(chunks: &VecDeque<Bytes>, rest: SizeHint) -> SizeHint {
     let read: u64 = chunks.iter().map(|chunk| chunk.len() as u64).sum();
     rest.exact().map_or_else(SizeHint::default, |exact| SizeHint::with_exact(read + exact))
--- a/src/net/gzip.rs
+++ b/src/net/gzip.rs
@@ -17,8 +17,9 @@
 /// Size below which a body is sent uncompressed, bytes: it fits into a few packets, and compression
 /// would not reduce their number.
 pub const MIN_SIZE: usize = 16 << 10;
-/// Largest decompressed body, bytes: several times the largest view (some 4 MB at 3,000 targets).
-/// Together with its decoded copies it takes a third of the memory of the smallest machine, 160 MB.
+/// Maximum size of a decompressed body, bytes: several times the largest view (some 4 MB at 3,000
+/// targets). Together with its decoded copies it takes a third of the memory of the smallest machine
+/// (160 MB).
 const MAX_SIZE: u64 = 12 << 20;
 
 /// Why a body cannot be decompressed.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -28,21 +28,21 @@
 /// Idle time after which a connection is not reused if the target states no time; less than targets
 /// are known to keep a connection open (10 s).
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
-/// Upper limit on that time if the target states one: limits how many connections are kept that have
-/// ended without a notice.
+/// Maximum of that time if the target states one: limits how many connections are kept whose other
+/// side has disappeared without closing them.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
 /// How long before the target closes an idle connection the connection is no longer reused: a request
 /// that is sent while the target closes the connection is lost.
 const CLOSE_MARGIN: Duration = Duration::from_secs(1);
-/// Largest number of idle connections to one target; more than an instance's share of the target's
+/// Maximum number of idle connections to one target; more than an instance's share of the target's
 /// slots needs (3 to 6 slots, two requests per slot).
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// All instances together keep at most one in this many of a target's connections idle. The others are
-/// left for requests and for the target's other callers.
+/// Divides the number of connections that a target accepts: all instances together keep at most the
+/// quotient idle, which leaves the others for requests and for the target's other callers.
 const IDLE_CONNECTIONS_DIVISOR: usize = 2;
 
-/// Largest read buffer of a connection, bytes: limits how much of a response a connection holds while
-/// its caller reads slowly.
+/// Maximum size of the read buffer of a connection, bytes: limits how much of a response a connection
+/// holds while its caller reads slowly.
 const READ_BUFFER_SIZE: usize = 32 * 1024;
 
 /// Why a request got no response.
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Whether the other side still has the connection open. The reason of a close is irrelevant here.
+    /// Whether the other side still has the connection open. Why it closed the connection makes no
+    /// difference here.
     async fn is_usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
--- a/src/net/request_body.rs
+++ b/src/net/request_body.rs
@@ -32,7 +32,7 @@
     /// The body was not complete by its deadline.
     #[error("the body was not complete before its deadline")]
     TimedOut,
-    /// The caller read no more of it.
+    /// The caller stopped reading it.
     #[error("the caller did not read the body for too long; check the caller's connection")]
     Unread,
     /// The body exceeds the limit on its size.
--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -32,7 +32,7 @@
     fn is_stopping(&self) -> bool {
         false
     }
-    /// Called with 1 when a request was read before its turn, and with -1 when its response is ready at
-    /// its turn, when it begins at its turn, or when it is cancelled.
+    /// Called with 1 when a request was read before its turn. Called with -1 when it has its turn and
+    /// begins, when it has its turn and its early response is ready, or when it is cancelled.
     fn count_unanswered(&self, _change: i64) {}
 }
--- a/src/net/server/limits.rs
+++ b/src/net/server/limits.rs
@@ -5,20 +5,20 @@
 /// Limits on the connections of a listener.
 #[derive(Clone, Copy, Debug)]
 pub struct ConnectionLimits {
-    /// Largest request head, bytes.
+    /// Maximum size of a request head, bytes.
     pub head_bytes: usize,
-    /// Longest time from the first byte of a request head to its end.
+    /// Maximum time from the first byte of a request head to its end.
     pub head_time: Duration,
-    /// Longest time between two requests.
+    /// Maximum time between two requests.
     pub idle_time: Duration,
-    /// Largest number of open connections; further ones wait to be accepted.
+    /// Maximum number of open connections; further ones wait to be accepted.
     pub max_connections: u32,
 }
 
 impl ConnectionLimits {
     /// Limits on connections of peers, operators and the platform, which are few and send small heads:
     /// 16 KiB, 3 s, 15 s, 256 connections. They protect against misuse; 256 is more than followers and
-    /// probes need together.
+    /// readiness checks need together.
     pub const INTERNAL: Self = Self {
         head_bytes: 16 * 1024,
         head_time: Duration::from_secs(3),
--- a/src/net/server/progress.rs
+++ b/src/net/server/progress.rs
@@ -35,7 +35,7 @@
         Self { phase: Cell::new(Phase::Idle), since: Cell::new(Instant::now()), has_unsent_response: Cell::new(false) }
     }
 
-    /// Begins a phase, now.
+    /// Begins a phase; its duration counts from now.
     pub fn enter(&self, phase: Phase) {
         self.phase.set(phase);
         self.since.set(Instant::now());
--- a/src/net/server/read_ahead/buffer.rs
+++ b/src/net/server/read_ahead/buffer.rs
@@ -6,7 +6,7 @@
 use bytes::{Buf, BytesMut};
 use std::collections::VecDeque;
 
-/// Largest number of reads whose times are kept; the bytes of further reads get the time of the last
+/// Maximum number of reads whose times are kept; the bytes of further reads get the time of the last
 /// one that is kept.
 const MAX_READS: usize = 32;
 
--- a/src/net/server/read_ahead/early_request.rs
+++ b/src/net/server/read_ahead/early_request.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use tokio::task::{JoinError, JoinHandle, spawn_local};
 
-/// When and how a request was received that was read ahead; an extension of the request.
+/// Extension of a request that was read ahead: when it was received, and whether it began early.
 #[derive(Clone, Copy, Debug)]
 pub struct Arrival {
     /// When the last byte of its head was read.
--- a/src/net/server/read_ahead/head.rs
+++ b/src/net/server/read_ahead/head.rs
@@ -6,9 +6,10 @@
 use hyper::http::request::Parts;
 use hyper::{HeaderMap, Method, Request, Uri, Version};
 
-/// Largest number of headers in a head that is parsed here; as many as hyper accepts.
+/// Maximum number of headers in a head that is parsed here; as many as hyper accepts.
 const MAX_HEADERS: usize = 100;
-/// Headers whose requests wait for their turn: the bytes that follow the head may not be a request.
+/// A request with one of these headers waits for its turn: the bytes that follow its head may not be
+/// another request.
 const DEFERRING_HEADERS: [HeaderName; 5] = [CONTENT_LENGTH, TRANSFER_ENCODING, EXPECT, TRAILER, UPGRADE];
 
 /// Parses one complete head of a request without a body; `None` if the request has to wait for its turn.
--- a/src/net/server/read_ahead/mod.rs
+++ b/src/net/server/read_ahead/mod.rs
@@ -1,7 +1,7 @@
 //! HTTP pipelining: requests that a caller sends before the requests ahead of them on the connection
 //! have their responses.
 //!
-//! **Load.** Some callers send further idempotent requests before the first has its response. Processed
+//! **Reason.** Some callers send further idempotent requests before the first has its response. Processed
 //! one after the other, each would wait for all ahead of it. Here they run concurrently, and hyper sends
 //! the responses in the order of the requests.
 //!
--- a/src/net/server/read_ahead/queue.rs
+++ b/src/net/server/read_ahead/queue.rs
@@ -1,9 +1,8 @@
 //! Queue of the requests of a connection that were read before their turn.
 //!
-//! **Load.** Callers send further idempotent requests before the first has its response. Requests that
-//! may be repeated and have no body begin as soon as they are read. A request that has to wait, and all
-//! behind it, begin when the requests ahead of them have their responses. Nothing begins behind a
-//! current request that may run only once: its caller may rely on the order.
+//! **Rule.** Idempotent requests without a body begin as soon as they are read. A request that has to
+//! wait, and all behind it, begin when the requests ahead of them have their responses. Nothing begins
+//! behind a current request that may run only once: its caller may rely on the order.
 //!
 //! Inputs: heads as they were read; they have no age. Owns the buffered bytes and the early requests,
 //! which are cancelled when the queue is dropped. Relies on [`Handler::may_begin_early`], and on how
@@ -24,10 +23,10 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Largest number of early requests of one connection: limits the memory of responses that wait behind a
+/// Maximum number of early requests of one connection: limits the memory of responses that wait behind a
 /// slow one.
 pub const MAX_EARLY_REQUESTS: usize = 16;
-/// Largest number of bytes of one connection that are read ahead: limits the memory of waiting requests.
+/// Maximum number of bytes of one connection that are read ahead: limits the memory of waiting requests.
 pub const MAX_BUFFERED_BYTES: usize = 16 * 1024;
 
 /// Requests and bytes that were read ahead on one connection.
--- a/src/net/server/read_ahead/stream.rs
+++ b/src/net/server/read_ahead/stream.rs
@@ -22,7 +22,7 @@
 use std::time::Duration;
 use tokio::io::ReadBuf;
 
-/// Largest number of bytes that are read from a socket at once.
+/// Maximum number of bytes that are read from a socket at once.
 const READ_SIZE: usize = 16 * 1024;
 /// Interval between checks whether a caller has closed its connection, while nothing is read from it.
 const DISCONNECT_CHECK_INTERVAL: Duration = Duration::from_millis(100);
--- a/src/net/whole_body.rs
+++ b/src/net/whole_body.rs
@@ -1,4 +1,5 @@
-//! Reads a body completely, and gives up if no more data arrives rather than if it takes long.
+//! Reads a body completely. Fails soon if data stops arriving, but allows a body that keeps arriving to
+//! take long.
 //!
 //! A limit on the total time alone would abort a large body on a slow link although data keeps
 //! arriving, and a repeated transfer would be aborted in the same way. So the time without data is
@@ -15,11 +16,11 @@
 /// Limits on the time and size of a body that is read.
 #[derive(Clone, Copy, Debug)]
 pub struct ReadLimits {
-    /// Longest time without data.
+    /// Maximum time without data.
     pub stall: Duration,
-    /// Longest time for the complete body.
+    /// Maximum time for the complete body.
     pub total: Duration,
-    /// Largest size of the body, bytes.
+    /// Maximum size of the body, bytes.
     pub size: usize,
 }
 
