--- a/src/proxy/buffered_response.rs
+++ b/src/proxy/buffered_response.rs
@@ -7,8 +7,8 @@
 use hyper::body::{Body, Incoming};
 use std::collections::VecDeque;
 
-/// Largest response body that is read completely before it is passed on, bytes. Larger than usual
-/// responses (30 kB); limited to bound memory.
+/// Maximum size of a response body that is read completely before it is passed on, bytes. Larger than
+/// usual responses (30 kB); limited to bound memory.
 pub const MAX_BUFFERED_RESPONSE: usize = 64 * 1024;
 
 /// A response body after [`read_body`].
--- a/src/proxy/caller_request.rs
+++ b/src/proxy/caller_request.rs
@@ -26,7 +26,7 @@
     pub caller: Option<CallerTenant<'a>>,
     /// Its head, without hop-by-hop headers and without the caller's API key.
     pub parts: Parts,
-    /// Hash of what it asks for, under which strikes are counted.
+    /// Hash of its contents, under which strikes are counted.
     pub fingerprint: Fingerprint,
     /// When its head had been read.
     pub started: Instant,
@@ -51,7 +51,7 @@
         self.caller.as_ref().map(|caller| caller.tenant)
     }
 
-    /// Checks that a newer configuration still maps the caller's key to the same tenant.
+    /// Checks that a newer configuration still maps the caller's API key to the same tenant.
     ///
     /// # Errors
     /// [`Refusal::NoKey`] or [`Refusal::KeyMoved`], as [`CallerTenant::check`].
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Records a response that may not be passed on at its target, and returns the error for it.
+    /// Updates the target after a response that may not be passed on, and returns the error for it.
     fn reject(&self, error: ResponseError, report: Option<LoadReport>) -> TryError {
         let target = self.in_flight.target();
         match error {
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_answer/buffer.rs
@@ -10,8 +10,8 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Most bytes that are handed to the caller's connection at a time, which limits the bytes that it
-/// holds uncounted. Also the size of the blocks into which small chunks are copied.
+/// Maximum bytes that are handed to the caller's connection at a time: bytes that the connection has
+/// taken are no longer counted. Also the size of the blocks into which small chunks are copied.
 pub const PART_SIZE: usize = 32 * 1024;
 /// Chunks smaller than this, bytes, are copied into blocks unless the buffer is empty: a small chunk
 /// may keep a whole read buffer in memory.
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -6,7 +6,7 @@
 //! before its end, the held bytes are dropped and the task is aborted. The rule is
 //! [`crate::decision::refusal::held_answers`].
 //!
-//! Owns the response's count among the requests in flight, for which a planned stop waits.
+//! Counts the response as a request in flight until its caller has it: a planned stop waits for it.
 
 pub mod buffer;
 mod reader;
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_answer/shared.rs
@@ -30,7 +30,7 @@
 struct State {
     buffer: AnswerBuffer,
     trailers: Option<HeaderMap>,
-    /// Most bytes that were held while the limits allowed more.
+    /// Maximum number of bytes that were held while the limits had room for more.
     max_held: u64,
     progress: ReadProgress,
     /// Waker of the caller's side while it waits for bytes.
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -19,9 +19,9 @@
 use hyper::body::{Body, Frame, Incoming};
 use std::collections::VecDeque;
 
-/// Largest request body that is buffered, bytes; larger than usual uploads (about 360 kB).
+/// Maximum size of a request body that is buffered, bytes; larger than usual uploads (about 360 kB).
 const MAX_BUFFERED_BODY: u64 = 512 * 1024;
-/// Buffered bodies take at most the memory limit divided by this; the peak memory beside them is
+/// Buffered bodies take at most the memory limit divided by this; the peak memory without them is
 /// 7 MB.
 const BUFFERED_BODY_DIVISOR: u64 = 8;
 
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -19,7 +19,7 @@
 const CALLER_CONNECTION_DIVISOR: u32 = 2;
 
 /// Responses that wait for those ahead of them on their connection take at most the memory limit
-/// divided by this, bytes.
+/// divided by this.
 const EARLY_RESPONSE_DIVISOR: u64 = 8;
 
 /// Handles the requests of callers.
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -12,8 +12,7 @@
 use thiserror::Error;
 
 /// Retry-After if this instance has no configuration or no usable target, which lasts longer than a
-/// lack of capacity. Not sensitive: half and double the value change the worth that the benchmark
-/// reports by 0.002 at most.
+/// lack of capacity.
 const RETRY_AFTER_OUTAGE: Duration = Duration::from_millis(500);
 /// Retry-After if there is no reason to wait: another instance takes the request, or the target shed
 /// it although it had free slots.
@@ -34,13 +33,13 @@
         "no route known here takes this host and path, and this instance has not heard of changes for too long; send the request to another instance"
     )]
     StaleRoutes,
-    /// The request does not have exactly one key, or no tenant holds it.
+    /// The request does not have exactly one API key, or no tenant holds it.
     #[error("the request has no key that a tenant holds; send one valid key in one header")]
     NoKey,
-    /// The key was given to another tenant while the request waited.
+    /// The API key was given to another tenant while the request waited.
     #[error("the key was given to another tenant while the request waited; send the request again")]
     KeyMoved,
-    /// The view is too old to rule out that the key was revoked.
+    /// The view is too old to rule out that the API key was revoked.
     #[error("this instance has not heard of changes to keys for too long; send the request to another instance")]
     StaleKeys,
     /// The route and the tenant have no allowed region in common.
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -36,8 +36,9 @@
 const ANSWERED: &str = "answered";
 /// Deadline of a request whose caller sent none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// How long a request waits for the first configuration. Longer than a large fleet that starts at
-/// once needs to receive it: a caller that is refused returns after 0.5 s and has used up a retry.
+/// How long a request waits for the first configuration. Longer than all instances of a large fleet
+/// need to receive it when they start at the same time: a caller that is refused returns after 0.5 s
+/// and has used up a retry.
 const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long before the caller's deadline a request times out: the one-way latency between regions
 /// (12 ms) and some processing time.
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -27,7 +27,7 @@
     cap_charge: CapCharge,
 }
 
-/// Inputs of one choice.
+/// Routing state and settings by which one target is chosen.
 struct Snapshot<'a> {
     routing: &'a Routing,
     settings: &'a Settings,
