--- a/src/model/config/mod.rs
+++ b/src/model/config/mod.rs
@@ -52,10 +52,10 @@
         Self { tenants, urgencies, ..self }
     }
 
-    /// The route with a key of this config.
+    /// The route with a key of this configuration.
     ///
     /// # Panics
-    /// May panic on a key of another config, which may have more routes.
+    /// May panic on a key of another configuration, which may have more routes.
     pub fn route(&self, key: RouteKey) -> &Route {
         &self.routes[key.0]
     }
@@ -76,7 +76,7 @@
     }
 
     /// Number of distinct urgencies of the service's requests that are more urgent than this one.
-    pub fn rank(&self, service: &str, urgency: Urgency) -> usize {
+    pub fn urgency_rank(&self, service: &str, urgency: Urgency) -> usize {
         self.urgencies.get(service).map_or(0, |all| all.iter().filter(|other| **other < urgency).count())
     }
 }
--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -14,8 +14,8 @@
     Draining,
 }
 
-/// Time at which a target's process started, Unix milliseconds. Distinguishes the starts of targets
-/// with one id.
+/// Time at which a target's process started, Unix milliseconds. Distinguishes the starts of a
+/// target that keeps its id.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartTime(pub u64);
 
@@ -52,7 +52,7 @@
     /// Counter of this start's writes of the record; a lower number is older.
     pub sequence: u64,
     /// Remaining time of its slow start when the record was written.
-    pub slow_start: Duration,
+    pub slow_start_remaining: Duration,
 }
 
 impl TargetRegistration {
--- a/src/net/gzip.rs
+++ b/src/net/gzip.rs
@@ -17,8 +17,9 @@
 /// Size below which a body is sent uncompressed, bytes: it fits into a few packets, and compression
 /// would not reduce their number.
 pub const MIN_SIZE: usize = 16 << 10;
-/// Largest decompressed body, bytes: several times the largest view (some 4 MB at 3,000 targets).
-/// Together with its decoded copies it takes a third of the memory of the smallest machine, 160 MB.
+/// Maximum size of a decompressed body, bytes: several times the largest view (some 4 MB at 3,000
+/// targets). Together with its decoded copies it takes a third of the memory of the smallest machine
+/// (160 MB).
 const MAX_SIZE: u64 = 12 << 20;
 
 /// Why a body cannot be decompressed.
@@ -26,7 +27,7 @@
 pub enum GzipError {
     /// The body is not valid gzip data, or is truncated.
     #[error("cannot decompress the body: {0}; check the peer's version")]
-    Damaged(#[from] std::io::Error),
+    InvalidData(#[from] std::io::Error),
     /// The decompressed body is larger than any that an instance sends.
     #[error("the decompressed body is larger than {MAX_SIZE} bytes; check that the address is that of an instance")]
     TooLarge,
@@ -55,7 +56,7 @@
 /// Decompresses a body.
 ///
 /// # Errors
-/// [`GzipError::Damaged`] if the data is invalid or truncated, [`GzipError::TooLarge`] if the result
+/// [`GzipError::InvalidData`] if the data is invalid or truncated, [`GzipError::TooLarge`] if the result
 /// exceeds the largest allowed size.
 pub fn decompress(body: &[u8]) -> Result<Bytes, GzipError> {
     let mut plain = Vec::new();
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -24,25 +24,25 @@
 /// Timeout for finding out that an address refuses connections: three round trips between the regions
 /// that are farthest apart (70 ms each). The request whose exchange ended waits for the result, which
 /// takes one round trip unless the target's machine stops responding at that moment.
-const PROBE_TIMEOUT: Duration = Duration::from_millis(250);
+const CONNECT_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time after which a connection is not reused if the target states no time; less than targets
 /// are known to keep a connection open (10 s).
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
-/// Upper limit on that time if the target states one: limits how many connections are kept that have
-/// ended without a notice.
+/// Maximum of that time if the target states one: limits how many connections are kept whose other
+/// side has disappeared without closing them.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
 /// How long before the target closes an idle connection the connection is no longer reused: a request
 /// that is sent while the target closes the connection is lost.
 const CLOSE_MARGIN: Duration = Duration::from_secs(1);
-/// Largest number of idle connections to one target; more than an instance's share of the target's
+/// Maximum number of idle connections to one target; more than an instance's share of the target's
 /// slots needs (3 to 6 slots, two requests per slot).
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// All instances together keep at most one in this many of a target's connections idle. The others are
-/// left for requests and for the target's other callers.
+/// Divides the number of connections that a target accepts: all instances together keep at most the
+/// quotient idle, which leaves the others for requests and for the target's other callers.
 const IDLE_CONNECTIONS_DIVISOR: usize = 2;
 
-/// Largest read buffer of a connection, bytes: limits how much of a response a connection holds while
-/// its caller reads slowly.
+/// Maximum size of the read buffer of a connection, bytes: limits how much of a response a connection
+/// holds while its caller reads slowly.
 const READ_BUFFER_SIZE: usize = 32 * 1024;
 
 /// Why a request got no response.
@@ -114,7 +114,8 @@
         }
     }
 
-    /// Whether the other side still has the connection open. The reason of a close is irrelevant here.
+    /// Whether the other side still has the connection open. Why it closed the connection makes no
+    /// difference here.
     async fn is_usable(&mut self) -> bool {
         self.sender.ready().await.is_ok()
     }
@@ -127,9 +128,9 @@
     }
 
     /// Whether the address refuses connections, which means that no process listens there any more.
-    /// False if the address is unreachable or there is no result within `PROBE_TIMEOUT`.
+    /// False if the address is unreachable or there is no result within `CONNECT_CHECK_TIMEOUT`.
     pub async fn refuses_connections(&self) -> bool {
-        let Ok(Err(error)) = timeout(PROBE_TIMEOUT, dial::connect(self.address)).await else { return false };
+        let Ok(Err(error)) = timeout(CONNECT_CHECK_TIMEOUT, dial::connect(self.address)).await else { return false };
         matches!(error.kind(), ErrorKind::ConnectionRefused | ErrorKind::ConnectionReset)
     }
 
@@ -140,7 +141,7 @@
 
     /// Limits the number of idle connections to this instance's share of `max_connections`, the number
     /// that the target accepts from all `members` instances; 0 if its service sets none.
-    pub fn share_connections(&self, max_connections: u32, members: usize) {
+    pub fn limit_idle(&self, max_connections: u32, members: usize) {
         let share = max_connections as usize / IDLE_CONNECTIONS_DIVISOR / members.max(1);
         let max_idle = if max_connections == 0 { MAX_IDLE_CONNECTIONS } else { share.clamp(1, MAX_IDLE_CONNECTIONS) };
         self.max_idle.set(max_idle);
--- a/src/proxy/caller_request.rs
+++ b/src/proxy/caller_request.rs
@@ -26,7 +26,7 @@
     pub caller: Option<CallerTenant<'a>>,
     /// Its head, without hop-by-hop headers and without the caller's API key.
     pub parts: Parts,
-    /// Hash of what it asks for, under which strikes are counted.
+    /// Hash of its contents, under which strikes are counted.
     pub fingerprint: Fingerprint,
     /// When its head had been read.
     pub started: Instant,
@@ -51,11 +51,11 @@
         self.caller.as_ref().map(|caller| caller.tenant)
     }
 
-    /// Checks that a newer configuration still maps the caller's key to the same tenant.
+    /// Checks that a newer configuration still maps the caller's API key to the same tenant.
     ///
     /// # Errors
     /// [`Refusal::NoKey`] or [`Refusal::KeyMoved`], as [`CallerTenant::check`].
-    pub fn check_key(&self) -> Result<(), Refusal> {
+    pub fn check_api_key(&self) -> Result<(), Refusal> {
         let Some(caller) = &self.caller else { return Ok(()) };
         match &self.instance.routing.borrow().config {
             Some(later) if later.version != self.config.version => caller.check(later),
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -6,14 +6,14 @@
 //! before its end, the held bytes are dropped and the task is aborted. The rule is
 //! [`crate::decision::refusal::held_answers`].
 //!
-//! Owns the response's count among the requests in flight, for which a planned stop waits.
+//! Counts the response as a request in flight until its caller has it: a planned stop waits for it.
 
 pub mod buffer;
 mod reader;
 mod shared;
 
 pub use reader::Reader;
-pub use shared::{Progress, SharedAnswer};
+pub use shared::{ReadProgress, SharedAnswer};
 
 use crate::decision::refusal::held_answers::HeldAnswerLimits;
 use crate::net::buffered_bytes::BufferTotal;
@@ -66,7 +66,7 @@
 impl HeldAnswer {
     /// A response that is complete and in memory.
     pub fn buffered(bytes: Bytes, total: &Rc<BufferTotal>, request_guard: InFlightGuard) -> Self {
-        let shared = Rc::new(SharedAnswer::new(total, Progress::Complete));
+        let shared = Rc::new(SharedAnswer::new(total, ReadProgress::Complete));
         shared.push(bytes);
         Self { shared, reader: None, _request_guard: Some(request_guard) }
     }
