--- a/src/decision/capacity/rate_limit/mod.rs
+++ b/src/decision/capacity/rate_limit/mod.rs
@@ -119,7 +119,7 @@
     /// Sets the share that a head answered, 0 to 1. If no share applied before, the credit starts at
     /// `initial_credit`, random from 0 to 1, so that instances do not send their first requests at
     /// the same time.
-    pub fn set_share(&mut self, admit_ratio: f64, initial_credit: f64, now: Instant) {
+    pub fn set_admit_ratio(&mut self, admit_ratio: f64, initial_credit: f64, now: Instant) {
         if self.admit_ratio(now).is_none() {
             self.credit = initial_credit;
         }
--- a/src/decision/failure/quarantine/mod.rs
+++ b/src/decision/failure/quarantine/mod.rs
@@ -232,7 +232,7 @@
     }
 
     /// Number of requests in quarantine according to the store's records.
-    pub fn count(&self) -> usize {
+    pub fn quarantined_count(&self) -> usize {
         self.shared.values().filter(|shared| shared.latest.strikes >= QUARANTINE_THRESHOLD).count()
     }
 
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -72,12 +72,12 @@
 
     /// Sets the share of its requests, 0 to 1, that a head allows to be sent. `draw` is a random
     /// number from 0 to 1.
-    pub fn set_limit_share(&self, pass: f64, draw: f64, now: Instant) {
-        self.signals.borrow_mut().limit.set_share(pass, draw, now);
+    pub fn set_limit_admit_ratio(&self, pass: f64, draw: f64, now: Instant) {
+        self.signals.borrow_mut().limit.set_admit_ratio(pass, draw, now);
     }
 
     /// Share of its requests that may be sent, 0 to 1; `None` if no head answered recently.
-    pub fn limit_share(&self, now: Instant) -> Option<f64> {
+    pub fn limit_admit_ratio(&self, now: Instant) -> Option<f64> {
         self.signals.borrow().limit.admit_ratio(now)
     }
 
--- a/src/decision/selection/request_size.rs
+++ b/src/decision/selection/request_size.rs
@@ -35,7 +35,7 @@
 
 impl RequestSize {
     /// Adds a request that was answered, with the bytes of its body and of its response's.
-    pub fn observe(&self, request_bytes: u64, response_bytes: u64) {
+    pub fn record(&self, request_bytes: u64, response_bytes: u64) {
         let bytes = HEADER_BYTES + request_bytes as f64 + response_bytes as f64;
         self.0.set(self.0.get() + SMOOTHING_FACTOR * (bytes - self.0.get()));
     }
--- a/src/operator/targets.rs
+++ b/src/operator/targets.rs
@@ -28,7 +28,7 @@
         load: target.load(now),
         state: state(target, now).to_owned(),
         limit: target.rate_limit(now),
-        limit_share: target.rate_limit(now).and_then(|_| target.limit_share(now)),
+        limit_share: target.rate_limit(now).and_then(|_| target.limit_admit_ratio(now)),
         started_ms: target.start.map(|start| start.0),
     }
 }
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -70,7 +70,7 @@
         AccessRecord { id, is_early: arrival.is_early, queue_time: now - started, ..AccessRecord::default() };
     let (outcome, response) = match process(instance, request, started, &mut record).await {
         Ok(response) => {
-            instance.request_size.observe(request_bytes, response.body().size_hint().lower());
+            instance.request_size.record(request_bytes, response.body().size_hint().lower());
             (ANSWERED, response)
         }
         Err(refusal) => (refusal.as_str(), refusal.response(retry_delay(instance, &record, refusal))),
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -261,7 +261,7 @@
     }
 
     fn quarantine_changed(&self) {
-        let count = self.routing.borrow().quarantine.count();
+        let count = self.routing.borrow().quarantine.quarantined_count();
         self.metrics.quarantined.set(count as i64);
     }
 
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -128,7 +128,7 @@
                 );
             }
             if share.pass.is_finite() {
-                target.set_limit_share(share.pass.into(), rand::random(), now);
+                target.set_limit_admit_ratio(share.pass.into(), rand::random(), now);
             }
         }
     }
--- a/tests/instance_weight.rs
+++ b/tests/instance_weight.rs
@@ -187,9 +187,9 @@
 fn the_average_request_size_follows_the_bodies() {
     let size = RequestSize::default();
     let first = size.bytes();
-    (0..5_000).for_each(|number| size.observe(0, if number % 10 == 0 { 90_000 } else { 1_500 }));
+    (0..5_000).for_each(|number| size.record(0, if number % 10 == 0 { 90_000 } else { 1_500 }));
     assert!((9_000.0..13_000.0).contains(&size.bytes()), "{first}, then {}", size.bytes());
-    (0..5_000).for_each(|_| size.observe(100_000, 100));
+    (0..5_000).for_each(|_| size.record(100_000, 100));
     assert!((99_000.0..102_000.0).contains(&size.bytes()), "{}", size.bytes());
 }
 
--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -346,7 +346,7 @@
                 if let Some(remote) = share.told.and_then(|told| limit_from_message(told, self.now)) {
                     limit.record_remote(remote, self.now);
                 }
-                limit.set_share(share.pass.into(), self.random.random(), self.now);
+                limit.set_admit_ratio(share.pass.into(), self.random.random(), self.now);
             }
         }
     }
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -115,7 +115,7 @@
     );
     assert_eq!(quarantine.apply(fingerprint, record(QUARANTINE_THRESHOLD, OWN), 6, now), Some(true));
     assert_eq!(quarantine.pending_report(fingerprint, now), None);
-    assert_eq!(quarantine.count(), 1);
+    assert_eq!(quarantine.quarantined_count(), 1);
 }
 
 #[test]
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -121,7 +121,7 @@
     for number in 0..100 {
         let mut limit = RateLimit::default();
         limit.apply(LimitSignal::Rate(4.0), now, now);
-        limit.set_share(0.3, f64::from(number) / 100.0, now);
+        limit.set_admit_ratio(0.3, f64::from(number) / 100.0, now);
         for _ in 0..10 {
             let is_exhausted = limit.is_exhausted(now);
             limit.record_offered(now);
