--- a/src/decision/capacity/rate_limit/mod.rs
+++ b/src/decision/capacity/rate_limit/mod.rs
@@ -52,12 +52,12 @@
 /// Age up to which a share applies; it allows for some lost reports.
 const MAX_SHARE_AGE: Duration = Duration::from_secs(1);
 /// A report is sent at once if the requests since the last one exceed this number plus
-/// `SURGE_FACTOR` times those usual in `REPORT_PERIOD`.
+/// `SURGE_FACTOR` times those usual in `REPORT_INTERVAL`.
 const MIN_SURGE_REQUESTS: f64 = 3.0;
 /// See [`MIN_SURGE_REQUESTS`].
 const SURGE_FACTOR: f64 = 2.0;
 /// Time between two regular reports.
-const REPORT_PERIOD: Duration = Duration::from_millis(200);
+const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
 /// A share that the head of the hall answered.
 #[derive(Clone, Copy, Debug)]
@@ -169,7 +169,7 @@
 
     /// Whether so many requests came since the last report that the next one should be sent at once.
     pub fn has_surge(&self, now: Instant) -> bool {
-        let usual = self.reported_demand * REPORT_PERIOD.as_secs_f64();
+        let usual = self.reported_demand * REPORT_INTERVAL.as_secs_f64();
         self.rate(now).is_some() && f64::from(self.unreported) > MIN_SURGE_REQUESTS + SURGE_FACTOR * usual
     }
 
--- a/src/decision/capacity/rate_limit/totals.rs
+++ b/src/decision/capacity/rate_limit/totals.rs
@@ -114,7 +114,7 @@
             told: totals.own_hall_limit.and_then(|limit| limit_to_message(limit, now)),
             demand: total_demand(&totals.instances, now) as f32,
             // Reports of other halls are not sent back to them: halls would keep them alive forever.
-            leaves: is_leaving(totals.own_hall_leaving_at, now),
+            leaves: counts_as_leaving(totals.own_hall_leaving_at, now),
         };
         let has_content = |demand: &TargetDemand| demand.told.is_some() || demand.leaves || demand.demand > 0.0;
         self.targets.iter().map(demand).filter(has_content).take(MAX_TARGETS_PER_MESSAGE).collect()
@@ -135,7 +135,8 @@
 
     fn remove_expired(&mut self, now: Instant) {
         self.halls.retain(|_, at| is_fresh(*at, now));
-        self.targets.retain(|_, totals| totals.limit.is_some_and(|limit| limit.is_current(now)) || totals.leaves(now));
+        self.targets
+            .retain(|_, totals| totals.limit.is_some_and(|limit| limit.is_current(now)) || totals.is_leaving(now));
     }
 }
 
@@ -165,7 +166,7 @@
     }
 
     fn share(&self, target: StartKey, reachable_fraction: f64, now: Instant) -> Option<TargetShare> {
-        let leaves = self.leaves(now);
+        let leaves = self.is_leaving(now);
         let told = self.limit.and_then(|limit| limit_to_message(limit, now));
         if told.is_none() && !leaves {
             return None;
@@ -178,13 +179,13 @@
     }
 
     /// Whether any hall recently reported it as leaving.
-    fn leaves(&self, now: Instant) -> bool {
-        is_leaving(self.leaving_at, now)
+    fn is_leaving(&self, now: Instant) -> bool {
+        counts_as_leaving(self.leaving_at, now)
     }
 }
 
 /// Whether a target last reported as leaving at `reported_at` still counts as leaving.
-fn is_leaving(reported_at: Option<Instant>, now: Instant) -> bool {
+fn counts_as_leaving(reported_at: Option<Instant>, now: Instant) -> bool {
     reported_at.is_some_and(|at| now.saturating_duration_since(at) < MAX_LEAVING_AGE)
 }
 
--- a/src/decision/capacity/slow_start.rs
+++ b/src/decision/capacity/slow_start.rs
@@ -94,20 +94,20 @@
     }
 
     /// Whether this instance may send the target a request now. Its share of the `shared_rate`
-    /// requests a second is recomputed by `own_rate` if that rate changed or the members did, which
+    /// requests a second is recomputed by `member_share` if that rate changed or the members did, which
     /// last changed at `members_changed_at`.
     pub fn may_send(
         &mut self,
         members_changed_at: Instant,
         shared_rate: u32,
-        own_rate: impl FnOnce(u32) -> u32,
+        member_share: impl FnOnce(u32) -> u32,
         now: Instant,
     ) -> bool {
         if now.saturating_duration_since(members_changed_at) < MEMBERS_STABLE_TIME {
             return false;
         }
         if self.computed_for != Some((members_changed_at, shared_rate)) {
-            self.rate = own_rate(shared_rate);
+            self.rate = member_share(shared_rate);
             self.computed_for = Some((members_changed_at, shared_rate));
         }
         self.rate > 0 && self.next_at.is_none_or(|next_at| next_at <= now)
--- a/src/decision/failure/latency.rs
+++ b/src/decision/failure/latency.rs
@@ -30,16 +30,16 @@
 
 /// Weight of a new sample in the moving average (no unit): about five responses dominate it, so
 /// that one response about an object that is not cached does not make a target slow.
-const LATENCY_WEIGHT: f64 = 0.2;
+const SMOOTHING_FACTOR: f64 = 0.2;
 /// Weight of a new sample below the average (no unit): a recovered target counts as fast again
 /// after about two responses, since it gets only one request a second.
-const RECOVERY_WEIGHT: f64 = 0.5;
+const RECOVERY_SMOOTHING_FACTOR: f64 = 0.5;
 /// Average latency above which a target is slow, in medians of its service. Requests about objects
 /// that are not cached take up to 3.3 times as long as about cached ones.
 const SLOW_FACTOR: f64 = 3.0;
 /// Silence above which a target is slow, in medians of its service. Above [`SLOW_FACTOR`], since
 /// silence includes work on objects that are not cached.
-const SILENT_FACTOR: f64 = 4.5;
+const NO_RESPONSE_FACTOR: f64 = 4.5;
 /// Least time between requests to a slow target: bounds the loss to one slow response a second.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
 /// Least time between requests to a slow target in average latencies of it (factor): the slower
@@ -53,7 +53,7 @@
     average: Option<f64>,
     /// End of the last request that counted, or when the first one now in flight was sent if that
     /// was later.
-    silent_since: Option<Instant>,
+    no_response_since: Option<Instant>,
     /// When the last request was sent.
     last_sent_at: Option<Instant>,
 }
@@ -62,18 +62,18 @@
     /// Records that a request is sent while `in_flight` others are there.
     pub fn record_sent(&mut self, in_flight: u32, now: Instant) {
         if in_flight == 0 {
-            self.silent_since = Some(now);
+            self.no_response_since = Some(now);
         }
         self.last_sent_at = Some(now);
     }
 
     /// Records that a response took `took`, or that none had arrived by then.
-    pub fn record(&mut self, took: Duration, now: Instant) {
-        let took = took.as_secs_f64();
-        let average = self.average.unwrap_or(took);
-        let weight = if took < average { RECOVERY_WEIGHT } else { LATENCY_WEIGHT };
-        self.average = Some(average + weight * (took - average));
-        self.silent_since = Some(now);
+    pub fn record(&mut self, elapsed: Duration, now: Instant) {
+        let latency = elapsed.as_secs_f64();
+        let average = self.average.unwrap_or(latency);
+        let weight = if latency < average { RECOVERY_SMOOTHING_FACTOR } else { SMOOTHING_FACTOR };
+        self.average = Some(average + weight * (latency - average));
+        self.no_response_since = Some(now);
     }
 
     /// The moving average, seconds; `None` before the first response.
@@ -84,12 +84,13 @@
     /// Whether the target is slow compared with `median`, seconds, and `objective`, given
     /// `in_flight` requests of this instance there.
     pub fn is_slow(&self, median: f64, objective: Duration, in_flight: u32, now: Instant) -> bool {
-        let silent_since = self.silent_since.filter(|_| in_flight > 0);
-        let silence = silent_since.map_or(0.0, |since| now.saturating_duration_since(since).as_secs_f64());
+        let no_response_since = self.no_response_since.filter(|_| in_flight > 0);
+        let time_since_response =
+            no_response_since.map_or(0.0, |since| now.saturating_duration_since(since).as_secs_f64());
         let average = self.average.unwrap_or(0.0);
         let objective = objective.as_secs_f64();
         (average > SLOW_FACTOR * median && average > objective)
-            || (silence > SILENT_FACTOR * median && silence > objective)
+            || (time_since_response > NO_RESPONSE_FACTOR * median && time_since_response > objective)
     }
 
     /// Whether a slow target may be sent a request that measures its latency again.
--- a/src/decision/failure/pause.rs
+++ b/src/decision/failure/pause.rs
@@ -73,13 +73,13 @@
 
 impl Pause {
     /// Applies the signal of a response that arrived now, and returns whether a pause begins.
-    /// `draw` is uniformly random between 0 and 1 and sets the jitter.
-    pub fn apply(&mut self, signal: PauseSignal, draw: f64, now: Instant) -> bool {
+    /// `random` is uniformly random between 0 and 1 and sets the jitter.
+    pub fn apply(&mut self, signal: PauseSignal, random: f64, now: Instant) -> bool {
         let PauseSignal::For(pause) = signal else { return false };
         if pause.is_zero() {
             return false;
         }
-        let jitter = pause.mul_f64(JITTER_RATIO * draw).min(MAX_JITTER);
+        let jitter = pause.mul_f64(JITTER_RATIO * random).min(MAX_JITTER);
         let until = now + pause + jitter;
         let begins = self.remaining(now).is_none();
         self.until = self.until.max(Some(until));
--- a/src/decision/failure/quarantine/mod.rs
+++ b/src/decision/failure/quarantine/mod.rs
@@ -145,7 +145,7 @@
     /// # Errors
     /// [`Quarantined`] if it may not be sent.
     pub fn admit(&mut self, fingerprint: Fingerprint, own_name: &str, now: Instant) -> Result<u32, Quarantined> {
-        let Some(latest) = self.latest(fingerprint, now) else { return Ok(0) };
+        let Some(latest) = self.current_strikes(fingerprint, now) else { return Ok(0) };
         if latest.strikes < QUARANTINE_THRESHOLD || self.try_start_probe(fingerprint, latest, own_name, now) {
             Ok(latest.strikes)
         } else {
@@ -185,7 +185,7 @@
     /// the try began, whose target may have crashed at the same moment under the same attempts.
     /// Strikes that a response has cleared in the meantime do not count.
     pub fn record_strike(&mut self, fingerprint: Fingerprint, known: u32, now: Instant) -> Option<u32> {
-        let current = self.latest(fingerprint, now).map_or(0, |latest| latest.strikes);
+        let current = self.current_strikes(fingerprint, now).map_or(0, |latest| latest.strikes);
         if current > known {
             return None;
         }
@@ -219,7 +219,7 @@
         let shared = self.shared.get(&fingerprint);
         let replaced_revision = shared.map_or(0, |shared| shared.revision);
         let stored = shared.filter(|shared| shared.revision > 0).map_or(0, |shared| shared.latest.strikes);
-        let strikes = self.latest(fingerprint, now).map_or(0, |latest| latest.strikes);
+        let strikes = self.current_strikes(fingerprint, now).map_or(0, |latest| latest.strikes);
         // Other instances may still count the strikes of a record that is gone.
         let is_cleared = strikes == 0 && shared.is_some_and(|shared| shared.latest.strikes > 0);
         let max_records = if strikes == 1 { MAX_SHARED_FIRST_STRIKES } else { MAX_SHARED_RECORDS };
@@ -237,7 +237,7 @@
     }
 
     /// The latest strike that counts now, local or shared: the one with the most strikes.
-    fn latest(&self, fingerprint: Fingerprint, now: Instant) -> Option<StrikeCount> {
+    fn current_strikes(&self, fingerprint: Fingerprint, now: Instant) -> Option<StrikeCount> {
         if self.local.is_empty() && self.shared.is_empty() {
             return None;
         }
--- a/src/decision/failure/retry.rs
+++ b/src/decision/failure/retry.rs
@@ -70,8 +70,8 @@
 
     /// Withdraws one retry at the service; see [`RetryBudget::withdraw`]. False also if the service
     /// had no request yet.
-    pub fn withdraw(&mut self, service: &str, draw: f64) -> bool {
-        self.by_service.get_mut(service).is_some_and(|budget| budget.withdraw(draw))
+    pub fn withdraw(&mut self, service: &str, random: f64) -> bool {
+        self.by_service.get_mut(service).is_some_and(|budget| budget.withdraw(random))
     }
 
     /// Removes the budgets of services for which `is_kept` is false.
@@ -127,11 +127,11 @@
     }
 
     /// Withdraws one retry; false if the balance is below 1. Where the largest balance is itself
-    /// below 1, empties the balance and returns true with that probability: if `draw`, uniformly
+    /// below 1, empties the balance and returns true with that probability: if `random`, uniformly
     /// random between 0 and 1, is below it.
-    pub fn withdraw(&mut self, draw: f64) -> bool {
+    pub fn withdraw(&mut self, random: f64) -> bool {
         if self.max_balance < 1.0 {
-            return draw < std::mem::take(&mut self.balance);
+            return random < std::mem::take(&mut self.balance);
         }
         if self.balance < 1.0 {
             return false;
--- a/src/decision/quota/equal_share.rs
+++ b/src/decision/quota/equal_share.rs
@@ -33,8 +33,8 @@
     /// Number of instances by which the quota is divided: at least 1, and at least 100 while this one is
     /// not a member.
     pub fn instances(self) -> f64 {
-        let least = if self.is_member { 1 } else { DEFAULT_FLEET_SIZE };
-        self.members.max(least) as f64
+        let min_instances = if self.is_member { 1 } else { DEFAULT_FLEET_SIZE };
+        self.members.max(min_instances) as f64
     }
 }
 
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -50,7 +50,7 @@
 /// See [`RATIO_RISE_FACTOR`].
 const RATIO_RISE_STEP: f64 = 0.1;
 /// Weight of the last answered report in the average number of requests in a report (no unit).
-const AVERAGE_WEIGHT: f64 = 0.3;
+const SMOOTHING_FACTOR: f64 = 0.3;
 
 /// Decision on a request by its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -102,14 +102,14 @@
     /// Whether as many requests were admitted as are allowed before the next answer.
     fn is_unanswered_limit_reached(&self, is_first: bool) -> bool {
         let admitted = self.unreported.admitted.saturating_add(self.in_report.admitted);
-        let most = match (is_first, self.admit_ratio < 1.0) {
+        let max_admitted = match (is_first, self.admit_ratio < 1.0) {
             (true, _) => MAX_BEFORE_FIRST_ANSWER,
             (false, true) => {
                 (LIMITED_UNANSWERED_FACTOR * self.admit_ratio * self.surge_threshold()).max(MIN_LIMITED_UNANSWERED)
             }
             (false, false) => (UNANSWERED_FACTOR * self.surge_threshold()).max(MIN_UNANSWERED),
         };
-        f64::from(admitted) >= most
+        f64::from(admitted) >= max_admitted
     }
 
     fn take_credit(&mut self) -> bool {
@@ -220,10 +220,10 @@
         self.admit_ratios = answer.passes.iter().map(|(name, ratio)| (name.clone(), clamped(*ratio))).collect();
         for (name, usage) in &mut self.tenants {
             let in_report = std::mem::take(&mut usage.in_report);
-            usage.average_offered += AVERAGE_WEIGHT * (f64::from(in_report.offered) - usage.average_offered);
+            usage.average_offered += SMOOTHING_FACTOR * (f64::from(in_report.offered) - usage.average_offered);
             // A new head may not know yet of a tenant whose ratio its predecessor had reduced.
-            let most = RATIO_RISE_FACTOR * usage.admit_ratio + RATIO_RISE_STEP;
-            usage.admit_ratio = self.admit_ratios.get(&**name).copied().unwrap_or(1.0).min(most);
+            let max_ratio = RATIO_RISE_FACTOR * usage.admit_ratio + RATIO_RISE_STEP;
+            usage.admit_ratio = self.admit_ratios.get(&**name).copied().unwrap_or(1.0).min(max_ratio);
         }
     }
 
@@ -239,8 +239,8 @@
         self.admit_ratios.get(tenant).copied().unwrap_or(1.0)
     }
 
-    /// Removes the tenants for which `is_there` does not hold.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.tenants.retain(|name, _| is_there(name));
+    /// Removes the tenants for which `is_kept` does not hold.
+    pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
+        self.tenants.retain(|name, _| is_kept(name));
     }
 }
--- a/src/decision/quota/tenant_window.rs
+++ b/src/decision/quota/tenant_window.rs
@@ -165,16 +165,16 @@
         let rate = limit.quota.rate * limit.reachable_fraction;
         let unknown = (limit.requests_without_slack() - rate * known_for.as_secs_f64()).max(0.0);
         // Half of the slack is left for requests admitted before this instance became head.
-        let most = if unknown > 0.0 {
+        let max_requests = if unknown > 0.0 {
             (limit.requests_without_slack() + limit.max_requests()) / 2.0
         } else {
             limit.max_requests()
         };
         let reported = self.used(&is_reachable) + unknown;
-        let free = if most > 0.0 { (1.0 - reported / most).clamp(0.0, 1.0) } else { 0.0 };
+        let free = if max_requests > 0.0 { (1.0 - reported / max_requests).clamp(0.0, 1.0) } else { 0.0 };
         let (expected, unreported) = self.by_hall.estimate(&is_reachable, free, now);
         let used = reported + unreported * self.last_ratio;
-        let remaining = most - used;
+        let remaining = max_requests - used;
         let unknown_expiring = if unknown > 0.0 { rate } else { 0.0 };
         let expiring = (self.expiring_rate(is_reachable) + unknown_expiring).min(used / limit.window.as_secs_f64());
         let allowed = expiring + remaining / FILL_TIME.as_secs_f64();
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -108,8 +108,8 @@
     pub fn record_report(&mut self, report: &UsageReport, context: QuotaContext<'_>, now: Instant) -> UsageAnswer {
         let over = Duration::from_millis(report.over_ms.into());
         self.reset_if_idle(over, now);
-        let is_of_hall = report.hall == context.own.hall;
-        match is_of_hall {
+        let is_own_hall = report.hall == context.own.hall;
+        match is_own_hall {
             true => self.member_reports.insert(report.from.clone(), now),
             false => self.hall_reports.insert(report.hall.clone(), now),
         };
@@ -123,7 +123,7 @@
                 window.record(&report.hall, *usage, over, limit, now);
             }
         }
-        if is_of_hall && !report.is_forwarded {
+        if is_own_hall && !report.is_forwarded {
             self.add_for_other_halls(&report.tenants, now);
         }
         self.answer(context, now)
@@ -190,9 +190,9 @@
             })
     }
 
-    /// Removes the tenants for which `is_there` does not hold.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.windows.retain(|name, _| is_there(name));
+    /// Removes the tenants for which `is_kept` does not hold.
+    pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
+        self.windows.retain(|name, _| is_kept(name));
     }
 
     /// The window of a tenant; `None` where none of its requests were reported.
--- a/src/decision/refusal/held_answers.rs
+++ b/src/decision/refusal/held_answers.rs
@@ -51,10 +51,10 @@
         Self { answer: MAX_BYTES_PER_ANSWER, total: memory / TOTAL_DIVISOR }
     }
 
-    /// Whether more may be read of a response of which `own` bytes are held, of `total` in all. `most` is the
+    /// Whether more may be read of a response of which `own` bytes are held, of `total` in all. `max_held` is the
     /// largest number of its bytes that were held while there was room.
-    pub fn may_read(&self, own: u64, total: u64, most: u64, caller_waits: bool) -> bool {
-        let is_caller_reading = own < most || own == 0 && caller_waits;
+    pub fn may_read(&self, own: u64, total: u64, max_held: u64, caller_waits: bool) -> bool {
+        let is_caller_reading = own < max_held || own == 0 && caller_waits;
         is_caller_reading || self.has_room(own, total)
     }
 
--- a/src/decision/registry/routing/mod.rs
+++ b/src/decision/registry/routing/mod.rs
@@ -100,15 +100,15 @@
 
     /// Records the latency of a request at a second target of the service, or the time after which no
     /// response had arrived.
-    pub fn record_second_latency(&self, service: &str, took: Duration) {
+    pub fn record_second_latency(&self, service: &str, elapsed: Duration) {
         if let Some(latency) = self.targets.second_latency(service) {
-            latency.record(took);
+            latency.record(elapsed);
         }
     }
 
     /// Bounds the idle connections to each target by this instance's share of the connections that the
     /// target accepts from all instances.
-    pub fn share_connections(&self) {
+    pub fn limit_idle_connections(&self) {
         for (service, targets) in self.targets.by_service() {
             let Some(service) = self.service(service) else { continue };
             for target in targets {
@@ -156,9 +156,9 @@
     /// slow-start rate.
     pub fn may_send_in_slow_start(&self, target: &Target, share: SlowStartShare<'_>, now: Instant) -> bool {
         let service = self.service(&target.service);
-        let shared = service.map_or(0, |service| share.bounds.shared_rate(service.slow_start_rate));
-        let rate = |shared| member_share(shared, target.key.hash(), share.own, self.members.names());
-        target.may_send_in_slow_start(self.members.changed_at(), shared, rate, now)
+        let shared_rate = service.map_or(0, |service| share.bounds.shared_rate(service.slow_start_rate));
+        let member_share = |shared_rate| member_share(shared_rate, target.key.hash(), share.own, self.members.names());
+        target.may_send_in_slow_start(self.members.changed_at(), shared_rate, member_share, now)
     }
 
     /// Revision of the operators' policies in force; 0 if there are none.
--- a/src/decision/registry/signals.rs
+++ b/src/decision/registry/signals.rs
@@ -83,14 +83,14 @@
 }
 
 impl TargetSignals {
-    /// Applies the signals of a response that arrived now, to a request sent at `sent`. `draw` is a
+    /// Applies the signals of a response that arrived now, to a request sent at `sent`. `random` is a
     /// random number from 0 to 1.
-    pub fn apply(&mut self, signals: ResponseSignals, draw: f64, sent: Instant, now: Instant) -> SignalChange {
+    pub fn apply(&mut self, signals: ResponseSignals, random: f64, sent: Instant, now: Instant) -> SignalChange {
         let began_leaving = signals.leaving == LeavingSignal::Leaving && self.mark_leaving();
         if !signals.is_rejection {
             self.pause.record_response(now);
         }
-        let pause = self.pause.apply(signals.pause, draw, now).then(|| self.pause.remaining(now)).flatten();
+        let pause = self.pause.apply(signals.pause, random, now).then(|| self.pause.remaining(now)).flatten();
         SignalChange { limit: self.limit.apply(signals.limit, sent, now), began_leaving, pause }
     }
 
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -191,9 +191,9 @@
     }
 
     /// Records a valid response that took `took`.
-    pub fn record_success(&self, took: Duration, now: Instant) {
+    pub fn record_success(&self, elapsed: Duration, now: Instant) {
         self.ejection.borrow_mut().record_success();
-        self.record_latency(took, now);
+        self.record_latency(elapsed, now);
     }
 
     /// Records a failure of the target on a request sent at `sent`; returns the length of the
@@ -214,8 +214,8 @@
     }
 
     /// Records the latency of a response, or the time after which none had arrived.
-    pub fn record_latency(&self, took: Duration, now: Instant) {
-        self.latency.borrow_mut().record(took, now);
+    pub fn record_latency(&self, elapsed: Duration, now: Instant) {
+        self.latency.borrow_mut().record(elapsed, now);
     }
 
     /// Moving average of its latency, seconds; `None` before the first response.
@@ -270,16 +270,16 @@
     }
 
     /// Whether this instance may send it a request while it is cold. `members_at` is when the members
-    /// last changed, `shared` the rate of all instances together, requests per second, and `own_rate`
+    /// last changed, `shared` the rate of all instances together, requests per second, and `member_share`
     /// gives this instance's part of it.
     pub fn may_send_in_slow_start(
         &self,
-        members_at: Instant,
-        shared: u32,
-        own_rate: impl FnOnce(u32) -> u32,
+        members_changed_at: Instant,
+        shared_rate: u32,
+        member_share: impl FnOnce(u32) -> u32,
         now: Instant,
     ) -> bool {
-        self.slow_start.borrow_mut().may_send(members_at, shared, own_rate, now)
+        self.slow_start.borrow_mut().may_send(members_changed_at, shared_rate, member_share, now)
     }
 
     /// Keeps it until `until` although its registration is missing.
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -22,10 +22,10 @@
         self.signals = signals;
     }
 
-    /// Applies the signals in the response to a request that was sent at `sent`. `draw` is a random
+    /// Applies the signals in the response to a request that was sent at `sent`. `random` is a random
     /// number from 0 to 1.
-    pub fn apply_signals(&self, signals: ResponseSignals, draw: f64, sent: Instant, now: Instant) -> SignalChange {
-        self.signals.borrow_mut().apply(signals, draw, sent, now)
+    pub fn apply_signals(&self, signals: ResponseSignals, random: f64, sent: Instant, now: Instant) -> SignalChange {
+        self.signals.borrow_mut().apply(signals, random, sent, now)
     }
 
     /// Remaining time of the pause that it requested; `None` if there is none.
@@ -51,8 +51,8 @@
 
     /// Records a rate limit that it sent to another instance; returns the limit in force from now on
     /// if it changed.
-    pub fn record_remote_limit(&self, said: AnnouncedLimit, now: Instant) -> Option<Option<f64>> {
-        self.signals.borrow_mut().limit.record_remote(said, now)
+    pub fn record_remote_limit(&self, remote: AnnouncedLimit, now: Instant) -> Option<Option<f64>> {
+        self.signals.borrow_mut().limit.record_remote(remote, now)
     }
 
     /// Its rate limit over all instances, requests per second; `None` if it has none.
@@ -70,10 +70,10 @@
         self.signals.borrow_mut().limit.take_report(now)
     }
 
-    /// Sets the share of its requests, 0 to 1, that a head allows to be sent. `draw` is a random
+    /// Sets the share of its requests, 0 to 1, that a head allows to be sent. `random` is a random
     /// number from 0 to 1.
-    pub fn set_limit_admit_ratio(&self, pass: f64, draw: f64, now: Instant) {
-        self.signals.borrow_mut().limit.set_admit_ratio(pass, draw, now);
+    pub fn set_limit_admit_ratio(&self, admit_ratio: f64, random: f64, now: Instant) {
+        self.signals.borrow_mut().limit.set_admit_ratio(admit_ratio, random, now);
     }
 
     /// Share of its requests that may be sent, 0 to 1; `None` if no head answered recently.
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -98,7 +98,7 @@
     max_load: f64,
     /// Load limit of the preferred target where no other has room, requests per slot; `None` where
     /// instances do not share loads.
-    longest_load: Option<f64>,
+    max_queued_load: Option<f64>,
     /// Load limit of the other targets, requests per slot.
     second_target_max_load: f64,
     /// Factor on the weight of targets in the instance's own region.
@@ -118,7 +118,7 @@
             limited: None,
             paused: None,
             max_load,
-            longest_load: query.has_shared_loads.then(|| max_queued_load(rank)),
+            max_queued_load: query.has_shared_loads.then(|| max_queued_load(rank)),
             second_target_max_load: routing.second_target_max_load(query, max_load),
             own_region_weight: routing.own_region_weight(query),
         };
@@ -226,7 +226,7 @@
     /// Whether a request that found no room may be queued at its preferred target.
     fn may_queue_at(&self, preferred: &Target) -> bool {
         let load = preferred.load(self.query.now);
-        self.longest_load.is_some_and(|longest| has_room(load, preferred.slots, longest))
+        self.max_queued_load.is_some_and(|max_load| has_room(load, preferred.slots, max_load))
     }
 
     /// The best target in the default hall, for a request that caps keep there.
--- a/src/decision/selection/split.rs
+++ b/src/decision/selection/split.rs
@@ -75,8 +75,8 @@
     }
 
     /// Drops the counts of routes that no longer exist.
-    pub fn retain(&mut self, exists: impl Fn(&str) -> bool) {
-        self.routes.retain(|name, _| exists(name));
+    pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
+        self.routes.retain(|name, _| is_kept(name));
     }
 }
 
--- a/src/instance/sweep.rs
+++ b/src/instance/sweep.rs
@@ -23,7 +23,7 @@
         instance.remove_expired();
         instance.routing.borrow_mut().update_median_latencies();
         let routing = instance.routing.borrow();
-        routing.share_connections();
+        routing.limit_idle_connections();
         for target in routing.targets() {
             target.pool.close_expired(now);
         }
