--- a/src/decision/capacity/load.rs
+++ b/src/decision/capacity/load.rs
@@ -9,8 +9,8 @@
 //! - [`LoadReport`]: requests running and waiting, in a header of a response of the target. It counts
 //!   in full when it arrives, then linearly less, and not at all from `MAX_REPORT_AGE` (1.5 s) on.
 //!
-//! **Why.** An instance sees its own requests at once and those of other instances only through
-//! the target. An old report says little, since the requests in it have been answered meanwhile.
+//! **Why.** An instance sees its own requests at once and those of other instances only through the
+//! target. The requests in an old report have mostly ended since.
 //!
 //! **Guards** the promise that full targets get no more requests, whichever instance fills them;
 //! the limit itself is in [`crate::decision::capacity::admission`].
--- a/src/decision/capacity/load_report.rs
+++ b/src/decision/capacity/load_report.rs
@@ -7,15 +7,15 @@
 use std::num::{NonZeroU16, NonZeroU32};
 use thiserror::Error;
 
-/// Largest number of requests or slots that is accepted: more than a machine has file descriptors.
+/// Maximum number of requests or slots that is accepted: more than a machine has file descriptors.
 const MAX_REQUESTS: u32 = 1 << 20;
 
-/// How long work takes at a target now, in percent of its usual time.
+/// Current service time of a target, in percent of its usual one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Slowdown(NonZeroU16);
 
 impl Slowdown {
-    /// No slowdown: work takes its usual time.
+    /// No slowdown: the usual service time.
     pub const USUAL: Self = Self(NonZeroU16::new(100).expect("100 is not 0"));
 
     /// Creates a slowdown from percent of the usual time; `None` for 0.
@@ -28,7 +28,7 @@
         self.0.get()
     }
 
-    /// Factor on the usual time of work, 1.0 for no slowdown.
+    /// Factor on the usual service time, 1.0 for no slowdown.
     pub fn factor(self) -> f64 {
         f64::from(self.percent()) / 100.0
     }
@@ -43,8 +43,8 @@
     pub waiting: u32,
     /// Requests that the target can run concurrently, at least 1.
     pub slots: u32,
-    /// How long work takes there; `None` if the target does not report it. It is validated but not
-    /// used yet.
+    /// Current service time; `None` if the target does not report it. It is validated but not used
+    /// yet.
     pub slowdown: Option<Slowdown>,
 }
 
--- a/src/decision/capacity/rate_limit/demand.rs
+++ b/src/decision/capacity/rate_limit/demand.rs
@@ -9,7 +9,7 @@
 /// operators' window.
 const TIME_CONSTANT: Duration = Duration::from_millis(500);
 
-/// Average requests a second; recent requests weigh more.
+/// Average requests per second; recent requests weigh more.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Demand {
     rate: f64,
@@ -23,7 +23,7 @@
         self.at = Some(now);
     }
 
-    /// Average rate at `now`, requests a second; decays while no request comes.
+    /// Average rate at `now`, requests per second; decays while no request comes.
     pub fn rate(&self, now: Instant) -> f64 {
         let elapsed = self.at.map_or(Duration::ZERO, |at| now.saturating_duration_since(at));
         self.rate * (-elapsed.as_secs_f64() / TIME_CONSTANT.as_secs_f64()).exp()
--- a/src/decision/capacity/rate_limit/known_limit.rs
+++ b/src/decision/capacity/rate_limit/known_limit.rs
@@ -10,14 +10,14 @@
 use crate::clock::Instant;
 use std::time::Duration;
 
-/// Age from which an announcement of a target counts no longer: a target that gets no requests
-/// cannot announce that its limit is gone.
+/// Age from which an announcement of a target no longer counts: a target that gets no requests cannot
+/// announce that it has no limit any more.
 pub const MAX_LIMIT_AGE: Duration = Duration::from_secs(10);
 
 /// A limit that a target announced, and when.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct AnnouncedLimit {
-    /// Requests a second; `None` if the target announced no limit.
+    /// Requests per second; `None` if the target announced no limit.
     pub rate: Option<f64>,
     /// When the response that announced it arrived.
     pub at: Instant,
@@ -64,7 +64,7 @@
         self.change_from(before, now)
     }
 
-    /// The target's limit, requests a second; `None` if it has none.
+    /// The target's limit, requests per second; `None` if it has none.
     pub fn rate(&self, now: Instant) -> Option<f64> {
         self.latest(now)?.rate
     }
--- a/src/decision/capacity/rate_limit/limit_signal.rs
+++ b/src/decision/capacity/rate_limit/limit_signal.rs
@@ -1,10 +1,10 @@
-//! Rate limit header of a target's response: the requests a second that the target takes.
+//! Rate limit header of a target's response: the requests per second that the target takes.
 //!
 //! This module only parses the value.
 //!
 //! **Test**: `tests/rate_limits.rs`.
 
-/// Longest value that is parsed, bytes.
+/// Maximum length of a value that is parsed, bytes.
 const MAX_VALUE_LENGTH: usize = 32;
 
 /// What a response says about the target's rate limit.
@@ -12,7 +12,7 @@
 pub enum LimitSignal {
     /// The response has no rate limit header: the target has no limit.
     None,
-    /// Requests a second that the target takes from all instances together; finite, not negative.
+    /// Requests per second that the target takes from all instances together; finite, not negative.
     Rate(f64),
     /// The value cannot be parsed, or there is more than one: the response says nothing about the
     /// limit.
--- a/src/decision/capacity/rate_limit/mod.rs
+++ b/src/decision/capacity/rate_limit/mod.rs
@@ -1,29 +1,29 @@
-//! Rate limits of targets: how many requests a second a target takes from all instances together,
+//! Rate limits of targets: how many requests per second a target takes from all instances together,
 //! as it announces in its responses.
 //!
-//! **Rule.** Of the requests for a target with a limit, an instance sends the share that the head of
-//! its hall last answered: the limit divided by the demand of all instances. An instance without a
-//! current answer of a head sends its equal share. The other requests go to other targets of the
-//! service, as if this one had less weight.
+//! **Rule.** Of the requests for a target with a limit, an instance sends the fraction that the head of
+//! its hall returned in its last answer, the admit ratio: the limit divided by the demand of all
+//! instances. An instance without a current answer of a head sends its equal share of the limit. The
+//! other requests go to other targets of the service, as if this one had less weight.
 //!
 //! **Inputs**
 //! - The limit that the target last announced to this instance or, as heads report it, to another
 //!   one: 0 to 0.6 s old in normal operation, dropped after `MAX_LIMIT_AGE` (10 s). One start of a
 //!   target at one address inherits nothing from another.
 //! - Requests whose first choice is the target, sent or not; counted here at once.
-//! - The share, at most `MAX_SHARE_AGE` (1 s) old; otherwise the members, as old as the view.
+//! - The admit ratio, at most `MAX_SHARE_AGE` (1 s) old; otherwise the members, as old as the view.
 //!
 //! | module | content |
 //! |---|---|
 //! | `limit_signal` | the header value in a response |
 //! | `known_limit` | the limit that the target last announced |
-//! | `demand` | requests a second that would be sent to the target |
+//! | `demand` | requests per second that would be sent to the target |
 //! | `equal_share` | the share of an instance without a current answer of a head |
-//! | [`totals`] | what a head knows: the demands of all instances, and their shares |
+//! | [`totals`] | what a head knows: the demands of all instances, and the admit ratio of each target |
 //!
 //! **Why.** The operators count all requests sent, including those that the target rejects, so its
-//! rejections cannot serve as feedback. Shares that follow demand use the limit where requests come
-//! in. Equal shares alone leave most of a limit unused, since affinity keys bring a target's
+//! rejections cannot serve as feedback. With one admit ratio for all, the limit is used where requests
+//! come in. Equal shares alone leave most of a limit unused, since affinity keys bring a target's
 //! requests to the instances of one region. `docs/design/rate-limits.md` compares both.
 //!
 //! **Guards** the operators' bound, in 4 s at most 1.5 times the limit plus 5 requests from all
@@ -46,10 +46,10 @@
 use known_limit::KnownLimit;
 use std::time::Duration;
 
-/// Requests a second that a target is sent whatever its limit: if it got none, no instance would
+/// Requests per second that a target is sent whatever its limit: if it got none, no instance would
 /// learn that the limit is gone. It amounts to one request in the operators' window.
 pub const MIN_RATE: f64 = 0.25;
-/// Age up to which a share applies; it allows for some lost reports.
+/// Age up to which an admit ratio applies; it allows for some lost reports.
 const MAX_SHARE_AGE: Duration = Duration::from_secs(1);
 /// A report is sent at once if the requests since the last one exceed this number plus
 /// `SURGE_FACTOR` times those usual in `REPORT_INTERVAL`.
@@ -59,7 +59,7 @@
 /// Time between two regular reports.
 const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 
-/// A share that the head of the hall answered.
+/// An admit ratio that the head of the hall returned.
 #[derive(Clone, Copy, Debug)]
 struct HeadShare {
     /// Share of the requests for the target that may be sent, 0 to 1.
@@ -72,12 +72,12 @@
 pub struct RateLimit {
     known: KnownLimit,
     demand: Demand,
-    /// Demand in the last report to the head, requests a second.
+    /// Demand in the last report to the head, requests per second.
     reported_demand: f64,
     /// Requests since that report.
     unreported: u32,
     share: Option<HeadShare>,
-    /// Unused share of earlier requests, 0 to 1 request.
+    /// Fraction of a request carried over from earlier ones, 0 to 1.
     credit: f64,
     equal_share: EqualShare,
 }
@@ -95,7 +95,7 @@
         self.known.record_remote(remote, now)
     }
 
-    /// The target's limit, requests a second; `None` if it has none.
+    /// The target's limit, requests per second; `None` if it has none.
     pub fn rate(&self, now: Instant) -> Option<f64> {
         self.known.rate(now)
     }
@@ -106,7 +106,7 @@
     }
 
     /// Takes the values for a report to the head: the limit that the target last announced to this
-    /// instance, and the demand, requests a second. `None` if there is no recent limit to report.
+    /// instance, and the demand, requests per second. `None` if there is no recent limit to report.
     pub fn take_report(&mut self, now: Instant) -> Option<(Option<AnnouncedLimit>, f64)> {
         if !self.known.has_recent_signal(now) {
             return None;
@@ -116,9 +116,9 @@
         Some((self.known.own(now), self.reported_demand))
     }
 
-    /// Sets the share that a head answered, 0 to 1. If no share applied before, the credit starts at
-    /// `initial_credit`, random from 0 to 1, so that instances do not send their first requests at
-    /// the same time.
+    /// Sets the share of the requests, 0 to 1, that a head allows to be sent. If none applied before,
+    /// the credit starts at `initial_credit`, random from 0 to 1, so that instances do not send their
+    /// first requests at the same time.
     pub fn set_admit_ratio(&mut self, admit_ratio: f64, initial_credit: f64, now: Instant) {
         if self.admit_ratio(now).is_none() {
             self.credit = initial_credit;
@@ -139,7 +139,7 @@
         }
     }
 
-    /// Whether this instance may send the target no request now.
+    /// Whether the limit forbids this instance to send the target a request now.
     pub fn is_exhausted(&self, now: Instant) -> bool {
         if self.rate(now).is_none() {
             return false;
--- a/src/decision/capacity/rate_limit/totals.rs
+++ b/src/decision/capacity/rate_limit/totals.rs
@@ -32,7 +32,7 @@
 /// Targets that a head keeps totals of at most; it bounds the memory, about 1 kB each.
 const MAX_TARGETS: usize = 4_096;
 
-/// Demand of an instance or a hall, requests a second, and when it was reported.
+/// Demand of an instance or a hall, requests per second, and when it was reported.
 #[derive(Clone, Copy, Debug)]
 struct ReportedDemand {
     demand: f64,
@@ -90,7 +90,7 @@
         self.halls.insert(hall.to_owned(), now);
     }
 
-    /// The shares to answer a report with; the `reported` targets come first.
+    /// The answer to a report: the admit ratio of each target; the `reported` ones come first.
     pub fn shares(
         &self,
         reported: &[TargetDemand],
--- a/src/decision/capacity/shared_loads.rs
+++ b/src/decision/capacity/shared_loads.rs
@@ -14,9 +14,9 @@
 //! target if that is faster.
 //!
 //! Owns the latest load of each target, and a snapshot of the loads to send, which is recomputed
-//! every `MAX_SNAPSHOT_AGE` (0.1 s). All who ask get the same snapshot, so that the cost of an
-//! answer does not depend on the number of targets. It contains at most `MAX_TARGETS_PER_MESSAGE`
-//! (128) targets, the most loaded ones. **Test**: `tests/shared_loads.rs`.
+//! every `MAX_SNAPSHOT_AGE` (0.1 s). All instances and heads that report get the same snapshot, so that
+//! the cost of an answer does not depend on the number of targets. It contains at most
+//! `MAX_TARGETS_PER_MESSAGE` (128) targets, the most loaded ones. **Test**: `tests/shared_loads.rs`.
 
 use crate::clock::Instant;
 use crate::model::usage::{ShortKey, TargetLoad};
@@ -29,7 +29,7 @@
 /// Age from which a load is dropped.
 const MAX_LOAD_AGE: Duration = Duration::from_secs(1);
 /// Age from which a snapshot is recomputed: half the time between two reports. It keeps a head's
-/// work from growing with the number of targets times the number of instances that ask.
+/// work from growing with the number of targets times the number of instances that report.
 const MAX_SNAPSHOT_AGE: Duration = Duration::from_millis(100);
 
 /// The latest known load of a target.
--- a/src/decision/capacity/slow_start.rs
+++ b/src/decision/capacity/slow_start.rs
@@ -6,10 +6,10 @@
 //! - Remaining warm-up, seconds, from the registration; counted from its arrival, and never
 //!   shortened by a later one. After an evacuation, the service's warm-up from the
 //!   configuration, since no registration says whether the target became cold.
-//! - Rate that a cold target of the service can serve, requests a second, from the configuration.
+//! - Rate that a cold target of the service can serve, requests per second, from the configuration.
 //!   The share is recomputed when the members, this rate or the bounds change.
 //! - [`SlowStartBounds`]: the settings `bounds.cold_overage` (factor) and `bounds.cold_slack`
-//!   (requests a second), the operators' bound on what all instances send.
+//!   (requests per second), the operators' bound on what all instances send.
 //! - Names of the members in the view, and when they last changed, which must be at least
 //!   `MEMBERS_STABLE_TIME` (2 s) ago. The view itself must be younger than `MAX_VIEW_AGE`
 //!   (1.3 s); otherwise no [`SlowStartShare`] is passed and the target gets nothing.
@@ -35,9 +35,9 @@
 const CONCURRENT_VIEWS: f64 = 2.0;
 /// Time over which an instance's share is spaced: one second, plus 30 ms for uneven delays.
 const WINDOW: Duration = Duration::from_millis(1_030);
-/// Time for which the members must be unchanged before a cold target gets anything. It equals the
-/// possible lag of another instance's view, without a margin: the longest wait for a call, 0.7 s,
-/// plus `MAX_VIEW_AGE`, 1.3 s.
+/// Time for which the members must be unchanged before a cold target gets anything. It is exactly the
+/// longest time by which another instance's view can lag: the longest wait for a call, 0.7 s, plus
+/// `MAX_VIEW_AGE`, 1.3 s.
 const MEMBERS_STABLE_TIME: Duration = Duration::from_millis(2_000);
 
 /// The operators' bound on what a cold target receives beyond the rate that it can serve.
@@ -45,12 +45,12 @@
 pub struct SlowStartBounds {
     /// Factor on the rate, from the setting `bounds.cold_overage`.
     pub overage: f64,
-    /// Additional requests a second, from the setting `bounds.cold_slack`.
+    /// Additional requests per second, from the setting `bounds.cold_slack`.
     pub slack: f64,
 }
 
 impl SlowStartBounds {
-    /// Requests a second that all instances together send to a cold target that can serve `rate`.
+    /// Requests per second that all instances together send to a cold target that can serve `rate`.
     /// Rounded down, so that a cold target with less than 1 request/s gets nothing.
     pub fn shared_rate(&self, rate: f64) -> u32 {
         let bound = rate * self.overage + self.slack;
@@ -72,7 +72,7 @@
 #[derive(Clone, Debug, Default)]
 pub struct SlowStart {
     until: Option<Instant>,
-    /// This instance's share, requests a second.
+    /// This instance's share, requests per second.
     rate: u32,
     /// Time of the last change of the members and shared rate for which `rate` was computed.
     computed_for: Option<(Instant, u32)>,
@@ -93,9 +93,10 @@
         self.until.is_some_and(|until| now < until)
     }
 
-    /// Whether this instance may send the target a request now. Its share of the `shared_rate`
-    /// requests a second is recomputed by `member_share` if that rate changed or the members did, which
-    /// last changed at `members_changed_at`.
+    /// Whether this instance may send the target a request now. `shared_rate` is the rate of all
+    /// instances together, requests per second; `member_share` computes this instance's share of it, and
+    /// is called only if that rate changed or the members did, which last changed at
+    /// `members_changed_at`.
     pub fn may_send(
         &mut self,
         members_changed_at: Instant,
@@ -140,7 +141,7 @@
     }
 }
 
-/// Time between two requests of an instance at `rate`, requests a second.
+/// Time between two requests of an instance at `rate`, requests per second.
 pub fn request_interval(rate: u32) -> Duration {
     WINDOW / rate.max(1)
 }
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -1,7 +1,7 @@
 //! Decision rules: which target a request may be sent to, and what limits it. Each module
 //! implements one rule. A module listed in the tables below starts with the rule in one sentence,
 //! followed by its inputs with units and ages, the reason for it, the promise it guards, its
-//! constants with their evidence, and its test.
+//! constants with the reasons for their values, and its test.
 //!
 //! | folder | question |
 //! |---|---|
@@ -36,7 +36,7 @@
 //! | slow targets | [`latency`](failure::latency) | responses arrive within their objective where a target is able to |
 //! | slow start, shared between instances | [`slow_start`](capacity::slow_start) | cold targets receive no more requests than they can serve |
 //! | grace for expired registrations | [`grace`](registry::grace) | requests are served while the store is unreachable |
-//! | tombstones of removed targets | [`targets`](registry::targets) | a target that is gone receives no requests |
+//! | tombstones of removed targets | [`targets`](registry::targets) | a removed target receives no requests |
 //!
 //! # Other rules
 //!
@@ -55,7 +55,7 @@
 //! | bounds on held answers | [`held_answers`](refusal::held_answers) | a caller that reads slowly occupies no slot of a target, and no more memory than the instance has |
 //! | what a stopping instance accepts | [`stop`](refusal::stop) | no request is lost to a planned stop |
 //!
-//! An input "as old as the view" is at most 1.3 s old while the store or a relay answers, and older
+//! An input "as old as the view" is at most 1.3 s old while the store or a relay responds, and older
 //! while neither does.
 //!
 //! The rules read this state: [`routing`](registry::routing), the contents of the store, which
