--- a/src/decision/failure/ejection.rs
+++ b/src/decision/failure/ejection.rs
@@ -11,12 +11,12 @@
 //! - When the failed request was sent; exact.
 //! - Requests of this instance in flight at the target; exact.
 //! - A misdirected response: another target listens at the address. This is final, since a new
-//!   run of a target has a new registration.
+//!   start of a target has a new registration.
 //!
 //! **Why.** The store lists a dead target until its lease expires, which takes seconds. Requests
 //! sent there in the meantime are lost or cost a retry.
 //!
-//! **Guards** the guarantees that no requests are lost at dead or broken targets, and that a
+//! **Guards** the promises that no requests are lost at dead or broken targets, and that a
 //! recovered target is used again within seconds.
 //!
 //! **Test**: `a_failing_target_is_ejected_and_tried_with_one_request` in
@@ -28,20 +28,12 @@
 
 /// Consecutive failures after which a target is ejected. One or two occur by chance on lossy
 /// links.
-///
-/// With 2 or 6, the value of three days on which targets crash differs by 2 in 1,000 at most.
 const FAILURES_TO_EJECT: u32 = 3;
 /// Length of the first ejection. Short, because a wrong ejection wastes the objects that the
 /// target has cached.
-///
-/// With half or double, the value of three days on which targets crash differs by 2 in 1,000 at
-/// most.
 const FIRST_EJECTION: Duration = Duration::from_millis(500);
-/// Longest ejection: bounds how late a recovered target is used again; disruptions last about 3 to
-/// 8 s.
-///
-/// With half or double, the value of three days on which targets crash differs by 1 in 1,000 at
-/// most.
+/// Maximum length of an ejection: bounds how late a recovered target is used again; disruptions last
+/// about 3 to 8 s.
 const MAX_EJECTION: Duration = Duration::from_secs(4);
 
 /// Consecutive failures of one target, and its ejection.
@@ -89,7 +81,7 @@
         Some(length)
     }
 
-    /// Records that another target answers at the address, which ends this run for good.
+    /// Records that another target responds at the address: this start has ended for good.
     pub fn mark_replaced(&mut self) {
         self.is_replaced = true;
     }
--- a/src/decision/failure/latency.rs
+++ b/src/decision/failure/latency.rs
@@ -1,24 +1,24 @@
-//! Slow targets: a target whose average latency exceeds three times the median of its service, or
-//! that has been silent for 4.5 medians, and in both cases for longer than the route's objective,
-//! gets one request at a time and at most one a second until it is faster.
+//! Slow targets: a target is slow if its average latency exceeds three times the median of its
+//! service, or if it has not responded for 4.5 medians, and if that time also exceeds the route's
+//! objective. It gets one request at a time and at most one per second until it is faster.
 //!
 //! **Inputs**
 //! - Latency, seconds: time from sending to the valid response, of this instance's requests. A
 //!   request that timed out counts with the time waited; a broken exchange or a server error does
 //!   not count. The average has no age limit: a slow target is probed from time to time, which
 //!   measures it again.
-//! - Silence, seconds: time since the last request ended with a valid response or a timeout, or
-//!   since the first one now in flight was sent if that was later. Counts only while requests are
-//!   in flight.
+//! - Time since the last response, seconds: since the last request ended with a valid response or a
+//!   timeout, or since the first one now in flight was sent if that was later. Counts only while
+//!   requests are in flight.
 //! - Median of the averages of the service's targets, seconds; computed every 0.5 s by the
 //!   instance's periodic tasks. Infinite before the first response, so that no target is slow then.
 //! - The route's latency objective, from the configuration in force.
 //!
-//! **Why.** A target that answers far later than its peers makes every request sent there miss
+//! **Why.** A target that responds far later than its peers makes every request sent there miss
 //! its objective, but fails none of them, so that ejection does not notice it. Below the objective
 //! there is no gain in moving requests away from cached objects.
 //!
-//! **Guards** the guarantees that responses meet their objective where another target can provide
+//! **Guards** the promises that responses meet their objective where another target can provide
 //! them in time, and that a recovered target is used again.
 //!
 //! **Test**: `a_slow_target_is_judged_by_median_and_objective`,
@@ -37,12 +37,12 @@
 /// Average latency above which a target is slow, in medians of its service. Requests about objects
 /// that are not cached take up to 3.3 times as long as about cached ones.
 const SLOW_FACTOR: f64 = 3.0;
-/// Silence above which a target is slow, in medians of its service. Above [`SLOW_FACTOR`], since
-/// silence includes work on objects that are not cached.
+/// Time since the last response above which a target is slow, in medians of its service. Above
+/// [`SLOW_FACTOR`], since the target may be working on objects that are not cached.
 const NO_RESPONSE_FACTOR: f64 = 4.5;
-/// Least time between requests to a slow target: bounds the loss to one slow response a second.
+/// Minimum time between requests to a slow target: bounds the loss to one slow response per second.
 const MIN_PROBE_INTERVAL: Duration = Duration::from_secs(1);
-/// Least time between requests to a slow target in average latencies of it (factor): the slower
+/// Minimum time between requests to a slow target, in average latencies of that target: the slower
 /// its responses, the more a probe costs the caller.
 const PROBE_INTERVAL_FACTOR: f64 = 6.0;
 
@@ -67,7 +67,7 @@
         self.last_sent_at = Some(now);
     }
 
-    /// Records that a response took `took`, or that none had arrived by then.
+    /// Records that a response arrived after `elapsed`, or that none had arrived by then.
     pub fn record(&mut self, elapsed: Duration, now: Instant) {
         let latency = elapsed.as_secs_f64();
         let average = self.average.unwrap_or(latency);
@@ -99,7 +99,7 @@
             && self.last_sent_at.is_none_or(|sent| now.saturating_duration_since(sent) > self.probe_interval())
     }
 
-    /// Least time between requests to the target while it is slow.
+    /// Minimum time between requests to the target while it is slow.
     fn probe_interval(&self) -> Duration {
         let average = self.average.unwrap_or(0.0);
         MIN_PROBE_INTERVAL.max(Duration::from_secs_f64(PROBE_INTERVAL_FACTOR * average))
@@ -107,8 +107,8 @@
 }
 
 /// The median of `averages`, seconds, which is the upper of the two middle values for an even
-/// count; `None` if there are none. With one or two measured targets none is above the median, so
-/// that only silence can make one slow once the median is computed again.
+/// count; `None` if there are none. With one or two measured targets none is above the median: once
+/// it is computed again, only a missing response can make one of them slow.
 pub fn median(mut averages: Vec<f64>) -> Option<f64> {
     averages.sort_by(f64::total_cmp);
     averages.get(averages.len() / 2).copied()
--- a/src/decision/failure/mod.rs
+++ b/src/decision/failure/mod.rs
@@ -2,7 +2,7 @@
 //! that shed load or ask for a pause, and requests that crash targets.
 //!
 //! Owns the failure and latency state of targets, and the retry budgets. The tables of
-//! [`crate::decision`] list what each rule guarantees.
+//! [`crate::decision`] list the promise of each rule.
 
 pub mod ejection;
 pub mod latency;
--- a/src/decision/failure/next_try.rs
+++ b/src/decision/failure/next_try.rs
@@ -2,13 +2,13 @@
 //! not.
 //!
 //! **Rule**: after a failed try a request is tried at another target if the failure proves that it
-//! did not run, or if its exchange broke and its route is safe to repeat, within the route's limit
-//! of tries and the limit of tries without a connection; the caller of this module checks time
+//! did not run, or if its exchange broke and its route is idempotent, within the route's limit of
+//! tries and the limit of tries without a connection; the caller of this module checks time
 //! ([`has_time`]) and budget. A request that timed out is never tried again.
 //!
 //! **Inputs**: the failed tries of this request alone ([`FailedTries`], counts); the route's
-//! [`Idempotency`] and `max_attempts` (tries that reach a target) from the configuration with which the
-//! request began; the time left until its deadline; what prevents the next try
+//! [`Idempotency`] and `max_attempts` (tries that reach a target) from the configuration with which
+//! the request began; the time left until its deadline; what prevents the next try
 //! ([`UnmetPrecondition`]). No input has an age or is shared.
 //!
 //! **Why**: a target that is gone or full costs the caller nothing if another one takes the request
@@ -17,9 +17,9 @@
 //! have a limit of their own. The retry budget is charged before a try for which `costs_retry` is
 //! set, that is once an earlier try reached a target.
 //!
-//! **Guards** these guarantees: a request whose route is not safe to repeat runs at most once; a
+//! **Guards** these promises: a request whose route is not idempotent runs at most once; a
 //! caller is told "not run" (503) only if no target can have run the request, so that once a try
-//! may have run it the answer is [`FailureReason::Lost`] (502) or [`FailureReason::TimedOut`]
+//! may have run it the response is [`FailureReason::Lost`] (502) or [`FailureReason::TimedOut`]
 //! (504), whatever fails afterwards; targets get no more tries than route and budget allow.
 //!
 //! The budget itself is [`crate::decision::failure::retry`]; the choice of the target is
@@ -32,8 +32,8 @@
 /// A request with this much time or less until its deadline is not sent: it is less than a round
 /// trip plus any work, so that no response could arrive in time.
 pub const MIN_TIME_LEFT: Duration = Duration::from_millis(5);
-/// Most tries without a connection; the last ends the request. Each spends up to 0.4 s on
-/// connecting.
+/// Maximum number of tries without a connection; the last ends the request. Each spends up to 0.4 s
+/// on connecting.
 pub const MAX_UNREACHABLE_TRIES: u32 = 3;
 
 /// Outcome of a try that gave no response to pass on.
@@ -107,7 +107,7 @@
 pub struct TryLimits {
     /// Whether a request that may have run may be sent again.
     pub idempotency: Idempotency,
-    /// Most tries that reach a target.
+    /// Maximum number of tries that reach a target.
     pub max_attempts: u32,
 }
 
--- a/src/decision/failure/pause.rs
+++ b/src/decision/failure/pause.rs
@@ -2,35 +2,35 @@
 //! further request from this instance.
 //!
 //! **Rule.** Until the pause ends the target is sent nothing. After it, one request at a time is
-//! sent as a probe until one is answered, for two seconds at most.
-//! Of several pauses the latest end applies: a later but shorter one does not shorten the first,
-//! since what the target asked for first still holds. The end is delayed by random jitter.
+//! sent as a probe until one gets a response, for two seconds at most. Of several pauses the latest
+//! end applies: a shorter one that is requested later does not withdraw the first. The end is
+//! delayed by random jitter.
 //!
 //! **Inputs**: Retry-After of the target's own 429 and 503 responses, seconds; exact, as they
 //! arrive. An HTTP date is ignored, because clocks may differ by more than a pause lasts. A time
 //! over `MAX_PAUSE` counts as that.
 //!
 //! **Why.** Without this rule the target is sent another request at once, since it has free slots, and
-//! callers are sent back to it. Each instance is told separately, so that nothing is shared.
+//! callers are sent back to it. The target asks each instance separately, so that nothing is shared.
 //!
-//! **Guards** the guarantee that a target which asked for a pause gets at most two requests of this
-//! instance from half a second after that until its end. **Test**: `tests/statements.rs`,
+//! **Guards** the promise that a target which asked for a pause gets at most two requests of this
+//! instance from half a second after that until the pause ends. **Test**: `tests/statements.rs`,
 //! `standins/tests/pauses.rs`.
 
 use crate::clock::Instant;
 use std::time::Duration;
 
-/// Longest pause: a day. A target that wants no requests for longer says so in its registration.
+/// Maximum pause: a day. A target that wants no requests for longer says so in its registration.
 const MAX_PAUSE: Duration = Duration::from_secs(86_400);
-/// Largest jitter as a fraction of the pause (no unit), so that instances that were rejected
+/// Maximum jitter as a fraction of the pause (no unit), so that instances that were rejected
 /// together do not return together.
 const JITTER_RATIO: f64 = 0.2;
-/// Largest jitter; see [`JITTER_RATIO`].
+/// Maximum jitter; see [`JITTER_RATIO`].
 const MAX_JITTER: Duration = Duration::from_secs(1);
-/// Longest time after a pause during which one request at a time is sent: otherwise an exchange
+/// Maximum time after a pause during which one request at a time is sent: otherwise an exchange
 /// that lasts for minutes would keep all other requests away.
 const MAX_PROBE_PERIOD: Duration = Duration::from_secs(2);
-/// Longest header value that is parsed, characters.
+/// Maximum length of a header value that is parsed, bytes.
 const MAX_VALUE_LENGTH: usize = 32;
 
 /// The pause that a response asks for.
@@ -67,7 +67,7 @@
 pub struct Pause {
     /// End of the pause with its jitter; `None` before the first.
     until: Option<Instant>,
-    /// Whether no request was answered since the pause ended.
+    /// Whether no request got a response since the pause ended.
     awaits_probe: bool,
 }
 
--- a/src/decision/failure/quarantine/mod.rs
+++ b/src/decision/failure/quarantine/mod.rs
@@ -1,8 +1,8 @@
 //! Quarantine: a request under which several targets crashed, one after the other, is sent to no
 //! further ones.
 //!
-//! **Rule.** A *strike* against the request's fingerprint is a try that got no answer because its
-//! connection ended, at a target that was in use and whose address refuses connections now, if the
+//! **Rule.** A *strike* against the request's fingerprint is a try that got no response because its
+//! connection closed, at a target that was in use and whose address refuses connections now, if the
 //! try began when all earlier strikes were known. Any response of a target clears the fingerprint.
 //! With [`QUARANTINE_THRESHOLD`] strikes the request is refused at once, at every instance. The
 //! instance that counted the last strike lets a single attempt through as a probe after
@@ -13,22 +13,22 @@
 //! - Crashes and responses seen by this instance's own tries; exact.
 //! - Strikes that any instance counted, from their records in the store; as old as the view. While
 //!   the store takes no writes, each instance relies on its local strikes. A record with 0 strikes
-//!   means that the request was answered. A record that is gone has lost its lease, either because
-//!   of an outage of the store or because its time was up: its strikes count until they would have
-//!   expired anyway.
+//!   means that the request was answered. If a record is deleted, its lease has expired, on time or
+//!   early because of an outage of the store: its strikes count until they would have expired
+//!   anyway.
 //!
 //! **Why.** Without this rule a crash changes only how the crashed target is treated: each further
-//! attempt, and each other instance, sends the request to the next target. One request that came five times a second
-//! to 12 instances crashed 42 of about 20 targets, as often as they came back, and up to 228 of 230
-//! requests a second were late, refused or lost for 18 s.
+//! attempt, and each other instance, sends the request to the next target. One request that came
+//! five times per second to 12 instances caused 42 crashes among about 20 targets, which restarted
+//! each time, and up to 228 of 230 requests per second were late, refused or lost for 18 s.
 //! - Strikes are counted one after the other, so that targets that crash at the same moment under
 //!   several attempts of one frequent request (such as a lost rack) make one strike and not three.
 //! - One response clears all strikes, since a request that crashes targets is never answered.
 //!   Requests that only ran beside it are tried again and answered.
 //!
-//! **Guards** the guarantees that a request crashes few targets, wherever it comes in, and that no
+//! **Guards** the promises that a request crashes few targets, wherever it comes in, and that no
 //! request that can be answered is refused for longer than a minute, or ten if the instance that
-//! counted the last strike is gone.
+//! counted the last strike has stopped.
 //!
 //! **Bounds.** Local strikes of `MAX_LOCAL_REQUESTS` (1,000) requests, of which the least recently
 //! used are dropped first; `MAX_SHARED_RECORDS` (500) records in the store, of which first strikes
@@ -65,7 +65,7 @@
 /// Number of records from which instances share no further first strike.
 const MAX_SHARED_FIRST_STRIKES: usize = MAX_SHARED_RECORDS / 2;
 /// Number of targets that crashed within [`CORRELATION_WINDOW`] from which they count as lost
-/// together. When 158 of 1,077 targets ended within two seconds, 154 instances wrote 591 first
+/// together. When 158 of 1,077 targets crashed within two seconds, 154 instances wrote 591 first
 /// strikes that no response had cleared.
 const CORRELATED_CRASHES: usize = 3;
 /// Time within which crashes count as simultaneous; see [`CORRELATED_CRASHES`].
@@ -75,7 +75,7 @@
 #[derive(Debug)]
 pub struct Quarantine {
     local: LruCache<Fingerprint, LocalStrikes>,
-    /// Targets that crashed lately under requests of this instance, with the time of the crash.
+    /// Targets that crashed recently under requests of this instance, with the time of the crash.
     recent_crashes: VecDeque<(Instant, TargetKey)>,
     shared: HashMap<Fingerprint, SharedStrikes>,
 }
@@ -116,8 +116,8 @@
         (was != is).then_some(is)
     }
 
-    /// Handles a record that is gone from the store. Returns true if it is gone so early that the
-    /// instance named `own_name` has to write it again, because it counted the last strike.
+    /// Handles the deletion of a record from the store. Returns true if the instance named `own_name`
+    /// has to write it again, because it was deleted early and that instance counted the last strike.
     pub fn apply_expiry(&mut self, fingerprint: Fingerprint, own_name: &str, now: Instant) -> bool {
         let Some(shared) = self.shared.get_mut(&fingerprint) else { return false };
         shared.revision = 0;
@@ -220,7 +220,7 @@
         let replaced_revision = shared.map_or(0, |shared| shared.revision);
         let stored = shared.filter(|shared| shared.revision > 0).map_or(0, |shared| shared.latest.strikes);
         let strikes = self.current_strikes(fingerprint, now).map_or(0, |latest| latest.strikes);
-        // Other instances may still count the strikes of a record that is gone.
+        // Other instances may still count the strikes of a deleted record.
         let is_cleared = strikes == 0 && shared.is_some_and(|shared| shared.latest.strikes > 0);
         let max_records = if strikes == 1 { MAX_SHARED_FIRST_STRIKES } else { MAX_SHARED_RECORDS };
         let has_room = replaced_revision > 0 || self.shared.len() < max_records;
@@ -236,7 +236,7 @@
         self.shared.values().filter(|shared| shared.latest.strikes >= QUARANTINE_THRESHOLD).count()
     }
 
-    /// The latest strike that counts now, local or shared: the one with the most strikes.
+    /// The strikes that count now, local or shared, whichever are more; `None` if there are none.
     fn current_strikes(&self, fingerprint: Fingerprint, now: Instant) -> Option<StrikeCount> {
         if self.local.is_empty() && self.shared.is_empty() {
             return None;
--- a/src/decision/failure/quarantine/strike.rs
+++ b/src/decision/failure/quarantine/strike.rs
@@ -7,9 +7,8 @@
 use crate::clock::Instant;
 use std::time::Duration;
 
-/// Number of strikes from which a request is refused. Two can occur by chance: a request that runs
-/// beside the one that crashes its target is tried again, often at the target at which that one is
-/// tried again too.
+/// Number of strikes from which a request is refused. Two can occur by chance: if a request runs
+/// beside one that crashes the target, both are tried again, often at the same target.
 pub const QUARANTINE_THRESHOLD: u32 = 3;
 /// How long strikes below [`QUARANTINE_THRESHOLD`] count: longer than a caller's pause between
 /// attempts. Also the lease time after which a key without further strikes leaves the store.
@@ -19,7 +18,7 @@
 /// Time until the first probe: a caller that was refused by mistake is served again after a minute,
 /// and a request that does crash targets costs one more target by then, not one each second.
 pub const FIRST_PROBE_DELAY: Duration = Duration::from_secs(60);
-/// Most probes of one quarantine: each may crash a target.
+/// Maximum number of probes of one quarantine: each may crash a target.
 pub const MAX_PROBES: u32 = 3;
 
 /// What this instance observed of a request.
@@ -51,12 +50,12 @@
     pub latest: StrikeCount,
     /// Name of the instance that counted it.
     pub by: String,
-    /// Revision of the record; 0 once the record is gone.
+    /// Revision of the record; 0 once the record is deleted.
     pub revision: u64,
 }
 
 impl SharedStrikes {
-    /// Whether the strikes no longer count and the record is gone from the store.
+    /// Whether the strikes no longer count and the record is deleted from the store.
     pub fn is_expired(&self, now: Instant) -> bool {
         self.revision == 0 && self.latest.is_expired(now)
     }
--- a/src/decision/failure/retry.rs
+++ b/src/decision/failure/retry.rs
@@ -1,5 +1,5 @@
-//! Retry budget of each service: each request of a caller for a service deposits a fixed fraction
-//! of a retry into that service's balance, and a retry is sent only if it can be withdrawn.
+//! Retry budget of each service: each request that arrives for a service deposits a fixed fraction of
+//! a retry into the balance of that service, and a retry is sent only if it can be withdrawn.
 //!
 //! **Inputs**
 //! - `ratio` and `slack`, the settings `bounds.retry_ratio` (retries for each request, no
@@ -9,18 +9,19 @@
 //!   bounded while the store is unreachable. An instance counts at least itself.
 //! - Requests and retries of this instance by service, counted at once.
 //!
-//! **Why.** When targets fail, every request of a caller asks for a retry. Without a budget,
-//! failing targets receive a multiple of their normal load and cannot recover.
+//! **Why.** When targets fail, every request needs a retry. Without a budget, failing targets receive
+//! a multiple of their normal load and cannot recover.
 //!
 //! With one budget for all services, the requests of a large service would pay for the retries of
 //! a small one.
 //!
-//! **Guards** the guarantee that all instances together send at most `ratio * requests + slack`
-//! retries to a service. Each instance enforces its part of the bound alone, without messages: its balance is
+//! **Guards** the promise that all instances together send at most `ratio * requests + slack` retries
+//! to a service. Each instance enforces its part of the bound alone, without messages: its balance is
 //! limited to an equal share of the slack, `slack * 0.5 / members`. With more than `slack / 2`
-//! members that is below 1: a retry is then sent with a probability equal to the balance, which is
-//! emptied either way. On average the instances together still send as many, 32 at once for a slack
-//! of 64; the probability that 410 instances send more than 64 at once is below 1 in 100,000.
+//! members that is below 1: a retry is then sent with a probability equal to the balance, and the
+//! balance is emptied whether it is sent or not. On average the instances together still send as
+//! many, 32 at once for a slack of 64; the probability that 410 instances send more than 64 at once
+//! is below 1 in 100,000.
 //!
 //! **Test**: `second_tries_stay_within_ratio_and_savings` and
 //! `members_share_half_of_the_slack_and_four_fifths_of_the_ratio` in `tests/logic.rs`;
@@ -30,8 +31,8 @@
 use std::rc::Rc;
 
 /// Fraction of the permitted ratio that requests deposit (no unit). This budget and the check of
-/// the bound both count the requests of one service; the remaining fifth covers requests that one
-/// of them counts in another window.
+/// the bound both count the requests of one service, but may count a request in different windows;
+/// the remaining fifth covers that.
 const RATIO_USED: f64 = 0.8;
 /// Fraction of the permitted slack that all instances together may hold (no unit). Instances may
 /// briefly disagree on the number of members; the other half covers that.
@@ -85,7 +86,7 @@
 pub struct RetryBudget {
     /// Retries that each request deposits.
     ratio: f64,
-    /// Upper limit of the balance, retries.
+    /// Maximum balance, retries.
     max_balance: f64,
     /// Retries that may be sent now.
     balance: f64,
@@ -96,7 +97,7 @@
     RetryBudget::new(ratio * RATIO_USED, max_balance(slack, members))
 }
 
-/// Largest balance of one of `members` instances, retries.
+/// Maximum balance of one of `members` instances, retries.
 pub fn max_balance(slack: f64, members: usize) -> f64 {
     slack * SLACK_USED / members.max(1) as f64
 }
@@ -109,7 +110,7 @@
         Self { ratio, max_balance, balance: 0.0 }
     }
 
-    /// Changes the largest balance; a higher current balance is cut to it.
+    /// Changes the maximum balance; a higher current balance is cut to it.
     fn set_max_balance(&mut self, max_balance: f64) {
         self.max_balance = max_balance;
         self.balance = self.balance.min(max_balance);
@@ -126,7 +127,7 @@
         self.balance = (self.balance + self.ratio).min(self.max_balance);
     }
 
-    /// Withdraws one retry; false if the balance is below 1. Where the largest balance is itself
+    /// Withdraws one retry; false if the balance is below 1. If the maximum balance is itself
     /// below 1, empties the balance and returns true with that probability: if `random`, uniformly
     /// random between 0 and 1, is below it.
     pub fn withdraw(&mut self, random: f64) -> bool {
--- a/src/decision/failure/shedding.rs
+++ b/src/decision/failure/shedding.rs
@@ -5,17 +5,18 @@
 //! **Inputs**: the load report in the response that rejected the request; as old as that response.
 //! A response without a report, or whose report shows no free slot, means a full target.
 //!
-//! **Why.** The load pattern is a service whose targets each reject two requests in five at any
-//! load (`tests/shedding_targets.rs`). The same target, which has cached the affinity key, is as
-//! likely to accept the next request as any other. The second target works three times as long on
-//! it, which is beyond the objective, and evicts another key for it. Waiting until there is room,
-//! about 1.5 to 4.5 latencies, gains the caller nothing either, since there is room already. In
-//! that pattern 87 requests in 100 are answered within the objective, 64 without the rule (replay,
-//! mean of five seeds).
+//! **Load pattern**: a service whose targets each reject two requests in five at any load
+//! (`tests/shedding_targets.rs`).
+//!
+//! **Why.** The same target, which has cached the affinity key, is as likely to accept the next
+//! request as any other. The second target works three times as long on it, which is beyond the
+//! objective, and evicts another key for it. Waiting until there is room, about 1.5 to 4.5
+//! latencies, gains the caller nothing either, since there is room already. Under this load pattern
+//! 87 requests in 100 are answered within the objective, and 64 without the rule.
 //!
 //! A target that asked for a pause ([`super::pause`]) gets no second request.
 //!
-//! **Guards** the guarantee that a full target is sent no more requests at once: if no slot is free
+//! **Guards** the promise that a full target is sent no more requests at once: if no slot is free
 //! the next target is tried, and the caller waits until there is room.
 //!
 //! **Constants**: none; tries stay within the route's attempts and the retry budget.
