--- a/src/decision/quota/equal_share.rs
+++ b/src/decision/quota/equal_share.rs
@@ -46,7 +46,7 @@
 }
 
 impl EqualShare {
-    /// Takes a token for a request; false where none is left. `quota` is that of all instances together.
+    /// Takes a token for a request; false if none is left. `quota` is that of all instances together.
     pub fn try_take(&mut self, quota: Quota, fleet: FleetSize, now: Instant) -> bool {
         let max_tokens = (quota.burst / fleet.instances()).max(1.0);
         let elapsed = self.updated_at.map_or(0.0, |updated_at| now.saturating_duration_since(updated_at).as_secs_f64());
--- a/src/decision/quota/hall_demand.rs
+++ b/src/decision/quota/hall_demand.rs
@@ -26,8 +26,8 @@
 /// Time constant of a hall's recent demand, in which growth shows: two reports of instances that report
 /// at the shortest interval.
 const RECENT_TIME_CONSTANT: Duration = Duration::from_millis(100);
-/// Free part of the window from which the full thresholds of growth apply (no unit). The less is free
-/// below it, the sooner a step exhausts the quota, and the lower the thresholds.
+/// Free part of the window at and above which the growth thresholds apply in full (no unit). Below it
+/// they fall in proportion: the less is free, the sooner a step exhausts the quota.
 const AMPLE_FREE_PART: f64 = 0.25;
 /// Standard deviations by which growth has to exceed random variation while
 /// [`AMPLE_FREE_PART`] is free (no unit).
@@ -35,10 +35,10 @@
 /// Growth of the own hall, in excess of 1, from which other halls are expected to grow while
 /// [`AMPLE_FREE_PART`] is free (factor): smaller changes come from callers that come and go.
 const MIN_EXCESS_GROWTH: f64 = 0.75;
-/// Largest growth expected of other halls (factor): a hall that has just received its first callers
+/// Maximum growth expected of other halls (factor): a hall that has just received its first callers
 /// shows arbitrarily large growth.
 const MAX_GROWTH: f64 = 40.0;
-/// Longest time over which unreported requests of a hall are estimated: after it, the hall counts as
+/// Maximum time over which unreported requests of a hall are estimated: after it, the hall counts as
 /// unreachable.
 const MAX_UNREPORTED_TIME: Duration = Duration::from_secs(1);
 
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -1,5 +1,5 @@
 //! Admission by quota: an instance admits a tenant's requests, evenly spaced, at the ratio that the
-//! head of its hall last answered. It admits only its equal share of the quota
+//! head of its hall returned in its last answer. It admits only its equal share of the quota
 //! ([`super::equal_share`]) while the answer is too old, or once too many requests were admitted since.
 //!
 //! **Inputs**
@@ -26,13 +26,13 @@
 /// Age of an answer up to which its ratios apply: four times the report interval, so that one lost
 /// report and the change to another head have no effect.
 pub const MAX_ANSWER_AGE: Duration = Duration::from_secs(1);
-/// Least number of a tenant's unreported requests that is reported at once, however few are usual:
+/// Minimum number of a tenant's unreported requests that is reported at once, however few are usual:
 /// with a lower one, most reports of small tenants would be sent at once.
 const MIN_SURGE_REQUESTS: f64 = 2.0;
 /// Factor on a tenant's usual requests between two reports from which its requests are reported at once.
 const SURGE_FACTOR: f64 = 2.0;
-/// Factor on the number that is reported at once, up to which requests are admitted before an answer,
-/// and least such limit: as many reports as may fail while an answer applies.
+/// Limit on the requests that are admitted before the next answer: this factor times the number that is
+/// reported at once, but at least [`MIN_UNANSWERED`]. As many reports may fail while an answer applies.
 const UNANSWERED_FACTOR: f64 = 5.0;
 /// See [`UNANSWERED_FACTOR`].
 const MIN_UNANSWERED: f64 = 8.0;
@@ -44,8 +44,8 @@
 /// Requests of a tenant that are admitted before the first answer: all instances may be starting, and
 /// none of them knows what was admitted before.
 const MAX_BEFORE_FIRST_ANSWER: f64 = 3.0;
-/// Most that a tenant's admit ratio rises with one answer: to this factor times the last one plus
-/// [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
+/// Maximum to which a tenant's admit ratio rises with one answer: this factor times the last ratio,
+/// plus [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
 const RATIO_RISE_FACTOR: f64 = 1.5;
 /// See [`RATIO_RISE_FACTOR`].
 const RATIO_RISE_STEP: f64 = 0.1;
@@ -233,7 +233,7 @@
         self.answered_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Part of the tenant's requests that the last answer admits, 0 to 1; 1 where it does not name the
+    /// Part of the tenant's requests that the last answer admits, 0 to 1; 1 if it does not name the
     /// tenant.
     pub fn admit_ratio(&self, tenant: &str) -> f64 {
         self.admit_ratios.get(tenant).copied().unwrap_or(1.0)
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -37,7 +37,7 @@
 pub const REPORT_INTERVAL: Duration = Duration::from_millis(200);
 /// Time between two reports of a head to other halls: half of it would double the bytes sent.
 pub const FORWARD_INTERVAL: Duration = Duration::from_millis(300);
-/// Shortest time between two reports, however much there is to report.
+/// Minimum time between two reports, however much there is to report.
 pub const MIN_REPORT_INTERVAL: Duration = Duration::from_millis(50);
 
 pub mod equal_share;
--- a/src/decision/quota/outboxes.rs
+++ b/src/decision/quota/outboxes.rs
@@ -1,15 +1,16 @@
 //! The own hall's usage that is still to be sent to other halls.
 //!
-//! Owns the counts by hall, kept while a hall cannot be reached. Relies on nothing.
+//! Owns the counts by hall, kept while a hall cannot be reached. Relies on no other rule.
 
 use crate::clock::Instant;
 use crate::model::usage::Usage;
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-/// Longest time for which usage is kept for an unreachable hall: older requests are outside of the
+/// Maximum time for which usage is kept for an unreachable hall: older requests are outside of the
 /// operators' windows.
 const MAX_UNSENT_TIME: Duration = Duration::from_secs(5);
+
 /// Usage that has not been sent to one hall yet.
 #[derive(Debug)]
 struct Outbox {
--- a/src/decision/quota/tenant_window.rs
+++ b/src/decision/quota/tenant_window.rs
@@ -11,10 +11,10 @@
 //! **Why.** With one ratio all instances refuse alike, wherever callers connect, and no message is
 //! needed per request. The window is the operators' own measure: a tenant that is always above its
 //! rate is granted the burst in each window, where a token bucket would grant it once. Requests are
-//! admitted at the rate at which others leave the window, plus one that falls with the room left in
-//! it, so that reports of the last requests arrive before it is full. Where more than the average
-//! leaves at one moment, only the average is replaced at once, so that a burst does not recur in each
-//! window.
+//! admitted at the rate at which others leave the window, plus a rate that falls as the window fills,
+//! so that reports of the last requests arrive before it is full. The first of these rates is at most
+//! the average over the window: a burst that leaves the window is not readmitted all at once, and so
+//! does not recur in each window.
 //!
 //! A step in demand reaches all halls at the same moment, but is reported later by the others than by
 //! the own one: until they report, they are expected to have grown as the own hall has
@@ -41,7 +41,7 @@
 /// Time constant of the average demand: long compared with the report interval (0.2 s), short compared
 /// with a window.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(350);
-/// Shortest time that a report is taken to cover: demand computed over less would be random.
+/// Minimum time that a report is taken to cover: demand computed over less would be random.
 const MIN_REPORT_TIME: Duration = Duration::from_millis(100);
 /// Time in which the rest of a window is used up: over twice the time from a request to the ratio that
 /// takes it into account.
@@ -61,12 +61,12 @@
 }
 
 impl WindowLimit {
-    /// Most requests in a window, including the slack.
+    /// Maximum number of requests in a window, including the slack.
     pub fn max_requests(&self) -> f64 {
         self.requests_without_slack() + self.slack * self.reachable_fraction
     }
 
-    /// Most requests in a window, without the slack.
+    /// Maximum number of requests in a window, without the slack.
     fn requests_without_slack(&self) -> f64 {
         (self.quota.rate * self.window.as_secs_f64() + self.quota.burst) * self.reachable_fraction
     }
@@ -105,7 +105,8 @@
     by_hall: HallDemands,
     /// The ratio that was computed last.
     last_ratio: f64,
-    /// Longest time covered by one report, seconds: requests of the first one arrived before `started_at`.
+    /// Maximum time covered by one report so far, seconds: requests of the first one arrived before
+    /// `started_at`.
     max_report_time: f64,
     updated_at: Instant,
 }
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -34,7 +34,7 @@
 const STARTUP_TIME: Duration = Duration::from_millis(1_200);
 /// Time without any report after which the totals are dropped.
 const RESET_AFTER: Duration = Duration::from_secs(2);
-/// Longest time before its first report for which a new head takes a tenant's usage as known: no other
+/// Maximum time before its first report for which a new head takes a tenant's usage as known: no other
 /// head has counted those requests, since the previous one was dead.
 const MAX_KNOWN_BEFORE_START: Duration = Duration::from_secs(1);
 /// Time for which [`Reachability`] is not computed again.
@@ -43,8 +43,8 @@
 /// before reports of them arrive.
 const GRANTED_SLACK: f64 = 0.5;
 /// Unsent requests of a tenant from which another hall is sent a report at once: as many as the hall's
-/// part of the tenant's rate allows in this many seconds, and at least [`MIN_URGENT_REQUESTS`]. Callers
-/// at their quota send 0.4 s of it between two reports.
+/// part of the tenant's rate allows in this many seconds, and at least [`MIN_URGENT_REQUESTS`]. A tenant
+/// that uses its whole quota sends less between two reports: what its rate allows in 0.4 s.
 const URGENT_SECONDS: f64 = 0.5;
 /// See [`URGENT_SECONDS`].
 const MIN_URGENT_REQUESTS: f64 = 4.0;
@@ -195,7 +195,7 @@
         self.windows.retain(|name, _| is_kept(name));
     }
 
-    /// The window of a tenant; `None` where none of its requests were reported.
+    /// The window of a tenant; `None` if none of its requests were reported.
     pub fn window(&self, tenant: &str) -> Option<&TenantWindow> {
         self.windows.get(tenant)
     }
--- a/src/decision/refusal/held_answers.rs
+++ b/src/decision/refusal/held_answers.rs
@@ -1,8 +1,9 @@
 //! Bounds on the bytes of responses that an instance holds for callers that read slowly, and when it
 //! refuses further requests with large responses.
 //!
-//! **Load.** Large responses to callers that read slowly. A target keeps the slot of a response that is not
-//! read, cuts it off after some seconds, and fails once the responses that it holds exceed its memory.
+//! **Load pattern**: large responses to callers that read slowly. A target keeps the slot of a response
+//! that is not read, cuts it off after some seconds, and fails once the responses that it holds exceed its
+//! memory.
 //!
 //! **Inputs**
 //! - Bytes held of the response, and of all responses and buffered request bodies of this instance: exact, no
@@ -14,22 +15,22 @@
 //! **Rule.** A response is read from its target while less of it than `MAX_BYTES_PER_ANSWER` is held, and
 //! less of all responses than the total bound. Beyond that, as much is read as its caller takes, so that the
 //! target is read at the caller's pace and does not cut the response off. While the total bound is reached,
-//! requests with large responses are refused before they are sent. No response under way is dropped to save
-//! memory.
+//! requests with large responses are refused before they are sent. No response in progress is dropped to
+//! save memory.
 //!
 //! Owns nothing. **Test**: `tests/held_answers.rs`, `standins/tests/slow_readers.rs`.
 
 use std::time::Duration;
 
-/// Most bytes held of one response, so that a single caller cannot use up the bound for all.
+/// Maximum bytes held of one response, so that a single caller cannot use up the bound for all.
 const MAX_BYTES_PER_ANSWER: u64 = 1024 * 1024;
 /// Divisor of the memory limit that gives the bound on all bytes held: less than request bodies may take,
 /// so that these can still be buffered.
 const TOTAL_DIVISOR: u64 = 10;
-/// Longest time for which a caller may read nothing of a complete response once its deadline has passed, so
+/// Maximum time for which a caller may read nothing of a complete response once its deadline has passed, so
 /// that unresponsive callers do not keep memory in use indefinitely.
 pub const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Time for which a response still counts as under way after its last part was passed on: the caller can
+/// Time for which a response still counts as in progress after its last part was passed on: the caller can
 /// receive that part before a planned stop ends the process.
 pub const LAST_PART_GRACE: Duration = Duration::from_millis(500);
 /// Wait of a caller that is refused because too many bytes are held, before jitter: other callers read a
@@ -51,8 +52,8 @@
         Self { answer: MAX_BYTES_PER_ANSWER, total: memory / TOTAL_DIVISOR }
     }
 
-    /// Whether more may be read of a response of which `own` bytes are held, of `total` in all. `max_held` is the
-    /// largest number of its bytes that were held while there was room.
+    /// Whether more may be read of a response of which `own` bytes are held, of `total` in all. `max_held`
+    /// is the largest number of its bytes that were held while there was room.
     pub fn may_read(&self, own: u64, total: u64, max_held: u64, caller_waits: bool) -> bool {
         let is_caller_reading = own < max_held || own == 0 && caller_waits;
         is_caller_reading || self.has_room(own, total)
--- a/src/decision/refusal/mod.rs
+++ b/src/decision/refusal/mod.rs
@@ -1,7 +1,7 @@
 //! Refusals: when a refused caller may return, how much of responses is held for slow callers, and which
 //! requests a stopping instance still serves.
 //!
-//! Owns nothing. The tables of [`crate::decision`] state what each rule promises.
+//! Owns nothing. The tables of [`crate::decision`] list the promise of each rule.
 
 pub mod held_answers;
 pub mod retry_after;
--- a/src/decision/refusal/retry_after.rs
+++ b/src/decision/refusal/retry_after.rs
@@ -3,7 +3,7 @@
 //!
 //! **Inputs**
 //! - Median latency of the service's targets, seconds; 0.5 s old at most. Infinite before the
-//!   first answer.
+//!   first response.
 //! - A random number for each refusal.
 //!
 //! **Why.** A slot becomes free after a service time. Callers refused in the meantime return as well,
@@ -20,9 +20,9 @@
 const WAIT_LATENCIES: f64 = 3.0;
 /// Wait while no latency is known.
 const DEFAULT_WAIT: Duration = Duration::from_millis(400);
-/// Shortest wait before jitter: a round trip between regions and some processing time.
+/// Minimum wait before jitter: a round trip between regions and some processing time.
 const MIN_WAIT: Duration = Duration::from_millis(100);
-/// Longest wait before jitter: the time that callers have.
+/// Maximum wait before jitter: callers have no more time than this for a request.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
 /// Wait of a caller whose tenant's quota is used up, before jitter: one second of the rate. A caller that
--- a/src/decision/refusal/stop.rs
+++ b/src/decision/refusal/stop.rs
@@ -20,10 +20,9 @@
 
 /// Part of `bounds.stop_s` in which all requests are still served (no unit). A request that arrives at
 /// its end has half of `stop_s` less 0.15 s; route timeouts must be shorter. Without this rule requests
-/// were lost, with it none; at half and double the value, results of callers during a rolling restart
-/// of all instances differ by 1 in 1,000 at most.
+/// were lost during a rolling restart of all instances, with it none.
 const SERVING_FRACTION: f64 = 0.5;
-/// Least time between the deadline of a late request and the kill: the process ends 0.15 s before the
+/// Minimum time between the deadline of a late request and the kill: the process ends 0.15 s before the
 /// kill, and checks every 50 ms whether requests are in flight.
 const END_MARGIN: Duration = Duration::from_millis(300);
 
