--- a/src/decision/registry/mod.rs
+++ b/src/decision/registry/mod.rs
@@ -2,7 +2,7 @@
 //! target.
 //!
 //! Owns the state of each target, which the other rules read. The tables of [`crate::decision`] list
-//! what each rule promises.
+//! the promise of each rule.
 
 pub mod change;
 pub mod grace;
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -9,7 +9,7 @@
 //! the store was restored ([`crate::store::era`]). Members, evacuations and ready targets missing
 //! from it are therefore kept for a grace, within which they can be written again.
 //!
-//! **Inputs**: changes of the store, as old as the way that they arrived by (watch, relay or peer);
+//! **Inputs**: changes of the store, whose age depends on how they arrived (watch, relay or peer);
 //! versions of the configuration, revisions of the policies, sequence numbers of registrations; the
 //! end of the grace ([`crate::decision::registry::grace`]) if the store has just returned.
 //!
--- a/src/decision/registry/routing/mod.rs
+++ b/src/decision/registry/routing/mod.rs
@@ -91,15 +91,15 @@
         self.targets.update_median_latencies();
     }
 
-    /// Load limit of a request's second target, requests per slot, where that of its first is `max_load`.
+    /// Load limit of a request's second target, requests per slot, if that of its first is `max_load`.
     pub fn second_target_max_load(&self, query: &Query<'_>, max_load: f64) -> f64 {
         let latency = self.targets.second_latency(query.service);
         let objective = query.route.latency_objective;
         latency.map_or(max_load, |latency| latency.max_load(max_load, objective, self.median_latency(query.service)))
     }
 
-    /// Records the latency of a request at a second target of the service, or the time after which no
-    /// response had arrived.
+    /// Records that a second target of the service responded after `elapsed`, or had not responded by
+    /// then.
     pub fn record_second_latency(&self, service: &str, elapsed: Duration) {
         if let Some(latency) = self.targets.second_latency(service) {
             latency.record(elapsed);
--- a/src/decision/registry/signals.rs
+++ b/src/decision/registry/signals.rs
@@ -75,16 +75,16 @@
 /// The signals received from one start of a target.
 #[derive(Debug, Default)]
 pub struct TargetSignals {
-    /// Its rate limit.
+    /// Its rate limit, and this instance's use of it.
     pub limit: RateLimit,
-    /// Its pause.
+    /// The pause that it requested from this instance.
     pub pause: Pause,
     is_leaving: bool,
 }
 
 impl TargetSignals {
-    /// Applies the signals of a response that arrived now, to a request sent at `sent`. `random` is a
-    /// random number from 0 to 1.
+    /// Applies the signals of a response that arrived now, to a request sent at `sent`. `random` is
+    /// uniformly random between 0 and 1.
     pub fn apply(&mut self, signals: ResponseSignals, random: f64, sent: Instant, now: Instant) -> SignalChange {
         let began_leaving = signals.leaving == LeavingSignal::Leaving && self.mark_leaving();
         if !signals.is_rejection {
@@ -99,7 +99,7 @@
         !std::mem::replace(&mut self.is_leaving, true)
     }
 
-    /// Whether the target has announced that it is leaving.
+    /// Whether the target has announced, to any instance, that it is leaving.
     pub fn is_leaving(&self) -> bool {
         self.is_leaving
     }
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -190,7 +190,7 @@
         InFlight::new(self.clone())
     }
 
-    /// Records a valid response that took `took`.
+    /// Records a valid response that arrived after `elapsed`.
     pub fn record_success(&self, elapsed: Duration, now: Instant) {
         self.ejection.borrow_mut().record_success();
         self.record_latency(elapsed, now);
@@ -202,7 +202,7 @@
         self.ejection.borrow_mut().record_failure(sent, now)
     }
 
-    /// Records that another target answers at its address: this start has ended.
+    /// Records that another target responds at its address: this start has ended for good.
     pub fn mark_replaced(&self) {
         self.ejection.borrow_mut().mark_replaced();
         self.pool.clear();
@@ -213,7 +213,7 @@
         self.ejection.borrow().is_ejected(self.in_flight(), now)
     }
 
-    /// Records the latency of a response, or the time after which none had arrived.
+    /// Records that a response arrived after `elapsed`, or that none had arrived by then.
     pub fn record_latency(&self, elapsed: Duration, now: Instant) {
         self.latency.borrow_mut().record(elapsed, now);
     }
@@ -269,9 +269,9 @@
         self.slow_start.borrow().is_active(now)
     }
 
-    /// Whether this instance may send it a request while it is cold. `members_at` is when the members
-    /// last changed, `shared` the rate of all instances together, requests per second, and `member_share`
-    /// gives this instance's part of it.
+    /// Whether this instance may send it a request while it is cold. `members_changed_at` is when the
+    /// members last changed, `shared_rate` the rate of all instances together, requests per second, and
+    /// `member_share` computes this instance's share of it.
     pub fn may_send_in_slow_start(
         &self,
         members_changed_at: Instant,
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -22,8 +22,8 @@
         self.signals = signals;
     }
 
-    /// Applies the signals in the response to a request that was sent at `sent`. `random` is a random
-    /// number from 0 to 1.
+    /// Applies the signals in the response to a request that was sent at `sent`. `random` is uniformly
+    /// random between 0 and 1.
     pub fn apply_signals(&self, signals: ResponseSignals, random: f64, sent: Instant, now: Instant) -> SignalChange {
         self.signals.borrow_mut().apply(signals, random, sent, now)
     }
@@ -43,14 +43,14 @@
         self.signals.borrow().is_leaving()
     }
 
-    /// Records that it is leaving, as it told another instance; returns whether this was not known
-    /// before.
+    /// Records that it is leaving, as it announced to another instance; returns whether this was not
+    /// known before.
     pub fn mark_leaving(&self) -> bool {
         self.signals.borrow_mut().mark_leaving()
     }
 
-    /// Records a rate limit that it sent to another instance; returns the limit in force from now on
-    /// if it changed.
+    /// Records a rate limit that it announced to another instance; returns the limit in force from now
+    /// on if it changed.
     pub fn record_remote_limit(&self, remote: AnnouncedLimit, now: Instant) -> Option<Option<f64>> {
         self.signals.borrow_mut().limit.record_remote(remote, now)
     }
@@ -60,23 +60,24 @@
         self.signals.borrow().limit.rate(now)
     }
 
-    /// Whether it recently sent a rate limit, or the information that it no longer has one.
+    /// Whether it recently announced a rate limit, or that it no longer has one.
     pub fn has_recent_limit_signal(&self, now: Instant) -> bool {
         self.signals.borrow().limit.has_recent_signal(now)
     }
 
-    /// Its limit and the demand for it, requests per second, for the next report to a head.
+    /// Takes its limit and the demand for it, requests per second, for the next report to a head; `None`
+    /// if there is no recent limit to report.
     pub fn take_limit_report(&self, now: Instant) -> Option<(Option<AnnouncedLimit>, f64)> {
         self.signals.borrow_mut().limit.take_report(now)
     }
 
-    /// Sets the share of its requests, 0 to 1, that a head allows to be sent. `random` is a random
-    /// number from 0 to 1.
+    /// Sets the share of its requests, 0 to 1, that a head allows to be sent. `random` is uniformly
+    /// random between 0 and 1.
     pub fn set_limit_admit_ratio(&self, admit_ratio: f64, random: f64, now: Instant) {
         self.signals.borrow_mut().limit.set_admit_ratio(admit_ratio, random, now);
     }
 
-    /// Share of its requests that may be sent, 0 to 1; `None` if no head answered recently.
+    /// Share of its requests that may be sent, 0 to 1; `None` without a current answer of a head.
     pub fn limit_admit_ratio(&self, now: Instant) -> Option<f64> {
         self.signals.borrow().limit.admit_ratio(now)
     }
@@ -96,7 +97,7 @@
         self.signals.borrow_mut().limit.record_offered(now);
     }
 
-    /// Whether demand has risen so much since the last report that a head should be told at once.
+    /// Whether demand has risen so much since the last report that it should be reported at once.
     pub fn has_demand_surge(&self, now: Instant) -> bool {
         self.signals.borrow().limit.has_surge(now)
     }
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -21,8 +21,8 @@
 //! target has restarted, and others may write to its key. A restarted target counts its sequence from
 //! the beginning, and knows nothing that the last start knew.
 //!
-//! **Guards** the promises that a target which is gone receives no more requests, that a request goes
-//! to the service, hall and address that were registered last, and that a restarted target is used as
+//! **Guards** the promises that a removed target receives no more requests, that a request goes to the
+//! service, hall and address that were registered last, and that a restarted target is used as
 //! soon as its registration is seen.
 //!
 //! **Test**: `tests/registrations.rs`, `tests/restarted_targets.rs`;
