--- a/src/decision/selection/affinity.rs
+++ b/src/decision/selection/affinity.rs
@@ -49,7 +49,7 @@
     pub score: f64,
     /// Its score for the second place.
     pub second_score: f64,
-    /// The target.
+    /// The target that is ranked.
     pub target: &'a Rc<Target>,
 }
 
--- a/src/decision/selection/cap_moves.rs
+++ b/src/decision/selection/cap_moves.rs
@@ -1,10 +1,10 @@
-//! Caps: a request that cap policies select may be sent outside the hall that it would use if
+//! Caps: a request that matches cap policies may be sent outside the hall that it would use if
 //! every target were healthy only if each of these caps has credit for the move.
 //!
 //! **Inputs**
-//! - The cap policies that select the request, from the policies in force (as old as the
-//!   view), and their credit in this instance ([`crate::policy::credit`]): each selected
-//!   request earns `cap` (0 to 1) of a move, each move costs 1, and at most 1 is saved.
+//! - The cap policies that match the request, from the policies in force (as old as the view),
+//!   and their credit in this instance ([`crate::policy::credit`]): each matching request
+//!   deposits `cap` (0 to 1) of a move, each move withdraws 1, and the credit is at most 1.
 //! - All targets of the service that the route and the deny and allow policies permit, including
 //!   those that are draining, drained, cold, full or ejected. The first of them by lowest rank of
 //!   the prefer policies, then by rendezvous score, is the default target, and its hall the
@@ -28,10 +28,10 @@
 use crate::decision::selection::query::Query;
 use crate::policy::{MatchedPolicies, PolicyVerdict};
 
-/// The caps that select a request, and the default target that moves are measured against.
+/// The caps that match a request, and the default target that moves are measured against.
 pub struct CapMoves<'a> {
     query: &'a Query<'a>,
-    /// The policies that select the request; `None` where no cap is among them.
+    /// The policies that match the request; `None` if no cap is among them.
     caps: Option<&'a MatchedPolicies<'a>>,
     /// The best default target considered so far; always `None` without caps.
     default_target: Option<Candidate<'a>>,
@@ -43,7 +43,7 @@
         Self { query, caps: query.matched_policies.filter(|policies| policies.has_caps()), default_target: None }
     }
 
-    /// Whether a cap selects the request.
+    /// Whether a cap matches the request.
     pub fn is_capped(&self) -> bool {
         self.caps.is_some()
     }
@@ -59,7 +59,7 @@
         }
     }
 
-    /// The default hall; `None` where no cap selects the request.
+    /// The default hall; `None` if no cap matches the request.
     pub fn default_hall(&self) -> Option<&'a str> {
         self.default_target.map(|candidate| &*candidate.target.hall)
     }
@@ -71,8 +71,8 @@
         *hall == *target.hall || caps.charge_caps()
     }
 
-    /// Whether the caps allow sending the request to the target. For decisions that send nothing,
-    /// whose charge is [`CapCharge::dry`](crate::policy::CapCharge::dry).
+    /// Whether the caps allow sending the request to the target. For dry runs, whose charge is
+    /// [`CapCharge::dry_run`](crate::policy::CapCharge::dry_run).
     pub fn allows_move_to(&self, target: &Target) -> bool {
         let (Some(caps), Some(hall)) = (self.caps, self.default_hall()) else { return true };
         *hall == *target.hall || caps.allows_move()
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -2,17 +2,17 @@
 //! and affinity that has room and that caps let the request move to; where caps forbid every
 //! move, the best target with room in the default hall.
 //!
-//! **Inputs**: the routing state, a [`Query`], and the rules [`crate::decision::selection::exclusion`],
-//! [`crate::decision::selection::affinity`], [`crate::decision::selection::region_weight`], [`crate::decision::selection::key_region`],
-//! [`crate::decision::capacity::admission`], [`crate::decision::capacity::second_target`] and
-//! [`crate::decision::selection::cap_moves`], which document the units and ages of their own inputs.
+//! **Inputs**: the routing state, a [`Query`], and the rules [`super::exclusion`], [`super::affinity`],
+//! [`super::region_weight`], [`super::key_region`], [`super::cap_moves`],
+//! [`crate::decision::capacity::admission`] and [`crate::decision::capacity::second_target`], which
+//! document the units and ages of their own inputs.
 //!
 //! **Why.** Room is checked after affinity, since a cached object is worth a short wait, and
 //! before caps, since a move must not be charged for a target that turns out to have no room.
 //!
 //! **Guards** the promise that `why` names the target a request gets: both run `Choice` and
-//! differ only in the cap charge and the requests in flight. A dry charge allows a move where a
-//! request that came now could pay for it.
+//! differ only in the cap charge and the requests in flight. A dry run allows a move if a request
+//! that came now could withdraw it from the caps' credit.
 //!
 //! **Constants**: none; those of each rule are in its module.
 //!
@@ -77,7 +77,7 @@
 }
 
 /// The verdict on each target of the service, ranked targets first and in order of preference.
-/// Nothing is sent, and caps earn and spend nothing where `query.matched_policies` was made with
+/// Nothing is sent, and no cap's credit changes if `query.matched_policies` was made with
 /// [`CapCharge::dry_run`](crate::policy::CapCharge::dry_run).
 pub fn explain(routing: &Routing, config: &Config, query: &Query<'_>) -> Vec<(Rc<Target>, Verdict)> {
     Explanation::new(routing, config, query).verdicts
@@ -96,8 +96,8 @@
     paused: Option<(&'a Rc<Target>, Duration)>,
     /// Load limit of the preferred target, requests per slot.
     max_load: f64,
-    /// Load limit of the preferred target where no other has room, requests per slot; `None` where
-    /// instances do not share loads.
+    /// Load limit up to which the request queues at the preferred target if no other has room,
+    /// requests per slot; `None` if instances do not share loads.
     max_queued_load: Option<f64>,
     /// Load limit of the other targets, requests per slot.
     second_target_max_load: f64,
@@ -164,7 +164,7 @@
     }
 
     fn add_paused(&mut self, target: &'a Rc<Target>) {
-        // A pause that has run out still excludes the target while a probe is under way.
+        // A pause that has run out still excludes the target while a probe is in progress.
         let remaining = target.pause_remaining(self.query.now).unwrap_or_default();
         if self.paused.is_none_or(|(_, first)| remaining < first) {
             self.paused = Some((target, remaining));
@@ -273,7 +273,7 @@
         self.ranking.preferred().is_some_and(|preferred| preferred.key == target.key)
     }
 
-    /// The result for a chosen target. Notes the policies that led to it, for the access log and `why`.
+    /// The result for a chosen target. Records the policies that led to it, for the access log and `why`.
     fn select(&self, target: &Rc<Target>) -> ChosenTarget {
         if let Some(policies) = self.query.matched_policies {
             policies.record_choice(target.matching_policies(policies.policies()));
--- a/src/decision/selection/directory.rs
+++ b/src/decision/selection/directory.rs
@@ -3,7 +3,7 @@
 //! answer names a random sample of these, each instance with a probability proportional to its weight.
 //!
 //! **Inputs**
-//! - The caller's region, from its question; empty where it does not give one.
+//! - The caller's region, from its request; empty if it does not give one.
 //! - The members, their regions and their machines' capacity; as old as the view, whose age is not
 //!   bounded while the store is unreachable. A member leaves the view when its lease runs out, `LEASE`
 //!   (2.6 s, or the store's shortest lease if longer) after its last renewal.
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -6,9 +6,9 @@
 //!
 //! | reason | input | how old it may be |
 //! |---|---|---|
-//! | invalid | the entry at the target's key | as the view |
-//! | draining | the target's registration | as the view: current to 1.3 s while store or relay answers, older while they do not |
-//! | leaving | what the target announced in its answers ([`crate::decision::registry::signals`]) | exact; from other instances 0.6 s |
+//! | invalid | the value at the target's key | as the view |
+//! | draining | the target's registration | as the view: at most 1.3 s while the store or a relay responds, older while neither does |
+//! | leaving | what the target announced in its responses ([`crate::decision::registry::signals`]) | exact; if announced to other instances, 0.6 s |
 //! | expired | the end of its grace ([`crate::decision::registry::grace`]) | no age: a time |
 //! | region not allowed | the allowed regions of the route and of the caller's tenant, from the configuration in force | as the view |
 //! | evacuated | the evacuation of its hall | as the view |
@@ -16,8 +16,8 @@
 //! | ejected | failures that this instance observed ([`crate::decision::failure::ejection`]) | since the last success |
 //! | tried | targets that this request was already sent to | exact |
 //! | denied, not allowed, drained | the operators' policies in force | as the view |
-//! | slow | latency and silence ([`crate::decision::failure::latency`]); the median of the service, seconds | median 0.5 s |
-//! | limited | the target's rate limit ([`crate::decision::capacity::rate_limit`]) | what it announced last 0.6 s, the share 1 s |
+//! | slow | latency, and time since the last response ([`crate::decision::failure::latency`]); the median of the service, seconds | median 0.5 s |
+//! | limited | the target's rate limit ([`crate::decision::capacity::rate_limit`]) | the limit 0.6 s, the admit ratio 1 s |
 //! | cold | slow start ([`crate::decision::capacity::slow_start`]) | view below 1.3 s, members unchanged for 2 s |
 //!
 //! **Why.** Registration, region and evacuation are checked first, then ejection and earlier
@@ -40,21 +40,21 @@
 /// Why a target may not be used for a request now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Exclusion {
-    /// The entry at its key cannot be read, or lacks a required field.
+    /// The value at its key cannot be read, or lacks a required field.
     Invalid,
     /// Its registration has the state draining, or has expired.
     Draining,
-    /// It announced in an answer that it is leaving.
+    /// It announced in a response that it is leaving.
     Leaving,
     /// Its hall is evacuated.
     Evacuated,
     /// The route or the tenant does not allow its region.
     RegionNotAllowed,
-    /// A deny policy selects it.
+    /// A deny policy matches it.
     Denied,
-    /// Allow policies select the request, and none of them the target.
+    /// Allow policies match the request, and none of them matches the target.
     NotAllowed,
-    /// A drain policy selects it.
+    /// A drain policy matches it.
     Drained,
     /// It failed, and is ejected for some time.
     Ejected,
--- a/src/decision/selection/instance_weight.rs
+++ b/src/decision/selection/instance_weight.rs
@@ -1,7 +1,7 @@
 //! Weight of an instance: how many callers it gets relative to the others of its region.
 //!
-//! **Load.** Callers choose an instance at random, and machines differ: without weights the weakest are
-//! full while the strongest are idle.
+//! **Load pattern**: callers choose an instance at random, and machines differ: without weights the
+//! weakest are full while the strongest are idle.
 //!
 //! **Inputs**
 //! - Processor and link capacity of each instance, from its registration; as old as the view. An instance
@@ -12,7 +12,7 @@
 //! second of its processor or of its link, whichever is lower. Its share is bounded, since it is also the
 //! share of callers that is affected when the instance fails.
 //!
-//! Owns nothing, depends on nothing.
+//! Owns nothing. Relies on no other rule.
 //!
 //! **Test**: `tests/instance_weight.rs`.
 
@@ -20,7 +20,7 @@
 
 /// Processor time of a request, seconds; makes processor and link capacity comparable.
 const CPU_SECONDS_PER_REQUEST: f64 = 0.000_5;
-/// Largest share of a region's callers that one instance gets where there are enough others, since
+/// Maximum share of a region's callers that one instance gets if there are enough others, since
 /// this share is affected when the instance fails.
 pub const MAX_SHARE: f64 = 0.2;
 /// Weights below this count as 1: callers close connections to an instance that an answer no longer
--- a/src/decision/selection/mod.rs
+++ b/src/decision/selection/mod.rs
@@ -1,7 +1,8 @@
 //! Which targets may be chosen for a request and in which order, which service of a split, and which
 //! instances the directory names.
 //!
-//! Owns only the request counts of split routes. The tables of [`crate::decision`] state the promise of each rule.
+//! Owns only the request counts of split routes. The tables of [`crate::decision`] list the promise of
+//! each rule.
 
 pub mod affinity;
 pub mod cap_moves;
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -41,7 +41,7 @@
     pub slow_start: Option<SlowStartShare<'a>>,
     /// Whether the instances share the loads that targets report to them.
     pub has_shared_loads: bool,
-    /// The operators' policies that select the request; `None` where none does.
+    /// The operators' policies that match the request; `None` if none does.
     pub matched_policies: Option<&'a MatchedPolicies<'a>>,
     /// The targets that earlier tries of the request were sent to.
     pub tried: &'a [TargetKey],
@@ -60,7 +60,7 @@
         Urgency { tenant: self.tenant.map_or(0, |tenant| tenant.priority), route: self.route.priority }
     }
 
-    /// The verdict of the operators' policies on a target; `None` where none selects the request.
+    /// The verdict of the operators' policies on a target; `None` if none matches the request.
     pub fn policy_verdict(&self, target: &Target) -> Option<PolicyVerdict> {
         self.matched_policies.map(|policies| policies.verdict(target.matching_policies(policies.policies())))
     }
--- a/src/decision/selection/region_weight.rs
+++ b/src/decision/selection/region_weight.rs
@@ -25,13 +25,13 @@
 use std::collections::{HashMap, HashSet};
 use std::rc::Rc;
 
-/// Smallest factor on the weight of targets in the own region (no unit). Also the factor for second
+/// Minimum factor on the weight of targets in the own region (no unit). Also the factor for second
 /// targets, and for regions of which nothing is known.
 pub const MIN_WEIGHT: f64 = 4.0;
 /// Share of the capacity of a region's slots that is planned to be used (no unit): the rest is needed
 /// for waves of demand and for lost targets.
 const PLANNED_UTILIZATION: f64 = 0.8;
-/// Largest share of a region's requests that go to its own targets (no unit). The rest keeps some
+/// Maximum share of a region's requests that go to its own targets (no unit). The rest keeps some
 /// keys cached elsewhere.
 const MAX_OWN_REGION_SHARE: f64 = 0.95;
 
--- a/src/decision/selection/request_size.rs
+++ b/src/decision/selection/request_size.rs
@@ -8,7 +8,7 @@
 //! **Why.** Whether the processor or the link of a machine limits its request rate depends on the size
 //! of requests, which no setting states.
 //!
-//! Owns the average, which is lost with the process. Depends on nothing.
+//! Owns the average, which is lost with the process. Relies on no other rule.
 //!
 //! **Test**: `tests/instance_weight.rs`.
 
--- a/src/decision/selection/split.rs
+++ b/src/decision/selection/split.rs
@@ -27,15 +27,12 @@
 
 /// Number of requests over which counts decay to about a third. Shares are judged over 300 requests or
 /// more, and the counts have to settle well within that.
-///
-/// Halving or doubling it changes the outcome of no simulated day; the tests of splits bound it.
 const DECAY_REQUESTS: f64 = 150.0;
 /// Counted requests from which the full correction applies; with fewer it is reduced in proportion,
 /// since small counts are unreliable. A quarter of `DECAY_REQUESTS`.
 const FULL_CORRECTION_REQUESTS: f64 = DECAY_REQUESTS / 4.0;
-/// Factor by which a counted deviation from the share is corrected (no unit).
-///
-/// Halving or doubling it changes the outcome of no simulated day; the tests of splits bound it.
+/// Factor by which a counted deviation from the share is corrected (no unit). The tests of splits
+/// bound it.
 const CORRECTION_GAIN: f64 = 4.0;
 /// Seed of the hash that places a key within a split, so that it is independent of other
 /// hashes. Any number will do, but it must be the same in all instances.
@@ -74,7 +71,7 @@
         &route.services[pick_by_weight(&corrected, unit_interval(affinity, SPLIT_SEED))]
     }
 
-    /// Drops the counts of routes that no longer exist.
+    /// Drops the counts of routes for which `is_kept` does not hold.
     pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
         self.routes.retain(|name, _| is_kept(name));
     }
