--- a/src/decision/quota/equal_share.rs
+++ b/src/decision/quota/equal_share.rs
@@ -33,8 +33,8 @@
     /// Number of instances by which the quota is divided: at least 1, and at least 100 while this one is
     /// not a member.
     pub fn instances(self) -> f64 {
-        let least = if self.is_member { 1 } else { DEFAULT_FLEET_SIZE };
-        self.members.max(least) as f64
+        let min_instances = if self.is_member { 1 } else { DEFAULT_FLEET_SIZE };
+        self.members.max(min_instances) as f64
     }
 }
 
@@ -46,7 +46,7 @@
 }
 
 impl EqualShare {
-    /// Takes a token for a request; false where none is left. `quota` is that of all instances together.
+    /// Takes a token for a request; false if none is left. `quota` is that of all instances together.
     pub fn try_take(&mut self, quota: Quota, fleet: FleetSize, now: Instant) -> bool {
         let max_tokens = (quota.burst / fleet.instances()).max(1.0);
         let elapsed = self.updated_at.map_or(0.0, |updated_at| now.saturating_duration_since(updated_at).as_secs_f64());
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -1,5 +1,5 @@
 //! Admission by quota: an instance admits a tenant's requests, evenly spaced, at the ratio that the
-//! head of its hall last answered. It admits only its equal share of the quota
+//! head of its hall returned in its last answer. It admits only its equal share of the quota
 //! ([`super::equal_share`]) while the answer is too old, or once too many requests were admitted since.
 //!
 //! **Inputs**
@@ -26,13 +26,13 @@
 /// Age of an answer up to which its ratios apply: four times the report interval, so that one lost
 /// report and the change to another head have no effect.
 pub const MAX_ANSWER_AGE: Duration = Duration::from_secs(1);
-/// Least number of a tenant's unreported requests that is reported at once, however few are usual:
+/// Minimum number of a tenant's unreported requests that is reported at once, however few are usual:
 /// with a lower one, most reports of small tenants would be sent at once.
 const MIN_SURGE_REQUESTS: f64 = 2.0;
 /// Factor on a tenant's usual requests between two reports from which its requests are reported at once.
 const SURGE_FACTOR: f64 = 2.0;
-/// Factor on the number that is reported at once, up to which requests are admitted before an answer,
-/// and least such limit: as many reports as may fail while an answer applies.
+/// Limit on the requests that are admitted before the next answer: this factor times the number that is
+/// reported at once, but at least [`MIN_UNANSWERED`]. As many reports may fail while an answer applies.
 const UNANSWERED_FACTOR: f64 = 5.0;
 /// See [`UNANSWERED_FACTOR`].
 const MIN_UNANSWERED: f64 = 8.0;
@@ -44,13 +44,13 @@
 /// Requests of a tenant that are admitted before the first answer: all instances may be starting, and
 /// none of them knows what was admitted before.
 const MAX_BEFORE_FIRST_ANSWER: f64 = 3.0;
-/// Most that a tenant's admit ratio rises with one answer: to this factor times the last one plus
-/// [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
+/// Maximum to which a tenant's admit ratio rises with one answer: this factor times the last ratio,
+/// plus [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
 const RATIO_RISE_FACTOR: f64 = 1.5;
 /// See [`RATIO_RISE_FACTOR`].
 const RATIO_RISE_STEP: f64 = 0.1;
 /// Weight of the last answered report in the average number of requests in a report (no unit).
-const AVERAGE_WEIGHT: f64 = 0.3;
+const SMOOTHING_FACTOR: f64 = 0.3;
 
 /// Decision on a request by its tenant's quota.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -102,14 +102,14 @@
     /// Whether as many requests were admitted as are allowed before the next answer.
     fn is_unanswered_limit_reached(&self, is_first: bool) -> bool {
         let admitted = self.unreported.admitted.saturating_add(self.in_report.admitted);
-        let most = match (is_first, self.admit_ratio < 1.0) {
+        let max_admitted = match (is_first, self.admit_ratio < 1.0) {
             (true, _) => MAX_BEFORE_FIRST_ANSWER,
             (false, true) => {
                 (LIMITED_UNANSWERED_FACTOR * self.admit_ratio * self.surge_threshold()).max(MIN_LIMITED_UNANSWERED)
             }
             (false, false) => (UNANSWERED_FACTOR * self.surge_threshold()).max(MIN_UNANSWERED),
         };
-        f64::from(admitted) >= most
+        f64::from(admitted) >= max_admitted
     }
 
     fn take_credit(&mut self) -> bool {
@@ -220,10 +220,10 @@
         self.admit_ratios = answer.passes.iter().map(|(name, ratio)| (name.clone(), clamped(*ratio))).collect();
         for (name, usage) in &mut self.tenants {
             let in_report = std::mem::take(&mut usage.in_report);
-            usage.average_offered += AVERAGE_WEIGHT * (f64::from(in_report.offered) - usage.average_offered);
+            usage.average_offered += SMOOTHING_FACTOR * (f64::from(in_report.offered) - usage.average_offered);
             // A new head may not know yet of a tenant whose ratio its predecessor had reduced.
-            let most = RATIO_RISE_FACTOR * usage.admit_ratio + RATIO_RISE_STEP;
-            usage.admit_ratio = self.admit_ratios.get(&**name).copied().unwrap_or(1.0).min(most);
+            let max_ratio = RATIO_RISE_FACTOR * usage.admit_ratio + RATIO_RISE_STEP;
+            usage.admit_ratio = self.admit_ratios.get(&**name).copied().unwrap_or(1.0).min(max_ratio);
         }
     }
 
@@ -233,14 +233,14 @@
         self.answered_at.map(|at| now.saturating_duration_since(at))
     }
 
-    /// Part of the tenant's requests that the last answer admits, 0 to 1; 1 where it does not name the
+    /// Part of the tenant's requests that the last answer admits, 0 to 1; 1 if it does not name the
     /// tenant.
     pub fn admit_ratio(&self, tenant: &str) -> f64 {
         self.admit_ratios.get(tenant).copied().unwrap_or(1.0)
     }
 
-    /// Removes the tenants for which `is_there` does not hold.
-    pub fn retain(&mut self, is_there: impl Fn(&str) -> bool) {
-        self.tenants.retain(|name, _| is_there(name));
+    /// Removes the tenants for which `is_kept` does not hold.
+    pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
+        self.tenants.retain(|name, _| is_kept(name));
     }
 }
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -190,10 +190,10 @@
         InFlight::new(self.clone())
     }
 
-    /// Records a valid response that took `took`.
-    pub fn record_success(&self, took: Duration, now: Instant) {
+    /// Records a valid response that arrived after `elapsed`.
+    pub fn record_success(&self, elapsed: Duration, now: Instant) {
         self.ejection.borrow_mut().record_success();
-        self.record_latency(took, now);
+        self.record_latency(elapsed, now);
     }
 
     /// Records a failure of the target on a request sent at `sent`; returns the length of the
@@ -202,7 +202,7 @@
         self.ejection.borrow_mut().record_failure(sent, now)
     }
 
-    /// Records that another target answers at its address: this start has ended.
+    /// Records that another target responds at its address: this start has ended for good.
     pub fn mark_replaced(&self) {
         self.ejection.borrow_mut().mark_replaced();
         self.pool.clear();
@@ -213,9 +213,9 @@
         self.ejection.borrow().is_ejected(self.in_flight(), now)
     }
 
-    /// Records the latency of a response, or the time after which none had arrived.
-    pub fn record_latency(&self, took: Duration, now: Instant) {
-        self.latency.borrow_mut().record(took, now);
+    /// Records that a response arrived after `elapsed`, or that none had arrived by then.
+    pub fn record_latency(&self, elapsed: Duration, now: Instant) {
+        self.latency.borrow_mut().record(elapsed, now);
     }
 
     /// Moving average of its latency, seconds; `None` before the first response.
@@ -269,17 +269,17 @@
         self.slow_start.borrow().is_active(now)
     }
 
-    /// Whether this instance may send it a request while it is cold. `members_at` is when the members
-    /// last changed, `shared` the rate of all instances together, requests per second, and `own_rate`
-    /// gives this instance's part of it.
+    /// Whether this instance may send it a request while it is cold. `members_changed_at` is when the
+    /// members last changed, `shared_rate` the rate of all instances together, requests per second, and
+    /// `member_share` computes this instance's share of it.
     pub fn may_send_in_slow_start(
         &self,
-        members_at: Instant,
-        shared: u32,
-        own_rate: impl FnOnce(u32) -> u32,
+        members_changed_at: Instant,
+        shared_rate: u32,
+        member_share: impl FnOnce(u32) -> u32,
         now: Instant,
     ) -> bool {
-        self.slow_start.borrow_mut().may_send(members_at, shared, own_rate, now)
+        self.slow_start.borrow_mut().may_send(members_changed_at, shared_rate, member_share, now)
     }
 
     /// Keeps it until `until` although its registration is missing.
