--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -66,7 +66,7 @@
         // -1 stands for a view that was never proven.
         metrics.view_age.set(instance.store_copy.view_age().map_or(-1, |age| age.as_millis() as i64));
         metrics.weight.set(operator::own_weight(instance).map_or(0, |weight| (weight * 100.0) as i64));
-        let at = instance.store_copy.view().at();
+        let at = instance.store_copy.view().position();
         metrics.view_revision.set(at.revision as i64);
         metrics.view_era.set(at.era.0 as i64);
         Response::new(ResponseBody::buffered(metrics.text()))
--- a/src/operator/quotas.rs
+++ b/src/operator/quotas.rs
@@ -11,7 +11,7 @@
     let routing = instance.routing.borrow();
     let Some(config) = &routing.config else { return Vec::new() };
     let settings = instance.settings();
-    let (own, totals) = (instance.quotas.own(), instance.quotas.totals());
+    let (own, totals) = (instance.quotas.local_usage(), instance.quotas.totals());
     let now = Instant::now();
     let answer_age_ms = own.answer_age(now).map(|age| age.as_millis() as u64);
     let is_head = totals.is_head(now);
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -54,7 +54,7 @@
     /// retry budget.
     pub fn new(request: &'a CallerRequest<'a, P>, body: IncomingBody) -> Self {
         let choice = TargetChoice::new(request);
-        request.instance.retries.borrow_mut().deposit(choice.service());
+        request.instance.retry_budgets.borrow_mut().deposit(choice.service());
         Self { request, choice, body, tries: FailedTries::default(), tried: Vec::new() }
     }
 
@@ -142,7 +142,7 @@
     /// Withdraws one retry from the budget; false if the balance is too low.
     fn withdraw_retry(&self) -> bool {
         let instance = self.request.instance;
-        let is_granted = instance.retries.borrow_mut().withdraw(self.choice.service(), rand::random());
+        let is_granted = instance.retry_budgets.borrow_mut().withdraw(self.choice.service(), rand::random());
         let counter = if is_granted { &instance.metrics.retries } else { &instance.metrics.retries_denied };
         counter.inc();
         is_granted
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -44,7 +44,7 @@
     pub fn new<P: Platform>(instance: &Instance<P>) -> Self {
         Self {
             limits: HeldAnswerLimits::for_memory(instance.settings.borrow().memory),
-            total: instance.requests.buffer_counter().clone(),
+            total: instance.requests.buffer_total().clone(),
             broken: instance.metrics.answers_broken.clone(),
         }
     }
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -52,7 +52,7 @@
         body: CallerBody,
         deadline: Instant,
     ) -> Result<IncomingBody, Refusal> {
-        let mut buffered = BufferedBytes::new(instance.requests.buffer_counter());
+        let mut buffered = BufferedBytes::new(instance.requests.buffer_total());
         let CallerBody::Streamed(mut incoming) = body else {
             return Ok(IncomingBody::Buffered { bytes: Bytes::new(), _buffered: buffered });
         };
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -73,7 +73,7 @@
     /// Request counts of the routes with a traffic split.
     pub splits: RefCell<TrafficSplits>,
     /// Retry budgets by service.
-    pub retries: RefCell<RetryBudgets>,
+    pub retry_budgets: RefCell<RetryBudgets>,
     /// Usage of the tenants' quotas.
     pub quotas: Quotas,
     /// Loads of targets that instances exchange.
@@ -103,7 +103,7 @@
         let store_copy = StoreCopy::new(store.latest_era());
         Self {
             routing: RefCell::new(Routing::new(settings.halls.clone())),
-            retries: RefCell::new(RetryBudgets::new(settings.retry_ratio, settings.retry_slack, 1)),
+            retry_budgets: RefCell::new(RetryBudgets::new(settings.retry_ratio, settings.retry_slack, 1)),
             settings: RefCell::new(Rc::new(settings)),
             store,
             names: P::headers(),
@@ -167,11 +167,11 @@
 
     /// Applies a list of the store's items; `source` is for the log.
     pub fn apply_listing(&self, listing: Listing, source: &'static str) {
-        let before = self.store_copy.view().at();
+        let before = self.store_copy.view().position();
         let policies_before = self.store_copy.view().item(P::policies_key()).cloned();
         let is_first = before == Position::default();
         let changes = self.store_copy.apply_listing(listing);
-        let at = self.store_copy.view().at();
+        let at = self.store_copy.view().position();
         let state_changes = match !is_first && at.era > before.era {
             true => {
                 policies_before.into_iter().for_each(|item| self.lost_policies.add(item.value));
@@ -180,7 +180,7 @@
             false => self.apply_changes(&changes),
         };
         if is_first {
-            self.change_log.write_first_view(&state_changes, self.store_copy.view().at().revision, source);
+            self.change_log.write_first_view(&state_changes, self.store_copy.view().position().revision, source);
         } else {
             self.log_changes(&state_changes, source);
         }
@@ -224,7 +224,7 @@
     }
 
     fn log_changes(&self, state_changes: &[StateChange], source: &'static str) {
-        let revision = self.store_copy.view().at().revision;
+        let revision = self.store_copy.view().position().revision;
         for state_change in state_changes {
             self.change_log.write(state_change, revision, source);
         }
@@ -254,7 +254,7 @@
         let Some(config) = &routing.config else { return };
         let split = config.split_routes();
         self.splits.borrow_mut().retain(|name| split.contains(name));
-        self.retries.borrow_mut().retain(|service| config.services.contains_key(service));
+        self.retry_budgets.borrow_mut().retain(|service| config.services.contains_key(service));
         self.quotas.set_tenants(&config.tenants);
         // Counts restart with each version, so that removed tenants leave no metric labels.
         self.metrics.quota_requests.reset();
@@ -283,6 +283,6 @@
     fn update_retry_bounds(&self) {
         let members = self.routing.borrow().members.count();
         let settings = self.settings();
-        self.retries.borrow_mut().set_bounds(settings.retry_ratio, settings.retry_slack, members);
+        self.retry_budgets.borrow_mut().set_bounds(settings.retry_ratio, settings.retry_slack, members);
     }
 }
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -19,18 +19,18 @@
 /// Usage of the tenants' quotas.
 #[derive(Debug, Default)]
 pub struct Quotas {
-    own: RefCell<LocalUsage>,
+    local_usage: RefCell<LocalUsage>,
     totals: RefCell<UsageTotals>,
     /// Whether a tenant of the configuration in force has a quota.
-    is_needed: Cell<bool>,
+    has_quotas: Cell<bool>,
     report_due: Notify,
     forward_due: Notify,
 }
 
 impl Quotas {
     /// Whether a tenant of the configuration in force has a quota.
-    pub fn is_needed(&self) -> bool {
-        self.is_needed.get()
+    pub fn has_quotas(&self) -> bool {
+        self.has_quotas.get()
     }
 
     /// Whether this instance received reports recently, so that it is the head of other instances.
@@ -51,24 +51,24 @@
     /// Starts a report: the unreported usage of this instance by tenant, and the time span in which
     /// the requests arrived.
     pub fn begin_report(&self) -> (Vec<(String, Usage)>, Duration) {
-        let (mut own, now) = (self.own.borrow_mut(), Instant::now());
-        let over = own.unreported_for(now);
-        (own.begin_report(now), over)
+        let (mut usage, now) = (self.local_usage.borrow_mut(), Instant::now());
+        let period = usage.unreported_for(now);
+        (usage.begin_report(now), period)
     }
 
     /// Completes a report that was counted, but whose answer is not to be used.
     pub fn forget_report(&self) {
-        self.own.borrow_mut().forget_report();
+        self.local_usage.borrow_mut().forget_report();
     }
 
     /// Restores the usage of a report that was not answered.
     pub fn restore_report(&self) {
-        self.own.borrow_mut().restore_report();
+        self.local_usage.borrow_mut().restore_report();
     }
 
     /// Applies the head's answer to a report of usage.
     pub fn take_answer(&self, answer: &UsageAnswer) {
-        self.own.borrow_mut().take_answer(answer, Instant::now());
+        self.local_usage.borrow_mut().take_answer(answer, Instant::now());
     }
 
     /// Starts a report to another hall: its usage by tenant, and the time span in which the requests
@@ -85,13 +85,13 @@
     /// Returns the quota of an admitted request that no target executed.
     pub fn release(&self, tenant: &Tenant) {
         if tenant.quota.is_some() {
-            self.own.borrow_mut().release(&tenant.name);
+            self.local_usage.borrow_mut().release(&tenant.name);
         }
     }
 
     /// Usage of this instance, for operators.
-    pub fn own(&self) -> Ref<'_, LocalUsage> {
-        self.own.borrow()
+    pub fn local_usage(&self) -> Ref<'_, LocalUsage> {
+        self.local_usage.borrow()
     }
 
     /// The totals that this instance keeps as a head, for operators.
@@ -101,9 +101,9 @@
 
     /// Adopts the tenants of a configuration that comes into force; drops the usage of others.
     pub(super) fn set_tenants(&self, tenants: &Tenants) {
-        self.is_needed.set(tenants.iter().any(|tenant| tenant.quota.is_some()));
+        self.has_quotas.set(tenants.iter().any(|tenant| tenant.quota.is_some()));
         let has_quota = |name: &str| tenants.find_by_name(name).is_some_and(|tenant| tenant.quota.is_some());
-        self.own.borrow_mut().retain(has_quota);
+        self.local_usage.borrow_mut().retain(has_quota);
         self.totals.borrow_mut().retain(has_quota);
     }
 }
@@ -113,10 +113,10 @@
     pub fn admit(&self, tenant: &Tenant) -> Admission {
         let Some(quota) = tenant.quota else { return Admission::Admitted };
         let fleet = self.fleet_size();
-        let mut own = self.quotas.own.borrow_mut();
-        let admission = own.admit(&tenant.name, quota, fleet, rand::random(), Instant::now());
+        let mut usage = self.quotas.local_usage.borrow_mut();
+        let admission = usage.admit(&tenant.name, quota, fleet, rand::random(), Instant::now());
         self.metrics.count_quota(&tenant.name, admission == Admission::Admitted);
-        if own.has_surge(&tenant.name) {
+        if usage.has_surge(&tenant.name) {
             self.quotas.report_due.notify_one();
         }
         admission
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -92,7 +92,7 @@
 
     /// The counter of these bytes, for guards that add what they hold and subtract it when they are
     /// dropped.
-    pub fn buffer_counter(&self) -> &Rc<BufferTotal> {
+    pub fn buffer_total(&self) -> &Rc<BufferTotal> {
         &self.buffered_bytes
     }
 }
--- a/src/state/store_copy.rs
+++ b/src/state/store_copy.rs
@@ -51,12 +51,12 @@
     /// Whether the view is from an earlier era than the latest known one, so that the store has to
     /// be listed again.
     pub fn is_superseded(&self) -> bool {
-        self.view().at().era < self.latest_era.get()
+        self.view().position().era < self.latest_era.get()
     }
 
     /// Completes once a later era than that of the current view is known.
     pub async fn superseded(&self) {
-        let era = self.view().at().era;
+        let era = self.view().position().era;
         self.latest_era.advanced_past(era).await;
     }
 
@@ -104,7 +104,7 @@
     /// Records a proof that the view was current `age` ago. It is ignored unless the era of the
     /// response is both that of the view and the latest known one.
     pub fn record_proof(&self, proof: Proof, age: Duration, era: Era) {
-        if era != self.view().at().era || self.is_superseded() {
+        if era != self.view().position().era || self.is_superseded() {
             return;
         }
         self.freshness.record_proof(proof, age);
@@ -155,7 +155,7 @@
 
     /// Logs if the view has become stale or is current again.
     pub fn log_freshness(&self) {
-        self.freshness.log_change(self.view().at());
+        self.freshness.log_change(self.view().position());
     }
 
     /// Whether the store counts as lost, see [`StoreHealth::is_lost`].
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -28,7 +28,7 @@
 
 impl StoreView {
     /// The position up to which changes are included.
-    pub fn at(&self) -> Position {
+    pub fn position(&self) -> Position {
         self.at
     }
 
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -65,7 +65,7 @@
 pub async fn wait_until_watch_is_lost<P: Platform>(instance: &Instance<P>) {
     let started_at = Instant::now();
     let lost = detect_lost_watch(instance).await;
-    let (waited_ms, after) = (started_at.elapsed().as_millis() as u64, instance.store_copy.view().at().revision);
+    let (waited_ms, after) = (started_at.elapsed().as_millis() as u64, instance.store_copy.view().position().revision);
     match lost {
         LostWatch::Behind { at: Position { era, revision } } => {
             tracing::warn!(event = "watch_lost", reason = "behind", waited_ms, after, revision, era = era.0);
@@ -107,10 +107,10 @@
 /// proof in the first case.
 async fn confirm<P: Platform>(instance: &Instance<P>, at: Position, sent_at: Instant) -> bool {
     let copy = &instance.store_copy;
-    if copy.view().at() < at {
+    if copy.view().position() < at {
         sleep(DELIVERY_TIME).await;
     }
-    if copy.view().at() < at {
+    if copy.view().position() < at {
         return copy.is_receiving_directly();
     }
     copy.record_proof(Proof::Read, sent_at.elapsed(), at.era);
--- a/src/sync/peers/change_set.rs
+++ b/src/sync/peers/change_set.rs
@@ -99,7 +99,7 @@
     /// events, since it rejects those of an earlier one.
     pub fn after<P: Platform>(instance: &Instance<P>, after: PeerPosition) -> Self {
         let view = instance.store_copy.view();
-        let Position { era, revision } = view.at();
+        let Position { era, revision } = view.position();
         // An empty view can move to an era only by a full view.
         let needs_full_view = after.revision == 0 && !era.is_unknown();
         let is_same_era = after.era.map_or(!needs_full_view, |after| after == era);
--- a/src/sync/peers/connection.rs
+++ b/src/sync/peers/connection.rs
@@ -148,7 +148,7 @@
 impl PeerRequest {
     /// A request for the changes that a copy of the store lacks.
     pub fn for_copy(copy: &StoreCopy) -> Self {
-        Self { after: copy.view().at(), latest_era: copy.latest_era().get() }
+        Self { after: copy.view().position(), latest_era: copy.latest_era().get() }
     }
 
     /// Path and query of the request. The eras are omitted if the store reports none.
--- a/src/sync/peers/response_cache.rs
+++ b/src/sync/peers/response_cache.rs
@@ -43,7 +43,7 @@
 impl ResponseCache {
     /// The changes after a peer's position, compressed from `gzip::MIN_SIZE` on.
     pub fn compressed<P: Platform>(&self, instance: &Instance<P>, after: PeerPosition) -> ChangesBody {
-        let at = instance.store_copy.view().at();
+        let at = instance.store_copy.view().position();
         if let Some(body) = self.find(after, at) {
             return body;
         }
--- a/src/sync/peers/serve.rs
+++ b/src/sync/peers/serve.rs
@@ -76,7 +76,7 @@
 async fn wait_for_change<P: Platform>(instance: &Instance<P>, after: PeerPosition) {
     loop {
         let changed = instance.store_copy.changed();
-        let at = instance.store_copy.view().at();
+        let at = instance.store_copy.view().position();
         if at > (Position { era: after.era.unwrap_or(at.era), revision: after.revision }) {
             return;
         }
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -203,7 +203,7 @@
             self.failures = 0;
             self.watch_store_until = Some(now + RELAY_RETRY_DELAY);
         }
-        log_left(relay, error, instance.store_copy.view().at().revision, now - sent_at);
+        log_left(relay, error, instance.store_copy.view().position().revision, now - sent_at);
     }
 
     async fn request_changes<P: Platform>(
--- a/src/sync/start.rs
+++ b/src/sync/start.rs
@@ -80,7 +80,7 @@
             // standard error.
             Some(Ok((seed, changes))) = requests.join_next() => {
                 if apply_view(instance, changes) {
-                    let revision = instance.store_copy.view().at().revision;
+                    let revision = instance.store_copy.view().position().revision;
                     tracing::info!(event = "started_from_seed", %seed, revision);
                     return InitialView { seed: Some(seed), has_view: true };
                 }
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -73,7 +73,7 @@
 /// Whether there is something to exchange: a tenant has a quota, or there are so many instances that
 /// each one learns little of targets' loads from its own traffic.
 fn is_needed<P: Platform>(instance: &Instance<P>) -> bool {
-    instance.quotas.is_needed() || instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
+    instance.quotas.has_quotas() || instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
 
 /// Reports to the head of the own hall, or to the next one if that does not answer.
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -107,7 +107,7 @@
 async fn watch<P: Platform>(instance: &Instance<P>, relay_retry_at: Option<Instant>) -> Result<Step, StoreError> {
     instance.metrics.store_calls.with_label_values(&[Step::Watch.as_str()]).inc();
     let sent_at = Instant::now();
-    let after = instance.store_copy.view().at().revision;
+    let after = instance.store_copy.view().position().revision;
     let mut receiving = None;
     let begin = || receiving = Some(instance.store_copy.begin_receiving());
     let response = tokio::select! {
--- a/tests/eras.rs
+++ b/tests/eras.rs
@@ -42,7 +42,7 @@
     let changes = view.replace(list(&[item("a", 1), item("c", 3)], at(2, 4)));
     let deleted = Event::Delete { key: "b".to_owned(), revision: 4 };
     assert_eq!(changes, [deleted, Event::Put(item("c", 3))]);
-    assert_eq!((keys(&view), view.at()), (vec!["a", "c"], at(2, 4)));
+    assert_eq!((keys(&view), view.position()), (vec!["a", "c"], at(2, 4)));
     assert!(view.changes_after(3).is_none(), "a peer gets the full view");
 }
 
@@ -54,7 +54,7 @@
     for other in [at(1, 9), at(3, 9)] {
         assert!(view.apply(vec![Event::Put(item("b", 9))], other).is_empty());
     }
-    assert_eq!((keys(&view), view.at()), (vec!["a"], at(2, 4)));
+    assert_eq!((keys(&view), view.position()), (vec!["a"], at(2, 4)));
 }
 
 #[test]
--- a/tests/freshness_model.rs
+++ b/tests/freshness_model.rs
@@ -220,10 +220,11 @@
 
 /// Brings a peer up to date from the view of a relay, by changes or by a list.
 fn update_from(peer: &mut StoreView, relay: &StoreView) {
-    let changes: Option<Vec<Event>> = relay.changes_after(peer.at().revision).map(|changes| changes.cloned().collect());
+    let changes: Option<Vec<Event>> =
+        relay.changes_after(peer.position().revision).map(|changes| changes.cloned().collect());
     match changes {
-        Some(changes) => drop(peer.apply(changes, relay.at())),
-        None => drop(peer.replace(Listing { items: relay.items().cloned().collect(), at: relay.at() })),
+        Some(changes) => drop(peer.apply(changes, relay.position())),
+        None => drop(peer.replace(Listing { items: relay.items().cloned().collect(), at: relay.position() })),
     }
 }
 
@@ -244,7 +245,7 @@
     relay.replace(Listing { items: vec![item("a", 1), item("z", 3)], at: 2.into() });
     relay.apply(vec![Event::Put(item("z", 3)), deletion("b", 4)], 4.into());
     update_from(&mut peer, &relay);
-    assert_eq!(peer.at(), 4.into());
+    assert_eq!(peer.position(), 4.into());
     assert_eq!(revisions(&peer), revisions(&relay));
 }
 
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -71,7 +71,7 @@
         let last = changes.len() as u64;
         let (mut view, mut peer) = (StoreView::default(), StoreView::default());
         for (kind, fraction) in steps {
-            let before = view.at().revision;
+            let before = view.position().revision;
             let revision = (fraction * (last + 1) as f64) as u64;
             let listing = |at: u64| Listing { items: history.states[at as usize].values().cloned().collect(), at: at.into() };
             let events = |after: u64, to: u64| history.events[after as usize..to.max(after) as usize].to_vec();
@@ -83,13 +83,13 @@
                     let peer_changes: Option<Vec<Event>> =
                         peer.changes_after(before).map(|events| events.cloned().collect());
                     match peer_changes {
-                        Some(peer_changes) => { view.apply(peer_changes, peer.at()); }
-                        None => { view.replace(Listing { items: peer.items().cloned().collect(), at: peer.at() }); }
+                        Some(peer_changes) => { view.apply(peer_changes, peer.position()); }
+                        None => { view.replace(Listing { items: peer.items().cloned().collect(), at: peer.position() }); }
                     }
                 }
             }
-            prop_assert!(view.at().revision >= before);
-            prop_assert_eq!(&items(&view), &history.states[view.at().revision as usize]);
+            prop_assert!(view.position().revision >= before);
+            prop_assert_eq!(&items(&view), &history.states[view.position().revision as usize]);
         }
     }
 
--- a/tests/model/world.rs
+++ b/tests/model/world.rs
@@ -298,15 +298,15 @@
         let position = process.position;
         let version = process.instance.routing.borrow().config.as_ref().map_or(0, |config| config.version);
         let view = process.instance.store_copy.view();
-        let (seen_version, seen_at) = process.seen.replace((version, view.at()));
+        let (seen_version, seen_at) = process.seen.replace((version, view.position()));
         assert!(version >= seen_version, "instance {position} went back from version {seen_version} to {version}");
-        assert!(view.at() >= seen_at, "instance {position} went back from {seen_at:?} to {:?}", view.at());
+        assert!(view.position() >= seen_at, "instance {position} went back from {seen_at:?} to {:?}", view.position());
         let Some(computed) = process.instance.store_copy.view_age() else { return };
         let missing = self.server.missing_since(&view).map(|since| since.elapsed()).unwrap_or_default();
         assert!(
             computed + TOLERANCE >= missing,
             "instance {position} computes an age of {computed:?} for its view at {:?}, but misses a change of {missing:?} ago",
-            view.at()
+            view.position()
         );
     }
 
@@ -315,7 +315,7 @@
         let items = self.server.items();
         let view = process.instance.store_copy.view();
         let known: BTreeMap<_, _> = view.items().map(|item| (item.key.clone(), item.clone())).collect();
-        assert_eq!(known, items, "instance {position} at {:?} has not converged", view.at());
+        assert_eq!(known, items, "instance {position} at {:?} has not converged", view.position());
         let age = process.instance.store_copy.view_age();
         assert!(age.is_some_and(|age| age < MAX_CONVERGED_AGE), "instance {position} computes a view age of {age:?}");
         let routing = process.instance.routing.borrow();
