--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -56,7 +56,7 @@
     }
 
     /// Recomputes the equal shares of all limits; returns whether there is anything to report.
-    pub fn update_limits(&self) -> bool {
+    pub fn update_equal_limit_shares(&self) -> bool {
         let (now, settings, routing) = (Instant::now(), self.settings(), self.routing.borrow());
         let limited: Vec<&Rc<Target>> = routing.targets().filter(|target| target.rate_limit(now).is_some()).collect();
         for target in &limited {
@@ -68,13 +68,13 @@
     }
 
     /// The report to the head of this instance's hall.
-    pub fn limit_report(&self) -> LimitReport {
+    pub fn take_limit_report(&self) -> LimitReport {
         let (now, settings) = (Instant::now(), self.settings());
         let demand = |target: &Rc<Target>| {
-            let leaves = target.is_leaving();
-            let (announced, demand) = target.take_limit_report(now).or(leaves.then_some((None, 0.0)))?;
-            let told = announced.and_then(|limit| limit_to_message(limit, now));
-            Some(TargetDemand { target: target.start_key, told, demand: demand as f32, leaves })
+            let is_leaving = target.is_leaving();
+            let (announced, demand) = target.take_limit_report(now).or(is_leaving.then_some((None, 0.0)))?;
+            let limit = announced.and_then(|limit| limit_to_message(limit, now));
+            Some(TargetDemand { target: target.start_key, told: limit, demand: demand as f32, leaves: is_leaving })
         };
         let routing = self.routing.borrow();
         LimitReport {
@@ -86,7 +86,7 @@
     }
 
     /// The report to the heads of other halls.
-    pub fn forwarded_limits(&self) -> LimitReport {
+    pub fn limit_report_for_halls(&self) -> LimitReport {
         let settings = self.settings();
         LimitReport {
             from: settings.name.clone(),
@@ -108,7 +108,7 @@
     }
 
     /// Applies the shares in the answer of a head.
-    pub fn apply_limit_shares(&self, answer: &LimitAnswer) {
+    pub fn apply_limit_answer(&self, answer: &LimitAnswer) {
         let now = Instant::now();
         let by_target: HashMap<StartKey, &TargetShare> =
             answer.shares.iter().map(|share| (share.target, share)).collect();
--- a/src/state/store_copy.rs
+++ b/src/state/store_copy.rs
@@ -28,7 +28,7 @@
     /// Whether the relay reported that it is receiving a response with changes.
     relay_receiving: Cell<bool>,
     changed: Notify,
-    confirmed: Notify,
+    proof_recorded: Notify,
     reachable_again: Notify,
 }
 
@@ -108,7 +108,7 @@
             return;
         }
         self.freshness.record_proof(proof, age);
-        self.confirmed.notify_waiters();
+        self.proof_recorded.notify_waiters();
     }
 
     /// Records that a peer observed the store recover from an outage `age` ago.
@@ -119,7 +119,7 @@
     /// Records that a response with changes is being received, until the guard is dropped.
     pub fn begin_receiving(&self) -> ReceiveGuard<'_> {
         self.responses_in_progress.set(self.responses_in_progress.get() + 1);
-        ReceiveGuard { copy: self, begun: Instant::now() }
+        ReceiveGuard { copy: self, started_at: Instant::now() }
     }
 
     /// Whether this instance itself is receiving a response with changes.
@@ -128,8 +128,8 @@
     }
 
     /// Records whether the relay of this instance is receiving a response with changes.
-    pub fn set_relay_receiving(&self, receiving: bool) {
-        self.relay_receiving.set(receiving);
+    pub fn set_relay_receiving(&self, is_receiving: bool) {
+        self.relay_receiving.set(is_receiving);
     }
 
     /// Whether this instance or its relay is receiving a response with changes.
@@ -181,8 +181,8 @@
     }
 
     /// Completes once the view is proven current again.
-    pub fn confirmed(&self) -> Notified<'_> {
-        self.confirmed.notified()
+    pub fn proof_recorded(&self) -> Notified<'_> {
+        self.proof_recorded.notified()
     }
 
     /// Completes once the store is reachable again after it was lost.
@@ -195,13 +195,13 @@
 #[derive(Debug)]
 pub struct ReceiveGuard<'a> {
     copy: &'a StoreCopy,
-    begun: Instant,
+    started_at: Instant,
 }
 
 impl ReceiveGuard<'_> {
     /// Time since the response began.
     pub fn age(&self) -> Duration {
-        self.begun.elapsed()
+        self.started_at.elapsed()
     }
 }
 
--- a/src/state/strike_reports.rs
+++ b/src/state/strike_reports.rs
@@ -23,13 +23,13 @@
 impl StrikeReports {
     /// Schedules a report at `due`, or earlier if it is already scheduled earlier.
     pub fn add(&self, fingerprint: Fingerprint, due: Instant) {
-        let mut waiting = self.due.borrow_mut();
-        if waiting.len() >= MAX_PENDING && !waiting.contains_key(&fingerprint) {
+        let mut pending = self.due.borrow_mut();
+        if pending.len() >= MAX_PENDING && !pending.contains_key(&fingerprint) {
             tracing::warn!(event = "strike_unreported", %fingerprint, waiting = MAX_PENDING);
             return;
         }
-        let at = waiting.entry(fingerprint).or_insert(due);
-        *at = due.min(*at);
+        let scheduled = pending.entry(fingerprint).or_insert(due);
+        *scheduled = due.min(*scheduled);
         self.added.notify_one();
     }
 
--- a/src/state/target_loads.rs
+++ b/src/state/target_loads.rs
@@ -23,7 +23,7 @@
 #[derive(Debug, Default)]
 pub struct TargetLoads {
     /// Kept as the head of a hall.
-    known: RefCell<SharedLoads>,
+    shared: RefCell<SharedLoads>,
     /// When a head last answered.
     received_at: Cell<Option<Instant>>,
 }
@@ -37,7 +37,7 @@
 
 impl<P: Platform> Instance<P> {
     /// Loads that targets reported to this instance and that are not yet reported to others.
-    pub fn unreported_loads(&self) -> Vec<TargetLoad> {
+    pub fn take_unreported_loads(&self) -> Vec<TargetLoad> {
         let now = Instant::now();
         let unreported = |target: &Rc<Target>| {
             let (requests, at) = target.take_unreported_load()?;
@@ -62,14 +62,14 @@
     /// Records the loads of a report as the head of a hall; returns those for the reporting instance,
     /// none if the report was forwarded by another hall.
     pub fn record_shared_loads(&self, report: &UsageReport) -> Vec<TargetLoad> {
-        let (mut known, now) = (self.target_loads.known.borrow_mut(), Instant::now());
+        let (mut shared, now) = (self.target_loads.shared.borrow_mut(), Instant::now());
         let is_own = *report.hall == *self.settings().hall;
-        known.record(&report.loads, is_own, now);
-        if report.is_forwarded { Vec::new() } else { known.loads_for_instances(now) }
+        shared.record(&report.loads, is_own, now);
+        if report.is_forwarded { Vec::new() } else { shared.loads_for_instances(now) }
     }
 
     /// Loads of this instance's hall to report to other halls.
     pub fn loads_for_halls(&self) -> Vec<TargetLoad> {
-        self.target_loads.known.borrow_mut().loads_for_halls(Instant::now())
+        self.target_loads.shared.borrow_mut().loads_for_halls(Instant::now())
     }
 }
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -34,7 +34,8 @@
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     responded_at: Cell<Option<Instant>>,
-    lost: Cell<bool>,
+    /// Whether a call failed while the store counted as lost, and none got a response since.
+    in_outage: Cell<bool>,
     /// When a failed call was last logged.
     failure_logged_at: Cell<Option<Instant>>,
     grace: RegistrationGrace,
@@ -46,7 +47,7 @@
     pub fn record_response(&self, view_age: Option<Duration>) -> bool {
         let now = Instant::now();
         self.responded_at.set(Some(now));
-        let has_recovered = self.lost.replace(false);
+        let has_recovered = self.in_outage.replace(false);
         if has_recovered {
             tracing::info!(event = "store_regained");
             self.grace.record_recovery(Some(now), view_age);
@@ -62,7 +63,7 @@
             self.failure_logged_at.set(Some(now));
             tracing::warn!(event = "store_call_failed", kind, %error);
         }
-        if self.is_lost() && !self.lost.replace(true) {
+        if self.is_lost() && !self.in_outage.replace(true) {
             let last_answer_ms = self.time_since_response().map(|elapsed| elapsed.as_millis() as u64);
             tracing::warn!(event = "store_lost", %error, last_answer_ms);
         }
@@ -82,7 +83,7 @@
     /// Records that a peer observed the store recover `age` ago; `view_age` is the age of the
     /// local view. Ignored unless this instance has lost the store itself.
     pub fn record_peer_recovery(&self, age: Duration, view_age: Option<Duration>) {
-        if self.lost.get() {
+        if self.in_outage.get() {
             self.grace.record_recovery(Instant::now().checked_sub(age), view_age);
         }
     }
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -14,7 +14,7 @@
 const MAX_RECENT_CHANGES: usize = 1_000;
 /// Size in bytes from which a value is dropped once its key has a later one, since sending it would
 /// delay a peer that is catching up. Far above a registration (300 bytes).
-const LARGE_VALUE: usize = 4 << 10;
+const LARGE_VALUE_SIZE: usize = 4 << 10;
 
 /// Items by key, the position up to which they are complete, and recent changes.
 #[derive(Debug, Default)]
@@ -156,8 +156,8 @@
 }
 
 impl Event {
-    /// Whether it contains a value of at least [`LARGE_VALUE`] bytes.
+    /// Whether it contains a value of at least [`LARGE_VALUE_SIZE`] bytes.
     fn is_large(&self) -> bool {
-        matches!(self, Event::Put(item) if item.value.len() >= LARGE_VALUE)
+        matches!(self, Event::Put(item) if item.value.len() >= LARGE_VALUE_SIZE)
     }
 }
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -1,7 +1,7 @@
 //! Confirms that the view is current while a watch waits.
 //!
 //! **Rule.** A read returns the store's position. A view that has reached it was current when the
-//! read was sent; a watch that does not deliver it within `DELIVERY_TIME` is lost.
+//! read was sent; a watch that does not deliver it within `DELIVERY_TIMEOUT` is lost.
 //!
 //! **Inputs**
 //! - The store's position, from a separate read; at most as old as the time since it was sent.
@@ -15,7 +15,7 @@
 //!
 //! **Guards** the promise that the recorded age of the view is never below the true age, and bounds
 //! the time for which a lost watch hides a change: `CONFIRM_AGE`, a round trip to the store and
-//! `DELIVERY_TIME`, together 1.3 s; if the read is lost as well, a call's timeout and a backoff add
+//! `DELIVERY_TIMEOUT`, together 1.3 s; if the read is lost as well, a call's timeout and a backoff add
 //! another second.
 //!
 //! **Test**: `tests/freshness_model.rs`, `standins/tests/silent_connections.rs`.
@@ -40,7 +40,7 @@
 /// Time within which a watch has to deliver a change that a read has shown: several times the
 /// latency between regions (35 ms), and the response time of a slow store (0.24 s). Too short, it
 /// costs a call; too long, it delays a change.
-const DELIVERY_TIME: Duration = Duration::from_millis(300);
+const DELIVERY_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time from the start of a watch to the first read: if the store changes often, the watch proves
 /// the view current without a read.
 const INITIAL_DELAY: Duration = Duration::from_millis(150);
@@ -49,7 +49,7 @@
 const LOST_STORE_DELAY: Duration = Duration::from_millis(1_500);
 
 // A view that every read confirms does not turn stale between two reads.
-const _: () = assert!(MAX_VIEW_AGE.as_millis() > CONFIRM_AGE.as_millis() + DELIVERY_TIME.as_millis());
+const _: () = assert!(MAX_VIEW_AGE.as_millis() > CONFIRM_AGE.as_millis() + DELIVERY_TIMEOUT.as_millis());
 
 /// Why a watch has to be restarted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -108,7 +108,7 @@
 async fn confirm<P: Platform>(instance: &Instance<P>, at: Position, sent_at: Instant) -> bool {
     let copy = &instance.store_copy;
     if copy.view().position() < at {
-        sleep(DELIVERY_TIME).await;
+        sleep(DELIVERY_TIMEOUT).await;
     }
     if copy.view().position() < at {
         return copy.is_receiving_directly();
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -56,7 +56,7 @@
         let interval = if instance.has_limits() { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
         // Whether notified or not, checks if there is something to report.
         let _ = timeout(interval, instance.rate_limits.report_due()).await;
-        if instance.update_limits() || polls_for_limits(&instance) {
+        if instance.update_equal_limit_shares() || polls_for_limits(&instance) {
             sleep_until(last_report_at + MIN_REPORT_INTERVAL).await;
             last_report_at = Instant::now();
             report(&instance, &connections).await;
@@ -74,13 +74,13 @@
 async fn report<P: Platform>(instance: &Instance<P>, connections: &HeadConnections) {
     for _ in 0..MAX_REPORT_ATTEMPTS {
         let Some(head) = connections.own_head(instance) else { return };
-        let report = instance.limit_report();
+        let report = instance.take_limit_report();
         let answer = match head {
             OwnHead::Local => Some(instance.record_limit_report(&report)),
             OwnHead::Remote(peer) => connections.send_report(peer, &report).await,
         };
         match answer {
-            Some(answer) => return instance.apply_limit_shares(&answer),
+            Some(answer) => return instance.apply_limit_answer(&answer),
             None => instance.metrics.limits_untold.inc(),
         }
     }
@@ -99,7 +99,7 @@
         for (hall, head) in others {
             let (instance, connections) = (instance.clone(), connections.clone());
             spawn_local(async move {
-                match connections.send_report(head, &instance.forwarded_limits()).await {
+                match connections.send_report(head, &instance.limit_report_for_halls()).await {
                     Some(_) => instance.rate_limits.record_hall_contact(&hall),
                     None => instance.metrics.limits_untold.inc(),
                 }
--- a/src/sync/peers/connection.rs
+++ b/src/sync/peers/connection.rs
@@ -107,8 +107,8 @@
         let host = self.peer.to_string();
         let request = Request::post(path).header(HOST, host).body(Full::new(body)).map_err(connection_failed)?;
         let deadline = Instant::now() + limit;
-        let head = timeout(limit, self.sender.send_request(request)).await;
-        let response = head.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
+        let response = timeout(limit, self.sender.send_request(request)).await;
+        let response = response.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
         if response.status() != StatusCode::OK {
             return Err(connection_failed(format!("status {}", response.status())));
         }
@@ -130,8 +130,8 @@
             .body(Full::default())
             .map_err(connection_failed)?;
         let sent_at = Instant::now();
-        let head = timeout(wait + STALL_TIMEOUT, self.sender.send_request(request)).await;
-        let response = head.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
+        let response = timeout(wait + STALL_TIMEOUT, self.sender.send_request(request)).await;
+        let response = response.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
         Ok(PeerResponse { response, sent_at, response_started_at: Instant::now() })
     }
 }
@@ -180,14 +180,14 @@
     /// # Errors
     /// [`PeerError`]; the connection cannot be used again.
     pub async fn read(self, total: Duration) -> Result<ChangeSet, PeerError> {
-        let (head, body) = self.response.into_parts();
+        let (parts, body) = self.response.into_parts();
         let limits = ReadLimits { stall: STALL_TIMEOUT, total, size: MAX_RESPONSE_SIZE };
         let mut body = read_whole(body, limits).await?;
-        if gzip::is_used(&head.headers) {
+        if gzip::is_used(&parts.headers) {
             body = gzip::decompress(&body)?;
         }
         let changes: ChangeSet = serde_json::from_slice(&body).map_err(PeerError::InvalidResponse)?;
-        Ok(changes.with_delay(time_since_computed(&head.headers, self.sent_at, self.response_started_at)))
+        Ok(changes.with_delay(time_since_computed(&parts.headers, self.sent_at, self.response_started_at)))
     }
 }
 
--- a/src/sync/peers/serve.rs
+++ b/src/sync/peers/serve.rs
@@ -49,10 +49,10 @@
     instance.store_copy.latest_era().observe(query.latest_era);
     // A confirmation is passed on at once, so that it passes each level of the relay tree without
     // another wait.
-    let confirmed = instance.store_copy.confirmed();
+    let proof_recorded = instance.store_copy.proof_recorded();
     tokio::select! {
         _ = timeout(query.wait.min(MAX_WAIT), wait_for_change(instance, query.after)) => {}
-        () = confirmed => {}
+        () = proof_recorded => {}
         // The peer can then follow another relay.
         () = wait_until_stale(instance) => {}
     }
@@ -89,7 +89,7 @@
 async fn wait_until_stale<P: Platform>(instance: &Instance<P>) {
     loop {
         let Some(age) = instance.store_copy.view_age() else {
-            instance.store_copy.confirmed().await;
+            instance.store_copy.proof_recorded().await;
             continue;
         };
         let fresh_for = MAX_VIEW_AGE.saturating_sub(age);
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -35,7 +35,7 @@
 use crate::state::Instance;
 use crate::store::freshness::{MAX_VIEW_AGE, Proof};
 use crate::sync::peers::{FetchError, InvalidResponseLog, PeerConnection, PeerError, PeerRequest};
-use crate::sync::relay_tree::{ancestors, position_in_hall, preceding_relays, stale_relay_timeout};
+use crate::sync::relay_tree::{ancestors, index_in_hall, preceding_relays, stale_relay_timeout};
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -138,7 +138,7 @@
         let relays = preceding_relays(instance);
         let now = Instant::now();
         let is_usable = |relay: &SocketAddr| self.failed.get(relay).is_none_or(|until| *until <= now);
-        let ancestors = ancestors(relays.len()).map(|position| relays[position]);
+        let ancestors = ancestors(relays.len()).map(|index| relays[index]);
         ancestors.chain(relays.iter().copied()).find(is_usable)
     }
 
@@ -173,7 +173,7 @@
             return false;
         }
         let since = *self.stale_since.get_or_insert_with(Instant::now);
-        since.elapsed() < stale_relay_timeout(position_in_hall(instance))
+        since.elapsed() < stale_relay_timeout(index_in_hall(instance))
     }
 
     /// Records that the store failed as well, so that relays are followed again.
@@ -203,7 +203,7 @@
             self.failures = 0;
             self.watch_store_until = Some(now + RELAY_RETRY_DELAY);
         }
-        log_left(relay, error, instance.store_copy.view().position().revision, now - sent_at);
+        log_relay_left(relay, error, instance.store_copy.view().position().revision, now - sent_at);
     }
 
     async fn request_changes<P: Platform>(
@@ -235,7 +235,7 @@
 
 /// Logs that a relay is no longer followed: `after` is the revision of this instance's view, `took`
 /// the time since the request.
-fn log_left(relay: SocketAddr, error: &RelayError, after: u64, took: Duration) {
-    let (reason, took_ms) = (error.as_str(), took.as_millis() as u64);
+fn log_relay_left(relay: SocketAddr, error: &RelayError, after: u64, elapsed: Duration) {
+    let (reason, took_ms) = (error.as_str(), elapsed.as_millis() as u64);
     tracing::info!(event = "relay_left", %relay, reason, %error, after, took_ms);
 }
--- a/src/sync/relay_tree.rs
+++ b/src/sync/relay_tree.rs
@@ -20,16 +20,16 @@
 /// bound on lag (2 s).
 const STALE_TIMEOUT_STEP: Duration = Duration::from_millis(250);
 
-/// Positions of the ancestors of the instance at `position` in its hall's tree, parent first.
-pub fn ancestors(position: usize) -> impl Iterator<Item = usize> {
-    std::iter::successors(parent(position), |position| parent(*position))
+/// Indexes of the ancestors of the instance at `index` in its hall's tree, parent first.
+pub fn ancestors(index: usize) -> impl Iterator<Item = usize> {
+    std::iter::successors(parent(index), |index| parent(*index))
 }
 
-fn parent(position: usize) -> Option<usize> {
-    Some(position.checked_sub(1)? / FOLLOWERS_PER_RELAY)
+fn parent(index: usize) -> Option<usize> {
+    Some(index.checked_sub(1)? / FOLLOWERS_PER_RELAY)
 }
 
-/// How long the instance at a position in its hall follows relays that respond but whose views are
+/// How long the instance at an index in its hall follows relays that respond but whose views are
 /// stale.
 ///
 /// **Load pattern**: the store delivers no more changes to any watch, or compacts its history. The
@@ -38,8 +38,8 @@
 /// one that does; its followers call the store once the first instances have had no success. Random
 /// peers are asked meanwhile, so that an instance whose relays the store refuses has a current view
 /// as soon as any other instance has one.
-pub fn stale_relay_timeout(position: usize) -> Duration {
-    STALE_TIMEOUT_STEP * (1 + position.saturating_sub(1) / FOLLOWERS_PER_RELAY) as u32
+pub fn stale_relay_timeout(index: usize) -> Duration {
+    STALE_TIMEOUT_STEP * (1 + index.saturating_sub(1) / FOLLOWERS_PER_RELAY) as u32
 }
 
 /// Peer addresses of the instances of this instance's hall whose names sort before its own, in order
@@ -51,7 +51,7 @@
     before.filter(|(_, member)| *member.hall == *settings.hall).map(|(_, member)| member.peer).collect()
 }
 
-/// Position of this instance in its hall by name; 0 is the first instance, which has no relay.
-pub fn position_in_hall<P: Platform>(instance: &Instance<P>) -> usize {
+/// Index of this instance in its hall by name; 0 is the first instance, which has no relay.
+pub fn index_in_hall<P: Platform>(instance: &Instance<P>) -> usize {
     preceding_relays(instance).len()
 }
--- a/src/sync/strikes.rs
+++ b/src/sync/strikes.rs
@@ -173,9 +173,9 @@
     /// The time until a token is available.
     fn try_take(&mut self, members: usize, now: Instant) -> Result<(), Duration> {
         let rate = FIRST_STRIKE_RATE / members.max(1) as f64;
-        let passed = self.updated_at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
+        let elapsed = self.updated_at.map_or(0.0, |at| now.saturating_duration_since(at).as_secs_f64());
         self.updated_at = Some(now);
-        self.tokens = (self.tokens + passed * rate).min(FIRST_STRIKE_BURST);
+        self.tokens = (self.tokens + elapsed * rate).min(FIRST_STRIKE_BURST);
         if self.tokens < 1.0 {
             return Err(Duration::from_secs_f64((1.0 - self.tokens) / rate));
         }
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -58,10 +58,10 @@
     spawn_local(forward_all(instance.clone(), connections.clone()));
     let mut last_report_at = Instant::now();
     loop {
-        let interval = if is_needed(&instance) { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
+        let interval = if should_exchange(&instance) { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
         // Whether notified or not, checks if there is something to report.
         let _ = timeout(interval, instance.quotas.report_due()).await;
-        if !is_needed(&instance) {
+        if !should_exchange(&instance) {
             continue;
         }
         sleep_until(last_report_at + MIN_REPORT_INTERVAL).await;
@@ -72,7 +72,7 @@
 
 /// Whether there is something to exchange: a tenant has a quota, or there are so many instances that
 /// each one learns little of targets' loads from its own traffic.
-fn is_needed<P: Platform>(instance: &Instance<P>) -> bool {
+fn should_exchange<P: Platform>(instance: &Instance<P>) -> bool {
     instance.quotas.has_quotas() || instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
 
@@ -103,14 +103,14 @@
 
 fn build_report<P: Platform>(instance: &Instance<P>) -> UsageReport {
     let settings = instance.settings();
-    let (tenants, over) = instance.quotas.begin_report();
+    let (tenants, period) = instance.quotas.begin_report();
     UsageReport {
         from: settings.name.clone(),
         hall: settings.hall.to_string(),
         is_forwarded: false,
-        over_ms: over.as_millis() as u32,
+        over_ms: period.as_millis() as u32,
         tenants,
-        loads: instance.unreported_loads(),
+        loads: instance.take_unreported_loads(),
     }
 }
 
@@ -125,7 +125,7 @@
         let _ = timeout(FORWARD_INTERVAL, instance.quotas.forward_due()).await;
         sleep_until(last_forward_at + MIN_REPORT_INTERVAL).await;
         last_forward_at = Instant::now();
-        if !is_needed(&instance) {
+        if !should_exchange(&instance) {
             sleep(IDLE_CHECK_INTERVAL).await;
             continue;
         }
@@ -151,12 +151,12 @@
 /// Reports to the head of another hall; usage that it does not answer is sent again later.
 async fn forward<P: Platform>(instance: &Instance<P>, connections: &HeadConnections, hall: &str, head: SocketAddr) {
     let settings = instance.settings();
-    let (tenants, over) = instance.quotas.begin_forward(hall);
+    let (tenants, period) = instance.quotas.begin_forward(hall);
     let report = UsageReport {
         from: settings.name.clone(),
         hall: settings.hall.to_string(),
         is_forwarded: true,
-        over_ms: over.as_millis() as u32,
+        over_ms: period.as_millis() as u32,
         tenants,
         loads: instance.loads_for_halls(),
     };
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -127,9 +127,9 @@
             if instance.store_copy.is_superseded() {
                 return Ok(Step::List);
             }
-            let took = receiving.take().map_or(Duration::ZERO, |receiving| receiving.age());
+            let elapsed = receiving.take().map_or(Duration::ZERO, |receiving| receiving.age());
             // Changes have accumulated while a slow response was received.
-            sleep(WATCH_PAUSE.saturating_sub(took)).await;
+            sleep(WATCH_PAUSE.saturating_sub(elapsed)).await;
             Ok(Step::Watch)
         }
     }
