--- a/src/decision/quota/heads.rs
+++ b/src/decision/quota/heads.rs
@@ -27,10 +27,10 @@
     rank: u64,
 }
 
-/// The heads of all halls, by hall, chosen among the instances for which `may_ask` holds.
-pub fn heads<'a>(members: &'a Members, may_ask: impl Fn(SocketAddr) -> bool) -> BTreeMap<&'a str, Head<'a>> {
+/// The heads of all halls, by hall, chosen among the instances for which `may_report_to` holds.
+pub fn heads<'a>(members: &'a Members, may_report_to: impl Fn(SocketAddr) -> bool) -> BTreeMap<&'a str, Head<'a>> {
     let mut heads: BTreeMap<&str, Head<'_>> = BTreeMap::new();
-    for (name, member) in members.iter().filter(|(_, member)| may_ask(member.peer)) {
+    for (name, member) in members.iter().filter(|(_, member)| may_report_to(member.peer)) {
         let rank = rank(&member.hall, name);
         let head = Head { name, peer: member.peer, rank };
         let first = heads.entry(&member.hall).or_insert(head);
--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -50,7 +50,7 @@
     let last = signalled + instance.settings().stop.saturating_sub(KILL_MARGIN);
     wait_for_quiet(&instance, signalled, last).await;
     // From here on new requests are refused, so that the end cuts none off.
-    instance.lifecycle.begin_end();
+    instance.lifecycle.begin_ending();
     wait_for_last_request(&instance, last).await;
     let after_ms = signalled.elapsed().as_millis() as u64;
     tracing::info!(event = "stopped", active = instance.requests.in_flight(), after_ms);
--- a/src/state/lifecycle.rs
+++ b/src/state/lifecycle.rs
@@ -24,7 +24,7 @@
     }
 
     /// Enters the last state, in which no requests are served.
-    pub fn begin_end(&self) {
+    pub fn begin_ending(&self) {
         self.ending.set(true);
     }
 
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -50,7 +50,7 @@
 
 impl<P: Platform> Instance<P> {
     /// Whether any target has a rate limit or is leaving.
-    pub fn has_limits(&self) -> bool {
+    pub fn has_limited_or_leaving_targets(&self) -> bool {
         let now = Instant::now();
         self.routing.borrow().targets().any(|target| target.rate_limit(now).is_some() || target.is_leaving())
     }
--- a/src/state/store_copy.rs
+++ b/src/state/store_copy.rs
@@ -159,7 +159,7 @@
     }
 
     /// Whether the store counts as lost, see [`StoreHealth::is_lost`].
-    pub fn is_lost(&self) -> bool {
+    pub fn is_store_lost(&self) -> bool {
         self.health.is_lost()
     }
 
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -87,7 +87,7 @@
             sleep(RECEIVING_POLL_INTERVAL).await;
             continue;
         }
-        if copy.is_lost() {
+        if copy.is_store_lost() {
             sleep(LOST_STORE_DELAY).await;
         }
         let sent_at = Instant::now();
--- a/src/sync/heads.rs
+++ b/src/sync/heads.rs
@@ -23,7 +23,7 @@
 
 /// Timeout of a call to a head: after two timeouts in a row, the next head in order still has time
 /// to answer before the last answer is too old (1 s).
-pub const CALL_TIMEOUT: Duration = Duration::from_millis(300);
+pub const REPORT_TIMEOUT: Duration = Duration::from_millis(300);
 /// Maximum number of attempts to send one report, one after the other, to the same head or the next
 /// one in order.
 pub const MAX_REPORT_ATTEMPTS: usize = 3;
@@ -67,9 +67,9 @@
 /// Reads and decodes a report of at most `size` bytes.
 ///
 /// # Errors
-/// [`ReportError`] if it is not received within [`CALL_TIMEOUT`], is too large or cannot be decoded.
+/// [`ReportError`] if it is not received within [`REPORT_TIMEOUT`], is too large or cannot be decoded.
 pub async fn read_report<R: HeadReport>(body: CallerBody, size: usize) -> Result<R, ReportError> {
-    let limits = ReadLimits { stall: CALL_TIMEOUT, total: CALL_TIMEOUT, size };
+    let limits = ReadLimits { stall: REPORT_TIMEOUT, total: REPORT_TIMEOUT, size };
     Ok(decode(&read_whole(body, limits).await?)?)
 }
 
@@ -95,14 +95,14 @@
 
 impl HeadConnections {
     /// Whether reports may be sent to an instance: it is not skipped after a failure.
-    pub fn may_ask(&self, peer: SocketAddr) -> bool {
+    pub fn may_report_to(&self, peer: SocketAddr) -> bool {
         self.skipped_until.borrow().get(&peer).is_none_or(|until| *until <= Instant::now())
     }
 
     /// Sends a report to a head and returns its answer; `None` if that fails. A head that times out is
     /// skipped for a while after the second timeout in a row, and after any other failure at once.
     pub async fn send_report<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Option<R::Answer> {
-        let error = match timeout(CALL_TIMEOUT, self.call(head, report)).await {
+        let error = match timeout(REPORT_TIMEOUT, self.call(head, report)).await {
             Ok(Ok(answer)) => {
                 self.timeouts.borrow_mut().remove(&head);
                 return Some(answer);
@@ -126,7 +126,7 @@
             Some(connection) => connection,
             None => PeerConnection::open(head).await?,
         };
-        let body = connection.post(R::PATH, encode(report), CALL_TIMEOUT).await?;
+        let body = connection.post(R::PATH, encode(report), REPORT_TIMEOUT).await?;
         let answer = decode(&body)?;
         self.connections.borrow_mut().insert(head, connection);
         Ok(answer)
@@ -155,14 +155,14 @@
         let settings = instance.settings();
         let routing = instance.routing.borrow();
         let is_member = routing.members.contains_key(&settings.name);
-        if let Some(head) = heads(&routing.members, |peer| self.may_ask(peer)).get(&*settings.hall) {
+        if let Some(head) = heads(&routing.members, |peer| self.may_report_to(peer)).get(&*settings.hall) {
             return Some(if head.name == settings.name { OwnHead::Local } else { OwnHead::Remote(head.peer) });
         }
         if is_member {
             return Some(OwnHead::Local);
         }
         let seeds = settings.seeds.iter().copied();
-        let mut others = seeds.filter(|seed| *seed != settings.listen.peers && self.may_ask(*seed));
+        let mut others = seeds.filter(|seed| *seed != settings.listen.peers && self.may_report_to(*seed));
         others.next().map(OwnHead::Remote)
     }
 
@@ -170,7 +170,7 @@
     pub fn other_heads<P: Platform>(&self, instance: &Instance<P>) -> Vec<(String, SocketAddr)> {
         let settings = instance.settings();
         let routing = instance.routing.borrow();
-        let heads = heads(&routing.members, |peer| self.may_ask(peer));
+        let heads = heads(&routing.members, |peer| self.may_report_to(peer));
         let others = heads.into_iter().filter(|(hall, _)| **hall != *settings.hall);
         others.map(|(hall, Head { peer, .. })| (hall.to_owned(), peer)).collect()
     }
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -53,7 +53,7 @@
     spawn_local(forward_all(instance.clone(), connections.clone()));
     let mut last_report_at = Instant::now();
     loop {
-        let interval = if instance.has_limits() { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
+        let interval = if instance.has_limited_or_leaving_targets() { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
         // Whether notified or not, checks if there is something to report.
         let _ = timeout(interval, instance.rate_limits.report_due()).await;
         if instance.update_equal_limit_shares() || polls_for_limits(&instance) {
@@ -81,7 +81,7 @@
         };
         match answer {
             Some(answer) => return instance.apply_limit_answer(&answer),
-            None => instance.metrics.limits_untold.inc(),
+            None => instance.metrics.limit_report_failures.inc(),
         }
     }
 }
@@ -101,7 +101,7 @@
             spawn_local(async move {
                 match connections.send_report(head, &instance.limit_report_for_halls()).await {
                     Some(_) => instance.rate_limits.record_hall_contact(&hall),
-                    None => instance.metrics.limits_untold.inc(),
+                    None => instance.metrics.limit_report_failures.inc(),
                 }
             });
         }
--- a/src/sync/peers/connection.rs
+++ b/src/sync/peers/connection.rs
@@ -48,7 +48,7 @@
     /// The connection failed or could not be opened, the response is too large, or a post got a
     /// status other than 200. Holds the cause.
     #[error("the request to the peer failed: {0}")]
-    ConnectionFailed(String),
+    RequestFailed(String),
     /// The response is not a valid [`ChangeSet`].
     #[error("the peer's response is invalid: {0}; check the peer's version")]
     InvalidResponse(#[source] serde_json::Error),
@@ -61,8 +61,8 @@
     fn from(error: ReadError) -> Self {
         match error {
             ReadError::TimedOut { received } => PeerError::ResponseTimedOut { received },
-            ReadError::Broken(error) => connection_failed(error),
-            ReadError::TooLarge(_) => connection_failed(error),
+            ReadError::Broken(error) => request_failed(error),
+            ReadError::TooLarge(_) => request_failed(error),
         }
     }
 }
@@ -81,8 +81,8 @@
     }
 }
 
-fn connection_failed(error: impl std::fmt::Display) -> PeerError {
-    PeerError::ConnectionFailed(error.to_string())
+fn request_failed(error: impl std::fmt::Display) -> PeerError {
+    PeerError::RequestFailed(error.to_string())
 }
 
 impl PeerConnection {
@@ -93,7 +93,7 @@
     pub async fn open(peer: SocketAddr) -> Result<Self, PeerError> {
         let opened = timeout(STALL_TIMEOUT, dial::connect(peer)).await.map_err(|_| PeerError::NoResponse)?;
         let (sender, connection) =
-            handshake(TokioIo::new(opened.map_err(connection_failed)?)).await.map_err(connection_failed)?;
+            handshake(TokioIo::new(opened.map_err(request_failed)?)).await.map_err(request_failed)?;
         let driver = tokio::task::spawn_local(connection).abort_handle();
         Ok(Self { peer, sender, driver })
     }
@@ -105,12 +105,12 @@
     /// [`PeerError`]; the connection cannot be used again.
     pub async fn post(&mut self, path: &str, body: Bytes, limit: Duration) -> Result<Bytes, PeerError> {
         let host = self.peer.to_string();
-        let request = Request::post(path).header(HOST, host).body(Full::new(body)).map_err(connection_failed)?;
+        let request = Request::post(path).header(HOST, host).body(Full::new(body)).map_err(request_failed)?;
         let deadline = Instant::now() + limit;
         let response = timeout(limit, self.sender.send_request(request)).await;
-        let response = response.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
+        let response = response.map_err(|_| PeerError::NoResponse)?.map_err(request_failed)?;
         if response.status() != StatusCode::OK {
-            return Err(connection_failed(format!("status {}", response.status())));
+            return Err(request_failed(format!("status {}", response.status())));
         }
         let total = deadline.saturating_duration_since(Instant::now());
         let limits = ReadLimits { stall: total, total, size: MAX_POST_RESPONSE_SIZE };
@@ -128,10 +128,10 @@
             .header(HOST, self.peer.to_string())
             .header(ACCEPT_ENCODING, GZIP)
             .body(Full::default())
-            .map_err(connection_failed)?;
+            .map_err(request_failed)?;
         let sent_at = Instant::now();
         let response = timeout(wait + STALL_TIMEOUT, self.sender.send_request(request)).await;
-        let response = response.map_err(|_| PeerError::NoResponse)?.map_err(connection_failed)?;
+        let response = response.map_err(|_| PeerError::NoResponse)?.map_err(request_failed)?;
         Ok(PeerResponse { response, sent_at, response_started_at: Instant::now() })
     }
 }
--- a/src/sync/peers/mod.rs
+++ b/src/sync/peers/mod.rs
@@ -68,7 +68,7 @@
             // Not logged: seeds and members may have stopped or be unreachable as well, another peer is
             // asked next, and the loss of the store is logged elsewhere.
             Err(FetchError::Peer(
-                PeerError::NoResponse | PeerError::ResponseTimedOut { .. } | PeerError::ConnectionFailed(_),
+                PeerError::NoResponse | PeerError::ResponseTimedOut { .. } | PeerError::RequestFailed(_),
             )) => {}
             Err(error) => invalid_responses.log(peer, &error),
         }
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -90,7 +90,7 @@
         match self {
             RelayError::Fetch(FetchError::Peer(PeerError::NoResponse)) => "silent",
             RelayError::Fetch(FetchError::Peer(PeerError::ResponseTimedOut { .. })) => "slow",
-            RelayError::Fetch(FetchError::Peer(PeerError::ConnectionFailed(_))) => "broken",
+            RelayError::Fetch(FetchError::Peer(PeerError::RequestFailed(_))) => "broken",
             RelayError::Fetch(FetchError::Peer(PeerError::InvalidResponse(_) | PeerError::InvalidCompression(_)))
             | RelayError::Fetch(FetchError::Change(_)) => INVALID_RESPONSE,
             RelayError::Stale => "stale",
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -92,10 +92,10 @@
         match answer {
             Some(answer) => {
                 instance.record_remote_loads(&answer.loads);
-                return instance.quotas.take_answer(&answer);
+                return instance.quotas.apply_answer(&answer);
             }
             None => {
-                instance.metrics.usage_untold.inc();
+                instance.metrics.usage_report_failures.inc();
                 instance.quotas.restore_report();
             }
         }
@@ -162,7 +162,7 @@
         loads: instance.loads_for_halls(),
     };
     if connections.send_report(head, &report).await.is_none() {
-        instance.metrics.usage_untold.inc();
+        instance.metrics.usage_report_failures.inc();
         instance.quotas.restore_forward(hall, report.tenants);
     }
 }
--- a/src/telemetry/metrics.rs
+++ b/src/telemetry/metrics.rs
@@ -32,11 +32,11 @@
     /// tenants of the configuration in force.
     pub quota_requests: IntCounterVec,
     /// Reports of what tenants use that no head took.
-    pub usage_untold: IntCounter,
+    pub usage_report_failures: IntCounter,
     /// Targets with a rate limit.
     pub limited_targets: IntGauge,
     /// Reports of targets' limits that no head took.
-    pub limits_untold: IntCounter,
+    pub limit_report_failures: IntCounter,
     /// Load reports of targets that cannot be read, by reason.
     pub load_reports_ignored: IntCounterVec,
     /// Calls to the store, by kind.
@@ -101,14 +101,20 @@
                     &["tenant", "outcome"],
                 ),
             ),
-            usage_untold: counter("lockloft_entry_usage_untold_total", "Reports of tenants' requests that failed"),
+            usage_report_failures: counter(
+                "lockloft_entry_usage_untold_total",
+                "Reports of tenants' requests that failed",
+            ),
             limited_targets: gauge("lockloft_entry_limited_targets", "Targets that name a rate limit"),
             load_reports_ignored: counters(
                 "lockloft_entry_load_reports_ignored_total",
                 "Load reports of targets that cannot be read, by reason",
                 "reason",
             ),
-            limits_untold: counter("lockloft_entry_limits_untold_total", "Reports of targets' limits that failed"),
+            limit_report_failures: counter(
+                "lockloft_entry_limits_untold_total",
+                "Reports of targets' limits that failed",
+            ),
             store_calls: counters("lockloft_entry_store_calls_total", "Calls to the store", "kind"),
             store_failures: counter("lockloft_entry_store_failures_total", "Calls to the store that gave nothing"),
             values_refused: counter("lockloft_entry_values_refused_total", "Values of the store that cannot be used"),
--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -37,7 +37,7 @@
 fn a_response_of_the_store_does_not_prove_the_view_current() {
     let copy = old_copy();
     copy.record_response();
-    assert!(!copy.is_lost());
+    assert!(!copy.is_store_lost());
     assert!(!is_proven(&copy), "a pending watch has another connection than the call");
 }
 
--- a/tests/quota_fleet/answers.rs
+++ b/tests/quota_fleet/answers.rs
@@ -1,7 +1,7 @@
 //! Delivery of reports: counted and answered by a head, or lost.
 
 use super::instance::Instance;
-use super::messages::{CALL_TIMEOUT, Message};
+use super::messages::{Message, REPORT_TIMEOUT};
 use super::{Fleet, WINDOW};
 use lockloft::decision::quota::totals::{InstanceIdentity, QuotaContext};
 use lockloft::model::usage::{UsageAnswer, UsageReport, encode};
@@ -40,9 +40,9 @@
         let peer = self.instances[to].peer;
         self.bytes += encode(&answer).len();
         let delay = self.latency(to, from);
-        let deadline = sent + CALL_TIMEOUT;
+        let deadline = sent + REPORT_TIMEOUT;
         let (after, message) = match is_lost || self.now + delay > deadline {
-            true if is_lost => (CALL_TIMEOUT, Message::Lost { to: from, head: peer, report }),
+            true if is_lost => (REPORT_TIMEOUT, Message::Lost { to: from, head: peer, report }),
             true => (deadline - self.now, Message::Lost { to: from, head: peer, report }),
             false => (delay, Message::Answer { to: from, head: peer, report, answer }),
         };
@@ -59,7 +59,7 @@
             return;
         }
         instance.awaits_answer = false;
-        instance.own.take_answer(answer, now);
+        instance.own.apply_answer(answer, now);
     }
 
     /// The halls to which no forwarded report is in flight any more.
--- a/tests/quota_fleet/messages.rs
+++ b/tests/quota_fleet/messages.rs
@@ -7,7 +7,7 @@
 use std::net::SocketAddr;
 
 /// Time after which a call without an answer counts as failed, milliseconds.
-pub(super) const CALL_TIMEOUT: u64 = 300;
+pub(super) const REPORT_TIMEOUT: u64 = 300;
 /// One-way latency within a hall, including processing at both ends, milliseconds.
 const HALL_LATENCY: u64 = 5;
 /// One-way latency between halls, milliseconds.
@@ -44,14 +44,14 @@
         let is_lost = (self.drops_message)(from, to, self.now) || !self.instances[to].is_up;
         let delay = self.latency(from, to);
         let head = self.instances[to].peer;
-        if !is_lost && delay < CALL_TIMEOUT {
+        if !is_lost && delay < REPORT_TIMEOUT {
             self.schedule(delay, Message::Report { from, to, report, sent: self.now });
             return;
         }
         if !is_lost {
             self.schedule(delay, Message::LateReport { to, report: report.clone() });
         }
-        self.schedule(CALL_TIMEOUT, Message::Lost { to: from, head, report });
+        self.schedule(REPORT_TIMEOUT, Message::Lost { to: from, head, report });
     }
 
     pub(super) fn latency(&mut self, from: usize, to: usize) -> u64 {
--- a/tests/quota_fleet/reports.rs
+++ b/tests/quota_fleet/reports.rs
@@ -9,8 +9,8 @@
 impl Fleet {
     fn head_of(&self, number: usize, hall: &str) -> Option<usize> {
         let instance = &self.instances[number];
-        let may_ask = |peer| instance.skipped_until.get(&peer).is_none_or(|until| *until <= self.now);
-        let heads = heads(&self.members, may_ask);
+        let may_report_to = |peer| instance.skipped_until.get(&peer).is_none_or(|until| *until <= self.now);
+        let heads = heads(&self.members, may_report_to);
         let peer = heads.get(hall)?.peer;
         self.instances.iter().position(|other| other.peer == peer)
     }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -178,7 +178,7 @@
     for step in 0..100 {
         let now = start + Duration::from_millis(200 * step);
         own.begin_report(now);
-        own.take_answer(&UsageAnswer { passes: vec![("t".into(), 0.25)], ..Default::default() }, now);
+        own.apply_answer(&UsageAnswer { passes: vec![("t".into(), 0.25)], ..Default::default() }, now);
         admitted += admit(&mut own, &tenant, 8, now);
     }
     assert!((199..=201).contains(&admitted), "{admitted}");
@@ -196,9 +196,9 @@
     let later = start + MAX_ANSWER_AGE + seconds(1.0);
     assert_eq!(admit(&mut own, &tenant, 100, later), 2);
     own.begin_report(later);
-    own.take_answer(&UsageAnswer::default(), later);
+    own.apply_answer(&UsageAnswer::default(), later);
     own.begin_report(later);
-    own.take_answer(&UsageAnswer::default(), later);
+    own.apply_answer(&UsageAnswer::default(), later);
     // Five times the number that is reported at once, and at least eight.
     assert!(admit(&mut own, &tenant, 10_000, later) >= 8);
 }
@@ -209,7 +209,7 @@
     let mut own = LocalUsage::default();
     admit(&mut own, &tenant, 3, now);
     own.begin_report(now);
-    own.take_answer(&UsageAnswer::default(), now);
+    own.apply_answer(&UsageAnswer::default(), now);
     own.release("t");
     assert_eq!(own.begin_report(now), [("t".to_owned(), Usage { admitted: -1, offered: 0 })]);
 }
@@ -220,7 +220,7 @@
     let mut own = LocalUsage::default();
     admit(&mut own, &"other".into(), 1, now);
     own.begin_report(now);
-    own.take_answer(&UsageAnswer { passes: vec![("t".into(), 0.0)], ..Default::default() }, now);
+    own.apply_answer(&UsageAnswer { passes: vec![("t".into(), 0.0)], ..Default::default() }, now);
     assert_eq!(admit(&mut own, &tenant, 5, now), 0);
 }
 
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -38,9 +38,9 @@
     let copy = StoreCopy::default();
     copy.record_response();
     simulate_suspension(SUSPENSION);
-    assert!(copy.is_lost());
+    assert!(copy.is_store_lost());
     copy.record_response();
-    assert!(!copy.is_lost());
+    assert!(!copy.is_store_lost());
 }
 
 #[test]
