--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -22,7 +22,7 @@
 #[derive(Debug, Default)]
 pub struct StoreView {
     items: BTreeMap<String, Item>,
-    at: Position,
+    position: Position,
     recent: VecDeque<Event>,
     /// The revision of the view's era after which `recent` is complete.
     recent_after: u64,
@@ -31,7 +31,7 @@
 impl StoreView {
     /// The position up to which changes are included.
     pub fn position(&self) -> Position {
-        self.at
+        self.position
     }
 
     /// All items, by key.
@@ -55,11 +55,11 @@
     /// from another era are ignored as well: they cannot be applied without the list that precedes
     /// them.
     pub fn apply(&mut self, events: Vec<Event>, at: Position) -> Vec<Event> {
-        if at.era != self.at.era {
+        if at.era != self.position.era {
             return Vec::new();
         }
         let mut last = HashMap::new();
-        let is_new = |event: &Event| event.revision() > self.at.revision && is_later(&mut last, event);
+        let is_new = |event: &Event| event.revision() > self.position.revision && is_later(&mut last, event);
         let new: Vec<Event> = events.into_iter().filter(is_new).collect();
         // Includes events that a later page of a list already contained: peers may lack them.
         self.record_recent(&new);
@@ -86,7 +86,7 @@
                 }
             }
         }
-        self.at = self.at.max(at);
+        self.position = self.position.max(at);
         changes
     }
 
@@ -107,10 +107,10 @@
     /// Replaces the items by a list; returns what changed. A list older than the view is
     /// ignored.
     pub fn replace(&mut self, listing: Listing) -> Vec<Event> {
-        if listing.at < self.at {
+        if listing.at < self.position {
             return Vec::new();
         }
-        if listing.at.era > self.at.era {
+        if listing.at.era > self.position.era {
             return self.begin_era(listing);
         }
         let mut missing: Vec<String> = Vec::new();
@@ -141,7 +141,7 @@
         let differing = listed.values().filter(|item| self.items.get(&item.key) != Some(*item));
         changes.extend(differing.cloned().map(Event::Put));
         self.items = listed;
-        self.at = at;
+        self.position = at;
         self.recent.clear();
         self.recent_after = at.revision;
         changes
--- a/tests/freshness_model.rs
+++ b/tests/freshness_model.rs
@@ -8,9 +8,9 @@
 
 use lockloft::store::view::StoreView;
 use lockloft::store::{Event, Item, Listing};
+use model::simulation::{Simulation, run};
 use model::step::Step::*;
 use model::step::{Step, step};
-use model::world::{Simulation, run};
 use proptest::prelude::*;
 use proptest::test_runner::Config;
 use std::collections::BTreeMap;
@@ -77,7 +77,15 @@
     // A change occurs in the pause before the watch, at different times between two renewals.
     for offset in 0..20 {
         let time = 40 * offset + 1;
-        run(&[Reorder(3, 75), Wait(time), EndTarget(0), Wait(200), SlowStore(3, 600), Configure(false), Wait(1_500)]);
+        run(&[
+            DelayWatches(3, 75),
+            Wait(time),
+            EndTarget(0),
+            Wait(200),
+            SlowStore(3, 600),
+            Configure(false),
+            Wait(1_500),
+        ]);
     }
 }
 
@@ -89,7 +97,7 @@
 }
 
 #[test]
-fn the_age_of_a_relay_response_includes_the_time_of_a_frozen_process() {
+fn the_age_of_a_relay_response_includes_the_time_for_which_the_process_was_frozen() {
     for delay in [1, 7, 20, 350] {
         run(&[
             SlowPeers(1, 0, 10, 10),
@@ -166,8 +174,8 @@
 
 #[test]
 fn responses_from_before_a_restore_prove_nothing() {
-    for one in 0..4 {
-        let slow = [SlowStore(one, 2_000), SlowPeers(one, 200, 200, 1_500)];
+    for index in 0..4 {
+        let slow = [SlowStore(index, 2_000), SlowPeers(index, 200, 200, 1_500)];
         run(&[slow.as_slice(), &restore_steps(true, 0), &[Wait(5_000)]].concat());
     }
     for delay in [1, 40, 300, 900] {
@@ -177,12 +185,12 @@
 
 #[test]
 fn an_instance_detects_a_restore_after_it_was_cut_off_frozen_killed_or_suspended() {
-    for one in 0..4 {
-        let cut = [Snapshot, Configure(false), Wait(1_000), Cut(one), Restore(true, 0), Configure(false)];
-        run(&[cut.as_slice(), &[Wait(4_500), Heal(one), Wait(2_000)]].concat());
-        let frozen = [Snapshot, Configure(false), Wait(1_000), Freeze(one), Restore(false, 0), Configure(false)];
-        run(&[frozen.as_slice(), &[Wait(2_000), Thaw(one), Wait(2_000)]].concat());
-        let starts = [Kill(one), Snapshot, Configure(false), Wait(1_000), Restore(true, 200), Start(one)];
+    for index in 0..4 {
+        let cut = [Snapshot, Configure(false), Wait(1_000), Cut(index), Restore(true, 0), Configure(false)];
+        run(&[cut.as_slice(), &[Wait(4_500), Heal(index), Wait(2_000)]].concat());
+        let frozen = [Snapshot, Configure(false), Wait(1_000), Freeze(index), Restore(false, 0), Configure(false)];
+        run(&[frozen.as_slice(), &[Wait(2_000), Thaw(index), Wait(2_000)]].concat());
+        let starts = [Kill(index), Snapshot, Configure(false), Wait(1_000), Restore(true, 200), Start(index)];
         run(&[starts.as_slice(), &[Wait(2_000)]].concat());
     }
     let suspended = [Snapshot, Configure(false), Wait(1_000), Suspend(1_000), Restore(true, 0), Suspend(3_000)];
@@ -260,7 +268,7 @@
 }
 
 #[test]
-fn the_age_of_a_watch_response_includes_the_time_of_a_frozen_process() {
+fn the_age_of_a_watch_response_includes_the_time_for_which_the_process_was_frozen() {
     run(&[Wait(500), Freeze(3), Configure(false), Wait(50), EndTarget(0), Wait(1_000), Thaw(3), Wait(2_000)]);
 }
 
@@ -283,7 +291,7 @@
     // The outage starts just before a watch is sent, in the pause after a change.
     for delay in 0..10 {
         let (time, held) = (100 * delay + 1, [Cut(3), Wait(30), Configure(false), Wait(900), Heal(3)]);
-        let watched = [Reorder(3, 75), Wait(time), EndTarget(0), Wait(395)];
+        let watched = [DelayWatches(3, 75), Wait(time), EndTarget(0), Wait(395)];
         run(&[watched.as_slice(), &held, &[Wait(3_000)]].concat());
     }
 }
@@ -312,9 +320,9 @@
         simulation.wait(Duration::from_millis(150)).await;
         assert!(simulation.server.renewals() >= before + 4, "{} renewals", simulation.server.renewals() - before);
         simulation.wait(Duration::from_millis(500)).await;
-        for position in 0..4 {
-            let instance = &simulation.process(position).unwrap().instance;
-            assert_eq!(instance.routing.borrow().members.count(), 4, "members known to instance {position}");
+        for index in 0..4 {
+            let instance = &simulation.process(index).unwrap().instance;
+            assert_eq!(instance.routing.borrow().members.count(), 4, "members known to instance {index}");
         }
     });
 }
--- a/tests/model/client.rs
+++ b/tests/model/client.rs
@@ -34,18 +34,19 @@
     /// Number of times that the connection of a pending watch stopped delivering data.
     pub silenced_watches: Cell<u32>,
     /// Whether the next call other than a watch or a list gets no response.
-    pub loses_next_call: Cell<bool>,
+    pub silences_next_call: Cell<bool>,
     /// Whether the events of the next response to a watch are duplicated.
     pub duplicates_next: Cell<bool>,
     /// Additional transfer time of a watch to the store, so that other calls overtake it.
     pub watch_delay: Cell<Duration>,
     /// Whether calls are refused.
-    pub refuses: Cell<bool>,
+    pub refuses_calls: Cell<bool>,
     cut: Cell<bool>,
     /// Number of outages in which everything in transit was lost.
     losses: Cell<u32>,
     healed: Notify,
-    last: RefCell<[Option<Instant>; 2]>,
+    /// When what was sent last arrives, in each direction: to the store, and back.
+    last_arrivals: RefCell<[Option<Instant>; 2]>,
 }
 
 impl StoreLink {
@@ -67,10 +68,10 @@
         self.body.take();
         self.page_gap.take();
         self.loses_next_watch.take();
-        self.loses_next_call.take();
+        self.silences_next_call.take();
         self.duplicates_next.take();
         self.watch_delay.take();
-        self.refuses.take();
+        self.refuses_calls.take();
     }
 
     /// Whether the link is cut.
@@ -78,7 +79,9 @@
         self.cut.get()
     }
 
-    async fn transmit(&self, direction: usize, extra: Duration) {
+    /// Waits until data that is sent now arrives; `direction` is 0 to the store and 1 back. Data with an
+    /// extra delay may be overtaken.
+    async fn transmit(&self, direction: usize, extra_delay: Duration) {
         loop {
             let healed = self.healed.notified();
             if !self.cut.get() {
@@ -86,12 +89,12 @@
             }
             healed.await;
         }
-        let mut arrives = Instant::now() + ONE_WAY + extra;
-        if extra.is_zero() {
-            let mut last = self.last.borrow_mut();
-            let after = last[direction].map(|last| last + Duration::from_millis(1));
+        let mut arrives = Instant::now() + ONE_WAY + extra_delay;
+        if extra_delay.is_zero() {
+            let mut last_arrivals = self.last_arrivals.borrow_mut();
+            let after = last_arrivals[direction].map(|last| last + Duration::from_millis(1));
             arrives = arrives.max(after.unwrap_or(arrives));
-            last[direction] = Some(arrives);
+            last_arrivals[direction] = Some(arrives);
         }
         sleep_until(arrives).await;
     }
@@ -111,14 +114,18 @@
 }
 
 impl Client {
-    /// Sends a call with the additional transfer time `late`.
-    fn send<T: 'static>(&self, late: Duration, serve: impl AsyncFnOnce(&Server) -> T + 'static) -> PendingResponse<T> {
+    /// Sends a call with the additional transfer time `extra_delay`.
+    fn send<T: 'static>(
+        &self,
+        extra_delay: Duration,
+        serve: impl AsyncFnOnce(&Server) -> T + 'static,
+    ) -> PendingResponse<T> {
         let (head_sender, head) = oneshot::channel();
         let (body_sender, body) = oneshot::channel();
         let (server, link) = (self.server.clone(), self.link.clone());
         tokio::task::spawn_local(async move {
             let losses = link.losses.get();
-            link.transmit(0, late).await;
+            link.transmit(0, extra_delay).await;
             let response = serve(&server).await;
             let era = server.era();
             link.transmit(1, Duration::ZERO).await;
@@ -139,7 +146,7 @@
 
     async fn call<T: 'static>(&self, serve: impl FnOnce(&Server) -> T + 'static) -> Result<T, StoreError> {
         self.check_refusal().await?;
-        if self.link.loses_next_call.take() {
+        if self.link.silences_next_call.take() {
             std::future::pending::<()>().await;
         }
         let (sender, response) = oneshot::channel();
@@ -167,21 +174,21 @@
     }
 
     async fn check_refusal(&self) -> Result<(), StoreError> {
-        if !self.link.refuses.get() {
+        if !self.link.refuses_calls.get() {
             return Ok(());
         }
         sleep(2 * ONE_WAY).await;
         Err(StoreError::Refused(503))
     }
 
-    async fn page(&self, after: String, begins: impl FnOnce()) -> Result<super::server::Page, StoreError> {
+    async fn page(&self, after: String, on_response_start: impl FnOnce()) -> Result<super::server::Page, StoreError> {
         self.check_refusal().await?;
-        let parts = self.send(Duration::ZERO, async move |server: &Server| server.page(&after, PAGE_SIZE));
-        let head = timeout(HEAD_TIMEOUT, parts.head).await;
+        let pending = self.send(Duration::ZERO, async move |server: &Server| server.page(&after, PAGE_SIZE));
+        let head = timeout(HEAD_TIMEOUT, pending.head).await;
         let era = head.map_err(|_| StoreError::NoResponse)?.map_err(|_| StoreError::NoResponse)?;
         self.latest_era.check_response(Some(era))?;
-        begins();
-        parts.body.await.map_err(|_| StoreError::NoResponse)
+        on_response_start();
+        pending.body.await.map_err(|_| StoreError::NoResponse)
     }
 }
 
@@ -220,11 +227,11 @@
         wait: Duration,
         on_response_start: impl FnOnce(),
     ) -> Result<WatchResponse, StoreError> {
-        let (late, silenced_watches) = (self.link.watch_delay.get(), self.link.silenced_watches.get());
+        let (extra_delay, silenced_watches) = (self.link.watch_delay.get(), self.link.silenced_watches.get());
         self.check_refusal().await?;
-        let parts = self.send(late, async move |server: &Server| server.watch(after, wait).await);
+        let pending = self.send(extra_delay, async move |server: &Server| server.watch(after, wait).await);
         let head = async {
-            let sent = parts.head.await;
+            let sent = pending.head.await;
             if self.link.silenced_watches.get() != silenced_watches {
                 std::future::pending::<()>().await;
             }
@@ -234,7 +241,7 @@
         let era = head.map_err(|_| StoreError::NoResponse)?.map_err(|_| StoreError::NoResponse)?;
         self.latest_era.check_response(Some(era))?;
         on_response_start();
-        let response = parts.body.await.map_err(|_| StoreError::NoResponse)?;
+        let response = pending.body.await.map_err(|_| StoreError::NoResponse)?;
         if self.link.loses_next_watch.take() {
             return Err(StoreError::NoResponse);
         }
@@ -250,7 +257,7 @@
     }
 
     async fn position(&self) -> Result<Position, StoreError> {
-        self.call(|server| server.at()).await
+        self.call(|server| server.position()).await
     }
 
     async fn grant(&self, ttl: Duration) -> Result<LeaseId, StoreError> {
--- a/tests/model/freeze.rs
+++ b/tests/model/freeze.rs
@@ -8,25 +8,25 @@
 /// Whether a process is frozen.
 #[derive(Default)]
 pub struct FreezeGate {
-    closed: Cell<bool>,
-    waiting: RefCell<Vec<Waker>>,
+    frozen: Cell<bool>,
+    wakers: RefCell<Vec<Waker>>,
 }
 
 impl FreezeGate {
     /// Freezes the process.
-    pub fn close(&self) {
-        self.closed.set(true);
+    pub fn freeze(&self) {
+        self.frozen.set(true);
     }
 
     /// Thaws the process and wakes its tasks.
-    pub fn open(&self) {
-        self.closed.set(false);
-        self.waiting.take().into_iter().for_each(Waker::wake);
+    pub fn thaw(&self) {
+        self.frozen.set(false);
+        self.wakers.take().into_iter().for_each(Waker::wake);
     }
 
     /// Whether the process is frozen.
-    pub fn is_closed(&self) -> bool {
-        self.closed.get()
+    pub fn is_frozen(&self) -> bool {
+        self.frozen.get()
     }
 
     /// Wraps a task of the process so that it freezes with it.
@@ -45,8 +45,8 @@
     type Output = F::Output;
 
     fn poll(mut self: Pin<&mut Self>, context: &mut Context<'_>) -> Poll<F::Output> {
-        if self.gate.is_closed() {
-            self.gate.waiting.borrow_mut().push(context.waker().clone());
+        if self.gate.is_frozen() {
+            self.gate.wakers.borrow_mut().push(context.waker().clone());
             return Poll::Pending;
         }
         self.future.as_mut().poll(context)
--- a/tests/model/mod.rs
+++ b/tests/model/mod.rs
@@ -5,16 +5,16 @@
 //! |---|---|
 //! | `server`, `client` | the store, and the link of an instance to it |
 //! | `peer` | requests between instances |
-//! | `life`, `freeze` | an instance from start to end; a frozen process |
+//! | `process`, `freeze` | an instance from start to end; a frozen process |
 //! | `platform` | keys and values |
 //! | `step` | the steps, and how often each is drawn |
-//! | `world` | the effect of each step, and the invariants checked after each |
+//! | `simulation` | the effect of each step, and the invariants checked after each |
 
 mod client;
 mod freeze;
-mod life;
 mod peer;
 mod platform;
+mod process;
 mod server;
+pub mod simulation;
 pub mod step;
-pub mod world;
--- a/tests/model/peer.rs
+++ b/tests/model/peer.rs
@@ -2,7 +2,7 @@
 //! of `serve_changes`. They are processed as in `sync::relay` and `sync::peers`, but without
 //! their connections.
 
-use super::life::Process;
+use super::process::Process;
 use lockloft::clock::{Instant, timeout};
 use lockloft::net::gzip;
 use lockloft::store::freshness::{MAX_VIEW_AGE, Proof};
@@ -121,7 +121,7 @@
     drop(receiving);
     let changes: ChangeSet =
         serde_json::from_slice(&corrupt_value(body, &from.peer_link)).map_err(|_| FetchError::Failed)?;
-    let changes = changes.with_delay(since_computed(head.computed_after_ms, requested_at));
+    let changes = changes.with_delay(time_since_computed(head.computed_after_ms, requested_at));
     let max_age = if head.is_receiving { MAX_RECEIVING_AGE } else { MAX_VIEW_AGE };
     let is_superseded = changes.position().era < copy.latest_era().get();
     if is_relay && (is_superseded || changes.reported_age().is_none_or(|age| age >= max_age)) {
@@ -130,7 +130,7 @@
     changes.apply(&from.instance, "peer", proof).map_err(|_| FetchError::Failed)
 }
 
-fn since_computed(after_ms: i64, requested_at: Instant) -> Duration {
+fn time_since_computed(after_ms: i64, requested_at: Instant) -> Duration {
     let after = Duration::from_millis(after_ms.unsigned_abs());
     if after_ms < 0 { requested_at.elapsed() + after } else { requested_at.elapsed().saturating_sub(after) }
 }
--- a/tests/model/life.rs
+++ b/tests/model/process.rs
@@ -21,7 +21,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::{Instant, sleep, timeout};
 
-/// The relay of each instance by position: two trees, with three instances and one.
+/// The relay of each instance by index: two trees, with three instances and one.
 pub const RELAYS: [Option<usize>; 4] = [None, Some(0), Some(1), None];
 /// Time for which a failed relay is not followed.
 const RELAY_RETRY_DELAY: Duration = Duration::from_secs(5);
@@ -30,12 +30,12 @@
 /// Time between removals of targets whose grace has ended.
 const EXPIRY_INTERVAL: Duration = Duration::from_millis(500);
 
-/// The running instances by position; `None` where none runs.
+/// The running instances by index; `None` where none runs.
 pub type Fleet = Rc<RefCell<Vec<Option<Rc<Process>>>>>;
 
 /// One process of an instance.
 pub struct Process {
-    pub position: usize,
+    pub index: usize,
     pub instance: Rc<Instance<TextPlatform>>,
     pub cache: ResponseCache,
     pub gate: Rc<FreezeGate>,
@@ -55,11 +55,11 @@
     .clone()
 }
 
-fn settings(position: usize) -> Settings {
+fn settings(index: usize) -> Settings {
     let text = format!(
-        "[instance]\nname = \"i{position}\"\nhall = \"a-1\"\nregion = \"a\"\n\
-        [listen]\ncallers = \"127.0.0.1:1{position}1\"\nreadiness = \"127.0.0.1:1{position}2\"\n\
-        directory = \"127.0.0.1:1{position}3\"\npeers = \"127.0.0.1:1{position}4\"\n\
+        "[instance]\nname = \"i{index}\"\nhall = \"a-1\"\nregion = \"a\"\n\
+        [listen]\ncallers = \"127.0.0.1:1{index}1\"\nreadiness = \"127.0.0.1:1{index}2\"\n\
+        directory = \"127.0.0.1:1{index}3\"\npeers = \"127.0.0.1:1{index}4\"\n\
         [store]\naddress = \"127.0.0.1:5\"\nshortest_lease_ms = 1000\n\
         [bounds]\nstop_s = 6\ndirectory_ttl_s = 5\nretry_ratio = 0.2\nretry_slack = 64\ncold_overage = 1.5\ncold_slack = 5\n\
         [limits]\nmemory_mb = 260\ndescriptors = 4100\n"
@@ -69,18 +69,18 @@
 
 impl Process {
     /// Starts an instance.
-    pub fn start(position: usize, server: &Rc<Server>, link: &Rc<StoreLink>, fleet: &Fleet) {
+    pub fn start(index: usize, server: &Rc<Server>, link: &Rc<StoreLink>, fleet: &Fleet) {
         let client = Client { server: server.clone(), link: link.clone(), latest_era: Rc::default() };
         let process = Rc::new(Process {
-            position,
-            instance: Rc::new(Instance::new(settings(position), client, log())),
+            index,
+            instance: Rc::new(Instance::new(settings(index), client, log())),
             cache: ResponseCache::default(),
             gate: Rc::default(),
             peer_link: Rc::default(),
             seen: Cell::default(),
             tasks: RefCell::default(),
         });
-        fleet.borrow_mut()[position] = Some(process.clone());
+        fleet.borrow_mut()[index] = Some(process.clone());
         process.spawn(update(process.clone(), fleet.clone()));
         process.spawn(membership::run(process.instance.clone()));
         process.spawn(fetch_from_peers(process.clone(), fleet.clone()));
@@ -109,7 +109,7 @@
     let mut failed: [Option<Instant>; RELAYS.len()] = [None; RELAYS.len()];
     loop {
         let is_usable = |relay: &usize| failed[*relay].is_none_or(|at| at.elapsed() >= RELAY_RETRY_DELAY);
-        let relays = std::iter::successors(RELAYS[process.position], |relay| RELAYS[*relay]);
+        let relays = std::iter::successors(RELAYS[process.index], |relay| RELAYS[*relay]);
         let Some(relay) = relays.into_iter().find(is_usable) else {
             let _ = timeout(RELAY_RETRY_DELAY, watch::run(process.instance.clone())).await;
             continue;
@@ -127,14 +127,14 @@
 }
 
 async fn fetch_from_peers(process: Rc<Process>, fleet: Fleet) {
-    let mut next = process.position;
+    let mut next = process.index;
     loop {
         sleep(PEER_POLL_INTERVAL).await;
         if process.instance.store_copy.is_current() {
             continue;
         }
         next = (next + 1) % RELAYS.len();
-        let other = fleet.borrow()[next].clone().filter(|_| next != process.position);
+        let other = fleet.borrow()[next].clone().filter(|_| next != process.index);
         if let Some(other) = other {
             let _ = fetch_changes(&process, &other, Duration::ZERO, false).await;
         }
--- a/tests/model/server.rs
+++ b/tests/model/server.rs
@@ -79,7 +79,7 @@
     }
 
     /// The position of the last change.
-    pub fn at(&self) -> Position {
+    pub fn position(&self) -> Position {
         Position { era: self.era(), revision: self.revision() }
     }
 
@@ -152,7 +152,7 @@
         let items = self.items.borrow();
         let mut rest = items.values().filter(|item| item.key.as_str() > after);
         let page: Vec<Item> = rest.by_ref().take(size).cloned().collect();
-        Page { items: page, at: self.at(), has_more: rest.next().is_some() }
+        Page { items: page, at: self.position(), has_more: rest.next().is_some() }
     }
 
     /// The changes after a revision, as soon as there is one or the wait times out; `None` if the
@@ -169,10 +169,10 @@
             }
             let events: Vec<Event> = self.history.borrow().iter().skip(after as usize).cloned().collect();
             if !events.is_empty() {
-                return Some((events, self.at()));
+                return Some((events, self.position()));
             }
             if tokio::time::timeout_at(deadline, changed).await.is_err() {
-                return Some((Vec::new(), self.at()));
+                return Some((Vec::new(), self.position()));
             }
         }
     }
--- a/tests/model/world.rs
+++ b/tests/model/simulation.rs
@@ -1,8 +1,8 @@
 //! The simulated site: the effect of each step, and the invariants checked after each.
 
 use super::client::StoreLink;
-use super::life::{Fleet, Process, RELAYS};
 use super::platform::{CONFIG, EVACUATION, target_value};
+use super::process::{Fleet, Process, RELAYS};
 use super::server::{Server, Snapshot};
 use super::step::Step;
 use bytes::Bytes;
@@ -83,16 +83,16 @@
         simulation.configure(false);
         simulation.start_target(0, 0);
         simulation.start_target(1, 1);
-        for position in 0..RELAYS.len() {
-            simulation.start_process(position);
+        for index in 0..RELAYS.len() {
+            simulation.start_process(index);
         }
         simulation.wait(STARTUP_TIME).await;
         simulation
     }
 
     /// The process of an instance; `None` if it is not running.
-    pub fn process(&self, position: usize) -> Option<Rc<Process>> {
-        self.fleet.borrow()[position].clone()
+    pub fn process(&self, index: usize) -> Option<Rc<Process>> {
+        self.fleet.borrow()[index].clone()
     }
 
     /// Advances time, and checks all instances at each interval.
@@ -128,33 +128,35 @@
     fn inject_fault(&mut self, step: &Step) {
         let time = |time: u16| Duration::from_millis(time.into());
         match *step {
-            Step::Cut(one) => self.cut(one),
-            Step::Heal(one) => self.heal(one),
-            Step::Busy(one, is_busy) => self.links[one].refuses.set(is_busy),
-            Step::SlowStore(one, body) => self.links[one].body.set(time(body)),
-            Step::Reorder(one, late) => self.links[one].watch_delay.set(time(late)),
-            Step::PageGap(one, gap) => self.links[one].page_gap.set(time(gap)),
-            Step::LoseResponse(one) => self.links[one].loses_next_watch.set(true),
-            Step::SilenceWatch(one) => self.links[one].silenced_watches.set(self.links[one].silenced_watches.get() + 1),
-            Step::SilenceCall(one) => self.links[one].loses_next_call.set(true),
-            Step::Duplicate(one) => self.links[one].duplicates_next.set(true),
-            Step::Start(one) => self.start_process(one),
-            Step::Kill(one) => self.kill(one),
+            Step::Cut(index) => self.cut(index),
+            Step::Heal(index) => self.heal(index),
+            Step::RefuseCalls(index, refuses) => self.links[index].refuses_calls.set(refuses),
+            Step::SlowStore(index, body) => self.links[index].body.set(time(body)),
+            Step::DelayWatches(index, delay) => self.links[index].watch_delay.set(time(delay)),
+            Step::PageGap(index, gap) => self.links[index].page_gap.set(time(gap)),
+            Step::LoseResponse(index) => self.links[index].loses_next_watch.set(true),
+            Step::SilenceWatch(index) => {
+                self.links[index].silenced_watches.set(self.links[index].silenced_watches.get() + 1)
+            }
+            Step::SilenceCall(index) => self.links[index].silences_next_call.set(true),
+            Step::Duplicate(index) => self.links[index].duplicates_next.set(true),
+            Step::Start(index) => self.start_process(index),
+            Step::Kill(index) => self.kill(index),
             _ => self.inject_process_fault(step),
         }
     }
 
     fn inject_process_fault(&self, step: &Step) {
         let time = |time: u16| Duration::from_millis(time.into());
-        let (Step::SlowPeers(one, ..)
-        | Step::CutPeers(one, _)
-        | Step::Corrupt(one)
-        | Step::Freeze(one)
-        | Step::Thaw(one)) = *step
+        let (Step::SlowPeers(index, ..)
+        | Step::CutPeers(index, _)
+        | Step::Corrupt(index)
+        | Step::Freeze(index)
+        | Step::Thaw(index)) = *step
         else {
             unreachable!("{step:?} is handled above")
         };
-        let Some(process) = self.process(one) else { return };
+        let Some(process) = self.process(index) else { return };
         match *step {
             Step::SlowPeers(_, up, down, body) => {
                 process.peer_link.up.set(time(up));
@@ -163,8 +165,8 @@
             }
             Step::CutPeers(_, is_cut) => process.peer_link.cut.set(is_cut),
             Step::Corrupt(_) => process.peer_link.corrupts_next.set(true),
-            Step::Freeze(_) => process.gate.close(),
-            _ => process.gate.open(),
+            Step::Freeze(_) => process.gate.freeze(),
+            _ => process.gate.thaw(),
         }
     }
 
@@ -246,81 +248,81 @@
         self.put(&key, format!("{} {} {}", words[0], words[1], self.next_sequence()));
     }
 
-    fn cut(&mut self, position: usize) {
-        if !self.links[position].is_cut() {
-            self.cut_at[position] = Some(Instant::now());
+    fn cut(&mut self, index: usize) {
+        if !self.links[index].is_cut() {
+            self.cut_at[index] = Some(Instant::now());
         }
-        self.links[position].cut();
+        self.links[index].cut();
     }
 
     /// Restores the link. What was in transit arrives, but is silently lost after a long outage.
-    fn heal(&mut self, position: usize) {
-        let cut_at = self.cut_at[position].take();
+    fn heal(&mut self, index: usize) {
+        let cut_at = self.cut_at[index].take();
         let is_long = cut_at.is_some_and(|at| at.elapsed() >= MIN_LOSSY_OUTAGE);
-        self.links[position].heal(is_long);
+        self.links[index].heal(is_long);
     }
 
-    fn start_process(&self, position: usize) {
-        if self.process(position).is_none() {
-            Process::start(position, &self.server, &self.links[position], &self.fleet);
+    fn start_process(&self, index: usize) {
+        if self.process(index).is_none() {
+            Process::start(index, &self.server, &self.links[index], &self.fleet);
         }
     }
 
-    fn kill(&self, position: usize) {
-        let process = self.fleet.borrow_mut()[position].take();
+    fn kill(&self, index: usize) {
+        let process = self.fleet.borrow_mut()[index].take();
         process.iter().for_each(|process| process.kill());
     }
 
     /// Ends all faults, waits, and checks every instance against the store.
     pub async fn heal_and_converge(&mut self) {
-        for position in 0..RELAYS.len() {
-            self.heal(position);
-            self.start_process(position);
-            self.links[position].end_faults();
-            let process = self.process(position).expect("it was started");
+        for index in 0..RELAYS.len() {
+            self.heal(index);
+            self.start_process(index);
+            self.links[index].end_faults();
+            let process = self.process(index).expect("it was started");
             process.peer_link.end_faults();
-            process.gate.open();
+            process.gate.thaw();
         }
         self.wait(CONVERGENCE_TIME).await;
-        for position in 0..RELAYS.len() {
-            self.check_converged(&self.process(position).expect("it was started"));
+        for index in 0..RELAYS.len() {
+            self.check_converged(&self.process(index).expect("it was started"));
         }
     }
 
     /// Checks the invariants that hold at any time.
     pub fn check(&self) {
-        for process in self.fleet.borrow().iter().flatten().filter(|process| !process.gate.is_closed()) {
+        for process in self.fleet.borrow().iter().flatten().filter(|process| !process.gate.is_frozen()) {
             self.check_process(process);
         }
     }
 
     fn check_process(&self, process: &Process) {
-        let position = process.position;
+        let index = process.index;
         let version = process.instance.routing.borrow().config.as_ref().map_or(0, |config| config.version);
         let view = process.instance.store_copy.view();
         let (seen_version, seen_at) = process.seen.replace((version, view.position()));
-        assert!(version >= seen_version, "instance {position} went back from version {seen_version} to {version}");
-        assert!(view.position() >= seen_at, "instance {position} went back from {seen_at:?} to {:?}", view.position());
+        assert!(version >= seen_version, "instance {index} went back from version {seen_version} to {version}");
+        assert!(view.position() >= seen_at, "instance {index} went back from {seen_at:?} to {:?}", view.position());
         let Some(computed) = process.instance.store_copy.view_age() else { return };
         let missing = self.server.missing_since(&view).map(|since| since.elapsed()).unwrap_or_default();
         assert!(
             computed + TOLERANCE >= missing,
-            "instance {position} computes an age of {computed:?} for its view at {:?}, but misses a change of {missing:?} ago",
+            "instance {index} computes an age of {computed:?} for its view at {:?}, but misses a change of {missing:?} ago",
             view.position()
         );
     }
 
     fn check_converged(&self, process: &Process) {
-        let position = process.position;
+        let index = process.index;
         let items = self.server.items();
         let view = process.instance.store_copy.view();
         let known: BTreeMap<_, _> = view.items().map(|item| (item.key.clone(), item.clone())).collect();
-        assert_eq!(known, items, "instance {position} at {:?} has not converged", view.position());
+        assert_eq!(known, items, "instance {index} at {:?} has not converged", view.position());
         let age = process.instance.store_copy.view_age();
-        assert!(age.is_some_and(|age| age < MAX_CONVERGED_AGE), "instance {position} computes a view age of {age:?}");
+        assert!(age.is_some_and(|age| age < MAX_CONVERGED_AGE), "instance {index} computes a view age of {age:?}");
         let routing = process.instance.routing.borrow();
-        assert_eq!(routing.config.as_ref().map(|config| config.version), Some(self.version), "instance {position}");
-        assert_eq!(routing.is_evacuated("a-1"), items.contains_key(EVACUATION), "instance {position}");
+        assert_eq!(routing.config.as_ref().map(|config| config.version), Some(self.version), "instance {index}");
+        assert_eq!(routing.is_evacuated("a-1"), items.contains_key(EVACUATION), "instance {index}");
         // An id identifies one start of a target at an address.
         let targets: BTreeMap<String, String> =
             routing.targets().map(|target| (target.id.to_string(), target.service.to_string())).collect();
@@ -328,6 +330,6 @@
         let registered = items.iter().filter(|(key, _)| key.starts_with("t/"));
         let registered: BTreeMap<String, String> =
             registered.filter_map(|(key, item)| Some((key.clone(), service(&item.value)?))).collect();
-        assert_eq!(targets, registered, "targets of instance {position}");
+        assert_eq!(targets, registered, "targets of instance {index}");
     }
 }
--- a/tests/model/step.rs
+++ b/tests/model/step.rs
@@ -1,6 +1,6 @@
 //! The steps of the simulation, and how often each is drawn.
 
-use super::life::RELAYS;
+use super::process::RELAYS;
 use proptest::prelude::*;
 
 /// A step. Instances and slots are given by number, times in milliseconds.
@@ -30,11 +30,11 @@
     /// The link to the store works again.
     Heal(usize),
     /// The store refuses an instance's calls, or accepts them again.
-    Busy(usize, bool),
+    RefuseCalls(usize, bool),
     /// The bodies of the store's responses take this long to arrive.
     SlowStore(usize, u16),
     /// A watch takes this much longer to reach the store than other calls.
-    Reorder(usize, u16),
+    DelayWatches(usize, u16),
     /// Time between pages of a list.
     PageGap(usize, u16),
     /// Transfer times of requests to peers, and of the heads and bodies of their responses.
@@ -66,7 +66,7 @@
 
 /// Any step.
 pub fn step() -> impl Strategy<Value = Step> {
-    let one = || 0..RELAYS.len();
+    let index = || 0..RELAYS.len();
     prop_oneof![
         8 => (1u16..1_500).prop_map(Step::Wait),
         2 => (1_500u16..6_000).prop_map(Step::Wait),
@@ -78,23 +78,24 @@
         2 => Just(Step::Compact),
         3 => Just(Step::Snapshot),
         3 => (any::<bool>(), 0u16..1_500).prop_map(|(keeps_leases, delay)| Step::Restore(keeps_leases, delay)),
-        2 => one().prop_map(Step::Cut),
-        2 => one().prop_map(Step::Heal),
-        1 => (one(), any::<bool>()).prop_map(|(one, on)| Step::Busy(one, on)),
-        2 => (one(), 0u16..4_000).prop_map(|(one, body)| Step::SlowStore(one, body)),
-        1 => (one(), 0u16..80).prop_map(|(one, late)| Step::Reorder(one, late)),
-        1 => (one(), 0u16..500).prop_map(|(one, gap)| Step::PageGap(one, gap)),
-        2 => (one(), 0u16..300, 0u16..300, 0u16..3_000).prop_map(|(o, up, down, body)| Step::SlowPeers(o, up, down, body)),
-        1 => (one(), any::<bool>()).prop_map(|(one, on)| Step::CutPeers(one, on)),
-        2 => one().prop_map(Step::Corrupt),
-        1 => one().prop_map(Step::LoseResponse),
-        2 => one().prop_map(Step::SilenceWatch),
-        1 => one().prop_map(Step::SilenceCall),
-        1 => one().prop_map(Step::Duplicate),
-        2 => one().prop_map(Step::Freeze),
-        2 => one().prop_map(Step::Thaw),
+        2 => index().prop_map(Step::Cut),
+        2 => index().prop_map(Step::Heal),
+        1 => (index(), any::<bool>()).prop_map(|(index, on)| Step::RefuseCalls(index, on)),
+        2 => (index(), 0u16..4_000).prop_map(|(index, body)| Step::SlowStore(index, body)),
+        1 => (index(), 0u16..80).prop_map(|(index, delay)| Step::DelayWatches(index, delay)),
+        1 => (index(), 0u16..500).prop_map(|(index, gap)| Step::PageGap(index, gap)),
+        2 => (index(), 0u16..300, 0u16..300, 0u16..3_000)
+            .prop_map(|(index, up, down, body)| Step::SlowPeers(index, up, down, body)),
+        1 => (index(), any::<bool>()).prop_map(|(index, on)| Step::CutPeers(index, on)),
+        2 => index().prop_map(Step::Corrupt),
+        1 => index().prop_map(Step::LoseResponse),
+        2 => index().prop_map(Step::SilenceWatch),
+        1 => index().prop_map(Step::SilenceCall),
+        1 => index().prop_map(Step::Duplicate),
+        2 => index().prop_map(Step::Freeze),
+        2 => index().prop_map(Step::Thaw),
         1 => (1u16..6_000).prop_map(Step::Suspend),
-        1 => one().prop_map(Step::Kill),
-        2 => one().prop_map(Step::Start),
+        1 => index().prop_map(Step::Kill),
+        2 => index().prop_map(Step::Start),
     ]
 }
