--- a/src/state/lifecycle.rs
+++ b/src/state/lifecycle.rs
@@ -23,7 +23,7 @@
         self.stop_requested.notify_waiters();
     }
 
-    /// Enters the last state, in which no requests are served.
+    /// Enters the last state, in which new requests are refused.
     pub fn begin_ending(&self) {
         self.ending.set(true);
     }
@@ -38,7 +38,7 @@
         self.stopping_since.get().map(|since| since.elapsed())
     }
 
-    /// Whether the instance has reached the last state, in which no requests are served.
+    /// Whether the instance has reached the last state, in which new requests are refused.
     pub fn is_ending(&self) -> bool {
         self.ending.get()
     }
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -33,7 +33,7 @@
         self.has_quotas.get()
     }
 
-    /// Whether this instance received reports recently, so that it is the head of other instances.
+    /// Whether this instance recorded reports as a head recently; these may be its own reports only.
     pub fn is_head(&self) -> bool {
         self.totals.borrow().is_head(Instant::now())
     }
@@ -71,8 +71,8 @@
         self.local_usage.borrow_mut().apply_answer(answer, Instant::now());
     }
 
-    /// Starts a report to another hall: its usage by tenant, and the period in which the requests
-    /// arrived.
+    /// Starts a report to another hall: takes the own hall's usage by tenant that is still to be sent
+    /// to it, and returns it with the time since the first of it was added.
     pub fn begin_forward(&self, hall: &str) -> (Vec<(String, Usage)>, Duration) {
         self.totals.borrow_mut().begin_forward(hall, Instant::now())
     }
@@ -137,8 +137,9 @@
         UsageAnswer { loads: self.record_shared_loads(report), ..answer.unwrap_or_default() }
     }
 
-    /// Records this instance's own report as the head of its hall; `None` if no other instance is
-    /// reachable, since the answer would then be that of an isolated instance.
+    /// Records this instance's own report as the head of its hall. Returns `None` if there are other
+    /// members but none has reported to this instance recently, since the answer would then be that of
+    /// an isolated instance, and before the first configuration.
     pub fn record_own_usage_report(&self, report: &UsageReport) -> Option<UsageAnswer> {
         let answer = self.with_totals(|totals, context| {
             let answer = totals.record_report(report, context, Instant::now());
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -32,7 +32,8 @@
         self.report_due.notified().await;
     }
 
-    /// Whether this instance is the head of its hall and has demands to report to other halls.
+    /// Whether this instance is the head of its hall, and knows limits, demands or leaving targets to
+    /// report to other halls.
     pub fn should_forward(&self) -> bool {
         self.totals.borrow().should_forward(Instant::now())
     }
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -49,23 +49,26 @@
         self.in_flight.set(self.in_flight.get() - 1);
     }
 
-    /// Counts a request until the guard is dropped, while its response is sent to the caller.
+    /// Counts a request as in flight until the returned guard is dropped, so that it also counts while
+    /// its response is sent to the caller.
     pub fn track(&self) -> InFlightGuard {
         self.begin();
         InFlightGuard(self.in_flight.clone())
     }
 
-    /// Adjusts the number of pipelined requests that wait for their turn on their connection.
+    /// Adds `change` to the number of pipelined requests that were read before their turn on their
+    /// connection. Such a request counts until its turn; if it began early, until its response is ready
+    /// as well. It may thus be waiting, running or done.
     pub fn count_unanswered(&self, change: i64) {
         self.unanswered.set(self.unanswered.get() + change);
     }
 
-    /// Number of pipelined requests that wait for their turn.
+    /// Number of pipelined requests that were read before their turn, see [`Self::count_unanswered`].
     pub fn unanswered(&self) -> u64 {
         u64::try_from(self.unanswered.get()).unwrap_or(0)
     }
 
-    /// Whether no request is in flight and none waits for its turn.
+    /// Whether no request is in flight, and no pipelined one was read before its turn and still counts.
     pub fn are_finished(&self) -> bool {
         self.in_flight.get() == 0 && self.unanswered.get() == 0
     }
--- a/src/state/store_copy.rs
+++ b/src/state/store_copy.rs
@@ -89,8 +89,8 @@
         let was_lost = self.health.is_lost();
         let has_recovered = self.health.record_response(self.view_age());
         if was_lost || has_recovered {
-            // A watch that was pending meanwhile may be lost, even if no call failed: this
-            // process may have been paused.
+            // A watch that was pending while the store did not respond may be lost, even if no call
+            // failed: this process may have been paused.
             self.reachable_again.notify_waiters();
         }
     }
--- a/src/store/freshness.rs
+++ b/src/store/freshness.rs
@@ -15,7 +15,8 @@
 //!
 //! Each proof covers all kinds of keys, since every source delivers them in one order of
 //! positions. A response from an earlier era than the latest known one proves nothing
-//! ([`super::era`]). A single value that is refused is logged (`value_refused`).
+//! ([`super::era`]). A refused value does not invalidate the proof by its response; it is logged
+//! (`value_refused`).
 //!
 //! **Why.** Rules that must not act on stale state depend on it: targets in slow start,
 //! followers of a relay, the grace of registrations.
@@ -48,7 +49,7 @@
     Read,
     /// A response of the relay.
     Relay,
-    /// The response of a peer that was queried during an outage.
+    /// A response of a seed at the start, or of a random peer while the view is stale.
     Peer,
 }
 
--- a/src/store/grace.rs
+++ b/src/store/grace.rs
@@ -37,8 +37,8 @@
 /// removed target was used for too long although the view was only 0.4 s old.
 const MIN_VIEW_AGE: Duration = Duration::from_millis(3_000);
 
-/// End of the grace for records that a restored store lacks, where its era was first observed at
-/// `observed_at`. It is as long as after an outage, since writers need as long to write again.
+/// End of the grace for records that a restored store lacks; `observed_at` is when its era was first
+/// observed. The grace is as long as after an outage, since writers need as long to write again.
 pub fn era_grace_until(observed_at: Instant) -> Instant {
     observed_at + GRACE
 }
--- a/src/store/health.rs
+++ b/src/store/health.rs
@@ -33,7 +33,7 @@
 #[derive(Debug, Default)]
 pub struct StoreHealth {
     responded_at: Cell<Option<Instant>>,
-    /// Whether a call failed while the store counted as lost, and none got a response since.
+    /// Whether a call failed while the store counted as lost, and no call has got a response since.
     in_outage: Cell<bool>,
     /// When a failed call was last logged.
     failure_logged_at: Cell<Option<Instant>>,
--- a/src/store/mod.rs
+++ b/src/store/mod.rs
@@ -43,11 +43,11 @@
 pub enum Event {
     /// A key was written.
     Put(Item),
-    /// A key was deleted, or its lease expired.
+    /// A key was deleted, its lease expired, or a list does not contain it.
     Delete {
         /// The deleted key.
         key: String,
-        /// The revision of the deletion.
+        /// The revision of the deletion; that of the list if it was found missing there.
         revision: u64,
     },
 }
@@ -108,7 +108,7 @@
     /// No response; a write may have been applied, or may still be.
     #[error("the store did not answer; lockloft retries the call")]
     NoResponse,
-    /// The store refused the call with this HTTP status; nothing was written.
+    /// The store refused the call with this HTTP status and did not execute it.
     #[error("the store refused the call with status {0}; lockloft retries it")]
     Refused(u16),
     /// The key is not at the expected revision, since another write came first.
@@ -132,8 +132,9 @@
 pub trait Store: 'static {
     /// The latest era reported by a response of the store or of a peer.
     fn latest_era(&self) -> Rc<LatestEra>;
-    /// Lists all current keys under `prefix`; calls `on_response_start` when the headers of the
-    /// first page arrive.
+    /// Lists all keys under `prefix` as they are at the time of the call, unlike [`Self::count`]; for
+    /// a list with several pages see [`Listing::at`]. Calls `on_response_start` when the headers of
+    /// the first page arrive.
     fn list(&self, prefix: &str, on_response_start: impl FnOnce())
     -> impl Future<Output = Result<Listing, StoreError>>;
     /// Waits up to `wait` for changes under `prefix` after a revision of the latest era; calls
@@ -145,8 +146,8 @@
         wait: Duration,
         on_response_start: impl FnOnce(),
     ) -> impl Future<Output = Result<WatchResponse, StoreError>>;
-    /// The number of keys under `prefix`, from a cheap read that may be seconds old. Keys beyond the
-    /// first page of a list are not counted.
+    /// The number of keys under `prefix`, from a cheap read whose result may be seconds old. Keys
+    /// beyond the first page of a list are not counted.
     fn count(&self, prefix: &str) -> impl Future<Output = Result<usize, StoreError>>;
     /// The current position of the store, whichever keys have changed.
     fn position(&self) -> impl Future<Output = Result<Position, StoreError>>;
--- a/src/store/view.rs
+++ b/src/store/view.rs
@@ -10,7 +10,7 @@
 use crate::store::{Event, Item, Listing};
 use std::collections::{BTreeMap, HashMap, HashSet, VecDeque};
 
-/// Maximum number of changes kept for peers; a peer that is further behind gets the whole view.
+/// Maximum number of changes kept for peers; a peer that is further behind gets the full view.
 /// They cover minutes at small sites and seconds of a burst at large ones, and take some 300 kB
 /// plus the last configuration.
 const MAX_RECENT_CHANGES: usize = 1_000;
--- a/src/sync/backoff.rs
+++ b/src/sync/backoff.rs
@@ -1,5 +1,5 @@
-//! Exponential backoff after failed calls to the store: every call has a cost, also a refused one, and
-//! all instances share the store.
+//! Exponential backoff after failed calls to the store: all instances share the store, and every call
+//! adds to its load, also a refused one.
 //!
 //! Owns the number of consecutive failures. Relies on nothing.
 
--- a/src/sync/call.rs
+++ b/src/sync/call.rs
@@ -8,13 +8,13 @@
 use crate::store::StoreError;
 use std::time::Duration;
 
-/// Timeout of a call that transfers no document, such as policies: three in a row fit into the TTL of
-/// a lease, and it is twice the duration of a slow call.
+/// Timeout of a call, without the transfer time of a document: three in a row fit into the TTL of a
+/// lease, and it is twice the duration of a slow call.
 const CALL_TIMEOUT: Duration = Duration::from_millis(700);
 
-/// Minimum rate at which a document has to be transferred, bytes per second: a tenth of 10 Mbit/s. The
-/// transfer time is added to [`CALL_TIMEOUT`], so that a large document does not time out for its
-/// size.
+/// Minimum rate at which a document, such as the policies, has to be transferred, bytes per second: a
+/// tenth of 10 Mbit/s. The transfer time is added to [`CALL_TIMEOUT`], so that a call does not time out
+/// because its document is large.
 const MIN_LINK_RATE: u32 = 125_000;
 
 /// Waits for the response to a small call; `kind` is its label in the metrics.
--- a/src/sync/confirm.rs
+++ b/src/sync/confirm.rs
@@ -9,10 +9,11 @@
 //! - The position and the age of the view; exact.
 //! - Whether a response with changes is being received by this instance; exact.
 //!
-//! **Why.** A waiting watch looks like one whose connection is dead, or whose request or response was
-//! lost in an outage. A response on another connection shows that the store responds, but not that
-//! the watch still exists. The store's position is the same on each connection. Without this
-//! rule a lost watch hid changes for 23 s from a view that was taken to be 0.5 s old.
+//! **Why.** A watch that waits for changes cannot be told from one whose connection is dead, whose
+//! response was lost, or whose request was lost in an outage. A response on another connection shows
+//! that the store responds, but not that the watch still exists. The store's position is the same on
+//! each connection. Without this rule a lost watch hid changes for 23 s from a view that was taken to
+//! be 0.5 s old.
 //!
 //! **Guards** the promise that the computed age of the view is never below its true age, and bounds
 //! the time for which a lost watch hides a change: `CONFIRM_AGE`, a round trip to the store and
@@ -82,7 +83,8 @@
     sleep(INITIAL_DELAY).await;
     loop {
         sleep(CONFIRM_AGE.saturating_sub(copy.view_age().unwrap_or(CONFIRM_AGE))).await;
-        // While a response is being received, a read proves nothing about the watch.
+        // While a response is being received, a read shows neither that the watch is lost nor that it
+        // works.
         if copy.is_receiving_directly() {
             sleep(RECEIVING_POLL_INTERVAL).await;
             continue;
--- a/src/sync/heads.rs
+++ b/src/sync/heads.rs
@@ -99,8 +99,8 @@
         self.skipped_until.borrow().get(&peer).is_none_or(|until| *until <= Instant::now())
     }
 
-    /// Sends a report to a head and returns its answer; `None` if that fails. A head that times out is
-    /// skipped for a while after the second timeout in a row, and after any other failure at once.
+    /// Sends a report to a head and returns its answer; `None` if that fails. The head is then skipped
+    /// for a while: after a timeout only if it is the second in a row, after any other failure at once.
     pub async fn send_report<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Option<R::Answer> {
         let error = match timeout(REPORT_TIMEOUT, self.call(head, report)).await {
             Ok(Ok(answer)) => {
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -65,7 +65,8 @@
 }
 
 /// Whether to report without a known limit, to learn of limits that other instances know: there are
-/// so many instances that most of them send little to any one target.
+/// so many instances that most of them send little to any one target. The number is the one from
+/// which targets' loads are shared, for the same reason.
 fn polls_for_limits<P: Platform>(instance: &Instance<P>) -> bool {
     instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
@@ -86,8 +87,8 @@
     }
 }
 
-/// While this instance is a head, forwards the demand that its hall reported to the heads of other
-/// halls, until the process ends.
+/// While this instance is a head, forwards to the heads of other halls the demands, limits and leaving
+/// targets that its own hall's instances reported, until the process ends.
 async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
     loop {
         sleep(FORWARD_INTERVAL).await;
--- a/src/sync/mod.rs
+++ b/src/sync/mod.rs
@@ -5,7 +5,7 @@
 //! | `start` | the initial view, from a seed if one has a current view |
 //! | `watch` | the task that lists and watches the store, or follows a relay |
 //! | `confirm` | reads that detect whether a waiting watch has missed a change |
-//! | `relay`, `relay_tree` | the client of the relay; the relay tree of a hall |
+//! | `relay`, `relay_tree` | follows a relay; which instances of a hall an instance may follow |
 //! | `peers` | changes exchanged between instances; requests to random peers while the view is stale |
 //! | `membership` | the instance's own key, kept under a lease |
 //! | `policies` | rewrites policies that a restored store lacks |
--- a/src/sync/relay.rs
+++ b/src/sync/relay.rs
@@ -1,8 +1,8 @@
 //! The client of a relay. One instance of a hall watches the store; the others receive its changes
 //! through a tree in which each instance serves a few ([`crate::sync::relay_tree`]). An instance
 //! whose relay fails or has a stale view follows another relay for a while; if there is none, or two
-//! in a row fail, it watches the store itself. A starting instance follows a seed, if there is
-//! one, until it is a member itself.
+//! in a row fail, it watches the store itself. A starting instance that is not a seed follows a seed
+//! from its initial view on until it is a member, unless that seed fails.
 //!
 //! **Inputs**
 //! - Names, halls and peer addresses of the members; as old as the view: at most 1.3 s while the
--- a/src/sync/relay_tree.rs
+++ b/src/sync/relay_tree.rs
@@ -15,10 +15,10 @@
 /// more. Bounds the bytes that the busiest instance sends; a hall of 17 needs three levels. Of 300
 /// instances, the busiest sent 3,467 kB/s without a tree and 1,895 kB/s with it.
 pub const FOLLOWERS_PER_RELAY: usize = 4;
-/// Time for which the first four followers of a hall follow a stale relay. It is added once more for
-/// each further four instances: a list of 1,400 keys over a slow link takes 0.2 s. With the age from
-/// which a view is stale, the first followers call the store 1.6 s after the last proof, below the
-/// shortest bound on lag (2 s).
+/// Time for which the first four followers of a hall follow a stale relay. Each further four instances
+/// wait this much longer, so that those before them can list the store first: a list of 1,400 keys
+/// over a slow link takes 0.2 s. With the age from which a view is stale, the first followers call the
+/// store 1.6 s after the last proof, below the shortest bound on lag (2 s).
 const STALE_TIMEOUT_STEP: Duration = Duration::from_millis(250);
 
 /// Indexes of the ancestors of the instance at `index` in its hall's tree, parent first.
@@ -37,8 +37,8 @@
 /// views of a hall turn stale together; if each instance then calls the store itself, 295 of them
 /// make 3,900 calls in six seconds. A relay that responds is calling the store already, or follows
 /// one that does; its followers call the store once the first instances have had no success. Random
-/// peers are asked meanwhile, so that an instance whose relays the store refuses has a current view
-/// as soon as any other instance has one.
+/// peers are asked meanwhile, so that an instance has a current view as soon as any other has one, even
+/// if the store refuses the calls of all its relays.
 pub fn stale_relay_timeout(index: usize) -> Duration {
     STALE_TIMEOUT_STEP * (1 + index.saturating_sub(1) / FOLLOWERS_PER_RELAY) as u32
 }
--- a/src/sync/start.rs
+++ b/src/sync/start.rs
@@ -54,7 +54,8 @@
 /// The result of the search for an initial view.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InitialView {
-    /// The seed to follow until this instance is a member; `None` for a seed and without seeds.
+    /// The seed to follow until this instance is a member; `None` if this instance is a seed, or if
+    /// there are no seeds.
     pub seed: Option<SocketAddr>,
     /// Whether a seed's view was applied; if not, the store has to be listed.
     pub has_view: bool,
@@ -110,8 +111,9 @@
     requests
 }
 
-/// Whether a list of the store is short. False if the store does not respond or is still empty, so
-/// that the instance waits for the seeds.
+/// Whether a list of the store is short. False if the store does not respond, and if it is still
+/// empty: it then holds no configuration with which callers could be served, so the instance waits for
+/// the seeds.
 async fn is_small_fleet<P: Platform>(instance: &Instance<P>) -> bool {
     match count_keys(instance, P::own_prefix()).await {
         Ok(0) => count_keys(instance, ALL_KEYS).await.is_ok_and(|keys| keys > 0),
--- a/src/sync/strikes.rs
+++ b/src/sync/strikes.rs
@@ -13,8 +13,8 @@
 //! records expire.
 //!
 //! **Guards** the promise that the third strike is known to all instances within a second while the
-//! store responds, and that the loss of many targets does not fill the store: first strikes, most of
-//! which the next try clears, are delayed and limited in number.
+//! store responds, and that the loss of many targets does not fill the store: first strikes are limited
+//! in number, and written only after the time that the next try takes, which clears most of them.
 //!
 //! Owns the leases. **Test**: `standins/tests/ending_requests.rs`.
 
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -6,9 +6,9 @@
 //! sooner than 0.05 s after the last one. Nothing is exchanged while no tenant has a quota and there
 //! are fewer than [`MIN_INSTANCES_TO_SHARE_LOADS`] (32) instances.
 //!
-//! **Why.** A head that cannot be reached is skipped for a while, and the report goes to the next one
-//! in order at once: a dead head costs one call, or two if they time out. Usage in a report without an
-//! answer is reported again.
+//! **Why.** A head is skipped for a while after two timeouts in a row, or after any other failure, and
+//! the report goes to the next one in order at once: a dead head costs one call, or two if they time
+//! out. Usage in a report without an answer is reported again.
 //!
 //! Owns the two tasks. Relies on [`crate::sync::heads`] for the connections, and on
 //! [`crate::decision::quota`] and [`crate::decision::capacity::shared_loads`] for the contents of
@@ -30,8 +30,9 @@
 
 /// Path at which an instance accepts reports of usage.
 pub const USAGE_PATH: &str = "/usage";
-/// Minimum number of instances for which loads are shared: with fewer, each instance sends several
-/// requests per second to a target, and gets its load in the responses.
+/// Minimum number of instances that share the loads of targets, and report to a head to learn of their
+/// rate limits ([`crate::sync::limits`]): with fewer, each instance sends several requests per second
+/// to a target, and gets both in the responses.
 pub const MIN_INSTANCES_TO_SHARE_LOADS: usize = 32;
 /// Time between checks whether there is something to exchange, while there is not.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
@@ -115,8 +116,8 @@
     }
 }
 
-/// While this instance is a head, forwards what its hall reported to the heads of other halls, until
-/// the process ends.
+/// While this instance is a head, forwards to the heads of other halls the usage and loads that its
+/// own hall's instances reported, until the process ends.
 async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
     // Halls to which a report is being sent: they get no further one meanwhile.
     let in_progress: Rc<RefCell<Vec<String>>> = Rc::default();
@@ -149,7 +150,7 @@
     }
 }
 
-/// Reports to the head of another hall; usage that it does not answer is sent again later.
+/// Reports to the head of another hall; usage in a report without an answer is sent again later.
 async fn forward<P: Platform>(instance: &Instance<P>, connections: &HeadConnections, hall: &str, head: SocketAddr) {
     let settings = instance.settings();
     let (tenants, period) = instance.quotas.begin_forward(hall);
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -60,7 +60,8 @@
         let has_view = instance.store_copy.view_age().is_some();
         if let Some(relay) = relays.select_relay(&instance).filter(|_| has_view) {
             relays.follow(&instance, relay).await;
-            // The relay's changes may be newer than the last list or watch, so that no list is needed.
+            // If the store's history was compacted, the relay may have sent the changes that the view
+            // lacked, so that no list is needed. Otherwise the next watch reports the compaction again.
             next = Step::Watch;
             continue;
         }
@@ -90,8 +91,8 @@
     instance.metrics.store_calls.with_label_values(&[Step::List.as_str()]).inc();
     let sent_at = Instant::now();
     let mut receiving = None;
-    let begin = || receiving = Some(instance.store_copy.begin_receiving());
-    let listed = timeout(LIST_TIMEOUT, instance.store.list(ALL_KEYS, begin)).await;
+    let on_response_start = || receiving = Some(instance.store_copy.begin_receiving());
+    let listed = timeout(LIST_TIMEOUT, instance.store.list(ALL_KEYS, on_response_start)).await;
     let listing = listed.map_err(|_| StoreError::NoResponse)??;
     instance.store_copy.record_response();
     let era = listing.at.era;
@@ -109,10 +110,10 @@
     let sent_at = Instant::now();
     let after = instance.store_copy.view().position().revision;
     let mut receiving = None;
-    let begin = || receiving = Some(instance.store_copy.begin_receiving());
+    let on_response_start = || receiving = Some(instance.store_copy.begin_receiving());
     let response = tokio::select! {
         biased;
-        response = instance.store.watch(ALL_KEYS, after, WATCH_WAIT, begin) => response?,
+        response = instance.store.watch(ALL_KEYS, after, WATCH_WAIT, on_response_start) => response?,
         () = instance.store_copy.superseded() => return Ok(Step::List),
         () = wait_for_recovery(instance) => return Ok(Step::Watch),
         () = confirm::wait_until_watch_is_lost(instance) => return Ok(Step::Watch),
