--- a/tests/freshness.rs
+++ b/tests/freshness.rs
@@ -38,7 +38,7 @@
     let copy = old_copy();
     copy.record_response();
     assert!(!copy.is_store_lost());
-    assert!(!is_proven(&copy), "a pending watch has another connection than the call");
+    assert!(!is_proven(&copy), "the response came on another connection than the pending watch");
 }
 
 #[test]
--- a/tests/freshness_model.rs
+++ b/tests/freshness_model.rs
@@ -311,7 +311,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, async {
         let mut simulation = Simulation::start().await;
         let mut before = simulation.server.renewals();
-        // Continues just after the latest renewal of an instance.
+        // Waits for four more renewals, so that the suspension starts just after a renewal.
         while simulation.server.renewals() < before + 4 {
             simulation.wait(Duration::from_millis(20)).await;
         }
--- a/tests/model/client.rs
+++ b/tests/model/client.rs
@@ -19,13 +19,13 @@
 pub const ONE_WAY: Duration = Duration::from_millis(5);
 /// Items per page of a list.
 const PAGE_SIZE: usize = 2;
-/// Time limit of the platform's client for the head of a response, in addition to the wait.
+/// Timeout of the platform's client for the head of a response, in addition to the wait.
 const HEAD_TIMEOUT: Duration = Duration::from_secs(3);
 
 /// The link between an instance and the store.
 #[derive(Default)]
 pub struct StoreLink {
-    /// Transfer time of the body of a response.
+    /// Transfer time of the body of a response to a watch, or of a page of a list.
     pub body: Cell<Duration>,
     /// Time between the pages of a list.
     pub page_gap: Cell<Duration>,
@@ -33,7 +33,7 @@
     pub loses_next_watch: Cell<bool>,
     /// Number of times that the connection of a pending watch stopped delivering data.
     pub silenced_watches: Cell<u32>,
-    /// Whether the next call other than a watch or a list gets no response.
+    /// Whether the next call other than a watch or a list is sent on a connection that delivers no data.
     pub silences_next_call: Cell<bool>,
     /// Whether the events of the next response to a watch are duplicated.
     pub duplicates_next: Cell<bool>,
@@ -45,7 +45,7 @@
     /// Number of outages in which everything in transit was lost.
     losses: Cell<u32>,
     healed: Notify,
-    /// When what was sent last arrives, in each direction: to the store, and back.
+    /// When the data that was sent last arrives, in each direction: to the store, and back.
     last_arrivals: RefCell<[Option<Instant>; 2]>,
 }
 
@@ -136,7 +136,7 @@
             }
             let _ = head_sender.send(era);
             sleep(link.body.get()).await;
-            // The client gives up a response that an outage stalls.
+            // The client gives up on a response that an outage stalls.
             if !link.is_cut() {
                 let _ = body_sender.send(response);
             }
--- a/tests/model/peer.rs
+++ b/tests/model/peer.rs
@@ -15,9 +15,9 @@
 
 /// How long a request to the relay waits for changes.
 pub const POLL_WAIT: Duration = Duration::from_millis(700);
-/// Time limit for the head of a response, in addition to the wait.
+/// Timeout for the head of a response, in addition to the wait.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time limits for the body of a response of a relay, and of another peer.
+/// Timeouts for the body of a response of a relay, and of another peer.
 const BODY_TIMEOUTS: [Duration; 2] = [Duration::from_secs(10), Duration::from_secs(2)];
 /// Age of a relay's view up to which it is followed while it is receiving a response.
 const MAX_RECEIVING_AGE: Duration = Duration::from_secs(3);
--- a/tests/model/process.rs
+++ b/tests/model/process.rs
@@ -48,7 +48,7 @@
 fn log() -> Log {
     static LOG: OnceLock<Log> = OnceLock::new();
     LOG.get_or_init(|| {
-        // Formatting log lines would take most of the run time.
+        // Nobody reads the log lines, and formatting them would take most of the run time.
         let _ = tracing::subscriber::set_global_default(tracing::subscriber::NoSubscriber::new());
         Log::start(1_000)
     })
@@ -92,7 +92,7 @@
         self.keep(task.abort_handle());
     }
 
-    /// Aborts a task when this process is killed.
+    /// Keeps a task, which is aborted when this process is killed.
     pub fn keep(&self, task: AbortHandle) {
         self.tasks.borrow_mut().push(task);
     }
@@ -103,8 +103,8 @@
     }
 }
 
-/// Keeps the view current: through the nearest relay that has not failed recently, or
-/// otherwise by the real watch task.
+/// Keeps the view current through the nearest relay that has not failed recently; if there is none,
+/// by the real watch task.
 async fn update(process: Rc<Process>, fleet: Fleet) {
     let mut failed: [Option<Instant>; RELAYS.len()] = [None; RELAYS.len()];
     loop {
--- a/tests/model/server.rs
+++ b/tests/model/server.rs
@@ -234,8 +234,8 @@
         self.renewals.get()
     }
 
-    /// Time of the first change that a view is missing; `None` if it is missing none. For each key,
-    /// only changes after the store last had the same value as the view count.
+    /// Time of the first change that a view is missing; `None` if it is missing none. The changes of a
+    /// key count only from the time at which the store last had the view's value for that key.
     pub fn missing_since(&self, view: &StoreView) -> Option<Instant> {
         let changes = self.changes.borrow();
         let mut missing: HashMap<&str, Option<Instant>> = HashMap::new();
--- a/tests/model/step.rs
+++ b/tests/model/step.rs
@@ -3,7 +3,7 @@
 use super::process::RELAYS;
 use proptest::prelude::*;
 
-/// A step. Instances and slots are given by number, times in milliseconds.
+/// A step. Instances and slots are given by index, times in milliseconds.
 #[derive(Clone, Debug)]
 pub enum Step {
     /// Time advances.
@@ -31,13 +31,14 @@
     Heal(usize),
     /// The store refuses an instance's calls, or accepts them again.
     RefuseCalls(usize, bool),
-    /// The bodies of the store's responses take this long to arrive.
+    /// The bodies of responses to watches, and of the pages of a list, take this long to arrive.
     SlowStore(usize, u16),
-    /// A watch takes this much longer to reach the store than other calls.
+    /// Watches take this much longer to reach the store than other calls.
     DelayWatches(usize, u16),
-    /// Time between pages of a list.
+    /// The pages of a list are requested this long after one another.
     PageGap(usize, u16),
-    /// Transfer times of requests to peers, and of the heads and bodies of their responses.
+    /// Requests of an instance to peers, and the heads and bodies of their responses, take this long to
+    /// arrive.
     SlowPeers(usize, u16, u16, u16),
     /// No response of a peer arrives, or all arrive again.
     CutPeers(usize, bool),
@@ -47,7 +48,8 @@
     LoseResponse(usize),
     /// The connection of the pending watch stops delivering data without an error; others work.
     SilenceWatch(usize),
-    /// The next call other than a watch or a list gets no response.
+    /// The next call other than a watch or a list is sent on a connection that delivers no data, so it
+    /// gets no response.
     SilenceCall(usize),
     /// The events of the next response to a watch are duplicated.
     Duplicate(usize),
