--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -77,7 +77,7 @@
         self.totals.borrow_mut().begin_forward(hall, Instant::now())
     }
 
-    /// Restores the usage of a report that another hall did not receive.
+    /// Restores the usage of a report that another hall did not answer.
     pub fn restore_forward(&self, hall: &str, tenants: Vec<(String, Usage)>) {
         self.totals.borrow_mut().restore_forward(hall, tenants, Instant::now());
     }
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -63,12 +63,13 @@
         self.unanswered.set(self.unanswered.get() + change);
     }
 
-    /// Number of pipelined requests that were read before their turn, see [`Self::count_unanswered`].
+    /// Number of pipelined requests that were read before their turn and still count, see
+    /// [`Self::count_unanswered`].
     pub fn unanswered(&self) -> u64 {
         u64::try_from(self.unanswered.get()).unwrap_or(0)
     }
 
-    /// Whether no request is in flight, and no pipelined one was read before its turn and still counts.
+    /// Whether no request is in flight, and none counts as unanswered.
     pub fn are_finished(&self) -> bool {
         self.in_flight.get() == 0 && self.unanswered.get() == 0
     }
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -64,9 +64,9 @@
     }
 }
 
-/// Whether to report without a known limit, to learn of limits that other instances know: there are
-/// so many instances that most of them send little to any one target. The number is the one from
-/// which targets' loads are shared, for the same reason.
+/// Whether to report without a known limit, to learn of limits that other instances know. An instance
+/// does so if there are as many instances as share targets' loads: most of them then send little to
+/// any one target.
 fn polls_for_limits<P: Platform>(instance: &Instance<P>) -> bool {
     instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
--- a/src/sync/start.rs
+++ b/src/sync/start.rs
@@ -17,8 +17,8 @@
 //! **Why.** The load pattern is the start of a whole fleet, for instance after a power failure. If
 //! every instance lists all keys and watches the store until it knows the members of its hall, 295
 //! instances with 1,077 targets make eight calls each within three seconds and transfer 160 MB over
-//! the store's link, and each list waits for the others. In a fleet of 12 a list takes 0.06 s, and
-//! callers would have to wait for seeds that are starting as well.
+//! the store's link, and each list waits for the others. A small fleet lists the store at once: with 12
+//! instances a list takes 0.06 s, and callers would have to wait for seeds that are starting as well.
 //!
 //! **Guards** the promises that a simultaneous start of all instances costs the store only a few
 //! lists, and that an instance can start without any other instance.
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -30,9 +30,9 @@
 
 /// Path at which an instance accepts reports of usage.
 pub const USAGE_PATH: &str = "/usage";
-/// Minimum number of instances that share the loads of targets, and report to a head to learn of their
-/// rate limits ([`crate::sync::limits`]): with fewer, each instance sends several requests per second
-/// to a target, and gets both in the responses.
+/// Number of instances from which on loads of targets are shared, and instances without a
+/// known rate limit ask a head for limits ([`crate::sync::limits`]): with fewer, each instance sends
+/// several requests per second to a target, and gets both in the responses.
 pub const MIN_INSTANCES_TO_SHARE_LOADS: usize = 32;
 /// Time between checks whether there is something to exchange, while there is not.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
