--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -32,7 +32,8 @@
         self.report_due.notified().await;
     }
 
-    /// Whether this instance is the head of its hall and has demands to report to other halls.
+    /// Whether this instance is the head of its hall, and knows limits, demands or leaving targets to
+    /// report to other halls.
     pub fn should_forward(&self) -> bool {
         self.totals.borrow().should_forward(Instant::now())
     }
@@ -50,7 +51,7 @@
 
 impl<P: Platform> Instance<P> {
     /// Whether any target has a rate limit or is leaving.
-    pub fn has_limits(&self) -> bool {
+    pub fn has_limited_or_leaving_targets(&self) -> bool {
         let now = Instant::now();
         self.routing.borrow().targets().any(|target| target.rate_limit(now).is_some() || target.is_leaving())
     }
--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -53,7 +53,7 @@
     spawn_local(forward_all(instance.clone(), connections.clone()));
     let mut last_report_at = Instant::now();
     loop {
-        let interval = if instance.has_limits() { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
+        let interval = if instance.has_limited_or_leaving_targets() { REPORT_INTERVAL } else { IDLE_CHECK_INTERVAL };
         // Whether notified or not, checks if there is something to report.
         let _ = timeout(interval, instance.rate_limits.report_due()).await;
         if instance.update_equal_limit_shares() || polls_for_limits(&instance) {
@@ -64,8 +64,9 @@
     }
 }
 
-/// Whether to report without a known limit, to learn of limits that other instances know: there are
-/// so many instances that most of them send little to any one target.
+/// Whether to report without a known limit, to learn of limits that other instances know. An instance
+/// does so if there are as many instances as share targets' loads: most of them then send little to
+/// any one target.
 fn polls_for_limits<P: Platform>(instance: &Instance<P>) -> bool {
     instance.routing.borrow().members.count() >= MIN_INSTANCES_TO_SHARE_LOADS
 }
@@ -81,13 +82,13 @@
         };
         match answer {
             Some(answer) => return instance.apply_limit_answer(&answer),
-            None => instance.metrics.limits_untold.inc(),
+            None => instance.metrics.limit_report_failures.inc(),
         }
     }
 }
 
-/// While this instance is a head, forwards the demand that its hall reported to the heads of other
-/// halls, until the process ends.
+/// While this instance is a head, forwards to the heads of other halls the demands, limits and leaving
+/// targets that its own hall's instances reported, until the process ends.
 async fn forward_all<P: Platform>(instance: Rc<Instance<P>>, connections: Rc<HeadConnections>) {
     loop {
         sleep(FORWARD_INTERVAL).await;
@@ -101,7 +102,7 @@
             spawn_local(async move {
                 match connections.send_report(head, &instance.limit_report_for_halls()).await {
                     Some(_) => instance.rate_limits.record_hall_contact(&hall),
-                    None => instance.metrics.limits_untold.inc(),
+                    None => instance.metrics.limit_report_failures.inc(),
                 }
             });
         }
--- a/src/sync/start.rs
+++ b/src/sync/start.rs
@@ -17,8 +17,8 @@
 //! **Why.** The load pattern is the start of a whole fleet, for instance after a power failure. If
 //! every instance lists all keys and watches the store until it knows the members of its hall, 295
 //! instances with 1,077 targets make eight calls each within three seconds and transfer 160 MB over
-//! the store's link, and each list waits for the others. In a fleet of 12 a list takes 0.06 s, and
-//! callers would have to wait for seeds that are starting as well.
+//! the store's link, and each list waits for the others. A small fleet lists the store at once: with 12
+//! instances a list takes 0.06 s, and callers would have to wait for seeds that are starting as well.
 //!
 //! **Guards** the promises that a simultaneous start of all instances costs the store only a few
 //! lists, and that an instance can start without any other instance.
@@ -54,7 +54,8 @@
 /// The result of the search for an initial view.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct InitialView {
-    /// The seed to follow until this instance is a member; `None` for a seed and without seeds.
+    /// The seed to follow until this instance is a member; `None` if this instance is a seed, or if
+    /// there are no seeds.
     pub seed: Option<SocketAddr>,
     /// Whether a seed's view was applied; if not, the store has to be listed.
     pub has_view: bool,
@@ -110,8 +111,9 @@
     requests
 }
 
-/// Whether a list of the store is short. False if the store does not respond or is still empty, so
-/// that the instance waits for the seeds.
+/// Whether a list of the store is short. False if the store does not respond, and if it is still
+/// empty: it then holds no configuration with which callers could be served, so the instance waits for
+/// the seeds.
 async fn is_small_fleet<P: Platform>(instance: &Instance<P>) -> bool {
     match count_keys(instance, P::own_prefix()).await {
         Ok(0) => count_keys(instance, ALL_KEYS).await.is_ok_and(|keys| keys > 0),
