--- a/src/decision/capacity/rate_limit/totals.rs
+++ b/src/decision/capacity/rate_limit/totals.rs
@@ -18,7 +18,7 @@
 use super::known_limit::{AnnouncedLimit, MAX_LIMIT_AGE};
 use crate::clock::Instant;
 use crate::decision::registry::members::Members;
-use crate::model::rate_limits::{AnnouncedRate, LimitReport, StartKey, TargetDemand, TargetShare};
+use crate::model::rate_limits::{AnnouncedRate, LimitReport, StartKey, TargetAnswer, TargetDemand};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -91,19 +91,19 @@
     }
 
     /// The answer to a report: the admit ratio of each target; the `reported` ones come first.
-    pub fn shares(
+    pub fn target_answers(
         &self,
         reported: &[TargetDemand],
         members: &Members,
         own_hall: &str,
         now: Instant,
-    ) -> Vec<TargetShare> {
+    ) -> Vec<TargetAnswer> {
         let reachable_fraction = self.reachable_fraction(members, own_hall, now);
-        let share = |(target, totals): (&StartKey, &TargetTotals)| totals.share(*target, reachable_fraction, now);
+        let answer = |(target, totals): (&StartKey, &TargetTotals)| totals.answer(*target, reachable_fraction, now);
         let is_reported = |target: &StartKey| reported.iter().any(|demand| demand.target == *target);
         let first = reported.iter().filter_map(|demand| self.targets.get_key_value(&demand.target));
         let others = self.targets.iter().filter(|(target, _)| !is_reported(target));
-        first.chain(others).filter_map(share).take(MAX_TARGETS_PER_MESSAGE).collect()
+        first.chain(others).filter_map(answer).take(MAX_TARGETS_PER_MESSAGE).collect()
     }
 
     /// The targets to report to other halls: the demand of the own hall, and what targets announced
@@ -111,12 +111,13 @@
     pub fn demands_to_forward(&self, now: Instant) -> Vec<TargetDemand> {
         let demand = |(target, totals): (&StartKey, &TargetTotals)| TargetDemand {
             target: *target,
-            told: totals.own_hall_limit.and_then(|limit| limit_to_message(limit, now)),
+            announced: totals.own_hall_limit.and_then(|limit| limit_to_message(limit, now)),
             demand: total_demand(&totals.instances, now) as f32,
             // Reports of other halls are not sent back to them: halls would keep them alive forever.
-            leaves: counts_as_leaving(totals.own_hall_leaving_at, now),
+            is_leaving: counts_as_leaving(totals.own_hall_leaving_at, now),
         };
-        let has_content = |demand: &TargetDemand| demand.told.is_some() || demand.leaves || demand.demand > 0.0;
+        let has_content =
+            |demand: &TargetDemand| demand.announced.is_some() || demand.is_leaving || demand.demand > 0.0;
         self.targets.iter().map(demand).filter(has_content).take(MAX_TARGETS_PER_MESSAGE).collect()
     }
 
@@ -142,13 +143,13 @@
 
 impl TargetTotals {
     fn record(&mut self, demand: &TargetDemand, report: &LimitReport, is_own_hall: bool, now: Instant) {
-        if let Some(limit) = demand.told.and_then(|told| limit_from_message(told, now)) {
+        if let Some(limit) = demand.announced.and_then(|announced| limit_from_message(announced, now)) {
             replace_if_older(&mut self.limit, limit);
             if is_own_hall {
                 replace_if_older(&mut self.own_hall_limit, limit);
             }
         }
-        if demand.leaves {
+        if demand.is_leaving {
             self.leaving_at = Some(now);
             if is_own_hall {
                 self.own_hall_leaving_at = Some(now);
@@ -165,17 +166,17 @@
         }
     }
 
-    fn share(&self, target: StartKey, reachable_fraction: f64, now: Instant) -> Option<TargetShare> {
-        let leaves = self.is_leaving(now);
-        let told = self.limit.and_then(|limit| limit_to_message(limit, now));
-        if told.is_none() && !leaves {
+    fn answer(&self, target: StartKey, reachable_fraction: f64, now: Instant) -> Option<TargetAnswer> {
+        let is_leaving = self.is_leaving(now);
+        let announced = self.limit.and_then(|limit| limit_to_message(limit, now));
+        if announced.is_none() && !is_leaving {
             return None;
         }
         let demand = total_demand(&self.instances, now) + total_demand(&self.halls, now);
-        let rate = told.and_then(|told| told.rate).map(f64::from);
+        let rate = announced.and_then(|announced| announced.rate).map(f64::from);
         let max_rate = rate.map_or(f64::INFINITY, |rate| rate.max(MIN_RATE) * reachable_fraction.min(1.0));
-        let pass = if demand <= max_rate { 1.0 } else { max_rate / demand };
-        Some(TargetShare { target, told, leaves, pass: pass as f32 })
+        let admit_ratio = if demand <= max_rate { 1.0 } else { max_rate / demand };
+        Some(TargetAnswer { target, announced, is_leaving, admit_ratio: admit_ratio as f32 })
     }
 
     /// Whether any hall recently reported it as leaving.
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -217,7 +217,7 @@
         self.was_answered = true;
         self.reported_until = self.report_started_at.take();
         let clamped = |ratio: f32| f64::from(ratio).clamp(0.0, 1.0);
-        self.admit_ratios = answer.passes.iter().map(|(name, ratio)| (name.clone(), clamped(*ratio))).collect();
+        self.admit_ratios = answer.admit_ratios.iter().map(|(name, ratio)| (name.clone(), clamped(*ratio))).collect();
         for (name, usage) in &mut self.tenants {
             let in_report = std::mem::take(&mut usage.in_report);
             usage.average_offered += SMOOTHING_FACTOR * (f64::from(in_report.offered) - usage.average_offered);
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -106,8 +106,8 @@
 impl UsageTotals {
     /// Counts a report, and returns the answer to it.
     pub fn record_report(&mut self, report: &UsageReport, context: QuotaContext<'_>, now: Instant) -> UsageAnswer {
-        let over = Duration::from_millis(report.over_ms.into());
-        self.reset_if_idle(over, now);
+        let period = Duration::from_millis(report.period_ms.into());
+        self.reset_if_idle(period, now);
         let is_own_hall = report.hall == context.own.hall;
         match is_own_hall {
             true => self.member_reports.insert(report.from.clone(), now),
@@ -120,7 +120,7 @@
                 self.windows.insert(name.clone(), TenantWindow::for_hall(context.own.hall, now));
             }
             if let Some(window) = self.windows.get_mut(name) {
-                window.record(&report.hall, *usage, over, limit, now);
+                window.record(&report.hall, *usage, period, limit, now);
             }
         }
         if is_own_hall && !report.is_forwarded {
@@ -135,15 +135,15 @@
         let known_for = self.complete_since.map_or(Duration::ZERO, |since| now.saturating_duration_since(since));
         let unreachable = self.reachability.as_ref().map_or(&[][..], |reachability| &reachability.unreachable_halls);
         let is_reachable = |hall: &str| !unreachable.iter().any(|unreachable| unreachable == hall);
-        let mut passes = Vec::new();
+        let mut admit_ratios = Vec::new();
         for (name, window) in &mut self.windows {
             let Some(limit) = window_limit(name, context, reachable_fraction) else { continue };
             let ratio = window.admit_ratio(limit, is_reachable, known_for, now);
             if ratio < 1.0 {
-                passes.push((name.clone(), ratio as f32));
+                admit_ratios.push((name.clone(), ratio as f32));
             }
         }
-        UsageAnswer { passes, ..UsageAnswer::default() }
+        UsageAnswer { admit_ratios, ..UsageAnswer::default() }
     }
 
     /// Whether this instance received a report recently, so that it is the head of some instances.
--- a/src/model/rate_limits.rs
+++ b/src/model/rate_limits.rs
@@ -25,11 +25,13 @@
     /// Target at one start and address.
     pub target: StartKey,
     /// Latest announcement of the target that the sender knows; `None` if there is no recent one.
-    pub told: Option<AnnouncedRate>,
+    #[serde(rename = "told")]
+    pub announced: Option<AnnouncedRate>,
     /// Requests per second that would be sent to the target without the limit.
     pub demand: f32,
     /// Whether the target has announced that it leaves.
-    pub leaves: bool,
+    #[serde(rename = "leaves")]
+    pub is_leaving: bool,
 }
 
 /// Report of an instance to the head of its hall, or of that head to another head.
@@ -47,20 +49,24 @@
 
 /// Share of the requests to a target that may be sent.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TargetShare {
+pub struct TargetAnswer {
     /// Target at one start and address.
     pub target: StartKey,
     /// Latest announcement of the target to any instance; `None` if there is no recent one.
-    pub told: Option<AnnouncedRate>,
+    #[serde(rename = "told")]
+    pub announced: Option<AnnouncedRate>,
     /// Whether the target has announced to any instance that it leaves.
-    pub leaves: bool,
+    #[serde(rename = "leaves")]
+    pub is_leaving: bool,
     /// Share of the requests that may be sent, 0 to 1.
-    pub pass: f32,
+    #[serde(rename = "pass")]
+    pub admit_ratio: f32,
 }
 
 /// Answer of a head to a [`LimitReport`].
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitAnswer {
     /// Targets that recently announced a limit, those of the report first.
-    pub shares: Vec<TargetShare>,
+    #[serde(rename = "shares")]
+    pub targets: Vec<TargetAnswer>,
 }
--- a/src/model/usage.rs
+++ b/src/model/usage.rs
@@ -75,7 +75,8 @@
     /// Whether the report includes requests that other instances of its hall reported to it.
     pub is_forwarded: bool,
     /// Period in which these requests arrived, milliseconds.
-    pub over_ms: u32,
+    #[serde(rename = "over_ms")]
+    pub period_ms: u32,
     /// Usage by tenant name.
     pub tenants: Vec<(String, Usage)>,
     /// Loads that targets reported to the sender or, in a report to another hall, to instances of its hall.
@@ -88,7 +89,8 @@
 pub struct UsageAnswer {
     /// Share of requests that may be admitted, below 1, by tenant name. All requests of other tenants
     /// may be admitted.
-    pub passes: Vec<(String, f32)>,
+    #[serde(rename = "passes")]
+    pub admit_ratios: Vec<(String, f32)>,
     /// Loads that targets reported to other instances.
     pub loads: Vec<TargetLoad>,
 }
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -11,7 +11,7 @@
     LimitTotals, MAX_TARGETS_PER_MESSAGE, limit_from_message, limit_to_message,
 };
 use crate::decision::registry::target::Target;
-use crate::model::rate_limits::{LimitAnswer, LimitReport, StartKey, TargetDemand, TargetShare};
+use crate::model::rate_limits::{LimitAnswer, LimitReport, StartKey, TargetAnswer, TargetDemand};
 use crate::platform::Platform;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -74,7 +74,7 @@
             let is_leaving = target.is_leaving();
             let (announced, demand) = target.take_limit_report(now).or(is_leaving.then_some((None, 0.0)))?;
             let limit = announced.and_then(|limit| limit_to_message(limit, now));
-            Some(TargetDemand { target: target.start_key, told: limit, demand: demand as f32, leaves: is_leaving })
+            Some(TargetDemand { target: target.start_key, announced: limit, demand: demand as f32, is_leaving })
         };
         let routing = self.routing.borrow();
         LimitReport {
@@ -104,21 +104,21 @@
         if report.is_forwarded {
             return LimitAnswer::default();
         }
-        LimitAnswer { shares: totals.shares(&report.targets, &routing.members, &settings.hall, now) }
+        LimitAnswer { targets: totals.target_answers(&report.targets, &routing.members, &settings.hall, now) }
     }
 
     /// Applies the answer of a head: admit ratios, and the limits and leaving targets that other
     /// instances reported.
     pub fn apply_limit_answer(&self, answer: &LimitAnswer) {
         let now = Instant::now();
-        let by_target: HashMap<StartKey, &TargetShare> =
-            answer.shares.iter().map(|share| (share.target, share)).collect();
+        let by_target: HashMap<StartKey, &TargetAnswer> =
+            answer.targets.iter().map(|answer| (answer.target, answer)).collect();
         for target in self.routing.borrow().targets() {
-            let Some(share) = by_target.get(&target.start_key) else { continue };
-            if share.leaves && target.mark_leaving() {
+            let Some(answer) = by_target.get(&target.start_key) else { continue };
+            if answer.is_leaving && target.mark_leaving() {
                 tracing::info!(event = "target_leaving", id = &*target.id, hall = &*target.hall, from = "instances");
             }
-            if let Some(limit) = share.told.and_then(|told| limit_from_message(told, now))
+            if let Some(limit) = answer.announced.and_then(|announced| limit_from_message(announced, now))
                 && let Some(rate) = target.record_remote_limit(limit, now)
             {
                 tracing::info!(
@@ -129,8 +129,8 @@
                     from = "instances"
                 );
             }
-            if share.pass.is_finite() {
-                target.set_limit_admit_ratio(share.pass.into(), rand::random(), now);
+            if answer.admit_ratio.is_finite() {
+                target.set_limit_admit_ratio(answer.admit_ratio.into(), rand::random(), now);
             }
         }
     }
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -109,7 +109,7 @@
         from: settings.name.clone(),
         hall: settings.hall.to_string(),
         is_forwarded: false,
-        over_ms: period.as_millis() as u32,
+        period_ms: period.as_millis() as u32,
         tenants,
         loads: instance.take_unreported_loads(),
     }
@@ -157,7 +157,7 @@
         from: settings.name.clone(),
         hall: settings.hall.to_string(),
         is_forwarded: true,
-        over_ms: period.as_millis() as u32,
+        period_ms: period.as_millis() as u32,
         tenants,
         loads: instance.loads_for_halls(),
     };
--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -96,7 +96,7 @@
     /// Reports in transit, each with its arrival time, its sender and the hall of its receiver.
     reports: VecDeque<(Instant, usize, usize, LimitReport)>,
     /// Answers to reports in transit, each with its arrival time and its receiver.
-    shares: VecDeque<(Instant, usize, LimitAnswer)>,
+    limit_answers: VecDeque<(Instant, usize, LimitAnswer)>,
     /// Sent requests: when, and whether the instance had passed on the limit at least
     /// `PROPAGATION_TIME` before.
     sent: Vec<(Instant, bool)>,
@@ -137,7 +137,7 @@
             random: StdRng::seed_from_u64(seed),
             answers: VecDeque::new(),
             reports: VecDeque::new(),
-            shares: VecDeque::new(),
+            limit_answers: VecDeque::new(),
             sent: Vec::new(),
             accepted: VecDeque::new(),
             bytes: 0,
@@ -297,8 +297,8 @@
             let asks = self.instances.len() >= MIN_POLLING_INSTANCES && (self.step + number as u64).is_multiple_of(100);
             let targets = match self.instances[number].limit.take_report(now) {
                 Some((own, demand)) => {
-                    let told = own.and_then(|limit| limit_to_message(limit, now));
-                    vec![TargetDemand { target: TARGET, told, demand: demand as f32, leaves: false }]
+                    let announced = own.and_then(|limit| limit_to_message(limit, now));
+                    vec![TargetDemand { target: TARGET, announced, demand: demand as f32, is_leaving: false }]
                 }
                 None if asks => Vec::new(),
                 None => continue,
@@ -333,20 +333,20 @@
             let own = hall_name(hall);
             self.heads[hall].record_report(&report, &own, self.now);
             if !report.is_forwarded {
-                let shares = self.heads[hall].shares(&report.targets, &self.members, &own, self.now);
-                let answer = LimitAnswer { shares };
+                let targets = self.heads[hall].target_answers(&report.targets, &self.members, &own, self.now);
+                let answer = LimitAnswer { targets };
                 self.bytes += encode(&answer).len();
-                self.shares.push_back((self.now + NETWORK_DELAY, from, answer));
+                self.limit_answers.push_back((self.now + NETWORK_DELAY, from, answer));
             }
         }
-        while self.shares.front().is_some_and(|(due, ..)| *due <= self.now) {
-            let (_, number, answer) = self.shares.pop_front().unwrap();
-            for share in &answer.shares {
+        while self.limit_answers.front().is_some_and(|(due, ..)| *due <= self.now) {
+            let (_, number, answer) = self.limit_answers.pop_front().unwrap();
+            for target in &answer.targets {
                 let limit = &mut self.instances[number].limit;
-                if let Some(remote) = share.told.and_then(|told| limit_from_message(told, self.now)) {
+                if let Some(remote) = target.announced.and_then(|announced| limit_from_message(announced, self.now)) {
                     limit.record_remote(remote, self.now);
                 }
-                limit.set_admit_ratio(share.pass.into(), self.random.random(), self.now);
+                limit.set_admit_ratio(target.admit_ratio.into(), self.random.random(), self.now);
             }
         }
     }
--- a/tests/quota_fleet/reports.rs
+++ b/tests/quota_fleet/reports.rs
@@ -27,13 +27,13 @@
         instance.awaits_answer = true;
         instance.last_report = Some(self.now);
         instance.next_report = self.now + REPORT_INTERVAL.as_millis() as u64;
-        let over_ms = instance.own.unreported_for(now).as_millis() as u32;
+        let period_ms = instance.own.unreported_for(now).as_millis() as u32;
         let tenants = instance.own.begin_report(now);
         let report = UsageReport {
             from: instance.name.clone(),
             hall,
             is_forwarded: false,
-            over_ms,
+            period_ms,
             tenants,
             ..Default::default()
         };
@@ -70,13 +70,13 @@
             let Some(head) = self.head_of(number, &hall) else { continue };
             let instance = &mut self.instances[number];
             instance.forwarding.push(hall.clone());
-            let (tenants, over) = instance.totals.begin_forward(&hall, now);
-            let over_ms = over.as_millis() as u32;
+            let (tenants, period) = instance.totals.begin_forward(&hall, now);
+            let period_ms = period.as_millis() as u32;
             let report = UsageReport {
                 from: instance.name.clone(),
                 hall: own.clone(),
                 is_forwarded: true,
-                over_ms,
+                period_ms,
                 tenants,
                 ..Default::default()
             };
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -143,7 +143,7 @@
         tenants in prop::collection::vec(("[a-z]{0,9}", any::<i32>(), any::<u32>()), 0..90),
     ) {
         let tenants = tenants.into_iter().map(|(name, admitted, offered)| (name, Usage { admitted, offered })).collect();
-        let report = UsageReport { from: "e-1".into(), hall: "h".into(), is_forwarded: true, over_ms: 7, tenants, ..Default::default() };
+        let report = UsageReport { from: "e-1".into(), hall: "h".into(), is_forwarded: true, period_ms: 7, tenants, ..Default::default() };
         prop_assert_eq!(decode::<UsageReport>(&encode(&report)).unwrap(), report);
     }
 
@@ -178,7 +178,7 @@
     for step in 0..100 {
         let now = start + Duration::from_millis(200 * step);
         own.begin_report(now);
-        own.take_answer(&UsageAnswer { passes: vec![("t".into(), 0.25)], ..Default::default() }, now);
+        own.take_answer(&UsageAnswer { admit_ratios: vec![("t".into(), 0.25)], ..Default::default() }, now);
         admitted += admit(&mut own, &tenant, 8, now);
     }
     assert!((199..=201).contains(&admitted), "{admitted}");
@@ -220,7 +220,7 @@
     let mut own = LocalUsage::default();
     admit(&mut own, &"other".into(), 1, now);
     own.begin_report(now);
-    own.take_answer(&UsageAnswer { passes: vec![("t".into(), 0.0)], ..Default::default() }, now);
+    own.take_answer(&UsageAnswer { admit_ratios: vec![("t".into(), 0.0)], ..Default::default() }, now);
     assert_eq!(admit(&mut own, &tenant, 5, now), 0);
 }
 
@@ -261,7 +261,7 @@
         from: from.to_owned(),
         hall: hall.to_owned(),
         is_forwarded,
-        over_ms: 0,
+        period_ms: 0,
         tenants,
         ..Default::default()
     }
@@ -273,11 +273,13 @@
     let (tenants, members) = (tenants(), members(start));
     let context = context(&tenants, &members);
     let mut totals = UsageTotals::default();
-    assert!(totals.record_report(&report("e-1", "a", 5), context, start).passes.iter().all(|(name, _)| name == "t"));
+    assert!(
+        totals.record_report(&report("e-1", "a", 5), context, start).admit_ratios.iter().all(|(name, _)| name == "t")
+    );
     assert!(totals.is_isolated(context, start));
     totals.record_report(&report("e-2", "a", 5), context, start);
     let answer = totals.record_report(&report("e-3", "b", 65), context, start);
-    assert_eq!(answer.passes, [("t".to_owned(), 0.0)]);
+    assert_eq!(answer.admit_ratios, [("t".to_owned(), 0.0)]);
     assert_eq!(totals.window("t").unwrap().used(|_| true), 75.0);
     assert!(totals.window("free").is_none() && !totals.is_isolated(context, start));
     // Once e-2 and the other hall are unreachable, a quarter of the quota is left: 17.5 in a window, of
@@ -294,7 +296,7 @@
     // the window is over-full by 5.
     let allowed = 2.5 - 5.0;
     let expected = f64::max(allowed / 40.0, 0.0);
-    let ratio = f64::from(answer.passes[0].1);
+    let ratio = f64::from(answer.admit_ratios[0].1);
     assert!((ratio - expected).abs() < 0.01, "{ratio} {expected}");
 }
 
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -38,8 +38,8 @@
     members
 }
 
-fn report(from: &str, hall: &str, demand: f32, told: Option<AnnouncedRate>) -> LimitReport {
-    let targets = vec![TargetDemand { target: TARGET, told, demand, leaves: false }];
+fn report(from: &str, hall: &str, demand: f32, announced: Option<AnnouncedRate>) -> LimitReport {
+    let targets = vec![TargetDemand { target: TARGET, announced, demand, is_leaving: false }];
     LimitReport { from: from.to_owned(), hall: hall.to_owned(), is_forwarded: false, targets }
 }
 
@@ -166,24 +166,24 @@
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now);
     totals.record_report(&report("e-2", "h-0", 5.0, None), "h-0", now);
     totals.record_report(&LimitReport { is_forwarded: true, ..report("e-1", "h-1", 15.0, None) }, "h-0", now);
-    let shares = totals.shares(&[], &members, "h-0", now);
-    assert!((shares[0].pass - 0.2).abs() < 0.001, "{shares:?}");
+    let answers = totals.target_answers(&[], &members, "h-0", now);
+    assert!((answers[0].admit_ratio - 0.2).abs() < 0.001, "{answers:?}");
     // A repeated report replaces the previous one and adds no demand.
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now + ms(200));
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now + ms(200));
-    let shares = totals.shares(&[], &members, "h-0", now + ms(200));
-    assert!((shares[0].pass - 0.2).abs() < 0.001, "{shares:?}");
+    let answers = totals.target_answers(&[], &members, "h-0", now + ms(200));
+    assert!((answers[0].admit_ratio - 0.2).abs() < 0.001, "{answers:?}");
 }
 
 #[test]
 fn an_unreachable_hall_keeps_its_part_of_the_limit() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(6, 3));
     totals.record_report(&report("e-0", "h-0", 12.0, ANNOUNCED), "h-0", now);
-    assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 6.0 / 3.0 / 12.0).abs() < 0.001);
+    assert!((totals.target_answers(&[], &members, "h-0", now)[0].admit_ratio - 6.0 / 3.0 / 12.0).abs() < 0.001);
     totals.record_hall_contact("h-1", now);
-    assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 6.0 * 2.0 / 3.0 / 12.0).abs() < 0.001);
-    let shares = totals.shares(&[], &members, "h-0", now + ms(1_000));
-    assert_eq!(shares[0].pass, 1.0, "the reported demand has expired");
+    assert!((totals.target_answers(&[], &members, "h-0", now)[0].admit_ratio - 6.0 * 2.0 / 3.0 / 12.0).abs() < 0.001);
+    let answers = totals.target_answers(&[], &members, "h-0", now + ms(1_000));
+    assert_eq!(answers[0].admit_ratio, 1.0, "the reported demand has expired");
 }
 
 #[test]
@@ -191,8 +191,8 @@
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
     let zero_limit = Some(AnnouncedRate { rate: Some(0.0), age_ms: 0 });
     totals.record_report(&report("e-0", "h-0", 10.0, zero_limit), "h-0", now);
-    let pass = f64::from(totals.shares(&[], &members, "h-0", now)[0].pass);
-    assert!((pass - MIN_RATE / 10.0).abs() < 0.0001, "{pass}");
+    let admit_ratio = f64::from(totals.target_answers(&[], &members, "h-0", now)[0].admit_ratio);
+    assert!((admit_ratio - MIN_RATE / 10.0).abs() < 0.0001, "{admit_ratio}");
 }
 
 #[test]
@@ -205,12 +205,12 @@
     for rate in [f32::NAN, f32::INFINITY, -1.0] {
         assert_eq!(limit_from_message(AnnouncedRate { rate: Some(rate), age_ms: 0 }, now), None);
     }
-    assert!((totals.shares(&[], &members, "h-0", now)[0].pass - 0.5).abs() < 0.001);
+    assert!((totals.target_answers(&[], &members, "h-0", now)[0].admit_ratio - 0.5).abs() < 0.001);
     let many = (0..10_000_u64).map(|key| TargetDemand {
         target: StartKey(key.to_be_bytes()),
-        told: ANNOUNCED,
+        announced: ANNOUNCED,
         demand: 1.0,
-        leaves: false,
+        is_leaving: false,
     });
     let flood = LimitReport { targets: many.collect(), ..report("e-9", "h-0", 1.0, None) };
     totals.record_report(&flood, "h-0", now);
@@ -259,7 +259,7 @@
 fn heads_drop_a_leaving_target_once_no_instance_reports_it() {
     let (mut one, mut other, now) = (LimitTotals::default(), LimitTotals::default(), Instant::now());
     let mut leaving = report("e-0", "h-0", 0.0, None);
-    leaving.targets[0].leaves = true;
+    leaving.targets[0].is_leaving = true;
     one.record_report(&leaving, "h-0", now);
     for step in 1..100 {
         let at = now + ms(100 * step);
