--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -20,7 +20,7 @@
 use crate::model::rate_limits::StartKey;
 use crate::model::registration::{StartTime, TargetRegistration, TargetState, WriteOrder};
 use crate::net::pool::Pool;
-use crate::policy::{Policies, PolicySet, TargetFacts};
+use crate::policy::{Policies, PolicySet, TargetAttributes};
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::time::Duration;
@@ -158,8 +158,8 @@
     }
 
     /// The attributes that its policy labels are read from.
-    pub fn facts(&self) -> TargetFacts<'_> {
-        TargetFacts {
+    pub fn attributes(&self) -> TargetAttributes<'_> {
+        TargetAttributes {
             id: &self.id,
             service: &self.service,
             region: &self.region,
@@ -175,7 +175,7 @@
         {
             return mask;
         }
-        let mask = policies.matching_target(&self.facts());
+        let mask = policies.matching_target(&self.attributes());
         self.matching_policies.set(Some((policies.revision, mask)));
         mask
     }
--- a/src/operator/policies.rs
+++ b/src/operator/policies.rs
@@ -71,7 +71,7 @@
 /// Names of the policies whose places select no target of the view.
 fn idle<P: Platform>(instance: &Instance<P>, policies: &Policies) -> Vec<String> {
     let routing = instance.routing.borrow();
-    let selecting = routing.targets().map(|target| policies.matching_target(&target.facts()));
+    let selecting = routing.targets().map(|target| policies.matching_target(&target.attributes()));
     let reached = selecting.fold(PolicySet::default(), PolicySet::union);
     let idle = policies.iter().enumerate().filter(|(position, _)| !reached.contains(*position));
     idle.map(|(_, policy)| policy.name.clone()).collect()
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -11,7 +11,7 @@
 use crate::hash::hash_affinity_key;
 use crate::model::config::{Config, Route, Tenant, WeightedService};
 use crate::platform::Platform;
-use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
+use crate::policy::{CapCharge, MatchedPolicies, RequestAttributes};
 use crate::proxy::refusal::Refusal as RequestRefusal;
 use crate::settings::Settings;
 use crate::state::Instance;
@@ -71,9 +71,9 @@
 impl<P: Platform> DryRequest<'_, P> {
     fn of_service(&self, config: &Config, weighted: &WeightedService) -> WhyService {
         let charge = CapCharge::dry_run();
-        let facts = self.facts(&weighted.service);
+        let attributes = self.attributes(&weighted.service);
         let policies = self.routing.policies.as_ref();
-        let active = policies.and_then(|policies| MatchedPolicies::find(policies, &facts, self.affinity, &charge));
+        let active = policies.and_then(|policies| MatchedPolicies::find(policies, &attributes, self.affinity, &charge));
         let service = &*weighted.service;
         let request = RoutedRequest { route: self.route, tenant: self.tenant, service, affinity: self.affinity };
         let query = self.instance.query(self.settings, request, active.as_ref(), &[]);
@@ -92,8 +92,8 @@
     }
 
     /// What the request's labels come from.
-    fn facts<'a>(&'a self, service: &'a str) -> RequestFacts<'a> {
-        RequestFacts {
+    fn attributes<'a>(&'a self, service: &'a str) -> RequestAttributes<'a> {
+        RequestAttributes {
             service,
             route: &self.route.name,
             region: &self.settings.region,
--- a/src/policy/facts.rs
+++ b/src/policy/attributes.rs
@@ -7,7 +7,7 @@
 
 /// The attributes of a target that its labels are read from.
 #[derive(Clone, Copy, Debug)]
-pub struct TargetFacts<'a> {
+pub struct TargetAttributes<'a> {
     /// Id of its registration; label `target`.
     pub id: &'a str,
     /// Name of the service that it serves; label `service`.
@@ -20,7 +20,7 @@
     pub version: &'a str,
 }
 
-impl<'a> TargetFacts<'a> {
+impl<'a> TargetAttributes<'a> {
     /// Name and value of each label that the platform assigns.
     pub(super) fn labels(&self) -> [(&'static str, &'a str); 5] {
         [
@@ -35,7 +35,7 @@
 
 /// The attributes of a request that its labels are read from.
 #[derive(Clone, Copy, Debug)]
-pub struct RequestFacts<'a> {
+pub struct RequestAttributes<'a> {
     /// Name of the service chosen for it; label `service`.
     pub service: &'a str,
     /// Name of the route that it matched; label `route`.
@@ -52,7 +52,7 @@
     pub headers: &'a HeaderMap,
 }
 
-impl<'a> RequestFacts<'a> {
+impl<'a> RequestAttributes<'a> {
     /// Name and value of each label that the platform assigns.
     pub(super) fn labels(&self) -> [(&'static str, &'a str); 5] {
         [
--- a/src/policy/labels.rs
+++ b/src/policy/labels.rs
@@ -1,7 +1,7 @@
 //! The labels of targets and requests: those that operators assign, overridden by those
 //! that the platform assigns.
 
-use super::facts::{RequestFacts, TargetFacts};
+use super::attributes::{RequestAttributes, TargetAttributes};
 use super::label::{Interner, LabelSet, RawLabels};
 use hyper::{HeaderMap, Uri};
 use std::collections::HashMap;
@@ -28,7 +28,7 @@
 
 impl Labels {
     /// Labels of the target's region and hall, overridden by its own.
-    pub(super) fn for_target(&self, interner: &Interner, target: &TargetFacts<'_>) -> LabelSet {
+    pub(super) fn for_target(&self, interner: &Interner, target: &TargetAttributes<'_>) -> LabelSet {
         let mut builder = LabelSetBuilder::new(interner);
         let layers = [self.regions.get(target.region), self.halls.get(target.hall), self.targets.get(target.id)];
         for labels in layers.into_iter().flatten() {
@@ -38,7 +38,7 @@
     }
 
     /// Labels of the request's service, overridden by those read from the request.
-    pub(super) fn for_request(&self, interner: &Interner, request: &RequestFacts<'_>) -> LabelSet {
+    pub(super) fn for_request(&self, interner: &Interner, request: &RequestAttributes<'_>) -> LabelSet {
         let mut builder = LabelSetBuilder::new(interner);
         if let Some(service) = self.services.get(request.service) {
             builder.overlay(&service.labels);
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -3,8 +3,8 @@
 //! [`super`] lists the order in which they apply.
 
 use super::action::{Action, UNRANKED};
+use super::attributes::RequestAttributes;
 use super::cap_charge::CapCharge;
-use super::facts::RequestFacts;
 use super::policies::Policies;
 use super::set::PolicySet;
 use super::verdict::{PolicyOrder, PolicyVerdict};
@@ -35,7 +35,7 @@
     /// are none. Deposits at their caps, once over all tries of the request.
     pub fn find(
         policies: &Rc<Policies>,
-        request: &RequestFacts<'_>,
+        request: &RequestAttributes<'_>,
         affinity: u64,
         charge: &'a CapCharge,
     ) -> Option<Self> {
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -21,7 +21,7 @@
 //! | `error` | the errors |
 //! | [`action`] | a checked policy and its action |
 //! | [`label`], [`selector`] | interned labels; tests on them |
-//! | `facts`, `labels` | the attributes that labels are read from; the labels of a target or request |
+//! | `attributes`, `labels` | the attributes that labels are read from; the labels of a target or request |
 //! | `policies`, `set` | the policies of one document; sets of them |
 //! | `matched`, `verdict` | the policies that match one request; their verdict on a target |
 //! | [`credit`], `cap_charge` | the rule of caps; the deposits and withdrawals of one request |
@@ -31,12 +31,12 @@
 //! rules.
 
 pub mod action;
+mod attributes;
 mod cap_charge;
 mod check;
 pub mod credit;
 mod document;
 mod error;
-mod facts;
 mod file;
 pub mod label;
 mod labels;
@@ -54,10 +54,10 @@
 mod verdict;
 mod weights;
 
+pub use attributes::{RequestAttributes, TargetAttributes};
 pub use cap_charge::CapCharge;
 pub use document::{DocumentError, PolicyDocument};
 pub use error::PolicyError;
-pub use facts::{RequestFacts, TargetFacts};
 pub use matched::MatchedPolicies;
 pub use policies::Policies;
 pub use set::PolicySet;
--- a/src/policy/policies.rs
+++ b/src/policy/policies.rs
@@ -1,8 +1,8 @@
 //! The checked policies of one document, and which of them match a target or a request.
 
 use super::action::{Action, Policy};
+use super::attributes::{RequestAttributes, TargetAttributes};
 use super::credit::Credit;
-use super::facts::{RequestFacts, TargetFacts};
 use super::label::{Interner, LabelSet};
 use super::labels::Labels;
 use super::selector::Selector;
@@ -61,13 +61,13 @@
     }
 
     /// The policies whose `places` match a target.
-    pub fn matching_target(&self, target: &TargetFacts<'_>) -> PolicySet {
+    pub fn matching_target(&self, target: &TargetAttributes<'_>) -> PolicySet {
         let labels = self.labels.for_target(&self.interner, target);
         self.matching(&labels, |policy| &policy.places)
     }
 
     /// The policies whose `requests` match a request.
-    pub(super) fn matching_request(&self, request: &RequestFacts<'_>) -> PolicySet {
+    pub(super) fn matching_request(&self, request: &RequestAttributes<'_>) -> PolicySet {
         let labels = self.labels.for_request(&self.interner, request);
         self.matching(&labels, |policy| &policy.requests)
     }
--- a/src/policy/read_labels.rs
+++ b/src/policy/read_labels.rs
@@ -1,7 +1,7 @@
 //! Reads the labels that operators assign from the files of a document.
 
+use super::attributes::PLATFORM_LABELS;
 use super::error::PolicyError;
-use super::facts::PLATFORM_LABELS;
 use super::file::{CheckResult, ParsedFile};
 use super::label::RawLabels;
 use super::labels::{Labels, RequestLabels};
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -12,7 +12,7 @@
 use crate::decision::selection::choice::{ChosenTarget, NoTarget, RoutedRequest, choose};
 use crate::model::config::WeightedService;
 use crate::platform::Platform;
-use crate::policy::{CapCharge, MatchedPolicies, RequestFacts};
+use crate::policy::{CapCharge, MatchedPolicies, RequestAttributes};
 use crate::proxy::access_record::AccessRecord;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::refusal::Refusal;
@@ -107,7 +107,7 @@
     /// The operators' policies that match the request.
     fn matched_policies(&self, snapshot: &Snapshot<'_>) -> Option<MatchedPolicies<'_>> {
         let parts = &self.request.parts;
-        let facts = RequestFacts {
+        let attributes = RequestAttributes {
             service: &self.weighted_service.service,
             route: &self.request.route.name,
             region: &snapshot.settings.region,
@@ -116,7 +116,7 @@
             uri: &parts.uri,
             headers: &parts.headers,
         };
-        MatchedPolicies::find(snapshot.routing.policies.as_ref()?, &facts, self.affinity, &self.cap_charge)
+        MatchedPolicies::find(snapshot.routing.policies.as_ref()?, &attributes, self.affinity, &self.cap_charge)
     }
 }
 
--- a/tests/cap_charge.rs
+++ b/tests/cap_charge.rs
@@ -2,7 +2,7 @@
 //! the services of a split and under policies that change between its tries.
 
 use hyper::{HeaderMap, Method, Uri};
-use lockloft::policy::{CapCharge, MatchedPolicies, Policies, RequestFacts, Sources};
+use lockloft::policy::{CapCharge, MatchedPolicies, Policies, RequestAttributes, Sources};
 use std::rc::Rc;
 
 /// Policies with a cap for each of two services, by name.
@@ -24,7 +24,7 @@
     charge: &CapCharge,
     action: impl Fn(&MatchedPolicies<'_>) -> T,
 ) -> T {
-    let facts = RequestFacts {
+    let attributes = RequestAttributes {
         service,
         route: "r",
         region: "a",
@@ -33,7 +33,7 @@
         uri: &Uri::from_static("/"),
         headers: &HeaderMap::new(),
     };
-    action(&MatchedPolicies::find(policies, &facts, 7, charge).expect("a cap selects it"))
+    action(&MatchedPolicies::find(policies, &attributes, 7, charge).expect("a cap selects it"))
 }
 
 /// Tries the request at a service without a move.
--- a/tests/governed/mod.rs
+++ b/tests/governed/mod.rs
@@ -4,7 +4,7 @@
 use hyper::{HeaderMap, Method, Uri};
 use lockloft::decision::selection::choice::{NoTarget, Query, choose};
 use lockloft::policy::Sources;
-use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, RequestFacts};
+use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, RequestAttributes};
 
 /// The halls of the scene, with two targets each.
 pub const HALLS: [&str; 4] = ["a-1", "a-2", "b-1", "b-2"];
@@ -37,7 +37,7 @@
     if let Some(tier) = tier {
         headers.insert("x-tier", tier.parse().unwrap());
     }
-    let facts = RequestFacts {
+    let attributes = RequestAttributes {
         service: "shop",
         route: "r",
         region: "a",
@@ -47,8 +47,11 @@
         headers: &headers,
     };
     let charge = CapCharge::default();
-    let matched_policies =
-        scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, object, &charge));
+    let matched_policies = scene
+        .routing
+        .policies
+        .as_ref()
+        .and_then(|policies| MatchedPolicies::find(policies, &attributes, object, &charge));
     let query = Query {
         route: &route,
         tenant: None,
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -7,7 +7,7 @@
 use lockloft::decision::selection::choice::{NoTarget, Query, Verdict, choose, explain};
 use lockloft::decision::selection::exclusion::Exclusion;
 use lockloft::policy::Sources;
-use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, PolicySet, RequestFacts};
+use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, PolicySet, RequestAttributes};
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::{BTreeSet, HashMap};
@@ -62,7 +62,7 @@
     run: impl Fn(&lockloft::decision::registry::routing::Routing, &lockloft::model::config::Config, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
-    let facts = RequestFacts {
+    let attributes = RequestAttributes {
         service: "shop",
         route: "r",
         region: "a",
@@ -71,8 +71,11 @@
         uri: &request.uri,
         headers: &request.headers,
     };
-    let active =
-        scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, affinity, charge));
+    let active = scene
+        .routing
+        .policies
+        .as_ref()
+        .and_then(|policies| MatchedPolicies::find(policies, &attributes, affinity, charge));
     let query = Query {
         route: &route,
         tenant: None,
