--- a/src/model/config/mod.rs
+++ b/src/model/config/mod.rs
@@ -10,9 +10,9 @@
 mod urgency;
 
 pub use limits::CallerLimits;
-pub use route::{Idempotency, Route, RouteKey, WeightedService};
+pub use route::{Idempotency, Route, RouteIndex, WeightedService};
 pub use service::Service;
-pub use tenant::{ApiKey, Quota, Tenant, TenantError, TenantKey, Tenants};
+pub use tenant::{ApiKey, Quota, Tenant, TenantError, TenantIndex, Tenants};
 pub use urgency::Urgency;
 
 use std::cmp::Reverse;
@@ -31,8 +31,8 @@
     /// Tenants; if there are none, requests need no API key.
     pub tenants: Tenants,
     routes: Vec<Route>,
-    /// Routes of each host, longest prefix first.
-    by_host: HashMap<String, Vec<RouteKey>>,
+    /// Routes of each host, by index, longest prefix first.
+    by_host: HashMap<String, Vec<RouteIndex>>,
     /// Distinct urgencies of the requests to each service, most urgent first.
     urgencies: HashMap<Rc<str>, Vec<Urgency>>,
 }
@@ -52,12 +52,12 @@
         Self { tenants, urgencies, ..self }
     }
 
-    /// The route with a key of this configuration.
+    /// The route at an index of this configuration.
     ///
     /// # Panics
-    /// May panic on a key of another configuration, which may have more routes.
-    pub fn route(&self, key: RouteKey) -> &Route {
-        &self.routes[key.0]
+    /// If there is no route at the index. An index of another configuration may give an unrelated route.
+    pub fn route(&self, index: RouteIndex) -> &Route {
+        &self.routes[index.0]
     }
 
     /// Names of the routes that are split between several services.
@@ -66,13 +66,13 @@
     }
 
     /// The route of `host` with the longest prefix of `path`. A port in `host` is ignored.
-    pub fn find_route(&self, host: &str, path: &str) -> Option<RouteKey> {
+    pub fn find_route(&self, host: &str, path: &str) -> Option<RouteIndex> {
         let host = host.rsplit_once(':').map_or(host, |(name, _)| name);
-        let keys = match self.by_host.get(host) {
-            Some(keys) => keys,
+        let indexes = match self.by_host.get(host) {
+            Some(indexes) => indexes,
             None => self.by_host.get(&host.to_ascii_lowercase())?,
         };
-        keys.iter().copied().find(|key| path.starts_with(&self.route(*key).prefix))
+        indexes.iter().copied().find(|index| path.starts_with(&self.route(*index).prefix))
     }
 
     /// Number of distinct urgencies of the service's requests that are more urgent than this one.
@@ -81,13 +81,13 @@
     }
 }
 
-fn index_hosts(routes: &[Route]) -> HashMap<String, Vec<RouteKey>> {
-    let mut by_host: HashMap<String, Vec<RouteKey>> = HashMap::new();
+fn index_hosts(routes: &[Route]) -> HashMap<String, Vec<RouteIndex>> {
+    let mut by_host: HashMap<String, Vec<RouteIndex>> = HashMap::new();
     for (position, route) in routes.iter().enumerate() {
-        by_host.entry(route.host.clone()).or_default().push(RouteKey(position));
+        by_host.entry(route.host.clone()).or_default().push(RouteIndex(position));
     }
-    for keys in by_host.values_mut() {
-        keys.sort_by_key(|key| Reverse(routes[key.0].prefix.len()));
+    for indexes in by_host.values_mut() {
+        indexes.sort_by_key(|index| Reverse(routes[index.0].prefix.len()));
     }
     by_host
 }
--- a/src/model/config/route.rs
+++ b/src/model/config/route.rs
@@ -4,9 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A route's position in its [`Config`](super::Config).
+/// Index of a route in its [`Config`](super::Config).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct RouteKey(pub(super) usize);
+pub struct RouteIndex(pub(super) usize);
 
 /// Whether a request may be executed more than once.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/src/model/config/tenant.rs
+++ b/src/model/config/tenant.rs
@@ -10,9 +10,9 @@
 use std::rc::Rc;
 use thiserror::Error;
 
-/// A tenant's position in its [`Config`](super::Config).
+/// Index of a tenant in its [`Config`](super::Config).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct TenantKey(usize);
+pub struct TenantIndex(usize);
 
 /// Secret that identifies a caller's tenant. `Debug` does not reveal it.
 #[derive(Clone, PartialEq, Eq, Hash)]
@@ -86,10 +86,10 @@
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     all: Vec<Tenant>,
-    by_name: HashMap<Rc<str>, TenantKey>,
+    by_name: HashMap<Rc<str>, TenantIndex>,
     /// The hash function has a random seed in each process, so that the duration of a look-up reveals
     /// nothing about the keys.
-    by_api_key: HashMap<ApiKey, TenantKey>,
+    by_api_key: HashMap<ApiKey, TenantIndex>,
 }
 
 impl TryFrom<Vec<Tenant>> for Tenants {
@@ -97,16 +97,16 @@
 
     fn try_from(all: Vec<Tenant>) -> Result<Self, TenantError> {
         let mut by_name = HashMap::new();
-        let mut by_api_key: HashMap<ApiKey, TenantKey> = HashMap::new();
+        let mut by_api_key: HashMap<ApiKey, TenantIndex> = HashMap::new();
         for (position, tenant) in all.iter().enumerate() {
-            if by_name.insert(tenant.name.clone(), TenantKey(position)).is_some() {
+            if by_name.insert(tenant.name.clone(), TenantIndex(position)).is_some() {
                 return Err(TenantError::DuplicateName(tenant.name.clone()));
             }
             for api_key in &tenant.api_keys {
                 if api_key.0.is_empty() {
                     return Err(TenantError::EmptyKey(tenant.name.clone()));
                 }
-                let before = by_api_key.insert(api_key.clone(), TenantKey(position));
+                let before = by_api_key.insert(api_key.clone(), TenantIndex(position));
                 if let Some(other) = before.filter(|other| other.0 != position) {
                     return Err(TenantError::DuplicateKey(all[other.0].name.clone(), tenant.name.clone()));
                 }
@@ -122,22 +122,22 @@
         self.all.is_empty()
     }
 
-    /// The tenant with a key of this configuration.
+    /// The tenant at an index of this configuration.
     ///
     /// # Panics
-    /// May panic on a key of another configuration, which may have more tenants.
-    pub fn get(&self, key: TenantKey) -> &Tenant {
-        &self.all[key.0]
+    /// If there is no tenant at the index. An index of another configuration may give an unrelated tenant.
+    pub fn get(&self, index: TenantIndex) -> &Tenant {
+        &self.all[index.0]
     }
 
-    /// Key of the tenant that has this API key.
-    pub fn find_by_api_key(&self, api_key: &str) -> Option<TenantKey> {
+    /// Index of the tenant that has this API key.
+    pub fn find_by_api_key(&self, api_key: &str) -> Option<TenantIndex> {
         self.by_api_key.get(api_key).copied()
     }
 
     /// The tenant with this name.
     pub fn find_by_name(&self, name: &str) -> Option<&Tenant> {
-        self.by_name.get(name).map(|key| self.get(*key))
+        self.by_name.get(name).map(|index| self.get(*index))
     }
 
     /// All tenants, in the order of the configuration.
--- a/src/operator/question.rs
+++ b/src/operator/question.rs
@@ -54,7 +54,7 @@
     /// # Errors
     /// 404 where none does.
     pub fn route<'a>(&self, config: &'a Config) -> Result<&'a Route, Refusal> {
-        config.find_route(&self.host, self.uri.path()).map(|key| config.route(key)).ok_or(Refusal::NoRoute)
+        config.find_route(&self.host, self.uri.path()).map(|index| config.route(index)).ok_or(Refusal::NoRoute)
     }
 
     /// The tenant that is asked about, by its name and never by a key; `None` where none is.
--- a/src/proxy/caller_tenant.rs
+++ b/src/proxy/caller_tenant.rs
@@ -66,8 +66,8 @@
 
 /// The tenant that holds a key; `None` if there is none or the key is not text.
 fn tenant_by_api_key<'a>(config: &'a Config, api_key: &HeaderValue) -> Option<&'a Tenant> {
-    let key = config.tenants.find_by_api_key(api_key.to_str().ok()?)?;
-    Some(config.tenants.get(key))
+    let index = config.tenants.find_by_api_key(api_key.to_str().ok()?)?;
+    Some(config.tenants.get(index))
 }
 
 /// Removes the API key and any tenant name that the caller sent, and sets the name of `tenant`.
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -225,8 +225,8 @@
 /// [`Refusal::Malformed`] if it names no host, [`Refusal::NoRoute`] if no route matches.
 pub fn find_route<'a>(config: &'a Config, uri: &Uri, headers: &HeaderMap) -> Result<&'a Route, Refusal> {
     let host = host(uri, headers).ok_or(Refusal::Malformed)?;
-    let key = config.find_route(host, uri.path()).ok_or(Refusal::NoRoute)?;
-    Ok(config.route(key))
+    let index = config.find_route(host, uri.path()).ok_or(Refusal::NoRoute)?;
+    Ok(config.route(index))
 }
 
 /// Replaces [`Refusal::NoRoute`] by [`Refusal::StaleRoutes`] while the view is stale: callers take a
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -109,7 +109,7 @@
             .map(|route| route.name.clone());
         let config = config(routes);
         let found = config.find_route(&format!("{}:80", host.to_uppercase()), &path);
-        prop_assert_eq!(found.map(|key| config.route(key).name.clone()), naive);
+        prop_assert_eq!(found.map(|index| config.route(index).name.clone()), naive);
     }
 
     /// Each service of a split gets a share of the requests near its weight, whatever their objects.
