--- a/src/operator/policies.rs
+++ b/src/operator/policies.rs
@@ -27,7 +27,7 @@
         0 => Refusal::NoPolicies,
         in_force => Refusal::PoliciesRemoved { in_force },
     })?;
-    let document = PolicyDocument::read(&item.value).map_err(|error| Refusal::Document { error, in_force })?;
+    let document = PolicyDocument::from_json(&item.value).map_err(|error| Refusal::Document { error, in_force })?;
     let note = (document.revision != in_force).then(|| {
         let state = stays(in_force);
         format!("this instance does not have it in force: {state}; remedy: `lockloft check` it, then apply it again")
--- a/src/policy/document.rs
+++ b/src/policy/document.rs
@@ -28,7 +28,7 @@
     ///
     /// # Errors
     /// [`DocumentError`] if it is not the JSON of a document.
-    pub fn read(value: &[u8]) -> Result<Self, DocumentError> {
+    pub fn from_json(value: &[u8]) -> Result<Self, DocumentError> {
         Ok(serde_json::from_slice(value)?)
     }
 
--- a/tests/cap_moves.rs
+++ b/tests/cap_moves.rs
@@ -1,9 +1,9 @@
 //! Moves out of the default hall: caps bound their number, and only moves that are made are charged.
 
-mod governed;
+mod policy_scene;
 mod scene;
 
-use governed::{Outcome, apply_policies, decide, hall_of};
+use policy_scene::{Outcome, apply_policies, decide, hall_of};
 use proptest::prelude::*;
 use scene::Scene;
 
--- a/tests/growing_weight.rs
+++ b/tests/growing_weight.rs
@@ -1,9 +1,9 @@
 //! A weight policy whose share is increased.
 
-mod governed;
+mod policy_scene;
 mod scene;
 
-use governed::{Outcome, apply_policies, decide, hall_of};
+use policy_scene::{Outcome, apply_policies, decide, hall_of};
 use proptest::prelude::*;
 use scene::Scene;
 
--- a/tests/naive/mod.rs
+++ b/tests/naive/mod.rs
@@ -2,7 +2,7 @@
 
 pub mod spec;
 
-use crate::governed::{Outcome, hall_of};
+use crate::policy_scene::{Outcome, hall_of};
 use spec::{Action, PolicySpec, Spec, TARGETS, selects};
 
 /// Credit of one move. Credit is counted in whole millionths, and what a cap earns is rounded down
--- a/tests/naive/spec.rs
+++ b/tests/naive/spec.rs
@@ -1,7 +1,7 @@
 //! Generated cases for the comparison with the naive implementation: policies, targets and
 //! requests, and the policies as TOML.
 
-use crate::governed::{HALLS, hall_of};
+use crate::policy_scene::{HALLS, hall_of};
 use proptest::prelude::*;
 use std::collections::BTreeMap;
 
--- a/tests/naive_choice.rs
+++ b/tests/naive_choice.rs
@@ -1,13 +1,13 @@
 //! The choice of a target, compared with a naive implementation that looks at every policy and
 //! every target by name.
 
-mod governed;
 mod naive;
+mod policy_scene;
 mod scene;
 
-use governed::{apply_policies, decide, hall_of};
 use naive::Naive;
 use naive::spec::spec;
+use policy_scene::{apply_policies, decide, hall_of};
 use proptest::prelude::*;
 use scene::Scene;
 
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -79,7 +79,7 @@
     }
     fn decode(item: &Item) -> Result<Record, RecordError> {
         if item.key == Self::policies_key() {
-            let document = PolicyDocument::read(&item.value).map_err(|error| RecordError::new(&item.key, error));
+            let document = PolicyDocument::from_json(&item.value).map_err(|error| RecordError::new(&item.key, error));
             return document.map(Record::Policies);
         }
         let text = String::from_utf8_lossy(&item.value).into_owned();
