--- a/src/policy/action.rs
+++ b/src/policy/action.rs
@@ -30,7 +30,8 @@
     pub name: String,
     /// Matches requests by their labels.
     pub requests: Selector,
-    /// Matches targets by their labels; empty if the policy has only a cap and no `places`.
+    /// Matches targets by their labels. Not used by a policy with only a cap, which may omit it; the
+    /// selector is then empty.
     pub places: Selector,
     /// What the policy does.
     pub action: Action,
--- a/src/policy/attributes.rs
+++ b/src/policy/attributes.rs
@@ -1,4 +1,5 @@
-//! The attributes of a target and of a request from which the platform's labels are read.
+//! The attributes of targets and requests that their labels are read from, and the names of the
+//! labels that the platform assigns.
 
 use hyper::{HeaderMap, Method, Uri};
 
--- a/src/policy/cap_charge.rs
+++ b/src/policy/cap_charge.rs
@@ -26,7 +26,7 @@
         Self { is_dry_run: true, ..Self::default() }
     }
 
-    /// Deposits at the caps that match the request, once at each.
+    /// Makes the request's deposit at each cap that matches it, once at each.
     pub(super) fn deposit(&self, policies: &Policies, caps: PolicySet) {
         if self.is_dry_run {
             return;
--- a/src/policy/check.rs
+++ b/src/policy/check.rs
@@ -54,7 +54,8 @@
 
 impl ParsedDocument {
     fn read(sources: &Sources) -> CheckResult<Self> {
-        let files: Vec<ParsedFile<RawFile>> = sources.files.iter().map(ParsedFile::read).collect::<CheckResult<_>>()?;
+        let files: Vec<ParsedFile<RawFile>> =
+            sources.files.iter().map(ParsedFile::parse).collect::<CheckResult<_>>()?;
         let mut document =
             ParsedDocument { labels: LabelReader::default(), interner: Interner::default(), list: Vec::new() };
         let mut names = UniqueNames::default();
@@ -69,7 +70,7 @@
         self.labels.read(file)?;
         for raw in &file.raw.policy {
             names.insert(file, "policy", &raw.name)?;
-            check_count(file, raw, self.list.len())?;
+            check_policy_count(file, raw, self.list.len())?;
             let policy = read_policy(file, raw, &mut self.interner)?;
             self.list.push((policy, file.location("policy", &raw.name, "")));
         }
@@ -82,7 +83,8 @@
     }
 }
 
-fn check_count(file: &ParsedFile<RawFile>, raw: &RawPolicy, count: usize) -> CheckResult<()> {
+/// Rejects a policy beyond [`MAX_POLICIES`]; `count` policies precede it.
+fn check_policy_count(file: &ParsedFile<RawFile>, raw: &RawPolicy, count: usize) -> CheckResult<()> {
     if count < MAX_POLICIES {
         return Ok(());
     }
--- a/src/policy/credit.rs
+++ b/src/policy/credit.rs
@@ -3,18 +3,17 @@
 //! move.
 //!
 //! **Inputs.** The caps that match the request: each a share of the matched requests,
-//! 0 to 1. Each cap's [`Credit`], in moves: counted by this instance, so it has no age; it
-//! starts at 0 with each revision of the policies. Whether the request has made
-//! a deposit or withdrawal before: its [`CapCharge`](super::CapCharge).
-//! The caller decides what a move is: the target that the request would be sent to is in
-//! another hall than the default target, which is the one that it would go to if no target
-//! were draining, drained, cold, full or ejected
-//! ([`crate::decision::selection::cap_moves`]).
+//! 0 to 1. Each cap's [`Credit`], in moves: counted by this instance with each request, so it is
+//! always current and exact; it starts at 0 with each revision of the policies. Whether the request
+//! has made a deposit or withdrawal before: its [`CapCharge`](super::CapCharge).
+//! [`crate::decision::selection::cap_moves`] defines what a move is: the target that the request
+//! would be sent to is in another hall than the default target, which is the one that it would go to
+//! if no target were draining, drained, cold, full or ejected and no weight policy applied.
 //!
 //! **Rule.** A request deposits `cap` at each cap when the cap first matches it, and nothing
-//! at later tries; at the services of a split, other caps may match it. A move withdraws 1
-//! from each cap, or from none if one of them has less; a request withdraws at most one move
-//! from each cap. Credit never exceeds 1. A request that is tried again under a later
+//! at later tries; at the services of a split, other caps may match it. Each cap is charged for a
+//! move: the move withdraws 1 from each, or from none if one of them has less; a request withdraws
+//! at most one move from each cap. Credit never exceeds 1. A request that is tried again under a later
 //! revision is treated as a new one.
 //!
 //! **Reason.** Instances need no messages to keep a share: if each keeps it for its own
@@ -33,7 +32,7 @@
 use std::cell::Cell;
 
 /// Credit for one move. Credit is counted in whole millionths of a move, so that many small
-/// deposits add up without rounding errors; a cap with more digits is rounded down.
+/// deposits add up without rounding errors; a cap with more than six decimal places is rounded down.
 const ONE_MOVE: i64 = 1_000_000;
 
 /// The credit of one cap at one instance.
@@ -60,7 +59,7 @@
         is_sufficient
     }
 
-    /// Returns what [`Self::withdraw`] took for a request that was not moved.
+    /// Reverses [`Self::withdraw`] for a request that was not moved.
     pub fn refund(&self) {
         self.add(ONE_MOVE);
     }
--- a/src/policy/document.rs
+++ b/src/policy/document.rs
@@ -24,7 +24,7 @@
 pub struct DocumentError(#[from] serde_json::Error);
 
 impl PolicyDocument {
-    /// Parses a stored value. The policies in it are not checked.
+    /// Parses the JSON of a stored value. The policies in it are not checked.
     ///
     /// # Errors
     /// [`DocumentError`] if it is not the JSON of a document.
--- a/src/policy/error.rs
+++ b/src/policy/error.rs
@@ -1,4 +1,5 @@
-//! Errors in the operators' policy files; each message ends with a remedy.
+//! Errors in the operators' policy files; each message ends with a remedy. `tests/broken_policies.rs`
+//! checks most of the messages word for word.
 
 use thiserror::Error;
 
@@ -9,7 +10,7 @@
     pub file: String,
     /// Line, counted from 1.
     pub line: usize,
-    /// Table, name and field, such as `target "a1".hall`.
+    /// Table, name and field, such as `target "a1".labels`.
     pub field: String,
 }
 
@@ -52,7 +53,7 @@
         /// The permitted values, in words.
         range: &'static str,
     },
-    /// A policy has no action, or more than one.
+    /// A policy has no action, more than one, or a cap beside an action other than `weight`.
     #[error(
         "{location}: a policy says exactly one of allow, deny, drain, prefer, weight, limit, priority, or a cap alone; remedy: {remedy}"
     )]
@@ -91,7 +92,7 @@
         location: Location,
         /// Names of the policies, quoted and joined by commas.
         names: String,
-        /// Sum of their weights, rounded to six digits after the point.
+        /// Sum of their weights, rounded to six decimal places.
         sum: String,
     },
     /// The requests of weights overlap in too many ways to compute the sums.
--- a/src/policy/file.rs
+++ b/src/policy/file.rs
@@ -1,4 +1,4 @@
-//! A parsed source file that knows on which lines its items are, for error messages.
+//! A parsed source file, with the line numbers of its items for error messages.
 
 use super::Source;
 use super::error::{Location, PolicyError};
@@ -20,7 +20,7 @@
 
 impl<'a, R: DeserializeOwned> ParsedFile<'a, R> {
     /// Parses the TOML of a file.
-    pub(super) fn read(source: &'a Source) -> CheckResult<Self> {
+    pub(super) fn parse(source: &'a Source) -> CheckResult<Self> {
         let raw = toml::from_str(&source.text).map_err(|error| PolicyError::Syntax {
             file: source.file.clone(),
             line: error.span().map_or(1, |span| line_at(&source.text, span.start)),
--- a/src/policy/matched.rs
+++ b/src/policy/matched.rs
@@ -21,6 +21,7 @@
 #[derive(Debug)]
 pub struct MatchedPolicies<'a> {
     policies: Rc<Policies>,
+    /// The policies that match the request.
     set: PolicySet,
     /// Position of the weight policy to whose targets the request is sent; `None` if it is in
     /// no policy's share.
@@ -32,7 +33,7 @@
 
 impl<'a> MatchedPolicies<'a> {
     /// Finds the policies that match a request with this affinity hash; `None` if there
-    /// are none. Deposits at their caps, once over all tries of the request.
+    /// are none. Makes the request's deposit at each of their caps, once over all its tries.
     pub fn find(
         policies: &Rc<Policies>,
         request: &RequestAttributes<'_>,
@@ -49,7 +50,7 @@
         Some(matched)
     }
 
-    /// All policies of the revision that was searched.
+    /// All policies of the document, including those that do not match the request.
     pub fn policies(&self) -> &Policies {
         &self.policies
     }
@@ -89,8 +90,9 @@
         !self.caps().is_empty()
     }
 
-    /// Withdraws a move out of the default target's hall from all caps; false if one of
-    /// them lacks the credit. [`super::credit`] describes the rule.
+    /// Charges all caps that match the request for a move out of the default target's hall: withdraws
+    /// the move from the credit of each. If one of them has too little, returns false and withdraws
+    /// nothing. [`super::credit`] describes the rule.
     pub fn charge_caps(&self) -> bool {
         match self.charge.withdraw(&self.policies, self.caps()) {
             Ok(()) => true,
@@ -101,8 +103,8 @@
         }
     }
 
-    /// Whether the caps allow a move now. Only for a decision that sends no request and has
-    /// a [`CapCharge::dry_run`]; otherwise it would withdraw the move.
+    /// Whether the caps allow a move now. Only for decisions that send no request, with
+    /// a [`CapCharge::dry_run`]; with any other charge it would withdraw the move.
     pub fn allows_move(&self) -> bool {
         self.charge.withdraw(&self.policies, self.caps()).is_ok()
     }
--- a/src/policy/mod.rs
+++ b/src/policy/mod.rs
@@ -1,14 +1,16 @@
 //! The operators' policies. They allow, deny, drain, prefer and weight targets for the requests
-//! that they match, and cap how many requests are moved. The platform's configuration defines which
-//! services, routes and targets exist; policies define how instances use them.
+//! that they match, and cap how many requests are moved. The platform's configuration defines the
+//! services and routes, and targets exist by their registrations in the store; policies define how
+//! instances use them.
 //!
-//! A policy matches requests and targets (its `places`) by their labels and has one action.
+//! A policy matches requests and targets (its `places`) by their labels. It has one action, or only
+//! a cap; a `weight` may also have a cap.
 //! If several policies match the same request, their actions take precedence in this order:
 //! 1. `drain` and `deny` exclude targets, whatever other policies allow;
 //! 2. `allow` excludes all targets that no allow policy matches;
 //! 3. `cap` limits how many requests are moved out of the default target's hall;
 //! 4. `weight`: the weight policies that match a request divide a scale from 0 to 1 in name
-//!    order;
+//!    order, and the hash of its affinity key selects one of them or none;
 //! 5. `prefer`: the smallest rank of the policies that match a target is its rank.
 //!
 //! | module | contents |
@@ -16,7 +18,7 @@
 //! | `source`, `document` | the operators' files; a revision of them in the store |
 //! | `raw`, `file` | the fields that serde parses from a file; line numbers of its items |
 //! | `check`, `read_labels`, `read_policy`, `names`, `share` | the check of parsed files, each error with its remedy |
-//! | `weights` | the check that weights sum to 1 at most |
+//! | `weights` | the check that weights that may match the same request sum to 1 at most |
 //! | `unsupported` | actions that a file may contain but no instance supports, and their rejection |
 //! | `error` | the errors |
 //! | [`action`] | a checked policy and its action |
--- a/src/policy/policies.rs
+++ b/src/policy/policies.rs
@@ -10,8 +10,9 @@
 
 /// The checked policies of one document.
 ///
-/// Created by [`Policies::check`] and replaced as a whole by a later revision: the credit of
-/// caps starts at 0 again with each.
+/// Created by [`Policies::check`], or from a stored [`PolicyDocument`](super::PolicyDocument)
+/// without the check of weights. A later revision replaces it as a whole, so that the credit of
+/// caps starts at 0 again.
 #[derive(Debug)]
 pub struct Policies {
     /// Revision of the document; rises by one with each change.
--- a/src/policy/raw.rs
+++ b/src/policy/raw.rs
@@ -1,7 +1,7 @@
 //! The operators' TOML as serde parses it: field names and types are checked, values are not.
 //! `docs/POLICIES.md` describes the fields.
 //!
-//! Messages of serde contain the names of these types.
+//! Messages of serde, which operators see, contain the names of these types: a rename changes them.
 
 use super::label::RawLabels;
 use super::selector::RawSelector;
@@ -68,7 +68,7 @@
     pub(super) pace: Option<RawPace>,
 }
 
-/// The table `limit`.
+/// The table `limit`, which is always rejected: see [`super::unsupported`].
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawLimit {
@@ -78,7 +78,7 @@
     pub(super) rate: Option<u32>,
 }
 
-/// The table `pace`: how a weight is raised in steps.
+/// The table `pace`: how a weight is raised in steps. Always rejected: see [`super::unsupported`].
 #[derive(Clone, Copy, Debug, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct RawPace {
--- a/src/policy/read_labels.rs
+++ b/src/policy/read_labels.rs
@@ -40,7 +40,7 @@
         for (kind, raws, names, assigned) in kinds {
             for raw in raws {
                 names.insert(file, kind, &raw.name)?;
-                check_label_names(file, kind, &raw.name, "labels", &raw.labels)?;
+                reject_platform_labels(file, kind, &raw.name, "labels", &raw.labels)?;
                 assigned.insert(raw.name.get_ref().clone(), raw.labels.clone());
             }
         }
@@ -50,7 +50,7 @@
     fn read_service(&mut self, file: &ParsedFile<RawFile>, raw: &RawService) -> CheckResult<()> {
         self.services.insert(file, "service", &raw.name)?;
         for (field, labels) in [("labels", &raw.labels), ("headers", &raw.headers), ("query", &raw.query)] {
-            check_label_names(file, "service", &raw.name, field, labels)?;
+            reject_platform_labels(file, "service", &raw.name, field, labels)?;
         }
         self.labels.services.insert(raw.name.get_ref().clone(), RequestLabels::from(raw));
         Ok(())
@@ -65,7 +65,8 @@
     }
 }
 
-fn check_label_names(
+/// Rejects labels that the platform assigns.
+fn reject_platform_labels(
     file: &ParsedFile<RawFile>,
     kind: &str,
     name: &Spanned<String>,
--- a/src/policy/read_policy.rs
+++ b/src/policy/read_policy.rs
@@ -27,9 +27,9 @@
             remedy: "add places = { .. }; places = {} selects all",
         });
     }
-    // A policy without `places` is a cap, which applies to all targets: the empty selector matches them.
+    // Only a policy with a cap alone may omit `places`. Caps do not use them, so any selector will do.
     let places = raw.places.clone().unwrap_or_default();
-    check_label_count(location(""), [&raw.requests, &places], interner)?;
+    check_label_name_count(location(""), [&raw.requests, &places], interner)?;
     Ok(Policy {
         name: raw.name.get_ref().clone(),
         requests: Selector::compile(&raw.requests, interner),
@@ -40,7 +40,7 @@
 }
 
 /// Rejects selectors whose new label names exceed [`MAX_LABEL_NAMES`].
-fn check_label_count(location: Location, selectors: [&RawSelector; 2], interner: &Interner) -> CheckResult<()> {
+fn check_label_name_count(location: Location, selectors: [&RawSelector; 2], interner: &Interner) -> CheckResult<()> {
     let names = selectors.into_iter().flat_map(RawSelector::keys);
     let new: BTreeSet<&String> = names.filter(|name| interner.key(name).is_none()).collect();
     match interner.key_count() + new.len() <= MAX_LABEL_NAMES {
--- a/src/policy/selector.rs
+++ b/src/policy/selector.rs
@@ -8,7 +8,8 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, HashMap};
 
-/// One test as an operator writes it. A message of serde contains the name of this type.
+/// One test as an operator writes it. A message of serde, which operators see, contains the name of
+/// this type.
 #[derive(Clone, Debug, Deserialize, Serialize, PartialEq)]
 #[serde(untagged)]
 pub enum RawTest {
--- a/src/policy/unsupported.rs
+++ b/src/policy/unsupported.rs
@@ -42,8 +42,8 @@
     }
 }
 
-/// Rejects a pace with values out of range or without a weight. These errors are reported
-/// before that for an unsupported pace.
+/// Rejects a pace without a weight, with a share that is not above 0 and at most 1, or with no
+/// time between its steps. These errors are reported before that for an unsupported pace.
 pub(super) fn check_pace<R>(file: &ParsedFile<R>, raw: &RawPolicy) -> CheckResult<()> {
     let Some(pace) = raw.pace else { return Ok(()) };
     let location = || file.location("policy", &raw.name, "pace");
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -11,8 +11,8 @@
     Denied,
     /// Allow policies match the request, but none of them matches the target.
     NotAllowed,
-    /// A drain policy matches the target. Without it the target would be permitted in this
-    /// order, which caps need: a move away from the target is charged.
+    /// A drain policy matches the target. The order is the one that the target would have without
+    /// it: the default target, from which caps count moves, may be drained.
     Drained(PolicyOrder),
 }
 
--- a/src/policy/weights.rs
+++ b/src/policy/weights.rs
@@ -1,7 +1,8 @@
 //! The check that weights that may match the same request sum to 1 at most.
 //!
-//! Only the selectors decide which weights these are, because the labels that operators assign and
-//! those of requests change. Holds no state; depends on [`super::selector`].
+//! Weights may match the same request if some labels pass all their selectors. Whether any request
+//! has such labels now is not considered, because labels change. Holds no state; depends on
+//! [`super::selector`].
 
 use super::action::{Action, Policy};
 use super::error::{Location, PolicyError};
@@ -92,7 +93,7 @@
         let current = || self.current.iter().map(|position| &self.weights[*position]);
         let names: Vec<String> = current().map(|weight| format!("{:?}", weight.policy.name)).collect();
         let Some(last) = current().next_back() else { return Ok(()) };
-        // Hides rounding errors: operators write shares with fewer digits.
+        // Six decimal places hide rounding errors, and are more than operators write.
         let sum = (sum * 1e6).round() / 1e6;
         Err(PolicyError::WeightSum { location: last.location.clone(), names: names.join(", "), sum: sum.to_string() })
     }
--- a/tests/broken_policies.rs
+++ b/tests/broken_policies.rs
@@ -1,5 +1,5 @@
-//! Invalid policy files: each is rejected as a whole, and the message matches the first line of
-//! the file exactly, with file name, line, field and remedy.
+//! Invalid policy files: each is rejected as a whole. After the names of program and file, the message
+//! is exactly the one that the first line of the file expects, with line, field and remedy.
 
 use std::collections::HashSet;
 use std::path::{Path, PathBuf};
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_document_with_more_than_the_maximum_of_policies_is_rejected() {
+fn one_policy_more_than_the_maximum_is_rejected() {
     let directory = write_files("many", &[("most.toml", &deny_policies(128))]);
     let largest = check(&directory.join("most.toml"));
     assert_eq!(String::from_utf8(largest.stdout).unwrap(), "good: 128 policies\n");
--- a/tests/cap_charge.rs
+++ b/tests/cap_charge.rs
@@ -1,4 +1,4 @@
-//! The deposits and withdrawals of one request at the caps that select it, while it is tried at
+//! The deposits and withdrawals of one request at the caps that match it, while it is tried at
 //! the services of a split and under policies that change between its tries.
 
 use hyper::{HeaderMap, Method, Uri};
@@ -17,7 +17,7 @@
     Rc::new(Policies::check(revision, &Sources::single("p.toml", text)).unwrap())
 }
 
-/// Calls `action` with the policies that select a request to a service.
+/// Calls `action` with the policies that match a request to a service.
 fn with_matched<T>(
     policies: &Rc<Policies>,
     service: &str,
@@ -33,7 +33,7 @@
         uri: &Uri::from_static("/"),
         headers: &HeaderMap::new(),
     };
-    action(&MatchedPolicies::find(policies, &attributes, 7, charge).expect("a cap selects it"))
+    action(&MatchedPolicies::find(policies, &attributes, 7, charge).expect("a cap matches it"))
 }
 
 /// Tries the request at a service without a move.
@@ -55,7 +55,7 @@
     let policies = cap_policies(1, [("late", 0.0), ("shop", 1.0)]);
     let charge = CapCharge::default();
     assert!(try_move(&policies, "shop", &charge));
-    assert!(!try_move(&policies, "late", &charge), "a cap of 0 allowed a move that was withdrawn from another cap");
+    assert!(!try_move(&policies, "late", &charge), "a cap of 0 allowed a move that only another cap was charged for");
 }
 
 #[test]
@@ -66,7 +66,7 @@
     assert!(!try_move(&policies, "late", &charge), "the request made two deposits");
     let charge = CapCharge::default();
     assert!(try_move(&policies, "shop", &charge));
-    assert!(try_move(&policies, "late", &charge), "a second move was withdrawn for the same request");
+    assert!(try_move(&policies, "late", &charge), "the second move of the same request was refused");
 }
 
 #[test]
@@ -80,12 +80,12 @@
     assert!(try_move(&earlier, "late", &charge));
     assert!(
         !try_move(&later, "late", &charge),
-        "a cap of 0 allowed a move that was withdrawn from a cap of the earlier revision"
+        "a cap of 0 allowed a move that only a cap of the earlier revision was charged for"
     );
 }
 
 #[test]
-fn a_dry_run_predicts_the_next_request_and_withdraws_nothing() {
+fn a_dry_run_tells_whether_the_next_request_may_be_moved_and_withdraws_nothing() {
     let policies = check(1, "[[policy]]\nname = \"all\"\ncap = 0.5\n");
     assert!(!try_move(&policies, "shop", &CapCharge::dry_run()));
     try_without_move(&policies, "shop", &CapCharge::default());
--- a/tests/cap_moves.rs
+++ b/tests/cap_moves.rs
@@ -7,14 +7,14 @@
 use proptest::prelude::*;
 use scene::Scene;
 
-/// Tolerance for the rounding of a cap, in moves.
-const ROUNDING: f64 = 1e-3;
+/// Maximum effect of rounding a cap on the number of moves.
+const ROUNDING_TOLERANCE: f64 = 1e-3;
 
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_000, ..ProptestConfig::default() })]
 
-    /// In any window of requests, the number of requests that leave their default hall stays within
-    /// the cap plus one.
+    /// In any window of requests that go through the whole choice of a target, at most the share `cap`
+    /// of them, and one more, leave their default hall.
     #[test]
     fn no_window_of_choices_exceeds_the_cap(
         cap in 0.0f64..=1.0,
@@ -32,13 +32,13 @@
         for from in 0..moved.len() {
             for to in from + 1..=moved.len() {
                 let count = moved[from..to].iter().filter(|moved| **moved).count() as f64;
-                prop_assert!(count <= cap * (to - from) as f64 + 1.0 + ROUNDING);
+                prop_assert!(count <= cap * (to - from) as f64 + 1.0 + ROUNDING_TOLERANCE);
             }
         }
     }
 }
 
-/// A request that two caps select is charged by both or by neither: where one refuses the move, the
+/// Both caps that match a request are charged for its move, or neither: if one refuses the move, the
 /// credit of the other is not lost.
 #[test]
 fn a_refused_move_costs_nothing_of_another_cap() {
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -71,7 +71,7 @@
         uri: &request.uri,
         headers: &request.headers,
     };
-    let active = scene
+    let matched_policies = scene
         .routing
         .policies
         .as_ref()
@@ -84,12 +84,12 @@
         region: "a",
         slow_start: None,
         has_shared_loads: false,
-        matched_policies: active.as_ref(),
+        matched_policies: matched_policies.as_ref(),
         tried: &[],
         now: scene.now,
     };
     let decided = run(&scene.routing, &scene.config, &query);
-    (decided, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
+    (decided, matched_policies.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
 }
 
 fn requests_by_hall(scene: &Scene, request: &RequestParts, affinities: std::ops::Range<u64>) -> HashMap<String, u32> {
@@ -113,7 +113,7 @@
         assert_ne!(&*target.hall, "a-1");
         assert!(
             &*earlier.hall == "a-1" || earlier.id == target.id,
-            "request {affinity} moved, but its hall is not drained"
+            "the request with affinity hash {affinity} moved, but its hall is not drained"
         );
         assert_eq!(applied, ["d"]);
     }
@@ -306,7 +306,6 @@
         }
     }
 
-    /// Sets of policies, compared with ordinary sets.
     #[test]
     fn a_policy_set_behaves_like_an_ordinary_set(
         one in prop::collection::btree_set(0usize..128, 0..40),
--- a/tests/policy_scene/mod.rs
+++ b/tests/policy_scene/mod.rs
@@ -30,7 +30,7 @@
     scene.put("policies", std::str::from_utf8(&document.to_json()).unwrap());
 }
 
-/// Decides on a request for an object, with an `x-tier` header where `tier` is given.
+/// Decides on a request with the affinity hash `object`, and with an `x-tier` header if `tier` is given.
 pub fn decide(scene: &Scene, object: u64, tier: Option<&str>) -> Outcome {
     let route = route("r", "a", "/");
     let mut headers = HeaderMap::new();
--- a/tests/weights.rs
+++ b/tests/weights.rs
@@ -1,4 +1,4 @@
-//! Weights that select the same requests share a scale from 0 to 1. The check rejects weights
+//! Weights that match the same requests share a scale from 0 to 1. The check rejects weights
 //! that sum to more than 1, but a stored document with such weights still takes effect.
 
 mod scene;
@@ -28,7 +28,7 @@
     assert_eq!(check(&[("a", "{}", 0.7), ("b", "{ tier = \"x\" }", 0.3)]), Ok(()));
     let tenth = |name| (name, "{}", 0.1);
     let tenths = ["a", "b", "c", "d", "e", "f", "g", "h", "i", "j"].map(tenth);
-    assert_eq!(check(&tenths), Ok(()), "rounding errors count as excess");
+    assert_eq!(check(&tenths), Ok(()), "a sum that exceeds 1 only by rounding errors was rejected");
 }
 
 #[test]
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_hundred_weights_of_different_halls_are_checked() {
+fn the_maximum_number_of_weights_is_accepted_if_their_halls_differ() {
     let names: Vec<(String, String)> =
         (0..128).map(|n| (format!("p{n:03}"), format!("{{ hall = [\"h{n}\"], region = [\"r{}\"] }}", n / 8))).collect();
     let weights: Vec<(&str, &str, f64)> = names.iter().map(|(name, hall)| (&**name, &**hall, 0.9)).collect();
