--- a/src/model/config/service.rs
+++ b/src/model/config/service.rs
@@ -5,7 +5,8 @@
 /// A group of targets that can serve the same requests, and the settings that apply to each.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Service {
-    /// Maximum number of connections that a target accepts from all instances together.
+    /// Maximum number of connections that a target accepts, from instances and others together; 0 if
+    /// the service sets none.
     pub max_connections: u32,
     /// Duration of a target's slow start.
     pub slow_start: Duration,
--- a/src/model/config/tenant.rs
+++ b/src/model/config/tenant.rs
@@ -49,7 +49,8 @@
 /// Callers that share a set of API keys.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Tenant {
-    /// Name, unique in the configuration; sent to targets with each request.
+    /// Name, unique in the configuration; sent to targets with the tenant's requests, except on public
+    /// routes.
     pub name: Rc<str>,
     /// Its API keys; empty if all were revoked.
     pub api_keys: Vec<ApiKey>,
--- a/src/model/fingerprint.rs
+++ b/src/model/fingerprint.rs
@@ -4,7 +4,8 @@
 //! Two requests have the same fingerprint if their method, host, path with query, affinity key and
 //! body are equal. Of a streamed body only the first 64 KiB and the declared length are known before
 //! it is sent, so the fingerprint covers only these. The request id is not part of it: the caller sets
-//! a new one for each attempt, while the effect of a request on a target depends on its contents.
+//! a new one for each attempt, while the effect of a request on a target depends on its contents. What
+//! instances learned from one attempt therefore applies to the next.
 //!
 //! Owns the hash. Relies on nothing of lockloft. Test: `tests/fingerprint.rs`.
 
@@ -60,7 +61,7 @@
 
 /// Error for a text that is not a fingerprint as `Display` writes it.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("the fingerprint is not 16 lowercase hexadecimal digits; remove the key")]
+#[error("the fingerprint is not 16 lowercase hexadecimal digits; remove this key from the store")]
 pub struct FingerprintError;
 
 impl TryFrom<&str> for Fingerprint {
--- a/src/model/mod.rs
+++ b/src/model/mod.rs
@@ -1,5 +1,5 @@
 //! Data model: the decoded configuration and store records, and the messages between instances. Plain
-//! data without state that changes over time. Relies on [`crate::policy`] alone, for the policy document
+//! data, without state of the running instance. Relies on [`crate::policy`] alone, for the policy document
 //! in a record.
 
 pub mod config;
--- a/src/model/rate_limits.rs
+++ b/src/model/rate_limits.rs
@@ -24,12 +24,14 @@
 pub struct TargetDemand {
     /// Target at one start and address.
     pub target: StartKey,
-    /// Latest announcement of the target that the sender knows; `None` if there is no recent one.
+    /// Latest announcement of the target to the sender or, in a forwarded report, to an instance of the
+    /// sender's hall; `None` if there is no recent one. Announcements to other instances are not passed
+    /// on: instances would keep them alive among each other forever.
     #[serde(rename = "told")]
     pub announced: Option<AnnouncedRate>,
     /// Requests per second that would be sent to the target without the limit.
     pub demand: f32,
-    /// Whether the target has announced that it leaves.
+    /// Whether the target has announced that it is leaving.
     #[serde(rename = "leaves")]
     pub is_leaving: bool,
 }
@@ -43,11 +45,11 @@
     pub hall: String,
     /// Whether a head forwards what other instances of its hall reported.
     pub is_forwarded: bool,
-    /// Targets whose limits the sender knows.
+    /// Targets with a limit, and targets that are leaving.
     pub targets: Vec<TargetDemand>,
 }
 
-/// Share of the requests to a target that may be sent.
+/// What a head knows about a target with a limit, or one that is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct TargetAnswer {
     /// Target at one start and address.
@@ -55,7 +57,7 @@
     /// Latest announcement of the target to any instance; `None` if there is no recent one.
     #[serde(rename = "told")]
     pub announced: Option<AnnouncedRate>,
-    /// Whether the target has announced to any instance that it leaves.
+    /// Whether the target has announced to any instance that it is leaving.
     #[serde(rename = "leaves")]
     pub is_leaving: bool,
     /// Share of the requests that may be sent, 0 to 1.
@@ -63,10 +65,10 @@
     pub admit_ratio: f32,
 }
 
-/// Answer of a head to a [`LimitReport`].
+/// Answer of a head to a [`LimitReport`]; empty if the report was forwarded.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LimitAnswer {
-    /// Targets that recently announced a limit, those of the report first.
+    /// Targets that recently announced a limit or that they are leaving, those of the report first.
     #[serde(rename = "shares")]
     pub targets: Vec<TargetAnswer>,
 }
--- a/src/model/record.rs
+++ b/src/model/record.rs
@@ -27,11 +27,11 @@
         /// Its registration.
         member: Member,
     },
-    /// Strikes against a request: targets that crashed under it.
+    /// Strikes against a request, by the rule of [`crate::decision::failure::quarantine`].
     Strikes {
         /// Fingerprint of the request.
         fingerprint: Fingerprint,
-        /// Number of these targets, and who counted the latest.
+        /// Number of the strikes, and the instance that counted the latest.
         strikes: Strikes,
     },
     /// An item at a key that lockloft does not use.
@@ -58,7 +58,8 @@
 pub enum Fallback {
     /// The last good value stays in force; for the configuration and policies.
     LastGood,
-    /// The target or instance is not used until its next valid registration.
+    /// The target or instance is not used until its next valid registration; strikes against a request
+    /// count as expired.
     NotUsed,
 }
 
@@ -77,7 +78,7 @@
         Self { key: key.to_owned(), field: String::new(), problem: problem.to_string(), fallback: Fallback::LastGood }
     }
 
-    /// The same error for a registration, with [`Fallback::NotUsed`].
+    /// The same error for a registration or a record of strikes, with [`Fallback::NotUsed`].
     pub fn for_registration(self) -> Self {
         Self { fallback: Fallback::NotUsed, ..self }
     }
--- a/src/model/registration.rs
+++ b/src/model/registration.rs
@@ -19,8 +19,8 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct StartTime(pub u64);
 
-/// Order in which the registrations of one id were written: by start, then by sequence. A
-/// registration without a start precedes any that has one.
+/// Position of a registration in the order in which those of its id were written: by start, then by
+/// sequence. A registration without a start precedes any that has one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct WriteOrder {
     /// Start that wrote the registration; `None` if the record does not contain it.
@@ -30,7 +30,8 @@
 }
 
 /// Registration of a target. By the platform's rules only state, sequence and slow start change during
-/// one start of the target. If other fields change anyway, the highest sequence applies.
+/// one start of the target. If other fields change anyway, the registration with the highest sequence
+/// applies.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct TargetRegistration {
     /// Target id; a restarted target may keep it.
@@ -56,7 +57,7 @@
 }
 
 impl TargetRegistration {
-    /// Position of this registration among those of its id.
+    /// Position of this registration in the order in which those of its id were written.
     pub fn order(&self) -> WriteOrder {
         WriteOrder { start: self.start, sequence: self.sequence }
     }
--- a/src/model/usage.rs
+++ b/src/model/usage.rs
@@ -2,6 +2,7 @@
 //! format.
 //!
 //! Owns the wire format: [postcard](https://postcard.jamesmunns.com/wire-format), fields in this order.
+//! Messages do not contain the fields' names; the `rename` attributes only keep them stable.
 //! Instances of two versions run side by side during an update. Fields are therefore only added, at
 //! the end, and the extended message gets a path of its own.
 
@@ -32,8 +33,9 @@
     }
 }
 
-/// First bytes of a target's key, for messages about many targets. Two targets with the same first
-/// bytes, one pair in about 4 billion, are attributed each other's loads.
+/// First bytes of a target's key, for messages about many targets. Targets with the same first bytes,
+/// one pair in about 4 billion, are not distinguished: the latest load of either counts
+/// for both.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ShortKey(pub [u8; 4]);
 
@@ -74,7 +76,7 @@
     pub hall: String,
     /// Whether the report includes requests that other instances of its hall reported to it.
     pub is_forwarded: bool,
-    /// Period in which these requests arrived, milliseconds.
+    /// Length of the period in which these requests arrived, milliseconds.
     #[serde(rename = "over_ms")]
     pub period_ms: u32,
     /// Usage by tenant name.
@@ -83,8 +85,7 @@
     pub loads: Vec<TargetLoad>,
 }
 
-/// Answer to a [`UsageReport`]: the shares of requests admitted for tenants near their quotas, and loads
-/// of targets.
+/// Answer to a [`UsageReport`]: the admit ratios of tenants near their quotas, and loads of targets.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct UsageAnswer {
     /// Share of requests that may be admitted, below 1, by tenant name. All requests of other tenants
