--- a/src/clock.rs
+++ b/src/clock.rs
@@ -4,7 +4,7 @@
 //!
 //! An [`Instant`] is the monotonic time plus the total time suspended so far. That total only grows,
 //! by the amount by which the offset between the two system clocks has increased, so an instant is
-//! never earlier than one that was read before it. The wall clock is not used.
+//! never earlier than one that was read before it on the same thread. The wall clock is not used.
 //!
 //! Timers of the runtime stop with the monotonic clock. The first reader of this clock that detects a
 //! suspension wakes all waits of this module; each then ends, or continues for its remaining time. The
@@ -26,11 +26,11 @@
 use tokio::sync::Notify;
 use tokio::sync::futures::Notified;
 
-/// Minimum time that counts as a suspension: longer than the time between the readings of the two
-/// clocks, shorter than the precision that any bound needs.
+/// Growth of the offset between the clocks above which it counts as a suspension: more than the time
+/// between the readings of the two clocks, and too little to matter for any bound.
 const MIN_SUSPENSION: Duration = Duration::from_millis(10);
 /// Maximum time between the readings of the monotonic clock before and after that of the other clock.
-/// If more has passed, this thread was paused in between, and the offset is not exact.
+/// If more has passed, this thread was paused in between; the readings are discarded and repeated.
 const MAX_READ_TIME: Duration = Duration::from_millis(1);
 /// Attempts to read the clocks without a pause in between. If all fail, a suspension is detected the
 /// next time that the clock is read.
@@ -55,14 +55,14 @@
 
 impl Suspension {
     fn new() -> Self {
-        let initial_offset = exact_clock_offset().unwrap_or_else(clock_offset);
+        let initial_offset = precise_clock_offset().unwrap_or_else(clock_offset);
         Self { initial_offset, total: Cell::new(Duration::ZERO), simulated: Cell::new(Duration::ZERO) }
     }
 
     /// The total time suspended until now. Logs a suspension that it detects, and wakes all waits.
     fn total(&self) -> Duration {
         if self.has_grown(clock_offset())
-            && let Some(offset) = exact_clock_offset()
+            && let Some(offset) = precise_clock_offset()
             && self.has_grown(offset)
         {
             let before = self.total.replace((offset + self.simulated.get()).saturating_sub(self.initial_offset));
@@ -73,7 +73,8 @@
         self.total.get()
     }
 
-    /// Whether the offset between the clocks has grown by more than the suspensions detected so far.
+    /// Whether the offset between the clocks has grown by more than `MIN_SUSPENSION` beyond the
+    /// suspensions detected so far.
     fn has_grown(&self, offset: Duration) -> bool {
         offset + self.simulated.get() > self.initial_offset + self.total.get() + MIN_SUSPENSION
     }
@@ -86,8 +87,9 @@
     read_clock(ClockId::CLOCK_BOOTTIME).saturating_sub(monotonic)
 }
 
-/// The same offset, never too large; `None` if the thread was paused in each attempt to read it.
-fn exact_clock_offset() -> Option<Duration> {
+/// The same offset, never too large and at most [`MAX_READ_TIME`] too small; `None` if the thread was
+/// paused in each attempt to read it.
+fn precise_clock_offset() -> Option<Duration> {
     (0..MAX_READ_ATTEMPTS).find_map(|_| {
         let before = read_clock(ClockId::CLOCK_MONOTONIC);
         let boot = read_clock(ClockId::CLOCK_BOOTTIME);
@@ -175,7 +177,7 @@
 
 /// Error of [`timeout`] and [`timeout_at`]: the deadline passed before the future was ready.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
-#[error("deadline has elapsed")]
+#[error("the deadline has passed")]
 pub struct Elapsed;
 
 pin_project! {
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -8,8 +8,8 @@
 //! **Why callers may keep a response for the whole bound.** When it expires, callers send a new request
 //! and wait for the response: a round trip, or 1 s if the instance that they ask is dead. An
 //! instance that died in the meantime costs a caller one connection attempt: the caller does not try
-//! its address again. A stopping instance serves requests that can end in time and refuses the others
-//! at once ([`crate::decision::refusal::stop`]).
+//! its address again. A stopping instance serves all requests at first, then only those that must end
+//! before it is killed, and refuses the others at once ([`crate::decision::refusal::stop`]).
 
 use crate::decision::selection::directory::{self, OwnInstance};
 use crate::net::server::{CallerBody, ConnectionLimits, Handler};
--- a/tests/suspension.rs
+++ b/tests/suspension.rs
@@ -19,7 +19,7 @@
 use tokio::task::LocalSet;
 
 const SUSPENSION: Duration = Duration::from_secs(5);
-/// Upper bound of the real time that a wait may take: far longer than two lines of a test take.
+/// Maximum real time that a wait may take: less than the suspension, and far more than a test needs.
 const MAX_ELAPSED: Duration = Duration::from_secs(2);
 
 #[test]
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn the_store_counts_as_lost_after_a_suspension_until_it_answers() {
+fn the_store_counts_as_lost_after_a_suspension_until_it_responds() {
     let copy = StoreCopy::default();
     copy.record_response();
     simulate_suspension(SUSPENSION);
@@ -100,14 +100,14 @@
 /// Peer that responds, with a view that is 10 ms old, after this instance was suspended.
 async fn respond_after_suspension(listener: TcpListener) {
     let (mut stream, _) = listener.accept().await.unwrap();
-    let mut question = [0; 1024];
-    assert!(stream.read(&mut question).await.unwrap() > 0);
+    let mut request = [0; 1024];
+    assert!(stream.read(&mut request).await.unwrap() > 0);
     simulate_suspension(SUSPENSION);
     let body = r#"{"at": 20, "age_ms": 10, "whole": false, "events": []}"#;
     let head = format!("HTTP/1.1 200 OK\r\ncomputed-after-ms: 0\r\ncontent-length: {}\r\n\r\n", body.len());
     stream.write_all(format!("{head}{body}").as_bytes()).await.unwrap();
     // Keeps the connection open until the response was read.
-    let _ = stream.read(&mut question).await;
+    let _ = stream.read(&mut request).await;
 }
 
 #[tokio::test]
@@ -116,9 +116,9 @@
         let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
         let address = listener.local_addr().unwrap();
         tokio::task::spawn_local(respond_after_suspension(listener));
-        let mut link = PeerConnection::open(address).await.unwrap();
-        let answer = link.request_changes(PeerRequest::default(), Duration::from_secs(10)).await.unwrap();
-        let changes = answer.read(Duration::from_secs(10)).await.unwrap();
+        let mut connection = PeerConnection::open(address).await.unwrap();
+        let response = connection.request_changes(PeerRequest::default(), Duration::from_secs(10)).await.unwrap();
+        let changes = response.read(Duration::from_secs(10)).await.unwrap();
         assert!(changes.view_age() >= Some(SUSPENSION), "{:?}", changes.view_age());
     };
     LocalSet::new().run_until(check).await;
