--- a/src/clock.rs
+++ b/src/clock.rs
@@ -8,7 +8,8 @@
 //!
 //! Timers of the runtime stop with the monotonic clock. The first reader of this clock that detects a
 //! suspension wakes all waits of this module; each then ends, or continues for its remaining time. The
-//! log's task reads the clock every 0.1 s.
+//! log's task reads the clock every 0.1 s, so that a suspension is detected soon even if nothing else
+//! reads it.
 //!
 //! The rate limit of the log and the waits of the command-line tool use the monotonic clock on purpose.
 //!
--- a/src/policy/source.rs
+++ b/src/policy/source.rs
@@ -1,5 +1,5 @@
-//! The text of the operators' files, as the command-line tool reads it, sends it to an
-//! instance, and as it is stored.
+//! The text of the operators' files, as the command-line tool reads it and sends it to an
+//! instance, and as the store holds it.
 
 use serde::{Deserialize, Serialize};
 use std::path::Path;
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -54,6 +54,8 @@
     (chosen.map(|chosen| chosen.target), policies)
 }
 
+/// The result of `run` (`choose` or `explain`) for a request with this affinity hash, and the names of
+/// the policies that affected it.
 fn decide<T>(
     scene: &Scene,
     request: &RequestParts,
