--- a/src/operator/policies.rs
+++ b/src/operator/policies.rs
@@ -27,7 +27,7 @@
         0 => Refusal::NoPolicies,
         in_force => Refusal::PoliciesRemoved { in_force },
     })?;
-    let document = PolicyDocument::read(&item.value).map_err(|error| Refusal::Document { error, in_force })?;
+    let document = PolicyDocument::from_json(&item.value).map_err(|error| Refusal::Document { error, in_force })?;
     let note = (document.revision != in_force).then(|| {
         let state = stays(in_force);
         format!("this instance does not have it in force: {state}; remedy: `lockloft check` it, then apply it again")
@@ -71,7 +71,7 @@
 /// Names of the policies whose places select no target of the view.
 fn idle<P: Platform>(instance: &Instance<P>, policies: &Policies) -> Vec<String> {
     let routing = instance.routing.borrow();
-    let selecting = routing.targets().map(|target| policies.matching_target(&target.facts()));
+    let selecting = routing.targets().map(|target| policies.matching_target(&target.attributes()));
     let reached = selecting.fold(PolicySet::default(), PolicySet::union);
     let idle = policies.iter().enumerate().filter(|(position, _)| !reached.contains(*position));
     idle.map(|(_, policy)| policy.name.clone()).collect()
--- a/src/policy/document.rs
+++ b/src/policy/document.rs
@@ -24,11 +24,11 @@
 pub struct DocumentError(#[from] serde_json::Error);
 
 impl PolicyDocument {
-    /// Parses a stored value. The policies in it are not checked.
+    /// Parses the JSON of a stored value. The policies in it are not checked.
     ///
     /// # Errors
     /// [`DocumentError`] if it is not the JSON of a document.
-    pub fn read(value: &[u8]) -> Result<Self, DocumentError> {
+    pub fn from_json(value: &[u8]) -> Result<Self, DocumentError> {
         Ok(serde_json::from_slice(value)?)
     }
 
--- a/src/policy/policies.rs
+++ b/src/policy/policies.rs
@@ -1,8 +1,8 @@
 //! The checked policies of one document, and which of them match a target or a request.
 
 use super::action::{Action, Policy};
+use super::attributes::{RequestAttributes, TargetAttributes};
 use super::credit::Credit;
-use super::facts::{RequestFacts, TargetFacts};
 use super::label::{Interner, LabelSet};
 use super::labels::Labels;
 use super::selector::Selector;
@@ -10,8 +10,9 @@
 
 /// The checked policies of one document.
 ///
-/// Created by [`Policies::check`] and replaced as a whole by a later revision: the credit of
-/// caps starts at 0 again with each.
+/// Created by [`Policies::check`], or from a stored [`PolicyDocument`](super::PolicyDocument)
+/// without the check of weights. A later revision replaces it as a whole, so that the credit of
+/// caps starts at 0 again.
 #[derive(Debug)]
 pub struct Policies {
     /// Revision of the document; rises by one with each change.
@@ -61,13 +62,13 @@
     }
 
     /// The policies whose `places` match a target.
-    pub fn matching_target(&self, target: &TargetFacts<'_>) -> PolicySet {
+    pub fn matching_target(&self, target: &TargetAttributes<'_>) -> PolicySet {
         let labels = self.labels.for_target(&self.interner, target);
         self.matching(&labels, |policy| &policy.places)
     }
 
     /// The policies whose `requests` match a request.
-    pub(super) fn matching_request(&self, request: &RequestFacts<'_>) -> PolicySet {
+    pub(super) fn matching_request(&self, request: &RequestAttributes<'_>) -> PolicySet {
         let labels = self.labels.for_request(&self.interner, request);
         self.matching(&labels, |policy| &policy.requests)
     }
--- a/tests/policies.rs
+++ b/tests/policies.rs
@@ -7,7 +7,7 @@
 use lockloft::decision::selection::choice::{NoTarget, Query, Verdict, choose, explain};
 use lockloft::decision::selection::exclusion::Exclusion;
 use lockloft::policy::Sources;
-use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, PolicySet, RequestFacts};
+use lockloft::policy::{CapCharge, MatchedPolicies, Policies, PolicyDocument, PolicySet, RequestAttributes};
 use proptest::prelude::*;
 use scene::{Scene, route};
 use std::collections::{BTreeSet, HashMap};
@@ -54,6 +54,8 @@
     (chosen.map(|chosen| chosen.target), policies)
 }
 
+/// The result of `run` (`choose` or `explain`) for a request with this affinity hash, and the names of
+/// the policies that affected it.
 fn decide<T>(
     scene: &Scene,
     request: &RequestParts,
@@ -62,7 +64,7 @@
     run: impl Fn(&lockloft::decision::registry::routing::Routing, &lockloft::model::config::Config, &Query<'_>) -> T,
 ) -> (T, Vec<String>) {
     let route = route("r", "a", "/");
-    let facts = RequestFacts {
+    let attributes = RequestAttributes {
         service: "shop",
         route: "r",
         region: "a",
@@ -71,8 +73,11 @@
         uri: &request.uri,
         headers: &request.headers,
     };
-    let active =
-        scene.routing.policies.as_ref().and_then(|policies| MatchedPolicies::find(policies, &facts, affinity, charge));
+    let matched_policies = scene
+        .routing
+        .policies
+        .as_ref()
+        .and_then(|policies| MatchedPolicies::find(policies, &attributes, affinity, charge));
     let query = Query {
         route: &route,
         tenant: None,
@@ -81,12 +86,12 @@
         region: "a",
         slow_start: None,
         has_shared_loads: false,
-        matched_policies: active.as_ref(),
+        matched_policies: matched_policies.as_ref(),
         tried: &[],
         now: scene.now,
     };
     let decided = run(&scene.routing, &scene.config, &query);
-    (decided, active.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
+    (decided, matched_policies.as_ref().map_or_else(Vec::new, MatchedPolicies::applied))
 }
 
 fn requests_by_hall(scene: &Scene, request: &RequestParts, affinities: std::ops::Range<u64>) -> HashMap<String, u32> {
@@ -110,7 +115,7 @@
         assert_ne!(&*target.hall, "a-1");
         assert!(
             &*earlier.hall == "a-1" || earlier.id == target.id,
-            "request {affinity} moved, but its hall is not drained"
+            "the request with affinity hash {affinity} moved, but its hall is not drained"
         );
         assert_eq!(applied, ["d"]);
     }
@@ -303,7 +308,6 @@
         }
     }
 
-    /// Sets of policies, compared with ordinary sets.
     #[test]
     fn a_policy_set_behaves_like_an_ordinary_set(
         one in prop::collection::btree_set(0usize..128, 0..40),
