--- a/src/decision/capacity/slow_start.rs
+++ b/src/decision/capacity/slow_start.rs
@@ -12,7 +12,7 @@
 //!   (requests per second), the operators' bound on what all instances send.
 //! - Names of the members in the view, and when they last changed, which must be at least
 //!   `MEMBERS_STABLE_TIME` (2 s) ago. The view itself must be younger than `MAX_VIEW_AGE`
-//!   (1.3 s); otherwise no [`SlowStartShare`] is passed and the target gets nothing.
+//!   (1.3 s); otherwise no [`SlowStartInputs`] is passed and the target gets nothing.
 //!
 //! **Why.** Requests beyond the rate queue at the cold target and miss their latency objective.
 //! The instances exchange no messages about it: rendezvous hashing over the members, which all
@@ -61,7 +61,7 @@
 /// What an instance needs to compute its share of a cold target's rate; given only while its view
 /// is current.
 #[derive(Clone, Copy, Debug)]
-pub struct SlowStartShare<'a> {
+pub struct SlowStartInputs<'a> {
     /// Name of this instance among the members.
     pub own: &'a str,
     /// The operators' bound on what a cold target receives.
--- a/src/decision/registry/routing/mod.rs
+++ b/src/decision/registry/routing/mod.rs
@@ -9,7 +9,7 @@
 mod apply;
 
 use crate::clock::Instant;
-use crate::decision::capacity::slow_start::{SlowStartShare, member_share};
+use crate::decision::capacity::slow_start::{SlowStartInputs, member_share};
 use crate::decision::failure::quarantine::Quarantine;
 use crate::decision::registry::members::Members;
 use crate::decision::registry::target::Target;
@@ -93,15 +93,15 @@
 
     /// Load limit of a request's second target, requests per slot, if that of its first is `max_load`.
     pub fn second_target_max_load(&self, query: &Query<'_>, max_load: f64) -> f64 {
-        let latency = self.targets.second_latency(query.service);
+        let latency = self.targets.second_target_latency(query.service);
         let objective = query.route.latency_objective;
         latency.map_or(max_load, |latency| latency.max_load(max_load, objective, self.median_latency(query.service)))
     }
 
     /// Records that a second target of the service responded after `elapsed`, or had not responded by
     /// then.
-    pub fn record_second_latency(&self, service: &str, elapsed: Duration) {
-        if let Some(latency) = self.targets.second_latency(service) {
+    pub fn record_second_target_latency(&self, service: &str, elapsed: Duration) {
+        if let Some(latency) = self.targets.second_target_latency(service) {
             latency.record(elapsed);
         }
     }
@@ -154,10 +154,10 @@
 
     /// Whether this instance may send a cold target a request now, within its share of the target's
     /// slow-start rate.
-    pub fn may_send_in_slow_start(&self, target: &Target, share: SlowStartShare<'_>, now: Instant) -> bool {
+    pub fn may_send_in_slow_start(&self, target: &Target, inputs: SlowStartInputs<'_>, now: Instant) -> bool {
         let service = self.service(&target.service);
-        let shared_rate = service.map_or(0, |service| share.bounds.shared_rate(service.slow_start_rate));
-        let member_share = |shared_rate| member_share(shared_rate, target.key.hash(), share.own, self.members.names());
+        let shared_rate = service.map_or(0, |service| inputs.bounds.shared_rate(service.slow_start_rate));
+        let member_share = |shared_rate| member_share(shared_rate, target.key.hash(), inputs.own, self.members.names());
         target.may_send_in_slow_start(self.members.changed_at(), shared_rate, member_share, now)
     }
 
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -79,7 +79,7 @@
     /// Median of the targets' average latencies by service, seconds.
     medians: HashMap<Rc<str>, f64>,
     /// Latency of requests at second targets, by service.
-    second_latencies: HashMap<Rc<str>, SecondTargetLatency>,
+    second_target_latencies: HashMap<Rc<str>, SecondTargetLatency>,
 }
 
 impl Targets {
@@ -178,7 +178,7 @@
     fn insert(&mut self, target: Target) {
         let target = Rc::new(target);
         self.by_id.insert(target.id.clone(), target.clone());
-        self.second_latencies.entry(target.service.clone()).or_default();
+        self.second_target_latencies.entry(target.service.clone()).or_default();
         self.by_service.entry(target.service.clone()).or_default().push(target);
     }
 
@@ -225,8 +225,8 @@
     }
 
     /// Latency of requests at second targets of the service; `None` if it never had a target.
-    pub fn second_latency(&self, service: &str) -> Option<&SecondTargetLatency> {
-        self.second_latencies.get(service)
+    pub fn second_target_latency(&self, service: &str) -> Option<&SecondTargetLatency> {
+        self.second_target_latencies.get(service)
     }
 
     /// Recomputes the medians; a service whose targets have not responded yet keeps its last one.
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -34,7 +34,7 @@
 use std::time::Duration;
 
 // Re-exported for callers of `choose` and `explain`.
-pub use crate::decision::capacity::slow_start::SlowStartShare;
+pub use crate::decision::capacity::slow_start::SlowStartInputs;
 pub use crate::decision::selection::outcome::{ChosenTarget, NoTarget, Verdict};
 pub use crate::decision::selection::query::{Query, RoutedRequest};
 
@@ -218,7 +218,7 @@
     fn no_usable_target(&self) -> NoTarget {
         let limited = self.limited.map(|limited| (limited.target, Duration::ZERO));
         match limited.or(self.paused) {
-            Some((first, wait)) => NoTarget::Limited { first: first.clone(), wait },
+            Some((first, wait)) => NoTarget::LimitedOrPaused { first: first.clone(), wait },
             None => NoTarget::NoneUsable,
         }
     }
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -158,7 +158,7 @@
 
     fn by_slow_start(&self, target: &Target) -> Option<Exclusion> {
         let now = self.query.now;
-        let may_send = |share| self.routing.may_send_in_slow_start(target, share, now);
+        let may_send = |inputs| self.routing.may_send_in_slow_start(target, inputs, now);
         let is_excluded = target.is_in_slow_start(now) && !self.query.slow_start.is_some_and(may_send);
         is_excluded.then_some(Exclusion::Cold)
     }
--- a/src/decision/selection/outcome.rs
+++ b/src/decision/selection/outcome.rs
@@ -24,7 +24,7 @@
     NoneUsable,
     /// No target may be used, but at least one is excluded only by the pause or the rate limit that it
     /// announced itself.
-    Limited {
+    LimitedOrPaused {
         /// The best-ranked target at its rate limit, else the one whose pause ends first.
         first: Rc<Target>,
         /// Time until a target may accept requests again; zero for a rate limit.
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -4,7 +4,7 @@
 //! Owns nothing: a [`Query`] is created for each try of a request.
 
 use crate::clock::Instant;
-use crate::decision::capacity::slow_start::SlowStartShare;
+use crate::decision::capacity::slow_start::SlowStartInputs;
 use crate::decision::registry::target::Target;
 use crate::decision::registry::target_key::TargetKey;
 use crate::model::config::{Route, Tenant, Urgency};
@@ -38,7 +38,7 @@
     pub region: &'a str,
     /// This instance's share of what targets in slow start may be sent; `None` while the view may be
     /// stale, in which case it sends them nothing.
-    pub slow_start: Option<SlowStartShare<'a>>,
+    pub slow_start: Option<SlowStartInputs<'a>>,
     /// Whether the instances share the loads that targets report to them.
     pub has_shared_loads: bool,
     /// The operators' policies that match the request; `None` if none does.
--- a/src/operator/why.rs
+++ b/src/operator/why.rs
@@ -109,7 +109,7 @@
 fn refusal(reason: &NoTarget) -> RequestRefusal {
     match reason {
         NoTarget::NoneUsable => RequestRefusal::NoTarget,
-        NoTarget::Limited { .. } => RequestRefusal::Limited,
+        NoTarget::LimitedOrPaused { .. } => RequestRefusal::Limited,
         NoTarget::Full(_) => RequestRefusal::Full,
         NoTarget::Capped(_) => RequestRefusal::Capped,
     }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -86,7 +86,7 @@
             let result = self.send(request, &target).await;
             record.last_try_time = Some(started.elapsed());
             if is_second {
-                self.record_second_latency(&target, &result, started.elapsed());
+                self.record_second_target_latency(&target, &result, started.elapsed());
             }
             match result {
                 Ok(response) => {
@@ -178,14 +178,14 @@
     }
 
     /// Records the latency of a second target: the time to its response, or to the timeout.
-    fn record_second_latency(
+    fn record_second_target_latency(
         &self,
         target: &Target,
         result: &Result<Response<ResponseBody>, TryError>,
         elapsed: Duration,
     ) {
         if matches!(result, Ok(_) | Err(TryError::TimedOut)) {
-            self.request.instance.routing.borrow().record_second_latency(&target.service, elapsed);
+            self.request.instance.routing.borrow().record_second_target_latency(&target.service, elapsed);
         }
     }
 
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -69,7 +69,7 @@
                 Ok(chosen)
             }
             Err(NoTarget::NoneUsable) => Err(Refusal::NoTarget),
-            Err(NoTarget::Limited { first, wait }) => {
+            Err(NoTarget::LimitedOrPaused { first, wait }) => {
                 record.target_wait = Some(wait);
                 record_preferred(record, self.weighted_service, first);
                 Err(Refusal::Limited)
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -43,7 +43,7 @@
 use crate::decision::registry::change::StateChange;
 use crate::decision::registry::routing::Routing;
 use crate::decision::registry::target_key::TargetKey;
-use crate::decision::selection::choice::{Query, RoutedRequest, SlowStartShare};
+use crate::decision::selection::choice::{Query, RoutedRequest, SlowStartInputs};
 use crate::decision::selection::request_size::RequestSize;
 use crate::decision::selection::split::TrafficSplits;
 use crate::model::fingerprint::Fingerprint;
@@ -149,7 +149,7 @@
         matched_policies: Option<&'a MatchedPolicies<'a>>,
         tried: &'a [TargetKey],
     ) -> Query<'a> {
-        let share = SlowStartShare { own: &settings.name, bounds: settings.slow_start };
+        let inputs = SlowStartInputs { own: &settings.name, bounds: settings.slow_start };
         let RoutedRequest { route, tenant, service, affinity } = request;
         Query {
             route,
@@ -157,7 +157,7 @@
             service,
             affinity,
             region: &settings.region,
-            slow_start: self.store_copy.is_current().then_some(share),
+            slow_start: self.store_copy.is_current().then_some(inputs),
             has_shared_loads: self.target_loads.are_shared(),
             matched_policies,
             tried,
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -5,7 +5,7 @@
 use lockloft::decision::capacity::load_report::LoadReport;
 use lockloft::decision::capacity::slow_start::{SlowStartBounds, member_share};
 use lockloft::decision::selection::affinity::rendezvous_score;
-use lockloft::decision::selection::choice::{NoTarget, Query, SlowStartShare, choose};
+use lockloft::decision::selection::choice::{NoTarget, Query, SlowStartInputs, choose};
 use lockloft::decision::selection::region_weight::weight;
 use lockloft::model::member::{Capacity, Member};
 use proptest::prelude::*;
@@ -181,7 +181,7 @@
     let bounds = SlowStartBounds { overage: 1.5, slack: 5.0 };
     let mut sent = 0;
     while scene.now < end {
-        let slow_start = Some(SlowStartShare { own, bounds });
+        let slow_start = Some(SlowStartInputs { own, bounds });
         let route = route("r", "a", "/");
         let query = Query {
             route: &route,
--- a/tests/governed/mod.rs
+++ b/tests/governed/mod.rs
@@ -64,7 +64,7 @@
     match choose(&scene.routing, &scene.config, &query) {
         Ok(chosen) => Outcome::Chosen(chosen.target.id[1..].parse().unwrap()),
         Err(NoTarget::Capped(_)) => Outcome::Capped,
-        Err(NoTarget::NoneUsable | NoTarget::Limited { .. }) => Outcome::NoneUsable,
+        Err(NoTarget::NoneUsable | NoTarget::LimitedOrPaused { .. }) => Outcome::NoneUsable,
         Err(NoTarget::Full(_)) => unreachable!("no request is in flight"),
     }
 }
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -316,7 +316,7 @@
         }
         served.record_success(took, now);
         if sent.is_second {
-            self.instances[sent.instance].0.routing.record_second_latency("shop", took);
+            self.instances[sent.instance].0.routing.record_second_target_latency("shop", took);
         }
         self.record_answered(&sent.request, at);
     }
--- a/tests/second_target.rs
+++ b/tests/second_target.rs
@@ -14,15 +14,17 @@
     Duration::from_millis(ms)
 }
 
-/// A scene whose targets respond in 100 ms, and whose second targets recently took `second_latency`.
-fn scene(second_latency: Option<Duration>) -> Scene {
+/// A scene whose targets respond in 100 ms, and whose second targets recently took `second_target_latency`.
+fn scene(second_target_latency: Option<Duration>) -> Scene {
     let mut scene = Scene::new();
     for target in scene.routing.targets() {
         target.record_latency(ms(100), scene.now);
     }
     scene.routing.update_median_latencies();
     for _ in 0..100 {
-        second_latency.into_iter().for_each(|latency| scene.routing.record_second_latency("shop", latency));
+        second_target_latency
+            .into_iter()
+            .for_each(|latency| scene.routing.record_second_target_latency("shop", latency));
     }
     scene
 }
--- a/tests/slow_start_changes.rs
+++ b/tests/slow_start_changes.rs
@@ -3,7 +3,7 @@
 mod scene;
 
 use lockloft::decision::capacity::slow_start::SlowStartBounds;
-use lockloft::decision::selection::choice::{Query, SlowStartShare, choose};
+use lockloft::decision::selection::choice::{Query, SlowStartInputs, choose};
 use lockloft::model::member::{Capacity, Member};
 use scene::{Scene, config_with_rate, route};
 use std::time::Duration;
@@ -49,7 +49,7 @@
             service: "shop",
             affinity: 7,
             region: "a",
-            slow_start: Some(SlowStartShare { own: "e-1", bounds }),
+            slow_start: Some(SlowStartInputs { own: "e-1", bounds }),
             has_shared_loads: false,
             matched_policies: None,
             tried: &[],
