--- a/src/decision/capacity/load.rs
+++ b/src/decision/capacity/load.rs
@@ -32,7 +32,7 @@
     requests: u32,
     at: Instant,
     /// Whether this instance received it from the target and has not yet sent it to others.
-    is_unreported: bool,
+    is_unshared: bool,
 }
 
 /// The load of one target, as this instance estimates it.
@@ -63,7 +63,7 @@
     pub fn record_report(&mut self, report: LoadReport, now: Instant) {
         let total = report.running.saturating_add(report.waiting);
         let requests = total.saturating_sub(self.in_flight);
-        self.reported = Some(ReportedLoad { requests, at: now, is_unreported: true });
+        self.reported = Some(ReportedLoad { requests, at: now, is_unshared: true });
     }
 
     /// Records that the target reported `total` requests to another instance at `at`, unless a
@@ -71,15 +71,15 @@
     pub fn record_remote(&mut self, total: u32, at: Instant) {
         if self.reported.is_none_or(|reported| reported.at < at) {
             let requests = total.saturating_sub(self.in_flight);
-            self.reported = Some(ReportedLoad { requests, at, is_unreported: false });
+            self.reported = Some(ReportedLoad { requests, at, is_unshared: false });
         }
     }
 
     /// Takes the last report that was not yet sent to other instances: the target's requests, and
     /// when the report arrived.
-    pub fn take_unreported(&mut self) -> Option<(u32, Instant)> {
-        let reported = self.reported.as_mut().filter(|reported| reported.is_unreported)?;
-        reported.is_unreported = false;
+    pub fn take_unshared(&mut self) -> Option<(u32, Instant)> {
+        let reported = self.reported.as_mut().filter(|reported| reported.is_unshared)?;
+        reported.is_unshared = false;
         Some((reported.requests + self.in_flight, reported.at))
     }
 
@@ -87,7 +87,7 @@
     /// there like a report, since their end is still counted here.
     pub fn for_successor(&self, now: Instant) -> Self {
         let requests = self.estimate(now).round() as u32;
-        Self { in_flight: 0, reported: Some(ReportedLoad { requests, at: now, is_unreported: false }) }
+        Self { in_flight: 0, reported: Some(ReportedLoad { requests, at: now, is_unshared: false }) }
     }
 
     /// Estimated number of requests running or waiting at the target.
--- a/src/decision/capacity/rate_limit/mod.rs
+++ b/src/decision/capacity/rate_limit/mod.rs
@@ -11,7 +11,7 @@
 //!   one: 0 to 0.6 s old in normal operation, dropped after `MAX_LIMIT_AGE` (10 s). One start of a
 //!   target at one address inherits nothing from another.
 //! - Requests whose first choice is the target, sent or not; counted here at once.
-//! - The admit ratio, at most `MAX_SHARE_AGE` (1 s) old; otherwise the members, as old as the view.
+//! - The admit ratio, at most `MAX_ADMIT_RATIO_AGE` (1 s) old; otherwise the members, as old as the view.
 //!
 //! | module | content |
 //! |---|---|
@@ -50,7 +50,7 @@
 /// learn that the limit is gone. It amounts to one request in the operators' window.
 pub const MIN_RATE: f64 = 0.25;
 /// Age up to which an admit ratio applies; it allows for some lost reports.
-const MAX_SHARE_AGE: Duration = Duration::from_secs(1);
+const MAX_ADMIT_RATIO_AGE: Duration = Duration::from_secs(1);
 /// A report is sent at once if the requests since the last one exceed this number plus
 /// `SURGE_FACTOR` times those usual in `REPORT_INTERVAL`.
 const MIN_SURGE_REQUESTS: f64 = 3.0;
@@ -61,9 +61,9 @@
 
 /// An admit ratio that the head of the hall returned.
 #[derive(Clone, Copy, Debug)]
-struct HeadShare {
+struct AdmitRatio {
     /// Share of the requests for the target that may be sent, 0 to 1.
-    admit_ratio: f64,
+    ratio: f64,
     at: Instant,
 }
 
@@ -75,8 +75,8 @@
     /// Demand in the last report to the head, requests per second.
     reported_demand: f64,
     /// Requests since that report.
-    unreported: u32,
-    share: Option<HeadShare>,
+    requests_since_report: u32,
+    admit_ratio: Option<AdmitRatio>,
     /// Fraction of a request carried over from earlier ones, 0 to 1.
     credit: f64,
     equal_share: EqualShare,
@@ -112,7 +112,7 @@
             return None;
         }
         self.reported_demand = self.demand.rate(now);
-        self.unreported = 0;
+        self.requests_since_report = 0;
         Some((self.known.own(now), self.reported_demand))
     }
 
@@ -123,7 +123,7 @@
         if self.admit_ratio(now).is_none() {
             self.credit = initial_credit;
         }
-        self.share = Some(HeadShare { admit_ratio: admit_ratio.clamp(0.0, 1.0), at: now });
+        self.admit_ratio = Some(AdmitRatio { ratio: admit_ratio.clamp(0.0, 1.0), at: now });
     }
 
     /// Recomputes the equal share of the member `own` for the target with the hash `target`.
@@ -153,7 +153,7 @@
     /// Records a request whose first choice is the target, sent or not.
     pub fn record_offered(&mut self, now: Instant) {
         self.demand.record(now);
-        self.unreported = self.unreported.saturating_add(1);
+        self.requests_since_report = self.requests_since_report.saturating_add(1);
         if let Some(admit_ratio) = self.admit_ratio(now) {
             self.credit += admit_ratio;
         }
@@ -170,12 +170,12 @@
     /// Whether so many requests came since the last report that the next one should be sent at once.
     pub fn has_surge(&self, now: Instant) -> bool {
         let usual = self.reported_demand * REPORT_INTERVAL.as_secs_f64();
-        self.rate(now).is_some() && f64::from(self.unreported) > MIN_SURGE_REQUESTS + SURGE_FACTOR * usual
+        self.rate(now).is_some() && f64::from(self.requests_since_report) > MIN_SURGE_REQUESTS + SURGE_FACTOR * usual
     }
 
     /// Share of the requests that may be sent, 0 to 1; `None` without a current answer of a head.
     pub fn admit_ratio(&self, now: Instant) -> Option<f64> {
-        let share = self.share?;
-        (now.saturating_duration_since(share.at) < MAX_SHARE_AGE).then_some(share.admit_ratio)
+        let admit_ratio = self.admit_ratio?;
+        (now.saturating_duration_since(admit_ratio.at) < MAX_ADMIT_RATIO_AGE).then_some(admit_ratio.ratio)
     }
 }
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -250,8 +250,8 @@
 
     /// Its last load report, if it has not been passed on to other instances yet: the number of
     /// requests, and when it arrived.
-    pub fn take_unreported_load(&self) -> Option<(u32, Instant)> {
-        self.load.borrow_mut().take_unreported()
+    pub fn take_unshared_load(&self) -> Option<(u32, Instant)> {
+        self.load.borrow_mut().take_unshared()
     }
 
     /// Estimated number of requests running or waiting there.
--- a/src/state/target_loads.rs
+++ b/src/state/target_loads.rs
@@ -37,13 +37,13 @@
 impl<P: Platform> Instance<P> {
     /// Takes the loads that targets reported to this instance and that are not yet reported to other
     /// instances.
-    pub fn take_unreported_loads(&self) -> Vec<TargetLoad> {
+    pub fn take_unshared_loads(&self) -> Vec<TargetLoad> {
         let now = Instant::now();
-        let unreported = |target: &Rc<Target>| {
-            let (requests, at) = target.take_unreported_load()?;
+        let unshared = |target: &Rc<Target>| {
+            let (requests, at) = target.take_unshared_load()?;
             Some(TargetLoad::new(target.key.short(), requests, now.saturating_duration_since(at)))
         };
-        self.routing.borrow().targets().filter_map(unreported).collect()
+        self.routing.borrow().targets().filter_map(unshared).collect()
     }
 
     /// Records loads that targets reported to other instances.
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -111,7 +111,7 @@
         is_forwarded: false,
         over_ms: period.as_millis() as u32,
         tenants,
-        loads: instance.take_unreported_loads(),
+        loads: instance.take_unshared_loads(),
     }
 }
 
--- a/tests/shared_loads.rs
+++ b/tests/shared_loads.rs
@@ -84,12 +84,12 @@
     let now = Instant::now();
     let mut state = TargetLoadState::default();
     state.record_report(LoadReport { running: 3, waiting: 1, slots: 3, slowdown: None }, now);
-    assert_eq!(state.take_unreported(), Some((4, now)));
-    assert_eq!(state.take_unreported(), None);
+    assert_eq!(state.take_unshared(), Some((4, now)));
+    assert_eq!(state.take_unshared(), None);
     state.record_remote(0, now.checked_sub(ms(50)).unwrap());
     assert_eq!(state.estimate(now), 4.0);
     state.record_remote(9, now + ms(50));
-    assert_eq!((state.estimate(now + ms(50)), state.take_unreported()), (9.0, None));
+    assert_eq!((state.estimate(now + ms(50)), state.take_unshared()), (9.0, None));
 }
 
 /// Outcome for callers of a load near the capacity of eight targets with four slots each: a
