--- a/src/decision/capacity/admission.rs
+++ b/src/decision/capacity/admission.rs
@@ -21,7 +21,7 @@
 //! urgent requests are refused first.
 //!
 //! **Test**: `less_urgent_requests_are_refused_before_more_urgent_ones` and
-//! `a_full_target_gives_way_to_the_object_s_second_and_then_to_a_refusal` in
+//! `a_request_goes_to_the_second_target_if_the_first_is_full_and_is_refused_if_both_are` in
 //! `tests/choice.rs`; `admission_goes_by_rank_and_slots` in `tests/rules.rs`.
 
 /// Limit for the most urgent requests, requests per slot.
--- a/src/decision/capacity/load.rs
+++ b/src/decision/capacity/load.rs
@@ -15,8 +15,8 @@
 //! **Guards** the promise that full targets get no more requests, whichever instance fills them;
 //! the limit itself is in [`crate::decision::capacity::admission`].
 //!
-//! **Test**: `a_reported_load_counts_and_fades` in `tests/choice.rs`;
-//! `load_is_what_is_in_flight_and_the_fading_rest_of_the_report` in `tests/rules.rs`.
+//! **Test**: `a_reported_load_counts_until_it_is_too_old` in `tests/choice.rs`;
+//! `load_is_the_requests_in_flight_plus_the_report_weighted_down_with_age` in `tests/rules.rs`.
 
 use crate::clock::Instant;
 use crate::decision::capacity::load_report::LoadReport;
--- a/src/decision/capacity/slow_start.rs
+++ b/src/decision/capacity/slow_start.rs
@@ -22,8 +22,8 @@
 //! `rate * overage + slack` requests in any second from all instances together, also while
 //! the instances have two different views of the members.
 //!
-//! **Test**: `a_cold_target_s_rate_holds_over_disagreeing_views` (property over two views) and
-//! `a_cold_target_gets_its_rate_once_the_members_are_steady` in `tests/choice.rs`;
+//! **Test**: `the_rate_in_slow_start_holds_over_disagreeing_views` (property over two views) and
+//! `a_target_in_slow_start_gets_its_rate_once_the_members_are_stable` in `tests/choice.rs`;
 //! `slow_start_spaces_an_instance_s_share` in `tests/rules.rs`.
 
 use crate::clock::Instant;
--- a/src/decision/failure/ejection.rs
+++ b/src/decision/failure/ejection.rs
@@ -19,7 +19,7 @@
 //! **Guards** the promises that no requests are lost at dead or broken targets, and that a
 //! recovered target is used again within seconds.
 //!
-//! **Test**: `a_failing_target_is_ejected_and_tried_with_one_request` in
+//! **Test**: `a_failing_target_is_ejected_and_probed_with_one_request` in
 //! `tests/choice.rs`; `ejection_follows_failures_in_a_row` in `tests/rules.rs`;
 //! `standins/tests/ejection.rs`.
 
--- a/src/decision/failure/latency.rs
+++ b/src/decision/failure/latency.rs
@@ -22,7 +22,7 @@
 //! them in time, and that a recovered target is used again.
 //!
 //! **Test**: `a_slow_target_is_judged_by_median_and_objective`,
-//! `the_average_follows_faster_answers_sooner` and `the_median_is_that_of_a_sorted_list` in
+//! `the_average_follows_faster_responses_sooner` and `the_median_is_that_of_a_sorted_list` in
 //! `tests/rules.rs`.
 
 use crate::clock::Instant;
--- a/src/decision/refusal/stop.rs
+++ b/src/decision/refusal/stop.rs
@@ -13,7 +13,7 @@
 //! **Guards** the promise that a planned stop cuts off no request. The stop itself is
 //! [`crate::instance::stop`].
 //!
-//! **Test**: `requests_are_taken_in_the_first_half_of_a_stop_and_while_they_end_in_time` in
+//! **Test**: `requests_are_accepted_in_the_first_half_of_a_stop_and_while_they_end_in_time` in
 //! `tests/rules.rs`, `standins/tests/planned_stop.rs`.
 
 use std::time::Duration;
--- a/src/decision/selection/directory.rs
+++ b/src/decision/selection/directory.rs
@@ -19,8 +19,8 @@
 //! **Guards** the promises that callers find an instance as long as there is one, and that a
 //! stopping instance gets no new callers.
 //!
-//! **Test**: `the_directory_names_the_nearest_instances_that_there_are` (against a naive version) in
-//! `tests/rules.rs`; `tests/instance_weight.rs`.
+//! **Test**: `the_directory_names_the_nearest_instances` (against a naive version) in `tests/rules.rs`;
+//! `tests/instance_weight.rs`.
 
 use crate::decision::registry::members::Members;
 use crate::decision::selection::instance_weight::weights;
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -29,7 +29,8 @@
 //!
 //! **Constants**: none of its own; those of each rule are in its module.
 //!
-//! **Test**: `cold_evacuated_forbidden_and_tried_targets_are_excluded` in `tests/choice.rs`;
+//! **Test**: `targets_that_are_in_slow_start_evacuated_forbidden_or_tried_are_excluded` in
+//! `tests/choice.rs`;
 //! `the_choice_agrees_with_a_naive_one` in `tests/naive_choice.rs` for policies.
 
 use crate::decision::registry::routing::Routing;
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -25,9 +25,9 @@
 
 proptest! {
     /// Instances with two different member lists together keep within the bound, whatever the lists
-    /// have in common; instances with the same list use at least half of the rate.
+    /// have in common; instances with the same list use at least half of the shared rate.
     #[test]
-    fn a_cold_target_s_rate_holds_over_disagreeing_views(
+    fn the_rate_in_slow_start_holds_over_disagreeing_views(
         rate in 0.0f64..60.0,
         overage in 1.0f64..2.0,
         slack in 0.0f64..10.0,
@@ -113,7 +113,7 @@
 }
 
 #[test]
-fn a_full_target_gives_way_to_the_object_s_second_and_then_to_a_refusal() {
+fn a_request_goes_to_the_second_target_if_the_first_is_full_and_is_refused_if_both_are() {
     let scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     let mut in_flight = Vec::new();
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn a_reported_load_counts_and_fades() {
+fn a_reported_load_counts_until_it_is_too_old() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     first.record_load_report(LoadReport { running: 4, waiting: 6, slots: 4, slowdown: None }, scene.now);
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn cold_evacuated_forbidden_and_tried_targets_are_excluded() {
+fn targets_that_are_in_slow_start_evacuated_forbidden_or_tried_are_excluded() {
     let mut scene = Scene::new();
     for number in 0..6 {
         let hall = ["a-1", "a-2", "b-1"][number / 2];
@@ -229,7 +229,7 @@
 }
 
 #[test]
-fn a_cold_target_gets_its_rate_once_the_members_are_steady() {
+fn a_target_in_slow_start_gets_its_rate_once_the_members_are_stable() {
     let mut scene = slow_start_scene();
     assert_eq!(sent_in_slow_start(&mut scene, "e-1", 2), 0, "the members have only just changed");
     // Four members share 9 requests per second: two each, spaced over somewhat more than a second.
@@ -238,12 +238,12 @@
 }
 
 #[test]
-fn an_instance_that_is_not_listed_sends_a_cold_target_nothing() {
+fn an_instance_that_is_not_listed_sends_a_target_in_slow_start_nothing() {
     assert_eq!(sent_in_slow_start(&mut slow_start_scene(), "e-9", 6), 0);
 }
 
 #[test]
-fn a_failing_target_is_ejected_and_tried_with_one_request() {
+fn a_failing_target_is_ejected_and_probed_with_one_request() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     for _ in 0..3 {
@@ -252,10 +252,10 @@
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     scene.now += Duration::from_millis(600);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
-    let trial = first.begin_request(scene.now);
+    let probe = first.begin_request(scene.now);
     assert_ne!(scene.choose(7, &[]).unwrap().id, first.id);
     first.record_success(Duration::from_millis(50), scene.now);
-    drop(trial);
+    drop(probe);
     assert_eq!(scene.choose(7, &[]).unwrap().id, first.id);
 }
 
@@ -319,7 +319,7 @@
 }
 
 #[test]
-fn a_target_that_was_draining_is_not_kept_and_none_while_the_store_answers() {
+fn a_removed_target_is_not_kept_if_it_was_draining_or_the_store_responds() {
     let mut scene = Scene::new();
     let first = scene.choose(7, &[]).unwrap();
     scene.put(first.id.as_ref(), &format!("{} 4 draining 2 0", first.hall));
--- a/tests/growing_weight.rs
+++ b/tests/growing_weight.rs
@@ -1,4 +1,4 @@
-//! A weight policy whose share is increased.
+//! A weight policy whose weight is increased.
 
 mod governed;
 mod scene;
@@ -10,12 +10,12 @@
 proptest! {
     #![proptest_config(ProptestConfig { cases: 1_000, ..ProptestConfig::default() })]
 
-    /// A larger share moves further objects to the policy's targets and keeps those that were there.
+    /// A larger weight moves further objects to the policy's targets and keeps those that were there.
     #[test]
     fn a_growing_weight_keeps_its_objects(object in any::<u64>(), small in 0.0f64..0.5, more in 0.0f64..0.5) {
-        let is_moved = |share: f64| {
+        let is_moved = |weight: f64| {
             let mut scene = Scene::new();
-            let text = format!("[[policy]]\nname = \"w\"\nplaces = {{ hall = \"b-2\" }}\nweight = {share:?}\n");
+            let text = format!("[[policy]]\nname = \"w\"\nplaces = {{ hall = \"b-2\" }}\nweight = {weight:?}\n");
             let before = decide(&scene, object, None);
             apply_policies(&mut scene, &text);
             let after = decide(&scene, object, None);
--- a/tests/instance_weight.rs
+++ b/tests/instance_weight.rs
@@ -21,7 +21,8 @@
     SocketAddr::from(([10, 0, 0, 1], 1_000 + number as u16))
 }
 
-/// The instances of a region, as known to an instance that does not name itself.
+/// The instances of a region, as known to an instance that does not accept requests, so that its answers
+/// do not name it.
 struct Region {
     members: Members,
     capacities: Vec<Capacity>,
@@ -66,7 +67,7 @@
 }
 
 #[test]
-fn the_request_rate_of_a_machine_is_limited_by_its_core_or_its_link() {
+fn the_request_rate_of_a_machine_is_limited_by_the_weaker_of_core_and_link() {
     assert_eq!(max_request_rate(WEAK, 12_500.0), Some(100.0));
     assert_eq!(max_request_rate(WEAK, 1_250.0), Some(200.0));
     assert_eq!(max_request_rate(Capacity { core_milli: None, ..WEAK }, 1_250.0), Some(1_000.0));
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn a_failed_strong_instance_affects_few_callers_and_they_know_others() {
+fn a_failed_strong_instance_affects_a_bounded_share_of_callers_and_they_know_others() {
     let mut rng = StdRng::seed_from_u64(2);
     let region = Region::with(4, 8);
     let mut affected = 0;
@@ -184,7 +185,7 @@
 }
 
 #[test]
-fn the_average_request_size_follows_the_bodies() {
+fn the_average_request_size_follows_the_sizes_of_request_and_response_bodies() {
     let size = RequestSize::default();
     let first = size.bytes();
     (0..5_000).for_each(|number| size.record(0, if number % 10 == 0 { 90_000 } else { 1_500 }));
--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -24,11 +24,11 @@
 const WINDOW: Duration = Duration::from_secs(4);
 /// Time after a limit is announced from which the bound applies.
 const ENFORCED_AFTER: Duration = Duration::from_secs(3);
-/// Time after an instance passed on a response with a limit from which its requests count against
-/// the bound.
+/// Time after an instance passed a response with a limit on to a caller from which its requests count
+/// against the bound.
 const PROPAGATION_TIME: Duration = Duration::from_millis(500);
 /// Share of the requests that arrive in the region of the target, which has a third of the halls.
-const NEAR_RATIO: f64 = 0.85;
+const TARGET_REGION_RATIO: f64 = 0.85;
 /// Time within which each instance that knows no limit asks its head.
 const POLL_INTERVAL: Duration = Duration::from_secs(1);
 /// Fleet size from which instances that know no limit ask their head every second.
@@ -42,24 +42,24 @@
     EqualShares,
     /// Each lowers its rate when the target rejects a request, and raises it otherwise.
     Feedback,
-    /// By the shares that the heads of halls answer.
+    /// By the admit ratios that the heads of halls answer.
     Heads,
 }
 
 /// Result of a simulation.
 #[derive(Debug)]
 pub struct Outcome {
-    /// Maximum number of requests in a window, of instances that had passed on the limit at
-    /// least `PROPAGATION_TIME` before.
-    pub max_known: f64,
+    /// Maximum number of requests in a window, of instances that know the limit: those that passed it on
+    /// to a caller at least `PROPAGATION_TIME` before.
+    pub max_sent_with_known_limit: f64,
     /// Maximum number of requests in a window, of all instances, from a second after the limit was
     /// announced.
     pub max_sent: f64,
     /// The operators' bound on both.
     pub allowed: f64,
-    /// Used part of the limit while the bound applied.
+    /// Fraction of the limit that was used while the bound applied.
     pub used: f64,
-    /// Bytes of messages a second and instance, both directions.
+    /// Bytes of messages per second and instance, in both directions.
     pub bytes: f64,
 }
 
@@ -70,11 +70,12 @@
     rate: f64,
     /// Accumulated credit, 0 to 1 request, for [`Mode::Feedback`].
     credit: f64,
-    /// When it first passed on a response with a limit.
+    /// When it first passed a response with a limit on to a caller.
     passed_on_at: Option<Instant>,
 }
 
-struct Answer {
+/// A response of the target in transit.
+struct Response {
     instance: usize,
     sent: Instant,
     due: Instant,
@@ -92,13 +93,13 @@
     now: Instant,
     step: u64,
     random: StdRng,
-    answers: VecDeque<Answer>,
+    responses: VecDeque<Response>,
     /// Reports in transit, each with its arrival time, its sender and the hall of its receiver.
     reports: VecDeque<(Instant, usize, usize, LimitReport)>,
     /// Answers to reports in transit, each with its arrival time and its receiver.
     shares: VecDeque<(Instant, usize, LimitAnswer)>,
-    /// Sent requests: when, and whether the instance had passed on the limit at least
-    /// `PROPAGATION_TIME` before.
+    /// Sent requests: when, and whether the instance knew the limit, as in
+    /// [`Outcome::max_sent_with_known_limit`].
     sent: Vec<(Instant, bool)>,
     /// When the target accepted requests, in the last window.
     accepted: VecDeque<Instant>,
@@ -135,7 +136,7 @@
             now,
             step: 0,
             random: StdRng::seed_from_u64(seed),
-            answers: VecDeque::new(),
+            responses: VecDeque::new(),
             reports: VecDeque::new(),
             shares: VecDeque::new(),
             sent: Vec::new(),
@@ -189,7 +190,7 @@
         let sent = self.sent.iter().filter(|(at, _)| *at >= enforced_from).count() as f64;
         let elapsed = self.now.saturating_duration_since(enforced_from).as_secs_f64();
         Outcome {
-            max_known: max_in_window(&|(_, counts)| *counts),
+            max_sent_with_known_limit: max_in_window(&|(_, knows_limit)| *knows_limit),
             max_sent: max_in_window(&|(at, _)| *at >= known_from),
             allowed: 1.5 * limit * WINDOW.as_secs_f64() + 5.0,
             used: sent / (elapsed * limit),
@@ -200,7 +201,7 @@
     fn advance(&mut self) {
         self.now += STEP;
         self.step += 1;
-        self.receive_answers();
+        self.receive_responses();
         self.send_requests();
         if self.mode == Mode::Heads {
             self.deliver();
@@ -209,16 +210,16 @@
         }
     }
 
-    fn receive_answers(&mut self) {
-        while self.answers.front().is_some_and(|answer| answer.due <= self.now) {
-            let answer = self.answers.pop_front().unwrap();
+    fn receive_responses(&mut self) {
+        while self.responses.front().is_some_and(|response| response.due <= self.now) {
+            let response = self.responses.pop_front().unwrap();
             let signal = self.announced_limit.map_or(LimitSignal::None, LimitSignal::Rate);
-            let instance = &mut self.instances[answer.instance];
-            instance.limit.apply(signal, answer.sent, self.now);
+            let instance = &mut self.instances[response.instance];
+            instance.limit.apply(signal, response.sent, self.now);
             if self.announced_limit.is_some() {
                 instance.passed_on_at.get_or_insert(self.now);
             }
-            match answer.is_rejected {
+            match response.is_rejected {
                 true => instance.rate = instance.rate.min(self.demand) * 0.7,
                 false => instance.rate += 0.05,
             }
@@ -241,11 +242,11 @@
 
     fn request(&mut self) {
         let halls = self.heads.len();
-        let near = halls.div_ceil(3);
-        let is_near = self.random.random::<f64>() < NEAR_RATIO;
+        let halls_of_target_region = halls.div_ceil(3);
+        let is_in_target_region = self.random.random::<f64>() < TARGET_REGION_RATIO;
         let number = loop {
             let number = self.random.random_range(0..self.instances.len());
-            if (number % halls < near) == is_near {
+            if (number % halls < halls_of_target_region) == is_in_target_region {
                 break number;
             }
         };
@@ -265,10 +266,10 @@
         }
         instance.limit.record_sent(now);
         instance.credit = (instance.credit - 1.0).max(0.0);
-        let counts = instance.passed_on_at.is_some_and(|at| now - at >= PROPAGATION_TIME);
-        self.sent.push((now, counts));
+        let knows_limit = instance.passed_on_at.is_some_and(|at| now - at >= PROPAGATION_TIME);
+        self.sent.push((now, knows_limit));
         let is_rejected = self.rejects_request();
-        self.answers.push_back(Answer { instance: number, sent: now, due: now + RESPONSE_TIME, is_rejected });
+        self.responses.push_back(Response { instance: number, sent: now, due: now + RESPONSE_TIME, is_rejected });
     }
 
     /// Whether the target rejects a request that arrives now, since it exceeds the limit.
--- a/tests/load_reports.rs
+++ b/tests/load_reports.rs
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn an_invalid_load_report_is_rejected_with_a_reason() {
+fn an_invalid_load_report_is_ignored_for_the_expected_reason() {
     use LoadReportError::{FieldCount, InvalidField, InvalidSlowdown, NoSlots};
     let table = [
         ("", FieldCount(1)),
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -259,7 +259,10 @@
     let mut backoff = Backoff::default();
     let total: Duration = (0..10).map(|_| backoff.next_delay()).sum();
     assert!(total > Duration::from_secs(4), "ten failed calls within {total:?}");
-    assert!((0..50).all(|_| backoff.next_delay() < Duration::from_secs(1)), "a delay above the maximum with jitter");
+    assert!(
+        (0..50).all(|_| backoff.next_delay() < Duration::from_secs(1)),
+        "a delay of 1 s or more: the instance learns too late that the store responds again"
+    );
     backoff.reset();
     assert!(backoff.next_delay() < Duration::from_millis(350));
 }
--- a/tests/naive/mod.rs
+++ b/tests/naive/mod.rs
@@ -22,17 +22,18 @@
         Self { spec, credit: vec![0; spec.policies.len()] }
     }
 
-    /// Decides on a request. `affinity_order` is the order of the targets by the affinity of the
-    /// object alone.
+    /// Decides on a request. `affinity_order` is the order of the targets for its affinity key alone.
     pub fn decide(&mut self, affinity_order: &[usize], tier: Option<&str>) -> Outcome {
         let spec = self.spec;
         let request = Spec::request_labels(tier);
-        let active: Vec<usize> =
-            (0..spec.policies.len()).filter(|number| selects(&spec.policies[*number].requests, &request)).collect();
+        let matching: Vec<usize> = (0..spec.policies.len())
+            .filter(|number| selects(&spec.policies[*number].request_selector, &request))
+            .collect();
         let with_action = |is_wanted: fn(&Action) -> bool| -> Vec<&PolicySpec> {
-            active.iter().map(|number| &spec.policies[*number]).filter(|policy| is_wanted(&policy.action)).collect()
+            matching.iter().map(|number| &spec.policies[*number]).filter(|policy| is_wanted(&policy.action)).collect()
         };
-        let selects_target = |policy: &PolicySpec, target: usize| selects(&policy.places, &spec.target_labels(target));
+        let selects_target =
+            |policy: &PolicySpec, target: usize| selects(&policy.place_selector, &spec.target_labels(target));
         let (denials, drains) =
             (with_action(|action| *action == Action::Deny), with_action(|action| *action == Action::Drain));
         let (allowances, preferences) =
@@ -43,7 +44,7 @@
         };
         let is_usable = |target: usize| {
             !is_forbidden(target)
-                && !spec.leaving[target]
+                && !spec.draining[target]
                 && !drains.iter().any(|policy| selects_target(policy, target))
         };
         let rank = |target: usize| {
@@ -58,14 +59,15 @@
         let position = |target: usize| affinity_order.iter().position(|other| *other == target).unwrap();
         let best = |targets: Vec<usize>| targets.into_iter().min_by_key(|target| (rank(*target), position(*target)));
         let caps: Vec<usize> =
-            active.into_iter().filter(|number| spec.policies[*number].action == Action::Cap).collect();
+            matching.into_iter().filter(|number| spec.policies[*number].action == Action::Cap).collect();
         for number in &caps {
             self.credit[*number] = (self.credit[*number] + (spec.policies[*number].cap * MOVE as f64) as i64).min(MOVE);
         }
         let Some(preferred) = best((0..TARGETS).filter(|target| is_usable(*target)).collect()) else {
             return Outcome::NoneUsable;
         };
-        // The default hall: draining and drained targets count here.
+        // The default hall is the one that the request would use if no target were draining and no policy
+        // drained any, so such targets count here.
         let default_hall = best((0..TARGETS).filter(|target| !is_forbidden(*target)).collect()).map(hall_of);
         if caps.is_empty() || default_hall == Some(hall_of(preferred)) {
             return Outcome::Chosen(preferred);
--- a/tests/naive/spec.rs
+++ b/tests/naive/spec.rs
@@ -67,8 +67,8 @@
 /// One policy: what it selects and its action. `cap` counts only for the action `Cap`.
 #[derive(Clone, Debug)]
 pub struct PolicySpec {
-    pub requests: Selector,
-    pub places: Selector,
+    pub request_selector: Selector,
+    pub place_selector: Selector,
     pub action: Action,
     pub cap: f64,
 }
@@ -82,7 +82,7 @@
             Action::Prefer(rank) => format!("prefer = {rank}"),
             Action::Cap => format!("cap = {:?}", self.cap),
         };
-        let (requests, places) = (selector_toml(&self.requests), selector_toml(&self.places));
+        let (requests, places) = (selector_toml(&self.request_selector), selector_toml(&self.place_selector));
         format!("[[policy]]\nname = \"{name}\"\nrequests = {requests}\nplaces = {places}\n{action}\n")
     }
 }
@@ -94,8 +94,8 @@
     pub stages: Vec<Option<&'static str>>,
     pub policies: Vec<PolicySpec>,
     /// Whether each target is draining.
-    pub leaving: Vec<bool>,
-    /// The object and the `tier` label of each request.
+    pub draining: Vec<bool>,
+    /// The hash of the affinity key and the `tier` label of each request.
     pub requests: Vec<(u64, Option<&'static str>)>,
 }
 
@@ -133,12 +133,9 @@
         3 => Just(Action::Cap),
     ];
     let cap = prop_oneof![Just(0.0), Just(1.0), 0.0f64..1.0];
-    let places = prop::collection::vec(place_condition(), 0..2);
-    (request_selector(), places, action, cap).prop_map(|(requests, places, action, cap)| PolicySpec {
-        requests,
-        places,
-        action,
-        cap,
+    let place_selector = prop::collection::vec(place_condition(), 0..2);
+    (request_selector(), place_selector, action, cap).prop_map(|(request_selector, place_selector, action, cap)| {
+        PolicySpec { request_selector, place_selector, action, cap }
     })
 }
 
@@ -152,7 +149,7 @@
         prop::collection::vec(prop::bool::weighted(0.15), TARGETS),
         prop::collection::vec((any::<u64>(), tier), 1..40),
     )
-        .prop_map(|(stages, policies, leaving, requests)| Spec { stages, policies, leaving, requests })
+        .prop_map(|(stages, policies, draining, requests)| Spec { stages, policies, draining, requests })
 }
 
 impl Spec {
--- a/tests/naive_choice.rs
+++ b/tests/naive_choice.rs
@@ -11,11 +11,11 @@
 use proptest::prelude::*;
 use scene::Scene;
 
-/// The targets in the order of an object's affinity alone, found by excluding them one after the
-/// other in a scene without policies.
-fn affinity_order(scene: &Scene, object: u64) -> Vec<usize> {
+/// The targets in their order for an affinity key alone, found by excluding them one after the other in
+/// a scene without policies.
+fn affinity_order(scene: &Scene, affinity: u64) -> Vec<usize> {
     let (mut tried, mut order) = (Vec::new(), Vec::new());
-    while let Ok(target) = scene.choose(object, &tried) {
+    while let Ok(target) = scene.choose(affinity, &tried) {
         tried.push(target.key);
         order.push(target.id[1..].parse().unwrap());
     }
@@ -31,16 +31,16 @@
     fn the_choice_agrees_with_a_naive_one(spec in spec()) {
         let without_policies = Scene::new();
         let mut scene = Scene::new();
-        for (number, is_leaving) in spec.leaving.iter().enumerate() {
-            if *is_leaving {
+        for (number, is_draining) in spec.draining.iter().enumerate() {
+            if *is_draining {
                 scene.put(&format!("t{number}"), &format!("{} 4 draining 2 0", hall_of(number)));
             }
         }
         apply_policies(&mut scene, &spec.toml());
         let mut naive = Naive::new(&spec);
-        for (object, tier) in &spec.requests {
-            let expected = naive.decide(&affinity_order(&without_policies, *object), *tier);
-            prop_assert_eq!(decide(&scene, *object, *tier), expected, "object {}, {}", object, spec.toml());
+        for (affinity, tier) in &spec.requests {
+            let expected = naive.decide(&affinity_order(&without_policies, *affinity), *tier);
+            prop_assert_eq!(decide(&scene, *affinity, *tier), expected, "affinity {}, {}", affinity, spec.toml());
         }
     }
 }
--- a/tests/next_try.rs
+++ b/tests/next_try.rs
@@ -1,4 +1,5 @@
-//! The retry rule: every outcome of a try, on every kind of route, with all counts of tries.
+//! The retry rule: every sequence of up to six outcomes, on every kind of route, with several limits of
+//! tries.
 
 use lockloft::decision::failure::next_try::{
     FailedTries, FailureReason, MAX_UNREACHABLE_TRIES, MIN_TIME_LEFT, TryDecision, TryLimits, TryOutcome,
@@ -15,7 +16,9 @@
     UnmetPrecondition::OverBudget,
     UnmetPrecondition::RequestUnavailable,
 ];
+/// A try that is not charged to the retry budget.
 const UNCHARGED: TryDecision = TryDecision::Try { costs_retry: false };
+/// A try that is charged to the retry budget.
 const CHARGED: TryDecision = TryDecision::Try { costs_retry: true };
 
 fn after(outcomes: &[TryOutcome]) -> FailedTries {
@@ -162,7 +165,7 @@
 }
 
 #[test]
-fn a_request_that_may_have_run_is_repeated_only_on_a_safe_route() {
+fn a_request_that_may_have_run_is_repeated_only_on_an_idempotent_route() {
     for outcomes in sequences(5) {
         let (tries, next) =
             apply_rule(&outcomes, TryLimits { idempotency: Idempotency::NonIdempotent, max_attempts: 9 });
@@ -198,7 +201,7 @@
 fn an_earlier_failure_takes_precedence_over_any_unmet_precondition_but_time() {
     use {TryOutcome::*, UnmetPrecondition::*};
     let table: [(&[TryOutcome], [Option<FailureReason>; 4]); 6] = [
-        // failed tries; no target, too late, over budget, no request
+        // failed tries; no target, too late, over budget, request unavailable
         (&[], [None, None, None, None]),
         (
             &[Unreachable],
--- a/tests/quarantine.rs
+++ b/tests/quarantine.rs
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn an_answer_clears_the_request_for_all_instances() {
+fn a_response_clears_the_request_for_all_instances() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut quarantine = with_strikes(fingerprint, 2, now);
     assert!(!quarantine.record_response(fingerprint), "the store has no record of it");
@@ -75,7 +75,7 @@
 }
 
 #[test]
-fn strikes_that_are_cleared_during_a_try_do_not_count_towards_its_strike() {
+fn strikes_that_are_cleared_during_a_try_are_not_added_to_the_strike_of_that_try() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut quarantine = with_strikes(fingerprint, 2, now);
     let known = quarantine.admit(fingerprint, OWN, now).unwrap();
@@ -118,6 +118,7 @@
     assert_eq!(quarantine.quarantined_count(), 1);
 }
 
+/// During an outage of the store, the lease of a record can end before the time of the quarantine is over.
 #[test]
 fn a_record_lost_in_an_outage_still_counts_and_is_rewritten_by_its_writer() {
     let (fingerprint, now) = (request(0), Instant::now());
@@ -151,7 +152,7 @@
 }
 
 #[test]
-fn an_answer_after_the_record_is_gone_is_still_reported() {
+fn a_response_after_the_record_is_gone_is_still_reported() {
     let (fingerprint, now) = (request(0), Instant::now());
     let mut quarantine = Quarantine::default();
     quarantine.apply(fingerprint, record(2, OTHER), 5, now);
--- a/tests/rate_limit_replay.rs
+++ b/tests/rate_limit_replay.rs
@@ -1,5 +1,7 @@
 //! Simulates a target with a rate limit and a fleet whose demand for it is far higher, without
-//! sockets. Checks the operators' bound in each window and how much of the limit is used.
+//! sockets. Checks the operators' bound in each window and how much of the limit is used. The fleet
+//! keeps the limit in one of three ways: by equal shares, by feedback, or by the admit ratios that heads
+//! answer.
 
 mod limit_fleet;
 
@@ -24,7 +26,7 @@
         for load in LOADS {
             for seed in 0..3 {
                 let outcome = simulate(Mode::Heads, size, load, seed);
-                assert!(outcome.max_known <= outcome.allowed, "{size:?} {load:?} {seed}: {outcome:?}");
+                assert!(outcome.max_sent_with_known_limit <= outcome.allowed, "{size:?} {load:?} {seed}: {outcome:?}");
                 assert!(outcome.max_sent <= outcome.allowed, "{size:?} {load:?} {seed}: {outcome:?}");
                 assert!(outcome.used >= 0.8, "{size:?} {load:?} {seed}: {outcome:?}");
             }
@@ -33,11 +35,11 @@
 }
 
 #[test]
-fn equal_shares_keep_the_limit_without_heads() {
+fn equal_shares_alone_keep_the_limit() {
     for size in SIZES {
         for load in LOADS {
             let outcome = simulate(Mode::EqualShares, size, load, 7);
-            assert!(outcome.max_known <= outcome.allowed, "{size:?} {load:?}: {outcome:?}");
+            assert!(outcome.max_sent_with_known_limit <= outcome.allowed, "{size:?} {load:?}: {outcome:?}");
         }
     }
 }
@@ -51,10 +53,11 @@
         fleet.set_demand(30.0);
         fleet.run(10.0);
         let outcome = fleet.outcome(5.0);
-        assert!(outcome.max_known <= outcome.allowed, "{size:?}: {outcome:?}");
+        assert!(outcome.max_sent_with_known_limit <= outcome.allowed, "{size:?}: {outcome:?}");
     }
 }
 
+/// A partitioned hall keeps its part of the limit, and the others do not use that part.
 #[test]
 fn the_limit_is_kept_while_a_hall_is_partitioned() {
     for size in [(12, 6), (75, 6), (295, 12)] {
@@ -64,12 +67,12 @@
         fleet.partition(0);
         fleet.run(12.0);
         let outcome = fleet.outcome(8.0);
-        assert!(outcome.max_known <= outcome.allowed, "{size:?}: {outcome:?}");
+        assert!(outcome.max_sent_with_known_limit <= outcome.allowed, "{size:?}: {outcome:?}");
     }
 }
 
 #[test]
-fn all_instances_follow_a_limit_that_is_lowered_and_lifted() {
+fn instances_that_know_a_limit_follow_when_it_is_lowered_and_lifted() {
     for size in SIZES {
         let mut fleet = Fleet::new(Mode::Heads, size.0, size.1, 40.0, 11);
         fleet.set_limit(Some(20.0));
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn a_remote_limit_applies_if_it_is_later_and_is_not_reported_on() {
+fn a_remote_limit_applies_if_it_is_later_and_is_not_reported_again() {
     let (mut limit, now) = (RateLimit::default(), Instant::now());
     limit.apply(LimitSignal::Rate(4.0), now, now);
     assert_eq!(limit.record_remote(AnnouncedLimit { rate: Some(9.0), at: now - ms(10) }, now + ms(5)), None);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn instances_together_send_their_share_of_the_requests() {
+fn instances_together_send_the_share_of_requests_that_the_admit_ratio_allows() {
     let now = Instant::now();
     let mut sent = 0;
     for number in 0..100 {
@@ -134,6 +134,8 @@
     assert!((290..=310).contains(&sent), "{sent}");
 }
 
+/// Where an equal share is below one request, a few instances send a whole request each and the others
+/// none.
 #[test]
 fn equal_shares_together_stay_within_the_limit_and_allow_a_request() {
     let now = Instant::now();
@@ -175,6 +177,7 @@
     assert!((shares[0].pass - 0.2).abs() < 0.001, "{shares:?}");
 }
 
+/// A hall is unreachable if no contact with it is recorded.
 #[test]
 fn an_unreachable_hall_keeps_its_part_of_the_limit() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(6, 3));
@@ -195,8 +198,10 @@
     assert!((pass - MIN_RATE / 10.0).abs() < 0.0001, "{pass}");
 }
 
+/// Invalid reports must change no admit ratio. A report with very many targets must not use unbounded
+/// memory.
 #[test]
-fn invalid_or_oversized_reports_change_no_share_and_are_bounded() {
+fn invalid_reports_change_no_share_and_oversized_ones_are_bounded() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
     totals.record_report(&report("e-0", "h-0", 12.0, ANNOUNCED), "h-0", now);
     for demand in [f32::NAN, f32::INFINITY, -5.0] {
@@ -254,7 +259,8 @@
 }
 
 /// Guards against two heads that forward each other's reports of a leaving target: each would keep
-/// the report alive for the other, and targets that are gone would fill the messages.
+/// the report alive for the other, and targets that are gone would fill the messages that carry rate
+/// limits.
 #[test]
 fn heads_drop_a_leaving_target_once_no_instance_reports_it() {
     let (mut one, mut other, now) = (LimitTotals::default(), LimitTotals::default(), Instant::now());
--- a/tests/region_moves.rs
+++ b/tests/region_moves.rs
@@ -237,6 +237,7 @@
     }
 }
 
+/// They move at once to the targets that rendezvous hashing chooses without the one that leaves.
 #[test]
 fn keys_of_a_target_that_leaves_without_a_successor_move_at_once() {
     let (mut leaving, mut gone) = (Scene::new(), Scene::new());
--- a/tests/region_weight.rs
+++ b/tests/region_weight.rs
@@ -60,15 +60,15 @@
 }
 
 #[test]
-fn the_weight_is_the_smallest_where_one_side_has_no_targets() {
+fn the_weight_is_the_smallest_where_the_region_or_all_others_have_no_slots() {
     for (own_slots, all_slots) in [(0.0, 0.0), (0.0, 8.0), (8.0, 8.0)] {
         assert!((weight(own_slots, all_slots, 3) - MIN_WEIGHT).abs() < 1e-9, "{own_slots} of {all_slots}");
     }
 }
 
 proptest! {
-    /// A region is sent no more than its slots can serve, except by the smallest weight; and the
-    /// weight is finite, so that it can order targets.
+    /// A region sends its own targets no more than their slots can serve, unless its weight is the
+    /// smallest. The weight is finite, so that it can order targets.
     #[test]
     fn a_weight_sends_no_more_than_the_slots_can_serve(own in 1u32..500, other in 1u32..500, regions in 0usize..12) {
         let (own, other) = (f64::from(own), f64::from(other));
--- a/tests/retry_budgets.rs
+++ b/tests/retry_budgets.rs
@@ -10,8 +10,9 @@
 const RATIO: f64 = 0.2;
 /// Permitted retries beyond the ratio.
 const SLACK: f64 = 20.0;
-/// The random draw where the largest balance is a whole retry or more, which uses no draw.
-const UNUSED_DRAW: f64 = 0.0;
+/// The random number passed to `withdraw` where the maximum balance is at least 1, so that it is not
+/// used.
+const UNUSED_RANDOM: f64 = 0.0;
 
 proptest! {
     /// In any window of requests the instances together stay within the bound of each service,
@@ -32,7 +33,7 @@
             budgets.deposit(&services[service]);
             excess[service] -= RATIO;
             lowest[service] = lowest[service].min(excess[service]);
-            if fails && budgets.withdraw(&services[service], UNUSED_DRAW) {
+            if fails && budgets.withdraw(&services[service], UNUSED_RANDOM) {
                 excess[service] += 1.0;
             }
             prop_assert!(excess[service] - lowest[service] <= SLACK, "service {}", service);
@@ -46,8 +47,8 @@
     let (large, small) = (Rc::from("large"), Rc::from("small"));
     (0..1_000).for_each(|_| budgets.deposit(&large));
     (0..10).for_each(|_| budgets.deposit(&small));
-    assert_eq!((0..10).filter(|_| budgets.withdraw(&small, UNUSED_DRAW)).count(), 1);
-    assert!(budgets.withdraw(&large, UNUSED_DRAW));
+    assert_eq!((0..10).filter(|_| budgets.withdraw(&small, UNUSED_RANDOM)).count(), 1);
+    assert!(budgets.withdraw(&large, UNUSED_RANDOM));
 }
 
 /// Instances; each one's share of the slack of 64 is below a whole retry.
@@ -55,7 +56,7 @@
 /// Requests that each instance receives before the failures.
 const REQUESTS_EACH: usize = 20;
 
-/// Retries that a fleet sends at once when requests begin to fail after a time without failures.
+/// Retries that a fleet sends at once when every request begins to fail after a time without failures.
 fn retries_of_a_large_fleet(random: &mut StdRng) -> usize {
     let service: Rc<str> = "one".into();
     let mut retries = 0;
@@ -63,7 +64,7 @@
         let mut budgets = RetryBudgets::new(RATIO, 64.0, LARGE_FLEET);
         (0..REQUESTS_EACH).for_each(|_| budgets.deposit(&service));
         retries += usize::from(budgets.withdraw(&service, random.random()));
-        // The balance is emptied whatever the draw.
+        // The balance is emptied whatever the random number.
         assert!(!budgets.withdraw(&service, random.random()));
     }
     retries
--- a/tests/rules.rs
+++ b/tests/rules.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_report_beyond_the_range_of_the_count_is_a_full_target() {
+fn a_report_beyond_the_range_of_the_count_is_capped_at_its_maximum() {
     let mut load = Load::default();
     let now = Instant::now();
     load.record_report(LoadReport { running: u32::MAX, waiting: 1, slots: 1, slowdown: None }, now);
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn load_is_what_is_in_flight_and_the_fading_rest_of_the_report() {
+fn load_is_the_requests_in_flight_plus_the_report_weighted_down_with_age() {
     // Requests in flight; reported running and waiting; age of the report, ms; expected load.
     let table = [
         (0, None, 0, 0.0),
@@ -85,7 +85,8 @@
 enum Event {
     /// Failure of a request sent at the same time, with the length of the ejection it causes, ms.
     Failure(Option<u64>),
-    /// Failure of a request sent at the first time, ms, with the length of the ejection it causes, ms.
+    /// Failure of a request that was sent earlier: when it was sent, ms, and the length of the ejection it
+    /// causes, ms.
     LateFailure(u64, Option<u64>),
     Success,
     Send,
@@ -179,19 +180,22 @@
         (100, Some(1_000), 0.2, 1_200, false),
     ];
     let start = Instant::now();
-    for (answer, silence, median, objective, expected) in table {
+    for (response_time, waited, median, objective, expected) in table {
         let mut latency = Latency::default();
-        latency.record(ms(answer), start);
+        latency.record(ms(response_time), start);
         latency.record_sent(0, start);
-        let (in_flight, now) = silence.map_or((0, start), |silence| (1, start + ms(silence)));
+        let (in_flight, now) = waited.map_or((0, start), |waited| (1, start + ms(waited)));
         let found = latency.is_slow(median, ms(objective), in_flight, now);
-        assert_eq!(found, expected, "answer {answer}, silence {silence:?}, median {median}, objective {objective}");
-        assert!(!latency.is_slow(median, ms(objective), 0, now) || silence.is_none(), "silence with none in flight");
+        assert_eq!(
+            found, expected,
+            "latency {response_time}, waited {waited:?}, median {median}, objective {objective}"
+        );
+        assert!(!latency.is_slow(median, ms(objective), 0, now) || waited.is_none(), "slow with no request in flight");
     }
 }
 
 #[test]
-fn a_slow_target_is_tried_with_one_request_a_second() {
+fn a_slow_target_is_probed_with_one_request_a_second() {
     let start = Instant::now();
     let mut latency = Latency::default();
     assert!(latency.may_probe(0, start));
@@ -202,7 +206,7 @@
 }
 
 #[test]
-fn a_slow_target_is_tried_less_often_the_slower_it_is() {
+fn a_slow_target_is_probed_less_often_the_slower_it_is() {
     let start = Instant::now();
     for (average, waits) in [(100, 1_000), (500, 3_000), (720, 4_320)] {
         let mut latency = Latency::default();
@@ -215,13 +219,17 @@
 }
 
 #[test]
-fn the_average_follows_faster_answers_sooner() {
+fn the_average_follows_faster_responses_sooner() {
     let now = Instant::now();
     let mut latency = Latency::default();
     assert_eq!(latency.average(), None);
-    for (answer, expected) in [(100, 0.1), (200, 0.12), (20, 0.07), (70, 0.07)] {
-        latency.record(ms(answer), now);
-        assert!((latency.average().unwrap() - expected).abs() < 1e-9, "{:?} after {answer} ms", latency.average());
+    for (response_time, expected) in [(100, 0.1), (200, 0.12), (20, 0.07), (70, 0.07)] {
+        latency.record(ms(response_time), now);
+        assert!(
+            (latency.average().unwrap() - expected).abs() < 1e-9,
+            "{:?} after {response_time} ms",
+            latency.average()
+        );
     }
 }
 
@@ -240,7 +248,7 @@
         }
     }
 
-    /// With any share, no second contains more requests than that.
+    /// Whatever an instance's share, requests per second, it sends no more than that in any second.
     #[test]
     fn slow_start_spaces_an_instance_s_share(rate in 0u32..40, steps in prop::collection::vec(0u64..200, 1..200)) {
         let start = Instant::now();
@@ -263,9 +271,9 @@
 }
 
 proptest! {
-    /// For any members, the directory lists the instances that a simple filter finds.
+    /// For any members, the directory names the instances that a simple filter finds.
     #[test]
-    fn the_directory_names_the_nearest_instances_that_there_are(
+    fn the_directory_names_the_nearest_instances(
         regions in prop::collection::vec(prop::sample::select(vec!["a", "b", "c"]), 0..80),
         caller in prop::sample::select(vec!["", "a", "b", "c"]),
         own_region in prop::sample::select(vec!["a", "b", "c"]),
@@ -297,7 +305,7 @@
 }
 
 #[test]
-fn slow_start_waits_for_steady_members_and_is_never_shortened() {
+fn slow_start_waits_for_stable_members_and_is_never_shortened() {
     let start = Instant::now();
     let mut slow_start = SlowStart::default();
     assert!(!slow_start.is_active(start));
@@ -316,7 +324,7 @@
 }
 
 #[test]
-fn requests_are_taken_in_the_first_half_of_a_stop_and_while_they_end_in_time() {
+fn requests_are_accepted_in_the_first_half_of_a_stop_and_while_they_end_in_time() {
     let stop = ms(6_000);
     // Time since the stop began, ms; whether a request with a deadline of 30 s is accepted.
     let table = [(None, true), (Some(0), true), (Some(2_999), true), (Some(3_000), false), (Some(6_000), false)];
--- a/tests/second_target.rs
+++ b/tests/second_target.rs
@@ -72,7 +72,7 @@
     };
     (0..3).for_each(|_| std::mem::forget(second.begin_request(scene.now)));
     assert!(matches!(scene.choose(7, &[]), Err(NoTarget::Full(preferred)) if preferred.key == first.key));
-    // Without its first target, the second is the preferred one and has the ordinary limit.
+    // Once the request was sent to the first target, the second is preferred and has the ordinary limit.
     assert_eq!(scene.choose(7, &[first.key]).unwrap().key, second.key);
 }
 
--- a/tests/shared_loads.rs
+++ b/tests/shared_loads.rs
@@ -1,5 +1,5 @@
-//! Loads of targets that instances share: which loads are sent to whom, and how many more callers
-//! are answered in time by them when targets are near their capacity.
+//! Loads of targets that instances share: which loads are sent to whom, and how many more callers get
+//! an answer in time when targets are near their capacity.
 
 mod replay;
 mod scene;
@@ -21,7 +21,7 @@
 }
 
 /// The targets of a message with their requests, sorted.
-fn sorted(loads: Vec<TargetLoad>) -> Vec<(u8, u8)> {
+fn sorted_loads(loads: Vec<TargetLoad>) -> Vec<(u8, u8)> {
     let mut sorted: Vec<(u8, u8)> = loads.iter().map(|load| (load.target.0[0], load.requests)).collect();
     sorted.sort_unstable();
     sorted
@@ -32,10 +32,10 @@
     let now = Instant::now();
     let mut shared = SharedLoads::default();
     shared.record(&[load(1, 5, ms(100)), load(2, 1, ms(0))], true, now);
-    assert_eq!(sorted(shared.loads_for_instances(now)), [(1, 5), (2, 1)]);
+    assert_eq!(sorted_loads(shared.loads_for_instances(now)), [(1, 5), (2, 1)]);
     let next = now + ms(100);
     shared.record(&[load(1, 9, ms(400)), load(2, 4, ms(0))], true, next);
-    assert_eq!(sorted(shared.loads_for_instances(next)), [(1, 5), (2, 4)]);
+    assert_eq!(sorted_loads(shared.loads_for_instances(next)), [(1, 5), (2, 4)]);
 }
 
 #[test]
@@ -46,9 +46,9 @@
     let first = shared.loads_for_instances(now);
     shared.record(&[load(1, 6, ms(0))], true, now + ms(50));
     let second = shared.loads_for_instances(now + ms(50));
-    assert_eq!((sorted(first.clone()), sorted(second.clone())), (vec![(1, 5)], vec![(1, 5)]));
+    assert_eq!((sorted_loads(first.clone()), sorted_loads(second.clone())), (vec![(1, 5)], vec![(1, 5)]));
     assert!(second[0].age() >= first[0].age() + ms(50));
-    assert_eq!(sorted(shared.loads_for_instances(now + ms(100))), [(1, 6)]);
+    assert_eq!(sorted_loads(shared.loads_for_instances(now + ms(100))), [(1, 6)]);
 }
 
 #[test]
@@ -57,8 +57,8 @@
     let mut shared = SharedLoads::default();
     shared.record(&[load(1, 5, ms(0))], true, now);
     shared.record(&[load(2, 6, ms(0))], false, now);
-    assert_eq!(sorted(shared.loads_for_halls(now)), [(1, 5)]);
-    assert_eq!(sorted(shared.loads_for_instances(now)), [(1, 5), (2, 6)]);
+    assert_eq!(sorted_loads(shared.loads_for_halls(now)), [(1, 5)]);
+    assert_eq!(sorted_loads(shared.loads_for_instances(now)), [(1, 5), (2, 6)]);
 }
 
 #[test]
@@ -67,7 +67,7 @@
     let mut shared = SharedLoads::default();
     let many: Vec<TargetLoad> = (0..200).map(|target| load(target, target.into(), ms(0))).collect();
     shared.record(&many, true, now);
-    let selected = sorted(shared.loads_for_instances(now));
+    let selected = sorted_loads(shared.loads_for_instances(now));
     assert_eq!((selected.len(), selected[0]), (128, (72, 72)));
     assert!(shared.loads_for_instances(now + ms(1_100)).is_empty());
 }
@@ -92,9 +92,9 @@
     assert_eq!((state.estimate(now + ms(50)), state.take_unshared()), (9.0, None));
 }
 
-/// Outcome for callers of a load near the capacity of eight targets with four slots each: a
-/// utilization of about 85 %, and caches with room for a target's own keys and second copies.
-fn replay_near_capacity(seed: u64, heard_after: Option<Duration>, limits_shared: bool) -> Outcome {
+/// Replays a load near the capacity of eight targets with four slots each, at a utilization of about
+/// 85 %. The cache of each target has room for the keys of which it is the first or the second target.
+fn replay_near_capacity(seed: u64, report_delay: Option<Duration>, has_shared_loads: bool) -> Outcome {
     replay(&Load {
         seed,
         instances: 60,
@@ -107,16 +107,16 @@
         cached_keys: 20,
         shed_ratio: 0.0,
         max_queue: 12,
-        report_delay: heard_after,
-        has_shared_loads: limits_shared,
+        report_delay,
+        has_shared_loads,
     })
 }
 
 #[test]
 fn more_callers_are_answered_in_time_where_loads_are_shared() {
-    let mean = |heard_after, limits_shared| {
-        let shares = (0..5).map(|seed| replay_near_capacity(seed, heard_after, limits_shared).in_time_ratio());
-        shares.sum::<f64>() / 5.0
+    let mean = |report_delay, has_shared_loads| {
+        let ratios = (0..5).map(|seed| replay_near_capacity(seed, report_delay, has_shared_loads).in_time_ratio());
+        ratios.sum::<f64>() / 5.0
     };
     let own = mean(None, false);
     let own_higher = mean(None, true);
--- a/tests/shedding_targets.rs
+++ b/tests/shedding_targets.rs
@@ -38,6 +38,7 @@
     }
 }
 
+/// Guards against rules for shedding targets that make a service worse whose targets shed nothing.
 #[test]
 fn callers_of_a_service_that_does_not_shed_are_answered_in_time() {
     for seed in 0..5 {
--- a/tests/slow_start_changes.rs
+++ b/tests/slow_start_changes.rs
@@ -11,7 +11,8 @@
 /// The operators' bound at the start of the test.
 const BOUNDS: SlowStartBounds = SlowStartBounds { overage: 1.5, slack: 5.0 };
 
-/// A scene with the cold target `t0` only, and one member, unchanged for long enough.
+/// A scene with a single target `t0`, in slow start, and one member, which has been unchanged for long
+/// enough that the target may be sent requests.
 fn slow_start_scene(rate: u32) -> Scene {
     let mut scene = Scene::new();
     scene.remove_all();
@@ -37,7 +38,7 @@
     scene.routing.config = Some(config.into());
 }
 
-/// Sends requests for ten seconds; returns how many the cold target got.
+/// Makes one request every 5 ms for ten seconds; returns how many the target in slow start got.
 fn send_for_ten_seconds(scene: &mut Scene, bounds: SlowStartBounds) -> usize {
     let end = scene.now + Duration::from_secs(10);
     let mut sent = 0;
