--- a/src/decision/capacity/rate_limit/mod.rs
+++ b/src/decision/capacity/rate_limit/mod.rs
@@ -8,8 +8,8 @@
 //!
 //! **Inputs**
 //! - The limit that the target last announced to this instance or, as heads report it, to another
-//!   one: 0 to 0.6 s old in normal operation, dropped after `MAX_LIMIT_AGE` (10 s). One start of a
-//!   target at one address inherits nothing from another.
+//!   one: 0 to 0.6 s old in normal operation, dropped after `MAX_LIMIT_AGE` (10 s). A target that
+//!   starts again or changes its address does not inherit its limit.
 //! - Requests whose first choice is the target, sent or not; counted here at once.
 //! - The admit ratio, at most `MAX_ADMIT_RATIO_AGE` (1 s) old; otherwise the members, as old as the view.
 //!
@@ -26,8 +26,8 @@
 //! come in. Equal shares alone leave most of a limit unused, since affinity keys bring a target's
 //! requests to the instances of one region. `docs/design/rate-limits.md` compares both.
 //!
-//! **Guards** the operators' bound, in 4 s at most 1.5 times the limit plus 5 requests from all
-//! instances that know the limit, and the promise that a limit is used.
+//! **Guards** the operators' bound, and the promise that a limit is used. By the bound, all instances
+//! that know the limit together send at most 1.5 times the requests that it allows in 4 s, plus 5.
 //!
 //! **Test**: `tests/rate_limits.rs`, `tests/rate_limit_replay.rs`, `standins/tests/rate_limits.rs`.
 
--- a/src/decision/failure/retry.rs
+++ b/src/decision/failure/retry.rs
@@ -5,7 +5,7 @@
 //! - `ratio` and `slack`, the settings `bounds.retry_ratio` (retries for each request, no
 //!   unit) and `bounds.retry_slack` (retries). A reload applies at once: later requests deposit by
 //!   the new ratio, and a balance above the new share of the slack is cut to it.
-//! - `members`, the number of instances in the view; as old as the view, which is not
+//! - `members`, the number of instances in the view; as old as the view, whose age is not
 //!   bounded while the store is unreachable. An instance counts at least itself.
 //! - Requests and retries of this instance by service, counted at once.
 //!
--- a/src/decision/selection/cap_moves.rs
+++ b/src/decision/selection/cap_moves.rs
@@ -6,8 +6,8 @@
 //!   and their credit in this instance ([`crate::policy::credit`]): each matching request
 //!   deposits `cap` (0 to 1) of a move, each move withdraws 1, and the credit is at most 1.
 //! - All targets of the service that the route and the deny and allow policies permit, including
-//!   those that are draining, drained, cold, full or ejected. The first of them by lowest rank of
-//!   the prefer policies, then by rendezvous score, is the default target, and its hall the
+//!   those that are draining, drained, in slow start, full or ejected. The first of them by lowest
+//!   rank of the prefer policies, then by rendezvous score, is the default target, and its hall the
 //!   default hall. Weights are left out here, because a weight moves requests as well.
 //!
 //! **Why.** Operators cap how much of the traffic may move at once, whatever causes the move:
--- a/src/decision/selection/split.rs
+++ b/src/decision/selection/split.rs
@@ -92,7 +92,8 @@
     services.iter().map(corrected).collect()
 }
 
-/// The index of the weight in which a position falls; `position` is in [0, 1) of the sum of weights.
+/// The index of the weight at a position when the weights are laid end to end; `position` is a fraction
+/// of their sum, in [0, 1).
 fn pick_by_weight(weights: &[f64], position: f64) -> usize {
     let total: f64 = weights.iter().sum();
     let mut remaining = position * total;
