--- a/tests/second_target.rs
+++ b/tests/second_target.rs
@@ -14,15 +14,17 @@
     Duration::from_millis(ms)
 }
 
-/// A scene whose targets respond in 100 ms, and whose second targets recently took `second_latency`.
-fn scene(second_latency: Option<Duration>) -> Scene {
+/// A scene whose targets respond in 100 ms, and whose second targets recently took `second_target_latency`.
+fn scene(second_target_latency: Option<Duration>) -> Scene {
     let mut scene = Scene::new();
     for target in scene.routing.targets() {
         target.record_latency(ms(100), scene.now);
     }
     scene.routing.update_median_latencies();
     for _ in 0..100 {
-        second_latency.into_iter().for_each(|latency| scene.routing.record_second_latency("shop", latency));
+        second_target_latency
+            .into_iter()
+            .for_each(|latency| scene.routing.record_second_target_latency("shop", latency));
     }
     scene
 }
@@ -70,7 +72,7 @@
     };
     (0..3).for_each(|_| std::mem::forget(second.begin_request(scene.now)));
     assert!(matches!(scene.choose(7, &[]), Err(NoTarget::Full(preferred)) if preferred.key == first.key));
-    // Without its first target, the second is the preferred one and has the ordinary limit.
+    // Once the request was sent to the first target, the second is preferred and has the ordinary limit.
     assert_eq!(scene.choose(7, &[first.key]).unwrap().key, second.key);
 }
 
