--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -52,7 +52,7 @@
 //! | share of callers per instance | [`instance_weight`](selection::instance_weight) | weak machines receive no more requests than they can serve |
 //! | steps of a tenant's demand | [`hall_demand`](quota::hall_demand) | a quota holds before all halls have reported |
 //! | later records replace earlier ones | [`routing`](registry::routing) | an instance never returns to an older configuration |
-//! | bounds on held answers | [`held_answers`](refusal::held_answers) | a caller that reads slowly occupies no slot of a target, and no more memory than the instance has |
+//! | bounds on held responses | [`held_responses`](refusal::held_responses) | a caller that reads slowly occupies no slot of a target, and no more memory than the instance has |
 //! | what a stopping instance accepts | [`stop`](refusal::stop) | no request is lost to a planned stop |
 //!
 //! An input "as old as the view" is at most 1.3 s old while the store or a relay responds, and older
--- a/src/decision/refusal/held_answers.rs
+++ b/src/decision/refusal/held_responses.rs
@@ -12,18 +12,18 @@
 //! - Whether the caller waits for bytes of the response, and the most bytes of it that were held while there
 //!   was room.
 //!
-//! **Rule.** A response is read from its target while less of it than `MAX_BYTES_PER_ANSWER` is held, and
+//! **Rule.** A response is read from its target while less of it than `MAX_BYTES_PER_RESPONSE` is held, and
 //! less of all responses than the total bound. Beyond that, as much is read as its caller takes, so that the
 //! target is read at the caller's pace and does not cut the response off. While the total bound is reached,
 //! requests with large responses are refused before they are sent. No response in progress is dropped to
 //! save memory.
 //!
-//! Owns nothing. **Test**: `tests/held_answers.rs`, `standins/tests/slow_readers.rs`.
+//! Owns nothing. **Test**: `tests/held_responses.rs`, `standins/tests/slow_readers.rs`.
 
 use std::time::Duration;
 
 /// Maximum bytes held of one response, so that a single caller cannot use up the bound for all.
-const MAX_BYTES_PER_ANSWER: u64 = 1024 * 1024;
+const MAX_BYTES_PER_RESPONSE: u64 = 1024 * 1024;
 /// Divisor of the memory limit that gives the bound on all bytes held: less than request bodies may take,
 /// so that these can still be buffered.
 const TOTAL_DIVISOR: u64 = 10;
@@ -35,21 +35,21 @@
 pub const LAST_PART_GRACE: Duration = Duration::from_millis(500);
 /// Wait of a caller that is refused because too many bytes are held, before jitter: other callers read a
 /// part of them in that time.
-pub const HELD_ANSWERS_WAIT: Duration = Duration::from_millis(600);
+pub const HELD_RESPONSES_WAIT: Duration = Duration::from_millis(600);
 
 /// Bounds on the bytes held of responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct HeldAnswerLimits {
+pub struct HeldResponseLimits {
     /// Bound for one response, bytes.
-    answer: u64,
+    per_response: u64,
     /// Bound for all responses and buffered request bodies, bytes.
     total: u64,
 }
 
-impl HeldAnswerLimits {
+impl HeldResponseLimits {
     /// The bounds of an instance with a memory limit of `memory` bytes.
     pub fn for_memory(memory: u64) -> Self {
-        Self { answer: MAX_BYTES_PER_ANSWER, total: memory / TOTAL_DIVISOR }
+        Self { per_response: MAX_BYTES_PER_RESPONSE, total: memory / TOTAL_DIVISOR }
     }
 
     /// Whether more may be read of a response of which `own` bytes are held, of `total` in all. `max_held`
@@ -61,16 +61,16 @@
 
     /// Whether both bounds leave room for more bytes of a response of which `own` are held, of `total` in all.
     pub fn has_room(&self, own: u64, total: u64) -> bool {
-        own < self.answer && total < self.total
+        own < self.per_response && total < self.total
     }
 
     /// Whether the bound for one response is reached, so that only its own caller can make room.
     pub fn is_full(&self, own: u64) -> bool {
-        own >= self.answer
+        own >= self.per_response
     }
 
     /// Whether a request with a large response may be sent while `total` bytes are held.
-    pub fn admits_large_answers(&self, total: u64) -> bool {
+    pub fn admits_large_responses(&self, total: u64) -> bool {
         total < self.total
     }
 }
--- a/src/decision/refusal/mod.rs
+++ b/src/decision/refusal/mod.rs
@@ -3,6 +3,6 @@
 //!
 //! Owns nothing. The tables of [`crate::decision`] list the promise of each rule.
 
-pub mod held_answers;
+pub mod held_responses;
 pub mod retry_after;
 pub mod stop;
--- a/src/model/config/route.rs
+++ b/src/model/config/route.rs
@@ -54,7 +54,7 @@
     /// Whether requests need no API key.
     pub is_public: bool,
     /// Whether responses are large: they are streamed, and the bytes held in memory are bounded.
-    pub large_answers: bool,
+    pub large_responses: bool,
 }
 
 impl Route {
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -17,7 +17,7 @@
 use crate::proxy::access_record::AccessRecord;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::exchange::Exchange;
-use crate::proxy::held_answer::HeldAnswerContext;
+use crate::proxy::held_response::HeldResponseContext;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::outgoing_request::{TargetIdError, outgoing_request};
 use crate::proxy::refusal::Refusal;
@@ -168,7 +168,7 @@
             request_id: self.request.id(),
             deadline: self.request.deadline,
             request_sent,
-            held_answers: HeldAnswerContext::new(instance),
+            held_responses: HeldResponseContext::new(instance),
             requests: &instance.requests,
             started,
         };
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -18,8 +18,8 @@
 use crate::net::request_body::RequestBody;
 use crate::platform::HeaderNames;
 use crate::proxy::buffered_response::{ReadBody, read_body};
-use crate::proxy::held_answer::buffer::PART_SIZE;
-use crate::proxy::held_answer::{HeldAnswer, HeldAnswerContext, ReadProgress, Reader, SharedAnswer};
+use crate::proxy::held_response::buffer::PART_SIZE;
+use crate::proxy::held_response::{HeldResponse, HeldResponseContext, ReadProgress, Reader, SharedResponse};
 use crate::proxy::response_body::{ResponseBody, ReusableConnection};
 use crate::proxy::response_check::{self, ResponseError};
 use crate::proxy::try_error::TryError;
@@ -46,7 +46,7 @@
     /// Set once the request's body was sent completely.
     pub request_sent: Rc<Cell<bool>>,
     /// Limits and counters for a response that is held for the caller.
-    pub held_answers: HeldAnswerContext,
+    pub held_responses: HeldResponseContext,
     /// Counts a held response as in flight until its caller has it.
     pub requests: &'a Requests,
     /// When the try began.
@@ -210,23 +210,26 @@
     /// The body for the caller. The reader of a large one takes over the connection and the in-flight
     /// count at the target.
     fn response_body(self, read: ReadBody, connection: ReusableConnection) -> ResponseBody {
-        let (held_answers, new_guard) = (self.held_answers, || self.requests.track());
+        let (held_responses, new_guard) = (self.held_responses, || self.requests.track());
         match read {
             ReadBody::Buffered(bytes) => {
                 connection.release(&self.in_flight);
                 match bytes.len() {
                     0..=PART_SIZE => ResponseBody::buffered(bytes),
-                    _ => ResponseBody::Held(Box::new(HeldAnswer::buffered(bytes, &held_answers.total, new_guard()))),
+                    _ => {
+                        ResponseBody::Held(Box::new(HeldResponse::buffered(bytes, &held_responses.total, new_guard())))
+                    }
                 }
             }
             ReadBody::Streamed(chunks, body) => {
-                let shared = Rc::new(SharedAnswer::new(&held_answers.total, ReadProgress::Reading(body.size_hint())));
+                let shared =
+                    Rc::new(SharedResponse::new(&held_responses.total, ReadProgress::Reading(body.size_hint())));
                 chunks.into_iter().for_each(|chunk| shared.push(chunk));
                 let (in_flight, deadline, request_id) = (self.in_flight, self.deadline, self.request_id.cloned());
                 let request_guard = new_guard();
                 let reader =
-                    Reader { shared, body, connection, in_flight, deadline, held_answers, request_id, request_guard };
-                ResponseBody::Held(Box::new(HeldAnswer::streamed(reader)))
+                    Reader { shared, body, connection, in_flight, deadline, held_responses, request_id, request_guard };
+                ResponseBody::Held(Box::new(HeldResponse::streamed(reader)))
             }
         }
     }
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_response/buffer.rs
@@ -3,7 +3,7 @@
 //! Owns the bytes, and their count in the total of the instance. The count matches the memory used
 //! within a factor of two: a chunk that is much smaller than the read buffer it points into is
 //! copied into a block with others, which frees the read buffer. Relies on [`BufferedBytes`].
-//! Test: `tests/held_answers.rs`.
+//! Test: `tests/held_responses.rs`.
 
 use crate::net::buffered_bytes::{BufferTotal, BufferedBytes};
 use bytes::{Bytes, BytesMut};
@@ -19,14 +19,14 @@
 
 /// Bytes that were read from a target and not yet handed to the caller's connection.
 #[derive(Debug)]
-pub struct AnswerBuffer {
+pub struct ResponseBuffer {
     blocks: VecDeque<Bytes>,
     /// Block under construction, of small chunks that follow `blocks`.
     tail: BytesMut,
     held: BufferedBytes,
 }
 
-impl AnswerBuffer {
+impl ResponseBuffer {
     /// An empty buffer whose bytes are counted in `total`.
     pub fn new(total: &Rc<BufferTotal>) -> Self {
         Self { blocks: VecDeque::new(), tail: BytesMut::new(), held: BufferedBytes::new(total) }
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_response/mod.rs
@@ -1,10 +1,10 @@
-//! Held answers: responses that are kept in memory for callers that read slowly, so that they do
+//! Held responses: responses that are kept in memory for callers that read slowly, so that they do
 //! not occupy their targets.
 //!
 //! `reader` reads a response from its target in a task of its own, `shared` keeps the bytes in a
-//! [`buffer`], and [`HeldAnswer`] is the body that the caller's connection reads. If it is dropped
+//! [`buffer`], and [`HeldResponse`] is the body that the caller's connection reads. If it is dropped
 //! before its end, the held bytes are dropped and the task is aborted. The rule is
-//! [`crate::decision::refusal::held_answers`].
+//! [`crate::decision::refusal::held_responses`].
 //!
 //! Counts the response as a request in flight until its caller has it: a planned stop waits for it.
 
@@ -13,9 +13,9 @@
 mod shared;
 
 pub use reader::Reader;
-pub use shared::{ReadProgress, SharedAnswer};
+pub use shared::{ReadProgress, SharedResponse};
 
-use crate::decision::refusal::held_answers::HeldAnswerLimits;
+use crate::decision::refusal::held_responses::HeldResponseLimits;
 use crate::net::buffered_bytes::BufferTotal;
 use crate::net::request_body::BodyError;
 use crate::platform::Platform;
@@ -28,45 +28,45 @@
 use std::task::{Context, Poll};
 use tokio::task::AbortHandle;
 
-/// Limits and counters for the held answers of an instance.
+/// Limits and counters for the held responses of an instance.
 #[derive(Clone, Debug)]
-pub struct HeldAnswerContext {
+pub struct HeldResponseContext {
     /// Limits on the held bytes of one response and of all.
-    pub limits: HeldAnswerLimits,
-    /// Bytes in memory of all held answers and request bodies.
+    pub limits: HeldResponseLimits,
+    /// Bytes in memory of all held responses and request bodies.
     pub total: Rc<BufferTotal>,
     /// Counts responses that their callers did not get completely, by cause.
     pub broken: IntCounterVec,
 }
 
-impl HeldAnswerContext {
+impl HeldResponseContext {
     /// The limits and counters of `instance`.
     pub fn new<P: Platform>(instance: &Instance<P>) -> Self {
         Self {
-            limits: HeldAnswerLimits::for_memory(instance.settings.borrow().memory),
+            limits: HeldResponseLimits::for_memory(instance.settings.borrow().memory),
             total: instance.requests.buffer_total().clone(),
             broken: instance.metrics.answers_broken.clone(),
         }
     }
 
     /// Whether a request on a route with large responses may begin.
-    pub fn admits_large_answers(&self) -> bool {
-        self.limits.admits_large_answers(self.total.get())
+    pub fn admits_large_responses(&self) -> bool {
+        self.limits.admits_large_responses(self.total.get())
     }
 }
 
-/// The body of a held answer, as the caller's connection reads it.
-pub struct HeldAnswer {
-    shared: Rc<SharedAnswer>,
+/// The body of a held response, as the caller's connection reads it.
+pub struct HeldResponse {
+    shared: Rc<SharedResponse>,
     reader: Option<AbortHandle>,
     /// Counts the response as in flight if there is no reader to do so.
     _request_guard: Option<InFlightGuard>,
 }
 
-impl HeldAnswer {
+impl HeldResponse {
     /// A response that is complete and in memory.
     pub fn buffered(bytes: Bytes, total: &Rc<BufferTotal>, request_guard: InFlightGuard) -> Self {
-        let shared = Rc::new(SharedAnswer::new(total, ReadProgress::Complete));
+        let shared = Rc::new(SharedResponse::new(total, ReadProgress::Complete));
         shared.push(bytes);
         Self { shared, reader: None, _request_guard: Some(request_guard) }
     }
@@ -79,7 +79,7 @@
     }
 }
 
-impl Drop for HeldAnswer {
+impl Drop for HeldResponse {
     fn drop(&mut self) {
         // Once the caller has the complete response, the reader ends by itself.
         if let Some(reader) = self.reader.as_ref().filter(|_| !self.shared.is_end_stream()) {
@@ -88,7 +88,7 @@
     }
 }
 
-impl Body for HeldAnswer {
+impl Body for HeldResponse {
     type Data = Bytes;
     type Error = BodyError;
 
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_response/reader.rs
@@ -4,15 +4,15 @@
 //! Owns the target's connection and the in-flight count there until the response is complete, has
 //! broken off or has timed out, and releases both then, whether or not the caller has read it. If
 //! the task is aborted, the connection closes, which cancels the request at the target. Relies on
-//! [`crate::decision::refusal::held_answers`] for the limits.
+//! [`crate::decision::refusal::held_responses`] for the limits.
 
 use crate::clock::{Instant, sleep, timeout_at};
 use crate::decision::capacity::in_flight::InFlight;
-use crate::decision::refusal::held_answers::{CALLER_IDLE_TIMEOUT, LAST_PART_GRACE};
+use crate::decision::refusal::held_responses::{CALLER_IDLE_TIMEOUT, LAST_PART_GRACE};
 use crate::decision::registry::target::Target;
 use crate::net::request_body::BodyError;
-use crate::proxy::held_answer::HeldAnswerContext;
-use crate::proxy::held_answer::shared::SharedAnswer;
+use crate::proxy::held_response::HeldResponseContext;
+use crate::proxy::held_response::shared::SharedResponse;
 use crate::proxy::response_body::ReusableConnection;
 use crate::state::InFlightGuard;
 use bytes::Bytes;
@@ -26,7 +26,7 @@
 /// Reads one response from its target.
 pub struct Reader {
     /// Receives the bytes for the caller.
-    pub shared: Rc<SharedAnswer>,
+    pub shared: Rc<SharedResponse>,
     /// The part of the body that was not read yet.
     pub body: Incoming,
     /// The connection to the target.
@@ -36,7 +36,7 @@
     /// When the response is aborted.
     pub deadline: Instant,
     /// Limits and counters.
-    pub held_answers: HeldAnswerContext,
+    pub held_responses: HeldResponseContext,
     /// The caller's request id; `None` if it sent none.
     pub request_id: Option<HeaderValue>,
     /// Counts the request as in flight at this instance until the caller has the response.
@@ -61,11 +61,11 @@
         let is_complete = read.is_ok();
         match read {
             Ok(()) => self.shared.complete(),
-            Err(error) => self.abort_answer(error),
+            Err(error) => self.abort_response(error),
         }
-        let Self { shared, body, connection, in_flight, deadline, held_answers, request_id, request_guard } = self;
+        let Self { shared, body, connection, in_flight, deadline, held_responses, request_id, request_guard } = self;
         let finished =
-            FinishedRead { shared, held_answers, request_id, target: in_flight.target().clone(), is_complete };
+            FinishedRead { shared, held_responses, request_id, target: in_flight.target().clone(), is_complete };
         if is_complete {
             connection.release(&in_flight);
         } else {
@@ -73,7 +73,7 @@
             drop((connection, body));
         }
         drop(in_flight);
-        finished.held_answers.total.wake_next();
+        finished.held_responses.total.wake_next();
         finished.wait_until_consumed(deadline).await;
         sleep(LAST_PART_GRACE).await;
         drop(request_guard);
@@ -106,7 +106,7 @@
     /// Waits for the next frame. The limits are checked again on each poll, since other responses may
     /// have used up the room in the meantime.
     async fn next_frame(&mut self) -> Result<ReadStep, BodyError> {
-        let frame = poll_fn(|context| match self.shared.may_read(&self.held_answers.limits) {
+        let frame = poll_fn(|context| match self.shared.may_read(&self.held_responses.limits) {
             true => Pin::new(&mut self.body).poll_frame(context).map(Some),
             false => Poll::Ready(None),
         });
@@ -120,28 +120,28 @@
     /// Waits until more of the response may be read, and wakes the next waiting reader if there is
     /// room left.
     async fn wait_for_room(&self) {
-        let HeldAnswerContext { limits, total, .. } = &self.held_answers;
-        while !self.shared.may_read(&self.held_answers.limits) {
+        let HeldResponseContext { limits, total, .. } = &self.held_responses;
+        while !self.shared.may_read(&self.held_responses.limits) {
             let (own, _) = self.shared.held_bytes();
             tokio::select! {
                 () = self.shared.consumed() => {}
                 () = total.freed(), if !limits.is_full(own) => {}
             }
         }
-        if limits.admits_large_answers(total.get()) {
+        if limits.admits_large_responses(total.get()) {
             total.wake_next();
         }
     }
 
-    fn abort_answer(&self, error: BodyError) {
-        abort_answer(&self.held_answers, self.request_id.as_ref(), self.in_flight.target(), &self.shared, error);
+    fn abort_response(&self, error: BodyError) {
+        abort_response(&self.held_responses, self.request_id.as_ref(), self.in_flight.target(), &self.shared, error);
     }
 }
 
 /// A response that was read from its target to its end or its failure.
 struct FinishedRead {
-    shared: Rc<SharedAnswer>,
-    held_answers: HeldAnswerContext,
+    shared: Rc<SharedResponse>,
+    held_responses: HeldResponseContext,
     request_id: Option<HeaderValue>,
     target: Rc<Target>,
     is_complete: bool,
@@ -161,25 +161,25 @@
 
     /// Drops the held bytes, and logs it unless the failure of the response was already logged.
     fn drop_unread(self) {
-        let Self { shared, held_answers, request_id, target, is_complete } = self;
+        let Self { shared, held_responses, request_id, target, is_complete } = self;
         match is_complete {
-            true => abort_answer(&held_answers, request_id.as_ref(), &target, &shared, BodyError::Unread),
+            true => abort_response(&held_responses, request_id.as_ref(), &target, &shared, BodyError::Unread),
             false => shared.abort(BodyError::Unread),
         }
     }
 }
 
 /// Ends a response that its caller does not get completely; logs and counts the cause.
-fn abort_answer(
-    held_answers: &HeldAnswerContext,
+fn abort_response(
+    held_responses: &HeldResponseContext,
     id: Option<&HeaderValue>,
     target: &Target,
-    shared: &SharedAnswer,
+    shared: &SharedResponse,
     error: BodyError,
 ) {
     let (held, _) = shared.held_bytes();
     let fault = error.as_str();
-    held_answers.broken.with_label_values(&[fault]).inc();
+    held_responses.broken.with_label_values(&[fault]).inc();
     tracing::info!(
         event = "answer_broken",
         id = id.and_then(|id| id.to_str().ok()),
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_response/shared.rs
@@ -3,10 +3,10 @@
 //! Owns the bytes of the response and how it ended at the target. Wakes the caller's side when
 //! bytes or the end arrive, and the reader when the caller's side takes bytes or begins to wait.
 
-use crate::decision::refusal::held_answers::HeldAnswerLimits;
+use crate::decision::refusal::held_responses::HeldResponseLimits;
 use crate::net::buffered_bytes::BufferTotal;
 use crate::net::request_body::BodyError;
-use crate::proxy::held_answer::buffer::AnswerBuffer;
+use crate::proxy::held_response::buffer::ResponseBuffer;
 use bytes::Bytes;
 use hyper::HeaderMap;
 use hyper::body::{Frame, SizeHint};
@@ -28,7 +28,7 @@
 
 #[derive(Debug)]
 struct State {
-    buffer: AnswerBuffer,
+    buffer: ResponseBuffer,
     trailers: Option<HeaderMap>,
     /// Maximum number of bytes that were held while the limits had room for more.
     max_held: u64,
@@ -39,15 +39,15 @@
 
 /// A response between its target and its caller.
 #[derive(Debug)]
-pub struct SharedAnswer {
+pub struct SharedResponse {
     state: RefCell<State>,
     consumed: Notify,
 }
 
-impl SharedAnswer {
+impl SharedResponse {
     /// A response without bytes yet, counted in `total`.
     pub fn new(total: &Rc<BufferTotal>, progress: ReadProgress) -> Self {
-        let state = State { buffer: AnswerBuffer::new(total), trailers: None, max_held: 0, progress, waker: None };
+        let state = State { buffer: ResponseBuffer::new(total), trailers: None, max_held: 0, progress, waker: None };
         Self { state: RefCell::new(state), consumed: Notify::new() }
     }
 
@@ -93,7 +93,7 @@
     }
 
     /// Whether more of the response may be read within these limits.
-    pub fn may_read(&self, limits: &HeldAnswerLimits) -> bool {
+    pub fn may_read(&self, limits: &HeldResponseLimits) -> bool {
         let mut state = self.state.borrow_mut();
         let (own, total) = (state.buffer.len(), state.buffer.total());
         if limits.has_room(own, total) {
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -90,7 +90,7 @@
 
     fn may_begin_early(&self, head: &Parts) -> bool {
         // A large response that the caller cannot read yet would keep its target's slot occupied.
-        let may_begin = |route: &Route| is_idempotent(route) && !route.large_answers;
+        let may_begin = |route: &Route| is_idempotent(route) && !route.large_responses;
         !self.is_stopping() && self.has_memory_for_early_response() && self.has_route_where(head, may_begin)
     }
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -18,7 +18,7 @@
 //!    [`try_error`] lists the reasons why a try gives none. [`buffered_response`] reads a small
 //!    response completely, so that the request can be tried again if the response breaks off.
 //! 6. [`response_body`] carries the response to the caller. A large one is read from its target at
-//!    once, within bounds, and is a [`held_answer`] while the caller reads it. A [`refusal`] is the
+//!    once, within bounds, and is a [`held_response`] while the caller reads it. A [`refusal`] is the
 //!    response if no target's response can be passed on.
 //!
 //! | module | owns | relies on |
@@ -29,7 +29,7 @@
 //! | [`attempts`] | tries of one request, its use of the retry budget | `decision::failure::next_try` |
 //! | [`target_choice`] | cap charge of one request | routing, policies, `decision::selection::choice` |
 //! | [`exchange`] | in-flight count at the target, connection | pool, the target's record |
-//! | [`held_answer`] | in-flight count and connection of a large response until it is read from its target; the held bytes | pool, `decision::refusal::held_answers` |
+//! | [`held_response`] | in-flight count and connection of a large response until it is read from its target; the held bytes | pool, `decision::refusal::held_responses` |
 //!
 //! All of this runs on the instance's single thread. If a caller closes its connection, all state
 //! of its request is dropped: the connection to the target closes, and its counts are released.
@@ -40,7 +40,7 @@
 pub mod caller_request;
 pub mod caller_tenant;
 pub mod exchange;
-pub mod held_answer;
+pub mod held_response;
 pub mod incoming_body;
 pub mod listener;
 pub mod outgoing_request;
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -83,7 +83,7 @@
     TooLate,
     /// This instance holds as many bytes of large responses as its memory limit allows.
     #[error("this instance holds as much of large answers as its memory allows; retry after the time in retry-after")]
-    HeldAnswers,
+    HeldResponses,
     /// The request is in quarantine because targets crashed under it.
     #[error(
         "targets that ran this request ended; it was not sent on, correct it or retry after the time in retry-after"
@@ -123,7 +123,7 @@
             Refusal::Shed => "shed",
             Refusal::Unreachable => "unreachable",
             Refusal::TooLate => "too-late",
-            Refusal::HeldAnswers => "held-answers",
+            Refusal::HeldResponses => "held-answers",
             Refusal::Quarantined => "quarantined",
             Refusal::Stopping => "stopping",
             Refusal::Lost => "lost",
@@ -159,7 +159,7 @@
                 Some(capacity_wait)
             }
             Refusal::NoConfig | Refusal::NoTarget => Some(RETRY_AFTER_OUTAGE),
-            Refusal::OverQuota | Refusal::Limited | Refusal::HeldAnswers => Some(capacity_wait),
+            Refusal::OverQuota | Refusal::Limited | Refusal::HeldResponses => Some(capacity_wait),
             Refusal::Quarantined => Some(FIRST_PROBE_DELAY),
             Refusal::Stopping | Refusal::Shed | Refusal::KeyMoved | Refusal::StaleKeys | Refusal::StaleRoutes => {
                 Some(RETRY_AT_ONCE)
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -6,7 +6,7 @@
 
 use crate::clock::{Instant, timeout_at};
 use crate::decision::quota::local_usage::Admission;
-use crate::decision::refusal::held_answers::HELD_ANSWERS_WAIT;
+use crate::decision::refusal::held_responses::HELD_RESPONSES_WAIT;
 use crate::decision::refusal::retry_after::{LIMIT_WAIT, QUOTA_WAIT, base_wait, with_jitter};
 use crate::decision::refusal::stop::accepts_request;
 use crate::model::config::{Config, Route, Tenant};
@@ -19,7 +19,7 @@
 use crate::proxy::attempts::Attempts;
 use crate::proxy::caller_request::CallerRequest;
 use crate::proxy::caller_tenant::{CallerTenant, write_tenant};
-use crate::proxy::held_answer::HeldAnswerContext;
+use crate::proxy::held_response::HeldResponseContext;
 use crate::proxy::incoming_body::IncomingBody;
 use crate::proxy::refusal::Refusal;
 use crate::proxy::response_body::ResponseBody;
@@ -87,13 +87,13 @@
 }
 
 /// Time after which a refused caller probably finds capacity: in its tenant's quota, in the memory
-/// for held answers, or at the service that was chosen for its request.
+/// for held responses, or at the service that was chosen for its request.
 fn retry_delay<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
     if refusal == Refusal::OverQuota {
         return with_jitter(QUOTA_WAIT, rand::random());
     }
-    if refusal == Refusal::HeldAnswers {
-        return with_jitter(HELD_ANSWERS_WAIT, rand::random());
+    if refusal == Refusal::HeldResponses {
+        return with_jitter(HELD_RESPONSES_WAIT, rand::random());
     }
     if let Some(wait) = record.target_wait {
         return wait + with_jitter(LIMIT_WAIT, rand::random());
@@ -128,8 +128,8 @@
     if !accepts_request(instance.lifecycle.stopping_for(), stop, remaining) {
         return Err(Refusal::Stopping);
     }
-    if route.large_answers && !HeldAnswerContext::new(instance).admits_large_answers() {
-        return Err(Refusal::HeldAnswers);
+    if route.large_responses && !HeldResponseContext::new(instance).admits_large_responses() {
+        return Err(Refusal::HeldResponses);
     }
     let tenant = caller.as_ref().map(|caller| caller.tenant);
     if let Some(tenant) = tenant.filter(|tenant| instance.admit(tenant) == Admission::Refused) {
--- a/src/proxy/response_body.rs
+++ b/src/proxy/response_body.rs
@@ -9,7 +9,7 @@
 use crate::net::keep_alive::KeepAlive;
 use crate::net::pool::Connection;
 use crate::net::request_body::BodyError;
-use crate::proxy::held_answer::HeldAnswer;
+use crate::proxy::held_response::HeldResponse;
 use bytes::Bytes;
 use http_body_util::Full;
 use hyper::body::{Body, Frame, SizeHint};
@@ -23,8 +23,8 @@
 pub enum ResponseBody {
     /// Complete and in memory.
     Buffered(Full<Bytes>),
-    /// Held while the caller reads it ([`HeldAnswer`]).
-    Held(Box<HeldAnswer>),
+    /// Held while the caller reads it ([`HeldResponse`]).
+    Held(Box<HeldResponse>),
 }
 
 impl ResponseBody {
--- a/tests/held_answers.rs
+++ b/tests/held_responses.rs
@@ -1,9 +1,9 @@
-//! Held answers: the buffer, the count of held bytes, and the limits.
+//! Held responses: the buffer, the count of held bytes, and the limits.
 
 use bytes::Bytes;
-use lockloft::decision::refusal::held_answers::HeldAnswerLimits;
+use lockloft::decision::refusal::held_responses::HeldResponseLimits;
 use lockloft::net::buffered_bytes::BufferTotal;
-use lockloft::proxy::held_answer::buffer::{AnswerBuffer, PART_SIZE};
+use lockloft::proxy::held_response::buffer::{PART_SIZE, ResponseBuffer};
 use proptest::prelude::*;
 use std::rc::Rc;
 
@@ -30,7 +30,7 @@
     #[test]
     fn parts_concatenate_to_the_pushed_chunks_and_held_bytes_are_counted(steps in prop::collection::vec(step(), 1..60)) {
         let total = Rc::new(BufferTotal::default());
-        let mut buffer = AnswerBuffer::new(&total);
+        let mut buffer = ResponseBuffer::new(&total);
         let (mut pushed, mut taken) = (0, Vec::new());
         for step in steps {
             match step {
@@ -60,8 +60,8 @@
     #[test]
     fn the_total_covers_all_buffers_and_drops_to_zero_with_them(sizes in prop::collection::vec(0usize..2 * PART_SIZE, 1..20)) {
         let total = Rc::new(BufferTotal::default());
-        let buffers: Vec<AnswerBuffer> = sizes.iter().map(|size| {
-            let mut buffer = AnswerBuffer::new(&total);
+        let buffers: Vec<ResponseBuffer> = sizes.iter().map(|size| {
+            let mut buffer = ResponseBuffer::new(&total);
             buffer.push(chunk(0, *size));
             buffer
         }).collect();
@@ -74,7 +74,7 @@
     fn beyond_a_limit_bytes_are_read_only_as_the_caller_takes_them(
         own in 0..3 * MIB, others in 0..40 * MIB, max_held in 0..MIB,
     ) {
-        let limits = HeldAnswerLimits::for_memory(160 * MIB);
+        let limits = HeldResponseLimits::for_memory(160 * MIB);
         let total = own + others;
         let has_room = limits.has_room(own, total);
         prop_assert_eq!(has_room, own < MIB && total < 16 * MIB);
@@ -85,7 +85,7 @@
 
 #[test]
 fn a_response_whose_caller_waits_is_read_however_much_is_held_for_others() {
-    let limits = HeldAnswerLimits::for_memory(160 * MIB);
+    let limits = HeldResponseLimits::for_memory(160 * MIB);
     assert!(limits.may_read(0, u64::MAX, 0, true));
     assert!(!limits.may_read(0, 16 * MIB, 0, false));
     assert!(!limits.may_read(1, 16 * MIB, 1, true));
@@ -93,15 +93,15 @@
 
 #[test]
 fn large_answers_are_admitted_only_below_the_total_limit() {
-    let limits = HeldAnswerLimits::for_memory(160 * MIB);
-    assert!(limits.admits_large_answers(16 * MIB - 1));
-    assert!(!limits.admits_large_answers(16 * MIB));
+    let limits = HeldResponseLimits::for_memory(160 * MIB);
+    assert!(limits.admits_large_responses(16 * MIB - 1));
+    assert!(!limits.admits_large_responses(16 * MIB));
 }
 
 #[test]
 fn cleared_bytes_are_no_longer_counted() {
     let total = Rc::new(BufferTotal::default());
-    let mut buffer = AnswerBuffer::new(&total);
+    let mut buffer = ResponseBuffer::new(&total);
     buffer.push(chunk(0, PART_SIZE));
     buffer.push(chunk(PART_SIZE, 10));
     buffer.clear();
@@ -111,7 +111,7 @@
 #[tokio::test]
 async fn released_bytes_wake_a_waiting_reader() {
     let total = Rc::new(BufferTotal::default());
-    let mut buffer = AnswerBuffer::new(&total);
+    let mut buffer = ResponseBuffer::new(&total);
     buffer.push(chunk(0, PART_SIZE));
     let freed = total.freed();
     tokio::pin!(freed);
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -36,7 +36,7 @@
         affinity: true,
         allowed_regions: Vec::new(),
         is_public: false,
-        large_answers: false,
+        large_responses: false,
     }
 }
 
