--- a/src/decision/failure/pause.rs
+++ b/src/decision/failure/pause.rs
@@ -14,7 +14,7 @@
 //! callers are sent back to it. The target asks each instance separately, so that nothing is shared.
 //!
 //! **Guards** the promise that a target which asked for a pause gets at most two requests of this
-//! instance from half a second after that until the pause ends. **Test**: `tests/statements.rs`,
+//! instance from half a second after that until the pause ends. **Test**: `tests/target_signals.rs`,
 //! `standins/tests/pauses.rs`.
 
 use crate::clock::Instant;
--- a/src/decision/quota/equal_share.rs
+++ b/src/decision/quota/equal_share.rs
@@ -18,7 +18,7 @@
 
 /// Number of instances assumed while this one is not among the members: it cannot know then how many
 /// others are in the same state.
-const DEFAULT_FLEET_SIZE: usize = 100;
+const MIN_FLEET_SIZE_IF_NOT_MEMBER: usize = 100;
 
 /// The instances among which a quota is divided.
 #[derive(Clone, Copy, Debug)]
@@ -33,7 +33,7 @@
     /// Number of instances by which the quota is divided: at least 1, and at least 100 while this one is
     /// not a member.
     pub fn instances(self) -> f64 {
-        let min_instances = if self.is_member { 1 } else { DEFAULT_FLEET_SIZE };
+        let min_instances = if self.is_member { 1 } else { MIN_FLEET_SIZE_IF_NOT_MEMBER };
         self.members.max(min_instances) as f64
     }
 }
--- a/src/decision/quota/hall_demand.rs
+++ b/src/decision/quota/hall_demand.rs
@@ -28,12 +28,12 @@
 const RECENT_TIME_CONSTANT: Duration = Duration::from_millis(100);
 /// Free part of the window at and above which the growth thresholds apply in full (no unit). Below it
 /// they fall in proportion: the less is free, the sooner a step exhausts the quota.
-const AMPLE_FREE_PART: f64 = 0.25;
+const AMPLE_FREE_FRACTION: f64 = 0.25;
 /// Standard deviations by which growth has to exceed random variation while
-/// [`AMPLE_FREE_PART`] is free (no unit).
+/// [`AMPLE_FREE_FRACTION`] is free (no unit).
 const GROWTH_DEVIATIONS: f64 = 2.5;
 /// Growth of the own hall, in excess of 1, from which other halls are expected to grow while
-/// [`AMPLE_FREE_PART`] is free (factor): smaller changes come from callers that come and go.
+/// [`AMPLE_FREE_FRACTION`] is free (factor): smaller changes come from callers that come and go.
 const MIN_EXCESS_GROWTH: f64 = 0.75;
 /// Maximum growth expected of other halls (factor): a hall that has just received its first callers
 /// shows arbitrarily large growth.
@@ -55,18 +55,18 @@
         Self { per_second: 0.0, time_constant, updated_at }
     }
 
-    fn decay(&self, passed: Duration) -> f64 {
+    fn remaining_fraction(&self, passed: Duration) -> f64 {
         (-passed.as_secs_f64() / self.time_constant.as_secs_f64()).exp()
     }
 
     fn add(&mut self, count: f64, over: Duration, now: Instant) {
-        let new = count / over.as_secs_f64() * (1.0 - self.decay(over));
+        let new = count / over.as_secs_f64() * (1.0 - self.remaining_fraction(over));
         self.per_second = self.value_at(now) + new;
         self.updated_at = now;
     }
 
     fn value_at(&self, now: Instant) -> f64 {
-        self.per_second * self.decay(now.saturating_duration_since(self.updated_at))
+        self.per_second * self.remaining_fraction(now.saturating_duration_since(self.updated_at))
     }
 }
 
@@ -115,7 +115,7 @@
     /// the window that is left, 0 to 1.
     pub fn estimate(&self, is_reachable: impl Fn(&str) -> bool, free: f64, now: Instant) -> (f64, f64) {
         let Some(own) = self.own.as_deref() else { return (0.0, 0.0) };
-        let headroom = (free / AMPLE_FREE_PART).min(1.0);
+        let headroom = (free / AMPLE_FREE_FRACTION).min(1.0);
         let deviations = GROWTH_DEVIATIONS * headroom;
         let current_demand = self.current_demand(own, deviations, now);
         let (mut all, mut unreported) = (current_demand, 0.0);
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -32,15 +32,15 @@
 /// Factor on a tenant's usual requests between two reports from which its requests are reported at once.
 const SURGE_FACTOR: f64 = 2.0;
 /// Limit on the requests that are admitted before the next answer: this factor times the number that is
-/// reported at once, but at least [`MIN_UNANSWERED`]. As many reports may fail while an answer applies.
-const UNANSWERED_FACTOR: f64 = 5.0;
-/// See [`UNANSWERED_FACTOR`].
-const MIN_UNANSWERED: f64 = 8.0;
+/// reported at once, but at least [`MAX_BEFORE_ANSWER_FLOOR`]. As many reports may fail while an answer applies.
+const MAX_BEFORE_ANSWER_FACTOR: f64 = 5.0;
+/// See [`MAX_BEFORE_ANSWER_FACTOR`].
+const MAX_BEFORE_ANSWER_FLOOR: f64 = 8.0;
 /// The same for a tenant with an admit ratio below 1: its quota is used up, and every instance may admit as
 /// many requests.
-const LIMITED_UNANSWERED_FACTOR: f64 = 1.0;
-/// See [`LIMITED_UNANSWERED_FACTOR`].
-const MIN_LIMITED_UNANSWERED: f64 = 2.0;
+const LIMITED_MAX_BEFORE_ANSWER_FACTOR: f64 = 1.0;
+/// See [`LIMITED_MAX_BEFORE_ANSWER_FACTOR`].
+const LIMITED_MAX_BEFORE_ANSWER_FLOOR: f64 = 2.0;
 /// Requests of a tenant that are admitted before the first answer: all instances may be starting, and
 /// none of them knows what was admitted before.
 const MAX_BEFORE_FIRST_ANSWER: f64 = 3.0;
@@ -100,14 +100,13 @@
     }
 
     /// Whether as many requests were admitted as are allowed before the next answer.
-    fn is_unanswered_limit_reached(&self, is_first: bool) -> bool {
+    fn has_reached_max_before_answer(&self, is_first: bool) -> bool {
         let admitted = self.unreported.admitted.saturating_add(self.in_report.admitted);
         let max_admitted = match (is_first, self.admit_ratio < 1.0) {
             (true, _) => MAX_BEFORE_FIRST_ANSWER,
-            (false, true) => {
-                (LIMITED_UNANSWERED_FACTOR * self.admit_ratio * self.surge_threshold()).max(MIN_LIMITED_UNANSWERED)
-            }
-            (false, false) => (UNANSWERED_FACTOR * self.surge_threshold()).max(MIN_UNANSWERED),
+            (false, true) => (LIMITED_MAX_BEFORE_ANSWER_FACTOR * self.admit_ratio * self.surge_threshold())
+                .max(LIMITED_MAX_BEFORE_ANSWER_FLOOR),
+            (false, false) => (MAX_BEFORE_ANSWER_FACTOR * self.surge_threshold()).max(MAX_BEFORE_ANSWER_FLOOR),
         };
         f64::from(admitted) >= max_admitted
     }
@@ -127,7 +126,7 @@
 pub struct LocalUsage {
     tenants: HashMap<Rc<str>, TenantUsage>,
     /// The ratios of the last answer, including those of tenants without a request here so far.
-    admit_ratios: HashMap<String, f64>,
+    answered_ratios: HashMap<String, f64>,
     /// When the last answered report was started; later requests are not reported yet.
     reported_until: Option<Instant>,
     /// When the report was started that is not answered yet.
@@ -144,11 +143,11 @@
         let answered_at = *self.answered_at.get_or_insert(now);
         let is_answered = now.saturating_duration_since(answered_at) < MAX_ANSWER_AGE;
         let is_first = !self.was_answered;
-        let admit_ratios = &self.admit_ratios;
-        let new = || TenantUsage::new(admit_ratios.get(&**tenant).copied().unwrap_or(1.0), random);
+        let answered_ratios = &self.answered_ratios;
+        let new = || TenantUsage::new(answered_ratios.get(&**tenant).copied().unwrap_or(1.0), random);
         let usage = self.tenants.entry(tenant.clone()).or_insert_with(new);
         usage.unreported.offered = usage.unreported.offered.saturating_add(1);
-        let is_admitted = match (is_answered, usage.is_unanswered_limit_reached(is_first)) {
+        let is_admitted = match (is_answered, usage.has_reached_max_before_answer(is_first)) {
             (true, false) => usage.take_credit(),
             // The burst is for an instance without a current answer: here all others may admit as much.
             (true, true) => usage.equal_share.try_take(Quota { burst: 0.0, ..quota }, fleet, now),
@@ -217,13 +216,13 @@
         self.was_answered = true;
         self.reported_until = self.report_started_at.take();
         let clamped = |ratio: f32| f64::from(ratio).clamp(0.0, 1.0);
-        self.admit_ratios = answer.passes.iter().map(|(name, ratio)| (name.clone(), clamped(*ratio))).collect();
+        self.answered_ratios = answer.passes.iter().map(|(name, ratio)| (name.clone(), clamped(*ratio))).collect();
         for (name, usage) in &mut self.tenants {
             let in_report = std::mem::take(&mut usage.in_report);
             usage.average_offered += SMOOTHING_FACTOR * (f64::from(in_report.offered) - usage.average_offered);
             // A new head may not know yet of a tenant whose ratio its predecessor had reduced.
             let max_ratio = RATIO_RISE_FACTOR * usage.admit_ratio + RATIO_RISE_STEP;
-            usage.admit_ratio = self.admit_ratios.get(&**name).copied().unwrap_or(1.0).min(max_ratio);
+            usage.admit_ratio = self.answered_ratios.get(&**name).copied().unwrap_or(1.0).min(max_ratio);
         }
     }
 
@@ -235,8 +234,8 @@
 
     /// Part of the tenant's requests that the last answer admits, 0 to 1; 1 if it does not name the
     /// tenant.
-    pub fn admit_ratio(&self, tenant: &str) -> f64 {
-        self.admit_ratios.get(tenant).copied().unwrap_or(1.0)
+    pub fn answered_ratio(&self, tenant: &str) -> f64 {
+        self.answered_ratios.get(tenant).copied().unwrap_or(1.0)
     }
 
     /// Removes the tenants for which `is_kept` does not hold.
--- a/src/decision/quota/tenant_window.rs
+++ b/src/decision/quota/tenant_window.rs
@@ -42,7 +42,7 @@
 /// with a window.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(350);
 /// Minimum time that a report is taken to cover: demand computed over less would be random.
-const MIN_REPORT_TIME: Duration = Duration::from_millis(100);
+const MIN_REPORT_SPAN: Duration = Duration::from_millis(100);
 /// Time in which the rest of a window is used up: over twice the time from a request to the ratio that
 /// takes it into account.
 const FILL_TIME: Duration = Duration::from_millis(1200);
@@ -107,7 +107,7 @@
     last_ratio: f64,
     /// Maximum time covered by one report so far, seconds: requests of the first one arrived before
     /// `started_at`.
-    max_report_time: f64,
+    max_report_span: f64,
     updated_at: Instant,
 }
 
@@ -127,7 +127,7 @@
             demand: 0.0,
             by_hall: HallDemands::default(),
             last_ratio: 1.0,
-            max_report_time: 0.0,
+            max_report_span: 0.0,
             updated_at: now,
         }
     }
@@ -147,9 +147,9 @@
         if let Some(counts) = self.halls.get_mut(hall) {
             counts.add(slot, usage.admitted.into());
         }
-        self.by_hall.record(hall, usage.offered, over.max(MIN_REPORT_TIME), now);
-        let over = over.max(MIN_REPORT_TIME).as_secs_f64();
-        self.max_report_time = self.max_report_time.max(over);
+        self.by_hall.record(hall, usage.offered, over.max(MIN_REPORT_SPAN), now);
+        let over = over.max(MIN_REPORT_SPAN).as_secs_f64();
+        self.max_report_span = self.max_report_span.max(over);
         self.demand += f64::from(usage.offered) / over * average_weight(over);
     }
 
@@ -200,7 +200,7 @@
 
     /// Requests that arrive per second, admitted or not; a moving average since the first report.
     pub fn demand(&self) -> f64 {
-        let observed = self.updated_at.saturating_duration_since(self.started_at).as_secs_f64() + self.max_report_time;
+        let observed = self.updated_at.saturating_duration_since(self.started_at).as_secs_f64() + self.max_report_span;
         if observed > 0.0 { self.demand / average_weight(observed) } else { 0.0 }
     }
 
--- a/src/decision/refusal/held_responses.rs
+++ b/src/decision/refusal/held_responses.rs
@@ -26,7 +26,7 @@
 const MAX_BYTES_PER_RESPONSE: u64 = 1024 * 1024;
 /// Divisor of the memory limit that gives the bound on all bytes held: less than request bodies may take,
 /// so that these can still be buffered.
-const TOTAL_DIVISOR: u64 = 10;
+const MEMORY_LIMIT_DIVISOR: u64 = 10;
 /// Maximum time for which a caller may read nothing of a complete response once its deadline has passed, so
 /// that unresponsive callers do not keep memory in use indefinitely.
 pub const CALLER_IDLE_TIMEOUT: Duration = Duration::from_secs(30);
@@ -49,7 +49,7 @@
 impl HeldResponseLimits {
     /// The bounds of an instance with a memory limit of `memory` bytes.
     pub fn for_memory(memory: u64) -> Self {
-        Self { per_response: MAX_BYTES_PER_RESPONSE, total: memory / TOTAL_DIVISOR }
+        Self { per_response: MAX_BYTES_PER_RESPONSE, total: memory / MEMORY_LIMIT_DIVISOR }
     }
 
     /// Whether more may be read of a response of which `own` bytes are held, of `total` in all. `max_held`
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -84,8 +84,8 @@
     ) -> Vec<StateChange> {
         let is_kept = |event: &&Event| {
             let removed = || P::decode_removal(event.key());
-            let is_gone = matches!(event, Event::Delete { .. });
-            is_gone && matches!(removed(), RemovedRecord::Member(_) | RemovedRecord::Evacuation(_))
+            let is_removal = matches!(event, Event::Delete { .. });
+            is_removal && matches!(removed(), RemovedRecord::Member(_) | RemovedRecord::Evacuation(_))
         };
         let (kept, others): (Vec<&Event>, Vec<&Event>) = changes.iter().partition(is_kept);
         // Records that were missing from an earlier list already are not among the changes. Without the
--- a/src/decision/registry/signals.rs
+++ b/src/decision/registry/signals.rs
@@ -21,7 +21,7 @@
 //! **Guards** the promises that a target which is leaving, or has requested a pause, receives no new
 //! request.
 //!
-//! **Test**: `tests/statements.rs`, `standins/tests/leaving_statements.rs`,
+//! **Test**: `tests/target_signals.rs`, `standins/tests/leaving_statements.rs`,
 //! `standins/tests/pauses.rs`.
 
 use crate::clock::Instant;
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -184,7 +184,7 @@
     pub fn begin_request(self: &Rc<Self>, now: Instant) -> InFlight<Self> {
         self.latency.borrow_mut().record_sent(self.in_flight(), now);
         self.slow_start.borrow_mut().record_sent(now);
-        self.record_sent(now);
+        self.record_limit_use(now);
         self.ejection.borrow_mut().record_sent();
         self.load.borrow_mut().begin_request();
         InFlight::new(self.clone())
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -93,7 +93,7 @@
     }
 
     /// Counts a request whose first choice it is, but that its rate limit diverts to another target.
-    pub fn record_offered(&self, now: Instant) {
+    pub fn record_limited_demand(&self, now: Instant) {
         self.signals.borrow_mut().limit.record_offered(now);
     }
 
@@ -103,7 +103,7 @@
     }
 
     /// Counts a request that is sent against its rate limit.
-    pub(super) fn record_sent(&self, now: Instant) {
+    pub(super) fn record_limit_use(&self, now: Instant) {
         let mut signals = self.signals.borrow_mut();
         signals.limit.record_offered(now);
         signals.limit.record_sent(now);
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -176,7 +176,7 @@
         let limited =
             self.limited.filter(|limited| self.ranking.preferred().is_none() || self.ranking.is_first(limited));
         if let Some(limited) = limited {
-            limited.target.record_offered(self.query.now);
+            limited.target.record_limited_demand(self.query.now);
         }
     }
 
--- a/src/operator/quotas.rs
+++ b/src/operator/quotas.rs
@@ -22,7 +22,7 @@
             rate: quota.rate,
             burst: quota.burst,
             window_s: settings.quota_window.as_secs_f64(),
-            pass: own.admit_ratio(&tenant.name),
+            pass: own.answered_ratio(&tenant.name),
             part: quota.rate / instance.fleet_size().instances(),
             answer_age_ms,
             head: totals
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -148,7 +148,7 @@
 
 fn quota_record<P: Platform>(instance: &Instance<P>, tenant: &Tenant) -> QuotaRecord {
     let usage = instance.quotas.local_usage();
-    QuotaRecord { admit_ratio: usage.admit_ratio(&tenant.name), answer_age: usage.answer_age(Instant::now()) }
+    QuotaRecord { admit_ratio: usage.answered_ratio(&tenant.name), answer_age: usage.answer_age(Instant::now()) }
 }
 
 /// An admitted request whose body is not read yet.
