--- a/src/decision/quota/hall_demand.rs
+++ b/src/decision/quota/hall_demand.rs
@@ -59,8 +59,8 @@
         (-passed.as_secs_f64() / self.time_constant.as_secs_f64()).exp()
     }
 
-    fn add(&mut self, count: f64, over: Duration, now: Instant) {
-        let new = count / over.as_secs_f64() * (1.0 - self.remaining_fraction(over));
+    fn add(&mut self, count: f64, period: Duration, now: Instant) {
+        let new = count / period.as_secs_f64() * (1.0 - self.remaining_fraction(period));
         self.per_second = self.value_at(now) + new;
         self.updated_at = now;
     }
@@ -93,8 +93,8 @@
         Self { own: Some(own.to_owned()), halls: BTreeMap::new() }
     }
 
-    /// Counts requests that arrived in a hall within the last `over`, admitted or not.
-    pub fn record(&mut self, hall: &str, offered: u32, over: Duration, now: Instant) {
+    /// Counts requests that arrived in a hall within the last `period`, admitted or not.
+    pub fn record(&mut self, hall: &str, offered: u32, period: Duration, now: Instant) {
         let own_at_report = self.own_average(now);
         if !self.halls.contains_key(hall) {
             let new = HallDemand {
@@ -105,8 +105,8 @@
             self.halls.insert(hall.to_owned(), new);
         }
         let Some(demand) = self.halls.get_mut(hall) else { return };
-        demand.average.add(offered.into(), over, now);
-        demand.recent.add(offered.into(), over, now);
+        demand.average.add(offered.into(), period, now);
+        demand.recent.add(offered.into(), period, now);
         demand.own_at_report = own_at_report;
     }
 
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -178,7 +178,7 @@
     }
 
     /// Starts a report: returns the unreported usage by tenant, which is in the report until
-    /// [`Self::take_answer`], [`Self::forget_report`] or [`Self::restore_report`] is called.
+    /// [`Self::apply_answer`], [`Self::forget_report`] or [`Self::restore_report`] is called.
     pub fn begin_report(&mut self, now: Instant) -> Vec<(String, Usage)> {
         self.report_started_at = Some(now);
         let mut report = Vec::new();
@@ -211,7 +211,7 @@
     }
 
     /// Applies the answer to the last report.
-    pub fn take_answer(&mut self, answer: &UsageAnswer, now: Instant) {
+    pub fn apply_answer(&mut self, answer: &UsageAnswer, now: Instant) {
         self.answered_at = Some(now);
         self.was_answered = true;
         self.reported_until = self.report_started_at.take();
--- a/src/decision/quota/tenant_window.rs
+++ b/src/decision/quota/tenant_window.rs
@@ -42,7 +42,7 @@
 /// with a window.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(350);
 /// Minimum time that a report is taken to cover: demand computed over less would be random.
-const MIN_REPORT_SPAN: Duration = Duration::from_millis(100);
+const MIN_COVERED_PERIOD: Duration = Duration::from_millis(100);
 /// Time in which the rest of a window is used up: over twice the time from a request to the ratio that
 /// takes it into account.
 const FILL_TIME: Duration = Duration::from_millis(1200);
@@ -107,7 +107,7 @@
     last_ratio: f64,
     /// Maximum time covered by one report so far, seconds: requests of the first one arrived before
     /// `started_at`.
-    max_report_span: f64,
+    max_covered_period: f64,
     updated_at: Instant,
 }
 
@@ -127,7 +127,7 @@
             demand: 0.0,
             by_hall: HallDemands::default(),
             last_ratio: 1.0,
-            max_report_span: 0.0,
+            max_covered_period: 0.0,
             updated_at: now,
         }
     }
@@ -137,8 +137,8 @@
         Self { by_hall: HallDemands::for_hall(hall), ..Self::new(now) }
     }
 
-    /// Counts requests that a hall reported, and which arrived within the last `over`.
-    pub fn record(&mut self, hall: &str, usage: Usage, over: Duration, limit: WindowLimit, now: Instant) {
+    /// Counts requests that a hall reported, and which arrived within the last `period`.
+    pub fn record(&mut self, hall: &str, usage: Usage, period: Duration, limit: WindowLimit, now: Instant) {
         self.advance(limit, now);
         let slot = self.current_slot();
         if !self.halls.contains_key(hall) {
@@ -147,10 +147,10 @@
         if let Some(counts) = self.halls.get_mut(hall) {
             counts.add(slot, usage.admitted.into());
         }
-        self.by_hall.record(hall, usage.offered, over.max(MIN_REPORT_SPAN), now);
-        let over = over.max(MIN_REPORT_SPAN).as_secs_f64();
-        self.max_report_span = self.max_report_span.max(over);
-        self.demand += f64::from(usage.offered) / over * average_weight(over);
+        self.by_hall.record(hall, usage.offered, period.max(MIN_COVERED_PERIOD), now);
+        let period = period.max(MIN_COVERED_PERIOD).as_secs_f64();
+        self.max_covered_period = self.max_covered_period.max(period);
+        self.demand += f64::from(usage.offered) / period * average_weight(period);
     }
 
     /// Part of the tenant's requests to admit now, 0 to 1. `is_reachable` states whether a hall is
@@ -200,7 +200,8 @@
 
     /// Requests that arrive per second, admitted or not; a moving average since the first report.
     pub fn demand(&self) -> f64 {
-        let observed = self.updated_at.saturating_duration_since(self.started_at).as_secs_f64() + self.max_report_span;
+        let observed =
+            self.updated_at.saturating_duration_since(self.started_at).as_secs_f64() + self.max_covered_period;
         if observed > 0.0 { self.demand / average_weight(observed) } else { 0.0 }
     }
 
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -106,8 +106,8 @@
 impl UsageTotals {
     /// Counts a report, and returns the answer to it.
     pub fn record_report(&mut self, report: &UsageReport, context: QuotaContext<'_>, now: Instant) -> UsageAnswer {
-        let over = Duration::from_millis(report.over_ms.into());
-        self.reset_if_idle(over, now);
+        let period = Duration::from_millis(report.over_ms.into());
+        self.reset_if_idle(period, now);
         let is_own_hall = report.hall == context.own.hall;
         match is_own_hall {
             true => self.member_reports.insert(report.from.clone(), now),
@@ -120,7 +120,7 @@
                 self.windows.insert(name.clone(), TenantWindow::for_hall(context.own.hall, now));
             }
             if let Some(window) = self.windows.get_mut(name) {
-                window.record(&report.hall, *usage, over, limit, now);
+                window.record(&report.hall, *usage, period, limit, now);
             }
         }
         if is_own_hall && !report.is_forwarded {
@@ -200,11 +200,11 @@
         self.windows.get(tenant)
     }
 
-    /// Starts with empty totals after a time without reports. `over` is the time that the first report
+    /// Starts with empty totals after a time without reports. `period` is the time that the first report
     /// covers, whose requests no other head has counted.
-    fn reset_if_idle(&mut self, over: Duration, now: Instant) {
+    fn reset_if_idle(&mut self, period: Duration, now: Instant) {
         if !self.is_head(now) {
-            let complete_since = now.checked_sub(over.min(MAX_KNOWN_BEFORE_START)).or(Some(now));
+            let complete_since = now.checked_sub(period.min(MAX_KNOWN_BEFORE_START)).or(Some(now));
             *self = Self { head_since: Some(now), complete_since, ..Self::default() };
         }
         self.last_report_at = Some(now);
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -67,8 +67,8 @@
     }
 
     /// Applies the head's answer to a report of usage.
-    pub fn take_answer(&self, answer: &UsageAnswer) {
-        self.local_usage.borrow_mut().take_answer(answer, Instant::now());
+    pub fn apply_answer(&self, answer: &UsageAnswer) {
+        self.local_usage.borrow_mut().apply_answer(answer, Instant::now());
     }
 
     /// Starts a report to another hall: its usage by tenant, and the period in which the requests
--- a/src/sync/usage.rs
+++ b/src/sync/usage.rs
@@ -92,7 +92,7 @@
         match answer {
             Some(answer) => {
                 instance.record_remote_loads(&answer.loads);
-                return instance.quotas.take_answer(&answer);
+                return instance.quotas.apply_answer(&answer);
             }
             None => {
                 instance.metrics.usage_untold.inc();
--- a/tests/quota_fleet/answers.rs
+++ b/tests/quota_fleet/answers.rs
@@ -33,7 +33,7 @@
         if from == to && is_isolated {
             let head = &mut self.instances[to];
             head.awaits_answer = false;
-            head.own.forget_report();
+            head.local_usage.forget_report();
             return;
         }
         let is_lost = (self.drops_message)(to, from, self.now) || self.random.random::<f64>() < self.answer_loss;
@@ -59,7 +59,7 @@
             return;
         }
         instance.awaits_answer = false;
-        instance.own.take_answer(answer, now);
+        instance.local_usage.apply_answer(answer, now);
     }
 
     /// The halls to which no forwarded report is in flight any more.
@@ -94,7 +94,7 @@
             instance.totals.restore_forward(&hall, report.tenants, now);
         } else {
             instance.awaits_answer = false;
-            instance.own.restore_report();
+            instance.local_usage.restore_report();
             instance.next_report = self.now;
         }
     }
--- a/tests/quota_fleet/arrivals.rs
+++ b/tests/quota_fleet/arrivals.rs
@@ -1,7 +1,7 @@
 //! Arrival of requests at instances, and their admission.
 
 use super::load::Load;
-use super::seen::Outcome;
+use super::outcome::Outcome;
 use super::{Fleet, Mode, STEP};
 use lockloft::decision::quota::MIN_REPORT_INTERVAL;
 use lockloft::decision::quota::equal_share::FleetSize;
@@ -37,8 +37,8 @@
         if self.mode == Mode::EqualShares {
             return instance.equal_shares.entry(name.clone()).or_default().try_take(*quota, size, now);
         }
-        let admitted = instance.own.admit(name, *quota, size, random, now) == Admission::Admitted;
-        if instance.own.has_surge(name) {
+        let admitted = instance.local_usage.admit(name, *quota, size, random, now) == Admission::Admitted;
+        if instance.local_usage.has_surge(name) {
             let earliest = instance.last_report.map_or(0, |at| at + MIN_REPORT_INTERVAL.as_millis() as u64);
             instance.next_report = instance.next_report.min(earliest.max(self.now));
         }
--- a/tests/quota_fleet/changes.rs
+++ b/tests/quota_fleet/changes.rs
@@ -31,7 +31,7 @@
     /// Restarts all instances with empty state; messages in flight are lost.
     pub fn restart_all(&mut self) {
         for instance in &mut self.instances {
-            (instance.own, instance.totals) = (LocalUsage::default(), UsageTotals::default());
+            (instance.local_usage, instance.totals) = (LocalUsage::default(), UsageTotals::default());
             (instance.awaits_answer, instance.is_up) = (false, true);
             instance.forwarding.clear();
             instance.equal_shares.clear();
@@ -43,7 +43,7 @@
     /// Restarts an instance with empty state.
     pub fn restart(&mut self, number: usize) {
         let instance = &mut self.instances[number];
-        (instance.own, instance.totals) = (LocalUsage::default(), UsageTotals::default());
+        (instance.local_usage, instance.totals) = (LocalUsage::default(), UsageTotals::default());
         (instance.awaits_answer, instance.is_up) = (false, true);
         instance.forwarding.clear();
         instance.equal_shares.clear();
--- a/tests/quota_fleet/instance.rs
+++ b/tests/quota_fleet/instance.rs
@@ -14,7 +14,7 @@
     pub(super) name: String,
     pub(super) hall: String,
     pub(super) peer: SocketAddr,
-    pub(super) own: LocalUsage,
+    pub(super) local_usage: LocalUsage,
     pub(super) totals: UsageTotals,
     pub(super) equal_shares: HashMap<Rc<str>, EqualShare>,
     /// When the next report is due, milliseconds.
@@ -40,7 +40,7 @@
             name: format!("e-{number}"),
             hall: format!("h-{}", number % halls),
             peer: ([127, 0, 0, 1], 1_000 + number as u16).into(),
-            own: LocalUsage::default(),
+            local_usage: LocalUsage::default(),
             totals: UsageTotals::default(),
             equal_shares: HashMap::new(),
             next_report: random.random_range(0..200),
--- a/tests/quota_fleet/load.rs
+++ b/tests/quota_fleet/load.rs
@@ -23,11 +23,11 @@
 
 /// Eighty tenants, a few of them large, each of which sends 0.62 of its quota on average. `total` is the
 /// sum of their requests per second.
-pub fn typical_loads(total: f64) -> Vec<Load> {
+pub fn usual_loads(total: f64) -> Vec<Load> {
     let weights: f64 = (1..=80).map(|rank| 1.0 / f64::from(rank)).sum();
     let load = |rank: u32| {
-        let typical = total / weights / f64::from(rank);
-        Load::new(&format!("t-{rank}"), (1.6 * typical).round().max(1.0), move |_| typical)
+        let usual = total / weights / f64::from(rank);
+        Load::new(&format!("t-{rank}"), (1.6 * usual).round().max(1.0), move |_| usual)
     };
     (1..=80).map(load).collect()
 }
--- a/tests/quota_fleet/messages.rs
+++ b/tests/quota_fleet/messages.rs
@@ -63,10 +63,10 @@
     }
 
     pub(super) fn schedule(&mut self, after: u64, message: Message) {
-        self.last_message += 1;
+        self.last_message_number += 1;
         self.messages += 1;
-        self.in_flight.insert(self.last_message, message);
-        self.queue.push(Reverse((self.now + after, self.last_message)));
+        self.in_flight.insert(self.last_message_number, message);
+        self.queue.push(Reverse((self.now + after, self.last_message_number)));
     }
 
     pub(super) fn deliver(&mut self) {
--- a/tests/quota_fleet/mod.rs
+++ b/tests/quota_fleet/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! | file | purpose |
 //! |---|---|
-//! | `load`, `seen` | requests of tenants, and their outcome |
+//! | `load`, `outcome` | requests of tenants, and their outcome |
 //! | `instance` | an instance and its state |
 //! | `changes` | instances that stop, leave, restart and come back |
 //! | `arrivals` | arrival and admission of requests |
@@ -18,11 +18,11 @@
 mod instance;
 mod load;
 mod messages;
+mod outcome;
 mod reports;
-mod seen;
 
-pub use load::{Load, typical_loads};
-pub use seen::{Outcome, check_bound};
+pub use load::{Load, usual_loads};
+pub use outcome::{Outcome, check_bound};
 
 use instance::Instance;
 use lockloft::clock::Instant;
@@ -75,7 +75,7 @@
     now: u64,
     queue: BinaryHeap<Reverse<(u64, usize)>>,
     in_flight: HashMap<usize, Message>,
-    last_message: usize,
+    last_message_number: usize,
     random: StdRng,
 }
 
@@ -106,7 +106,7 @@
             now: 0,
             queue: BinaryHeap::new(),
             in_flight: HashMap::new(),
-            last_message: 0,
+            last_message_number: 0,
             random,
         };
         fleet.update_tenants();
@@ -156,6 +156,6 @@
 }
 
 /// Usage in which all requests were admitted.
-pub fn admitted(count: u32) -> Usage {
+pub fn all_admitted(count: u32) -> Usage {
     Usage { admitted: count as i32, offered: count }
 }
--- a/tests/quota_fleet/seen.rs
+++ b/tests/quota_fleet/outcome.rs
@@ -16,11 +16,11 @@
     /// Number of requests that a single limiter for the whole fleet would have admitted: each one for which
     /// the quota in the window before it is not used up.
     pub fn admissible(&self, quota: Quota) -> usize {
-        let most = quota.rate * WINDOW.as_secs_f64() + quota.burst;
+        let max_requests = quota.rate * WINDOW.as_secs_f64() + quota.burst;
         let mut admissible: Vec<u64> = Vec::new();
         for time in &self.offered {
             let start = admissible.partition_point(|at| at + WINDOW.as_millis() as u64 <= *time);
-            if (admissible.len() - start) as f64 + 1.0 <= most {
+            if (admissible.len() - start) as f64 + 1.0 <= max_requests {
                 admissible.push(*time);
             }
         }
@@ -30,14 +30,14 @@
     /// Most requests admitted in any window of `window` milliseconds.
     pub fn max_in_window(&self, window: u64) -> usize {
         let mut start = 0;
-        let mut most = 0;
+        let mut max = 0;
         for (end, time) in self.admitted.iter().enumerate() {
             while self.admitted[start] + window <= *time {
                 start += 1;
             }
-            most = most.max(end + 1 - start);
+            max = max.max(end + 1 - start);
         }
-        most
+        max
     }
 }
 
@@ -46,7 +46,7 @@
 /// # Errors
 /// The number admitted in the worst window, where that is too many.
 pub fn check_bound(outcome: &Outcome, quota: Quota, slack: f64) -> Result<(), String> {
-    let most = (quota.rate * 5.0 + quota.burst) * 1.1 + slack;
+    let allowed = (quota.rate * 5.0 + quota.burst) * 1.1 + slack;
     let found = outcome.max_in_window(5_000);
-    if found as f64 <= most { Ok(()) } else { Err(format!("{found} in 5 s, allowed {most:.0}")) }
+    if found as f64 <= allowed { Ok(()) } else { Err(format!("{found} in 5 s, allowed {allowed:.0}")) }
 }
--- a/tests/quota_fleet/reports.rs
+++ b/tests/quota_fleet/reports.rs
@@ -27,8 +27,8 @@
         instance.awaits_answer = true;
         instance.last_report = Some(self.now);
         instance.next_report = self.now + REPORT_INTERVAL.as_millis() as u64;
-        let over_ms = instance.own.unreported_for(now).as_millis() as u32;
-        let tenants = instance.own.begin_report(now);
+        let over_ms = instance.local_usage.unreported_for(now).as_millis() as u32;
+        let tenants = instance.local_usage.begin_report(now);
         let report = UsageReport {
             from: instance.name.clone(),
             hall,
--- a/tests/quota_replay.rs
+++ b/tests/quota_replay.rs
@@ -3,7 +3,7 @@
 
 mod quota_fleet;
 
-use quota_fleet::{Fleet, Load, Mode, Outcome, check_bound, typical_loads};
+use quota_fleet::{Fleet, Load, Mode, Outcome, check_bound, usual_loads};
 
 /// The operators' slack, requests.
 const SLACK: f64 = 20.0;
@@ -35,18 +35,18 @@
     }
 }
 
-/// The typical loads, but the tenant with this rank sends `factor` times as much from 5 to 11.5 s.
+/// The usual loads, but the tenant with this rank sends `factor` times as much from 5 to 11.5 s.
 fn loads_with_surge(rank: usize, factor: f64) -> Vec<Load> {
-    let mut loads = typical_loads(1_900.0);
-    let typical = (loads[rank - 1].rate)(0);
-    loads[rank - 1].rate = Box::new(move |at| if (5_000..11_500).contains(&at) { factor * typical } else { typical });
+    let mut loads = usual_loads(1_900.0);
+    let usual = (loads[rank - 1].rate)(0);
+    loads[rank - 1].rate = Box::new(move |at| if (5_000..11_500).contains(&at) { factor * usual } else { usual });
     loads
 }
 
 #[test]
 fn tenants_below_their_quotas_are_not_refused() {
     for (instances, halls, total) in [(75, 6, 1_900.0), (12, 6, 450.0), (295, 6, 6_000.0)] {
-        let mut fleet = Fleet::new(Mode::Heads, instances, halls, typical_loads(total), 1);
+        let mut fleet = Fleet::new(Mode::Heads, instances, halls, usual_loads(total), 1);
         let outcomes = fleet.run_until(15_000);
         assert_bounds(&fleet, &outcomes);
         let shortfall = total_shortfall(&fleet, &outcomes);
@@ -56,7 +56,7 @@
 
 #[test]
 fn equal_shares_alone_refuse_small_tenants_below_their_quotas() {
-    let mut fleet = Fleet::new(Mode::EqualShares, 75, 6, typical_loads(1_900.0), 1);
+    let mut fleet = Fleet::new(Mode::EqualShares, 75, 6, usual_loads(1_900.0), 1);
     let outcomes = fleet.run_until(15_000);
     assert_bounds(&fleet, &outcomes);
     assert!(refused(&outcomes) > 0.1, "{}", refused(&outcomes));
@@ -84,8 +84,8 @@
 }
 
 #[test]
-fn callers_on_a_single_instance_get_the_whole_quota() {
-    let mut loads = typical_loads(1_900.0);
+fn callers_on_a_single_instance_are_not_refused_below_the_quota() {
+    let mut loads = usual_loads(1_900.0);
     for load in &mut loads {
         let own = load.name.len() + load.quota.rate as usize;
         load.uses_instance = Box::new(move |number| number == own % 75);
@@ -99,10 +99,10 @@
 
 #[test]
 fn the_quota_holds_when_all_instances_restart_at_once() {
-    let mut loads = typical_loads(1_900.0);
+    let mut loads = usual_loads(1_900.0);
     for rank in [0, 39, 79] {
-        let typical = (loads[rank].rate)(0);
-        loads[rank].rate = Box::new(move |_| 7.5 * typical);
+        let usual = (loads[rank].rate)(0);
+        loads[rank].rate = Box::new(move |_| 7.5 * usual);
     }
     let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads, 3);
     let mut outcomes = fleet.run_until(6_000);
@@ -116,10 +116,10 @@
 #[test]
 fn the_quota_holds_when_all_instances_restart_at_once_for_many_seeds() {
     for seed in 10..18 {
-        let mut loads = typical_loads(1_900.0);
+        let mut loads = usual_loads(1_900.0);
         for rank in [0, 39, 79] {
-            let typical = (loads[rank].rate)(0);
-            loads[rank].rate = Box::new(move |_| 7.5 * typical);
+            let usual = (loads[rank].rate)(0);
+            loads[rank].rate = Box::new(move |_| 7.5 * usual);
         }
         let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads, seed);
         let mut outcomes = fleet.run_until(6_000);
@@ -132,9 +132,9 @@
 }
 
 #[test]
-fn a_lowered_quota_holds_in_each_window_after_the_next() {
+fn a_lowered_quota_holds_in_each_window_that_starts_two_seconds_later() {
     for rank in [1, 20, 80] {
-        let mut fleet = Fleet::new(Mode::Heads, 75, 6, typical_loads(1_900.0), 4);
+        let mut fleet = Fleet::new(Mode::Heads, 75, 6, usual_loads(1_900.0), 4);
         fleet.run_until(6_000);
         let lowered = (fleet.loads[rank - 1].quota.rate / 5.0).max(1.0);
         fleet.set_quota(rank - 1, lowered);
@@ -145,8 +145,8 @@
 }
 
 #[test]
-fn dead_heads_cause_no_refusals_below_the_quotas() {
-    let mut fleet = Fleet::new(Mode::Heads, 75, 6, typical_loads(1_900.0), 5);
+fn killed_heads_cause_no_refusals_below_the_quotas() {
+    let mut fleet = Fleet::new(Mode::Heads, 75, 6, usual_loads(1_900.0), 5);
     fleet.run_until(3_000);
     let heads: Vec<usize> = (0..6).map(|hall| fleet.head(&format!("h-{hall}"))).collect();
     for head in &heads {
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn reports_counted_twice_after_lost_answers_do_not_exceed_the_quota() {
+fn the_quota_holds_when_lost_answers_make_usage_count_twice() {
     let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads_with_surge(10, 7.5), 8);
     fleet.answer_loss = 0.05;
     let outcomes = fleet.run_until(15_000);
@@ -202,7 +202,7 @@
 #[test]
 fn traffic_per_instance_stays_bounded_in_larger_fleets() {
     for (instances, halls, total) in [(12, 6, 450.0), (75, 6, 1_900.0), (295, 6, 6_000.0)] {
-        let mut fleet = Fleet::new(Mode::Heads, instances, halls, typical_loads(total), 9);
+        let mut fleet = Fleet::new(Mode::Heads, instances, halls, usual_loads(total), 9);
         fleet.run_until(10_000);
         let bytes = fleet.bytes as f64 / 10.0 / instances as f64;
         let messages = fleet.messages as f64 / 10.0 / instances as f64;
--- a/tests/quota_steps.rs
+++ b/tests/quota_steps.rs
@@ -4,16 +4,16 @@
 
 mod quota_fleet;
 
-use quota_fleet::{Fleet, Load, Mode, Outcome, check_bound, typical_loads};
+use quota_fleet::{Fleet, Load, Mode, Outcome, check_bound, usual_loads};
 
 /// The operators' slack, requests.
 const SLACK: f64 = 20.0;
 /// When the tenant leaves its usual request rate, milliseconds.
-const RISE: u64 = 3_000;
+const RISE_AT: u64 = 3_000;
 /// When it begins to send the multiple, milliseconds.
-const STEP: u64 = 8_000;
+const STEP_AT: u64 = 8_000;
 /// When it returns to its usual request rate, milliseconds.
-const END: u64 = 13_000;
+const END_AT: u64 = 13_000;
 
 /// A step of the tenant with this rank: factors on its usual request rate before the step and from it on.
 struct Step {
@@ -23,13 +23,13 @@
 }
 
 fn loads(step: &Step) -> Vec<Load> {
-    let mut loads = typical_loads(1_900.0);
-    let typical = (loads[step.rank - 1].rate)(0);
+    let mut loads = usual_loads(1_900.0);
+    let usual = (loads[step.rank - 1].rate)(0);
     let (before, factor) = (step.before, step.factor);
     loads[step.rank - 1].rate = Box::new(move |at| match at {
-        RISE..STEP => before * typical,
-        STEP..END => factor * typical,
-        _ => typical,
+        RISE_AT..STEP_AT => before * usual,
+        STEP_AT..END_AT => factor * usual,
+        _ => usual,
     });
     loads
 }
@@ -47,7 +47,7 @@
 fn simulate(step: &Step, delay: fn(usize, usize, u64) -> u64, seed: u64) -> (Fleet, Vec<Outcome>) {
     let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads(step), seed);
     fleet.extra_delay = Box::new(delay);
-    let outcomes = fleet.run_until(END + 1_000);
+    let outcomes = fleet.run_until(END_AT + 1_000);
     (fleet, outcomes)
 }
 
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_large_tenant_that_suddenly_sends_a_multiple_while_links_are_full_stays_within_its_quota() {
+fn a_large_tenant_that_suddenly_sends_a_multiple_while_links_are_saturated_stays_within_its_quota() {
     for before in [1.0, 2.0] {
         assert_quota_kept(&Step { rank: 1, before, factor: 8.0 }, saturated_links, 0..3);
     }
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -18,8 +18,8 @@
 const QUOTA: Quota = Quota { rate: 10.0, burst: 20.0 };
 const WINDOW: Duration = Duration::from_secs(5);
 /// Time that each report covers.
-const OVER: Duration = Duration::from_millis(200);
-const WHOLE: WindowLimit = WindowLimit { quota: QUOTA, window: WINDOW, slack: 0.0, reachable_fraction: 1.0 };
+const REPORT_PERIOD: Duration = Duration::from_millis(200);
+const WHOLE_QUOTA: WindowLimit = WindowLimit { quota: QUOTA, window: WINDOW, slack: 0.0, reachable_fraction: 1.0 };
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
@@ -38,13 +38,13 @@
 fn all_requests_are_admitted_while_the_window_has_room_and_none_once_it_is_over_full() {
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
-    window.record("a", all_admitted(30), OVER, WHOLE, start);
+    window.record("a", all_admitted(30), REPORT_PERIOD, WHOLE_QUOTA, start);
     let next = start + seconds(1.0);
-    assert_eq!(admit_ratio(&mut window, WHOLE, next), 1.0);
-    window.record("a", all_admitted(50), OVER, WHOLE, next);
-    assert_eq!((window.used(|_| true), admit_ratio(&mut window, WHOLE, next)), (80.0, 0.0));
+    assert_eq!(admit_ratio(&mut window, WHOLE_QUOTA, next), 1.0);
+    window.record("a", all_admitted(50), REPORT_PERIOD, WHOLE_QUOTA, next);
+    assert_eq!((window.used(|_| true), admit_ratio(&mut window, WHOLE_QUOTA, next)), (80.0, 0.0));
     let later = next + seconds(5.5);
-    assert_eq!((admit_ratio(&mut window, WHOLE, later), window.used(|_| true)), (1.0, 0.0));
+    assert_eq!((admit_ratio(&mut window, WHOLE_QUOTA, later), window.used(|_| true)), (1.0, 0.0));
 }
 
 #[test]
@@ -53,10 +53,10 @@
     for offset in 0..50 {
         let mut window = TenantWindow::new(start);
         let at = start + Duration::from_millis(10 * offset);
-        window.record("a", all_admitted(1), OVER, WHOLE, at);
-        admit_ratio(&mut window, WHOLE, at + seconds(4.99));
+        window.record("a", all_admitted(1), REPORT_PERIOD, WHOLE_QUOTA, at);
+        admit_ratio(&mut window, WHOLE_QUOTA, at + seconds(4.99));
         assert_eq!(window.used(|_| true), 1.0);
-        admit_ratio(&mut window, WHOLE, at + seconds(5.51));
+        admit_ratio(&mut window, WHOLE_QUOTA, at + seconds(5.51));
         assert_eq!(window.used(|_| true), 0.0);
     }
 }
@@ -65,10 +65,10 @@
 fn requests_unknown_to_a_new_head_count_as_used() {
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
-    window.record("a", Usage { admitted: 0, offered: 14 }, OVER, WHOLE, start);
-    let ratio = window.admit_ratio(WHOLE, |_| true, Duration::ZERO, start);
+    window.record("a", Usage { admitted: 0, offered: 14 }, REPORT_PERIOD, WHOLE_QUOTA, start);
+    let ratio = window.admit_ratio(WHOLE_QUOTA, |_| true, Duration::ZERO, start);
     assert!((ratio - 10.0 / window.demand()).abs() < 0.01, "{ratio}");
-    let known = window.admit_ratio(WHOLE, |_| true, 2 * WINDOW, start);
+    let known = window.admit_ratio(WHOLE_QUOTA, |_| true, 2 * WINDOW, start);
     // The rest of the window is used up in 1.2 s.
     assert!((known - 70.0 / 1.2 / window.demand()).abs() < 0.01, "{known}");
 }
@@ -77,10 +77,10 @@
 fn unreachable_halls_and_their_part_of_the_quota_do_not_count() {
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
-    window.record("a", all_admitted(30), OVER, WHOLE, start);
-    window.record("b", all_admitted(60), OVER, WHOLE, start);
-    assert_eq!(admit_ratio(&mut window, WHOLE, start), 0.0);
-    let half = WindowLimit { reachable_fraction: 0.5, ..WHOLE };
+    window.record("a", all_admitted(30), REPORT_PERIOD, WHOLE_QUOTA, start);
+    window.record("b", all_admitted(60), REPORT_PERIOD, WHOLE_QUOTA, start);
+    assert_eq!(admit_ratio(&mut window, WHOLE_QUOTA, start), 0.0);
+    let half = WindowLimit { reachable_fraction: 0.5, ..WHOLE_QUOTA };
     assert_eq!(window.used(|hall| hall == "a"), 30.0);
     assert!(window.admit_ratio(half, |hall| hall == "a", 2 * WINDOW, start) > 0.0);
     assert_eq!(window.admit_ratio(half, |hall| hall == "b", 2 * WINDOW, start), 0.0);
@@ -90,8 +90,8 @@
 fn requests_that_no_target_ran_are_subtracted_from_the_window() {
     let start = Instant::now();
     let mut window = TenantWindow::new(start);
-    window.record("a", all_admitted(60), OVER, WHOLE, start);
-    window.record("a", Usage { admitted: -50, offered: 0 }, OVER, WHOLE, start);
+    window.record("a", all_admitted(60), REPORT_PERIOD, WHOLE_QUOTA, start);
+    window.record("a", Usage { admitted: -50, offered: 0 }, REPORT_PERIOD, WHOLE_QUOTA, start);
     assert_eq!(window.used(|_| true), 10.0);
 }
 
@@ -106,15 +106,19 @@
         let mut admitted: Vec<(Instant, f64)> = Vec::new();
         for (wait, offered) in steps {
             now += Duration::from_millis(wait);
-            let ratio = admit_ratio(&mut window, WHOLE, now);
+            let ratio = admit_ratio(&mut window, WHOLE_QUOTA, now);
             let count = (f64::from(offered) * ratio) as u32;
-            window.record("a", Usage { admitted: count as i32, offered }, OVER, WHOLE, now);
+            window.record("a", Usage { admitted: count as i32, offered }, REPORT_PERIOD, WHOLE_QUOTA, now);
             admitted.push((now, count.into()));
             let in_window = admitted.iter().filter(|(at, _)| *at + WINDOW > now).map(|(_, count)| count);
             let in_window: f64 = in_window.sum();
             // One ratio decides on all requests of one moment, and on all that replace those that leave the
             // window at one moment: the requests of two moments may be too many.
-            prop_assert!(in_window <= WHOLE.max_requests() + 2.0 * 11.0, "{in_window} of {}", WHOLE.max_requests());
+            prop_assert!(
+                in_window <= WHOLE_QUOTA.max_requests() + 2.0 * 11.0,
+                "{in_window} of {}",
+                WHOLE_QUOTA.max_requests()
+            );
         }
     }
 
@@ -134,8 +138,8 @@
                 admitted += 1.0;
             }
         }
-        let most = QUOTA.burst.max(members as f64) + QUOTA.rate * (now - start).as_secs_f64();
-        prop_assert!(admitted <= most + 1e-6, "{admitted} of {most}");
+        let max_admitted = QUOTA.burst.max(members as f64) + QUOTA.rate * (now - start).as_secs_f64();
+        prop_assert!(admitted <= max_admitted + 1e-6, "{admitted} of {max_admitted}");
     }
 
     #[test]
@@ -164,22 +168,22 @@
 }
 
 /// Number of `offered` requests at one moment that an instance admits, one of ten members.
-fn admit(own: &mut LocalUsage, tenant: &Rc<str>, offered: usize, now: Instant) -> usize {
+fn admit(usage: &mut LocalUsage, tenant: &Rc<str>, offered: usize, now: Instant) -> usize {
     let fleet = FleetSize { members: 10, is_member: true };
-    let admitted = |_: &usize| own.admit(tenant, QUOTA, fleet, 0.5, now) == Admission::Admitted;
+    let admitted = |_: &usize| usage.admit(tenant, QUOTA, fleet, 0.5, now) == Admission::Admitted;
     (0..offered).filter(admitted).count()
 }
 
 #[test]
 fn an_instance_admits_requests_at_the_answered_ratio() {
     let (start, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
-    let mut own = LocalUsage::default();
+    let mut usage = LocalUsage::default();
     let mut admitted = 0;
     for step in 0..100 {
         let now = start + Duration::from_millis(200 * step);
-        own.begin_report(now);
-        own.take_answer(&UsageAnswer { passes: vec![("t".into(), 0.25)], ..Default::default() }, now);
-        admitted += admit(&mut own, &tenant, 8, now);
+        usage.begin_report(now);
+        usage.apply_answer(&UsageAnswer { passes: vec![("t".into(), 0.25)], ..Default::default() }, now);
+        admitted += admit(&mut usage, &tenant, 8, now);
     }
     assert!((199..=201).contains(&admitted), "{admitted}");
 }
@@ -187,41 +191,41 @@
 #[test]
 fn without_an_answer_a_few_requests_are_admitted_and_then_the_equal_share() {
     let (start, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
-    let mut own = LocalUsage::default();
-    assert_eq!(admit(&mut own, &tenant, 100, start), 3 + 1);
-    assert!(own.has_surge("t"));
-    own.begin_report(start);
-    own.restore_report();
-    assert_eq!(admit(&mut own, &tenant, 100, start), 0);
+    let mut usage = LocalUsage::default();
+    assert_eq!(admit(&mut usage, &tenant, 100, start), 3 + 1);
+    assert!(usage.has_surge("t"));
+    usage.begin_report(start);
+    usage.restore_report();
+    assert_eq!(admit(&mut usage, &tenant, 100, start), 0);
     let later = start + MAX_ANSWER_AGE + seconds(1.0);
-    assert_eq!(admit(&mut own, &tenant, 100, later), 2);
-    own.begin_report(later);
-    own.take_answer(&UsageAnswer::default(), later);
-    own.begin_report(later);
-    own.take_answer(&UsageAnswer::default(), later);
+    assert_eq!(admit(&mut usage, &tenant, 100, later), 2);
+    usage.begin_report(later);
+    usage.apply_answer(&UsageAnswer::default(), later);
+    usage.begin_report(later);
+    usage.apply_answer(&UsageAnswer::default(), later);
     // Five times the number that is reported at once, and at least eight.
-    assert!(admit(&mut own, &tenant, 10_000, later) >= 8);
+    assert!(admit(&mut usage, &tenant, 10_000, later) >= 8);
 }
 
 #[test]
 fn a_request_that_no_target_ran_is_subtracted_in_the_next_report() {
     let (now, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
-    let mut own = LocalUsage::default();
-    admit(&mut own, &tenant, 3, now);
-    own.begin_report(now);
-    own.take_answer(&UsageAnswer::default(), now);
-    own.release("t");
-    assert_eq!(own.begin_report(now), [("t".to_owned(), Usage { admitted: -1, offered: 0 })]);
+    let mut usage = LocalUsage::default();
+    admit(&mut usage, &tenant, 3, now);
+    usage.begin_report(now);
+    usage.apply_answer(&UsageAnswer::default(), now);
+    usage.release("t");
+    assert_eq!(usage.begin_report(now), [("t".to_owned(), Usage { admitted: -1, offered: 0 })]);
 }
 
 #[test]
 fn an_answered_ratio_applies_to_a_tenant_whose_first_request_comes_later() {
     let (now, tenant): (Instant, Rc<str>) = (Instant::now(), "t".into());
-    let mut own = LocalUsage::default();
-    admit(&mut own, &"other".into(), 1, now);
-    own.begin_report(now);
-    own.take_answer(&UsageAnswer { passes: vec![("t".into(), 0.0)], ..Default::default() }, now);
-    assert_eq!(admit(&mut own, &tenant, 5, now), 0);
+    let mut usage = LocalUsage::default();
+    admit(&mut usage, &"other".into(), 1, now);
+    usage.begin_report(now);
+    usage.apply_answer(&UsageAnswer { passes: vec![("t".into(), 0.0)], ..Default::default() }, now);
+    assert_eq!(admit(&mut usage, &tenant, 5, now), 0);
 }
 
 fn member(number: u16, hall: &str) -> Member {
@@ -268,7 +272,7 @@
 }
 
 #[test]
-fn a_head_aggregates_all_halls_and_leaves_the_shares_of_unreachable_instances() {
+fn a_head_aggregates_all_halls_and_leaves_the_shares_of_instances_that_do_not_report() {
     let start = Instant::now();
     let (tenants, members) = (tenants(), members(start));
     let context = context(&tenants, &members);
--- a/tests/registrations.rs
+++ b/tests/registrations.rs
@@ -26,7 +26,7 @@
 }
 
 /// Targets with one that is ejected.
-fn ejected_target(now: Instant) -> Targets {
+fn with_ejected_target(now: Instant) -> Targets {
     let mut targets = Targets::default();
     assert!(register(&mut targets, &registration(1), now));
     let target = targets.get("t").unwrap();
@@ -39,7 +39,7 @@
 #[test]
 fn a_new_version_at_the_same_address_keeps_the_observed_state() {
     let now = Instant::now();
-    let mut targets = ejected_target(now);
+    let mut targets = with_ejected_target(now);
     let first = targets.get("t").unwrap().clone();
     let in_flight = first.begin_request(now);
     let later = TargetRegistration { version: "2".into(), ..registration(2) };
@@ -56,7 +56,7 @@
 #[test]
 fn a_new_address_resets_the_observed_state_but_not_the_slow_start() {
     let now = Instant::now();
-    let mut targets = ejected_target(now);
+    let mut targets = with_ejected_target(now);
     targets.get("t").unwrap().begin_slow_start(Duration::from_secs(3), now);
     let later = TargetRegistration { address: "127.0.0.1:2".parse().unwrap(), ..registration(2) };
     assert!(register(&mut targets, &later, now));
--- a/tests/removed_policies.rs
+++ b/tests/removed_policies.rs
@@ -8,7 +8,7 @@
 use lockloft::decision::registry::change::StateChange;
 use lockloft::policy::{PolicyDocument, Sources};
 use lockloft::store::{Event, Item};
-use scene::{Plain, Scene};
+use scene::{Scene, TestPlatform};
 
 /// The write of a document of revision `revision` at revision `at` of the store.
 fn put(revision: u64, at: u64) -> Event {
@@ -26,7 +26,7 @@
 
 /// Applies an event; returns the revision in force and whether the event was rejected.
 fn apply(scene: &mut Scene, event: Event) -> (u64, bool) {
-    let changes = scene.routing.apply::<Plain>(&[event], scene.now, None);
+    let changes = scene.routing.apply::<TestPlatform>(&[event], scene.now, None);
     let is_rejected = matches!(changes.as_slice(), [StateChange::Refused(_)]);
     (scene.routing.policies_revision(), is_rejected)
 }
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -89,7 +89,7 @@
     key: u64,
     /// When the caller made its first attempt.
     first_attempt: Duration,
-    is_retry: bool,
+    is_second_attempt: bool,
 }
 
 /// A request sent to a target, running or queued there.
@@ -192,7 +192,7 @@
         let mut at = Duration::ZERO;
         while at < end {
             let key = self.random.random_range(0..self.load.keys);
-            self.events.schedule(at, Event::Arrival(Request { key, first_attempt: at, is_retry: false }));
+            self.events.schedule(at, Event::Arrival(Request { key, first_attempt: at, is_second_attempt: false }));
             let gap = -self.random.random::<f64>().max(f64::MIN_POSITIVE).ln() / self.load.rate;
             at += Duration::from_secs_f64(gap);
         }
@@ -348,10 +348,12 @@
     /// Refuses a request; the caller retries once after the time in Retry-After.
     fn refuse(&mut self, request: Request, refusal: Refusal, instance: usize, at: Duration) {
         let median = self.instances[instance].0.routing.median_latency("shop");
-        let room_in = with_jitter(base_wait(median), self.random.random());
-        let wait = refusal.retry_after(room_in);
-        match wait.filter(|_| !request.is_retry) {
-            Some(wait) => self.events.schedule(at + wait, Event::Arrival(Request { is_retry: true, ..request })),
+        let capacity_wait = with_jitter(base_wait(median), self.random.random());
+        let wait = refusal.retry_after(capacity_wait);
+        match wait.filter(|_| !request.is_second_attempt) {
+            Some(wait) => {
+                self.events.schedule(at + wait, Event::Arrival(Request { is_second_attempt: true, ..request }))
+            }
             None => self.outcome.refused += u32::from(self.is_measured(&request)),
         }
     }
--- a/tests/restarted_targets.rs
+++ b/tests/restarted_targets.rs
@@ -51,29 +51,30 @@
 #[test]
 fn no_observed_state_of_an_earlier_start_applies_to_the_next() {
     let now = Instant::now();
-    let cold = TargetRegistration { slow_start_remaining: Duration::from_secs(9), ..registration(Some(1_000), 40) };
-    let (mut targets, _) = register_all(&[cold]);
-    let last = targets.get("t").unwrap().clone();
-    let in_flight = last.begin_request(now);
-    last.record_load_report(LoadReport::parse("4,9,4").unwrap(), now);
-    last.record_latency(Duration::from_secs(5), now);
-    last.mark_replaced();
-    last.begin_grace(now);
+    let in_slow_start =
+        TargetRegistration { slow_start_remaining: Duration::from_secs(9), ..registration(Some(1_000), 40) };
+    let (mut targets, _) = register_all(&[in_slow_start]);
+    let previous = targets.get("t").unwrap().clone();
+    let in_flight = previous.begin_request(now);
+    previous.record_load_report(LoadReport::parse("4,9,4").unwrap(), now);
+    previous.record_latency(Duration::from_secs(5), now);
+    previous.mark_replaced();
+    previous.begin_grace(now);
     assert_eq!(targets.register(&registration(Some(2_000), 1), "a".into(), now), RegistrationOutcome::Accepted);
     let next = targets.get("t").unwrap();
     assert_eq!((next.load(now), next.average_latency()), (0.0, None));
     assert!(!next.is_ejected(now) && !next.is_in_slow_start(now) && !next.has_expired(now));
     drop(in_flight);
-    assert_eq!((last.in_flight(), next.in_flight()), (0, 0));
-    assert_eq!(last.key, next.key, "a request that was sent to the last start is not sent to the next one");
+    assert_eq!((previous.in_flight(), next.in_flight()), (0, 0));
+    assert_eq!(previous.key, next.key, "a request that was sent to the previous start is not sent to the next one");
 }
 
 #[test]
 fn a_removed_target_that_restarts_is_added_by_its_first_registration() {
     let now = Instant::now();
     let (mut targets, _) = register_all(&[registration(Some(1_000), 40)]);
-    let last = targets.get("t").unwrap().clone();
-    targets.remove(&last, now);
+    let previous = targets.get("t").unwrap().clone();
+    targets.remove(&previous, now);
     assert_eq!(targets.register(&registration(Some(1_000), 40), "a".into(), now), RegistrationOutcome::Stale);
     assert_eq!(targets.register(&registration(Some(2_000), 1), "a".into(), now), RegistrationOutcome::Accepted);
     let next = targets.get("t").unwrap().clone();
@@ -112,8 +113,8 @@
     ) {
         let registrations: Vec<_> = writes.iter().map(|(start, sequence)| registration(Some(*start), *sequence)).collect();
         let (targets, _) = register_all(&registrations);
-        let last = registrations.iter().map(TargetRegistration::order).max();
-        prop_assert_eq!(targets.get("t").map(|target| target.order()), last);
+        let latest = registrations.iter().map(TargetRegistration::order).max();
+        prop_assert_eq!(targets.get("t").map(|target| target.order()), latest);
         prop_assert_eq!(targets.of_service("shop").len(), 1);
     }
 }
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -58,9 +58,9 @@
 }
 
 /// A platform whose store values are words separated by spaces.
-pub struct Plain;
+pub struct TestPlatform;
 
-impl Platform for Plain {
+impl Platform for TestPlatform {
     type Store = NoStore;
     fn headers() -> lockloft::platform::HeaderNames {
         unimplemented!("tests with this platform send no requests")
@@ -92,7 +92,7 @@
         let words: Vec<&str> = text.split(' ').collect();
         Ok(match words.as_slice() {
             ["evacuated", hall] => Record::Evacuation((*hall).into()),
-            [hall, slots, state, sequence, cold_ms] => Record::Target(TargetRegistration {
+            [hall, slots, state, sequence, slow_start_ms] => Record::Target(TargetRegistration {
                 id: item.key.as_str().into(),
                 start: None,
                 service: "shop".into(),
@@ -102,7 +102,7 @@
                 slots: slots.parse().unwrap(),
                 state: if *state == "ready" { TargetState::Ready } else { TargetState::Draining },
                 sequence: sequence.parse().unwrap(),
-                slow_start_remaining: Duration::from_millis(cold_ms.parse().unwrap()),
+                slow_start_remaining: Duration::from_millis(slow_start_ms.parse().unwrap()),
             }),
             _ => Record::Unknown,
         })
@@ -204,7 +204,7 @@
     pub fn put(&mut self, key: &str, value: &str) {
         self.revision += 1;
         let item = Item { key: key.to_owned(), value: Bytes::from(value.to_owned()), revision: self.revision };
-        self.routing.apply::<Plain>(&[Event::Put(item)], self.now, None);
+        self.routing.apply::<TestPlatform>(&[Event::Put(item)], self.now, None);
     }
 
     /// Registers an instance in a region.
@@ -221,7 +221,7 @@
     pub fn remove(&mut self, key: &str, grace_until: Option<Instant>) {
         self.revision += 1;
         let event = Event::Delete { key: key.to_owned(), revision: self.revision };
-        self.routing.apply::<Plain>(&[event], self.now, grace_until);
+        self.routing.apply::<TestPlatform>(&[event], self.now, grace_until);
     }
 
     /// Removes all targets.
--- a/tests/target_signals.rs
+++ b/tests/target_signals.rs
@@ -49,7 +49,7 @@
 }
 
 /// Targets with one of this registration that is leaving.
-fn leaving_target(registration: &TargetRegistration) -> Targets {
+fn with_leaving_target(registration: &TargetRegistration) -> Targets {
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.register(registration, "a".into(), now);
     let target = targets.get("t").unwrap().clone();
@@ -68,19 +68,19 @@
 
 #[test]
 fn neither_a_response_without_the_header_nor_a_registration_ends_leaving() {
-    let targets = leaving_target(&registration(None, 1));
+    let targets = with_leaving_target(&registration(None, 1));
     let (target, now) = (targets.get("t").unwrap().clone(), Instant::now());
     target.apply_signals(NO_SIGNALS, 0.0, now, now);
     assert!(target.is_leaving());
     assert!(is_leaving_after(targets, &registration(None, 2)));
     let changed = TargetRegistration { slots: 9, ..registration(None, 2) };
-    assert!(is_leaving_after(leaving_target(&registration(None, 1)), &changed));
+    assert!(is_leaving_after(with_leaving_target(&registration(None, 1)), &changed));
 }
 
 #[test]
-fn a_start_that_registers_again_after_its_removal_is_still_leaving() {
+fn a_target_that_registers_the_same_start_again_after_its_removal_is_still_leaving() {
     for start in [None, Some(5)] {
-        let mut targets = leaving_target(&registration(start, 1));
+        let mut targets = with_leaving_target(&registration(start, 1));
         let target = targets.get("t").unwrap().clone();
         targets.remove(&target, Instant::now());
         assert!(is_leaving_after(targets, &registration(start, 2)), "{start:?}");
@@ -102,10 +102,10 @@
 #[test]
 fn another_start_or_address_inherits_no_signals_and_no_late_responses() {
     let later = registration(Some(2), 1);
-    assert!(!is_leaving_after(leaving_target(&registration(Some(1), 1)), &later));
-    assert!(!is_leaving_after(leaving_target(&registration(None, 1)), &later));
+    assert!(!is_leaving_after(with_leaving_target(&registration(Some(1), 1)), &later));
+    assert!(!is_leaving_after(with_leaving_target(&registration(None, 1)), &later));
     let moved = TargetRegistration { address: "127.0.0.1:2".parse().unwrap(), ..registration(None, 2) };
-    assert!(!is_leaving_after(leaving_target(&registration(None, 1)), &moved));
+    assert!(!is_leaving_after(with_leaving_target(&registration(None, 1)), &moved));
 
     let mut targets = Targets::default();
     let now = Instant::now();
@@ -141,37 +141,37 @@
 
 #[test]
 fn the_latest_end_of_several_pauses_applies() {
-    let (mut known, now) = (Pause::default(), Instant::now());
-    assert!(known.apply(pause_of(3.0), 0.0, now));
-    assert!(!known.apply(pause_of(1.0), 0.0, now + Duration::from_secs(1)), "a later signal with an earlier end");
-    assert_eq!(known.remaining(now + Duration::from_secs(1)), Some(Duration::from_secs(2)));
-    assert!(!known.apply(pause_of(3.0), 0.0, now + Duration::from_secs(2)), "the same pause is extended");
-    assert_eq!(known.remaining(now + Duration::from_secs(2)), Some(Duration::from_secs(3)));
-    assert!(!known.apply(pause_of(0.0), 0.0, now + Duration::from_secs(4)));
-    assert_eq!(known.remaining(now + Duration::from_secs(5)), None);
+    let (mut pause, now) = (Pause::default(), Instant::now());
+    assert!(pause.apply(pause_of(3.0), 0.0, now));
+    assert!(!pause.apply(pause_of(1.0), 0.0, now + Duration::from_secs(1)), "a later signal with an earlier end");
+    assert_eq!(pause.remaining(now + Duration::from_secs(1)), Some(Duration::from_secs(2)));
+    assert!(!pause.apply(pause_of(3.0), 0.0, now + Duration::from_secs(2)), "the same pause is extended");
+    assert_eq!(pause.remaining(now + Duration::from_secs(2)), Some(Duration::from_secs(3)));
+    assert!(!pause.apply(pause_of(0.0), 0.0, now + Duration::from_secs(4)));
+    assert_eq!(pause.remaining(now + Duration::from_secs(5)), None);
 }
 
 #[test]
 fn after_a_pause_one_request_at_a_time_is_sent_until_a_response() {
-    let (mut known, now) = (Pause::default(), Instant::now());
-    known.apply(pause_of(1.0), 0.0, now);
-    known.record_response(now + Duration::from_millis(500));
+    let (mut pause, now) = (Pause::default(), Instant::now());
+    pause.apply(pause_of(1.0), 0.0, now);
+    pause.record_response(now + Duration::from_millis(500));
     let after = now + Duration::from_secs(1);
-    assert!(known.excludes(0, after - Duration::from_millis(1)));
-    assert!(!known.excludes(0, after));
-    assert!(known.excludes(1, after), "a response during the pause belongs to an earlier request");
-    assert!(!known.excludes(1, after + Duration::from_secs(2)), "the request may take minutes");
-    known.record_response(after + Duration::from_millis(200));
-    assert!(!known.excludes(5, after + Duration::from_millis(200)));
+    assert!(pause.excludes(0, after - Duration::from_millis(1)));
+    assert!(!pause.excludes(0, after));
+    assert!(pause.excludes(1, after), "a response during the pause belongs to an earlier request");
+    assert!(!pause.excludes(1, after + Duration::from_secs(2)), "the request may take minutes");
+    pause.record_response(after + Duration::from_millis(200));
+    assert!(!pause.excludes(5, after + Duration::from_millis(200)));
 }
 
 #[test]
 fn pauses_that_begin_together_end_at_different_times_and_never_early() {
     let now = Instant::now();
     let ends = [0.0, 0.5, 0.999].map(|draw| {
-        let mut known = Pause::default();
-        known.apply(pause_of(3.0), draw, now);
-        known.remaining(now).expect("the pause has begun")
+        let mut pause = Pause::default();
+        pause.apply(pause_of(3.0), draw, now);
+        pause.remaining(now).expect("the pause has begun")
     });
     assert!(ends[0] >= Duration::from_secs(3) && ends.is_sorted() && ends[2] > ends[0], "{ends:?}");
     assert!(ends[2] <= Duration::from_secs(4), "{ends:?}");
