--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -8,7 +8,7 @@
 //! | [`registry`] | which targets and instances exist |
 //! | [`selection`] | which targets are eligible, and in which order |
 //! | [`capacity`] | how much load a target receives |
-//! | [`quota`] | how many requests a tenant may send, over all instances |
+//! | [`quota`] | how many requests of a tenant are admitted, over all instances |
 //! | [`refusal`] | which requests are refused, and with which response |
 //! | [`failure`] | what a failure changes |
 //!
@@ -58,14 +58,14 @@
 //! An input "as old as the view" is at most 1.3 s old while the store or a relay responds, and older
 //! while neither does.
 //!
-//! The rules read this state: [`routing`](registry::routing), the contents of the store, which
-//! consists of [`targets`](registry::targets) and [`members`](registry::members) and reports each
-//! [`change`](registry::change); [`target`](registry::target), with a small state for each rule;
-//! [`query`](selection::query), the request to decide on; and [`outcome`](selection::outcome), the
-//! result. Relies on [`crate::model`], [`crate::policy`], [`crate::hash`], [`crate::store`] for
-//! events, and the connection pool of a target in [`crate::net`]. Nothing here waits, sends or, except
-//! when an instance starts, reads the clock: the time is an argument. `docs/DECISIONS.md` lists all
-//! constants and how their values were chosen.
+//! The rules read [`routing`](registry::routing), the state that an instance keeps of the store's
+//! contents, with its [`targets`](registry::targets) and [`members`](registry::members); it reports
+//! each [`change`](registry::change) of them. They also read [`target`](registry::target), which has a
+//! small state for each rule, and [`query`](selection::query), the request to decide on.
+//! [`outcome`](selection::outcome) is the result. Relies on [`crate::model`], [`crate::policy`],
+//! [`crate::hash`], [`crate::store`] for events, and the connection pool of a target in
+//! [`crate::net`]. Nothing here waits, sends or, except when an instance starts, reads the clock: the
+//! time is an argument. `docs/DECISIONS.md` lists all constants and how their values were chosen.
 
 pub mod capacity;
 pub mod failure;
--- a/src/decision/quota/equal_share.rs
+++ b/src/decision/quota/equal_share.rs
@@ -1,5 +1,7 @@
 //! The equal share of a tenant's quota, for an instance without a current answer from a head: a token
-//! bucket with the rate and the burst divided by the number of instances.
+//! bucket with the rate and the burst divided by the number of instances. An instance with a current
+//! answer that has admitted as many requests as it may before the next one also uses the bucket, but
+//! without the burst.
 //!
 //! **Inputs**: the quota; the number of instances in the view, whose age is not bounded while the
 //! store is unreachable.
@@ -16,8 +18,8 @@
 use crate::clock::Instant;
 use crate::model::config::Quota;
 
-/// Number of instances assumed while this one is not among the members: it cannot know then how many
-/// others are in the same state.
+/// Minimum number of instances assumed while this one is not among the members: it cannot know then
+/// how many other instances are missing from the members too.
 const MIN_FLEET_SIZE_IF_NOT_MEMBER: usize = 100;
 
 /// The instances among which a quota is divided.
@@ -30,8 +32,8 @@
 }
 
 impl FleetSize {
-    /// Number of instances by which the quota is divided: at least 1, and at least 100 while this one is
-    /// not a member.
+    /// Number of instances by which the quota is divided: that of the members, but at least 1, and at
+    /// least `MIN_FLEET_SIZE_IF_NOT_MEMBER` while this one is not among them.
     pub fn instances(self) -> f64 {
         let min_instances = if self.is_member { 1 } else { MIN_FLEET_SIZE_IF_NOT_MEMBER };
         self.members.max(min_instances) as f64
--- a/src/decision/quota/hall_demand.rs
+++ b/src/decision/quota/hall_demand.rs
@@ -26,14 +26,15 @@
 /// Time constant of a hall's recent demand, in which growth shows: two reports of instances that report
 /// at the shortest interval.
 const RECENT_TIME_CONSTANT: Duration = Duration::from_millis(100);
-/// Free part of the window at and above which the growth thresholds apply in full (no unit). Below it
-/// they fall in proportion: the less is free, the sooner a step exhausts the quota.
+/// Fraction of the quota in the window that is left, at and above which the growth thresholds apply in
+/// full (no unit). Below it they fall in proportion: the less is left, the sooner a step exhausts the
+/// quota.
 const AMPLE_FREE_FRACTION: f64 = 0.25;
 /// Standard deviations by which growth has to exceed random variation while
-/// [`AMPLE_FREE_FRACTION`] is free (no unit).
+/// [`AMPLE_FREE_FRACTION`] is left (no unit).
 const GROWTH_DEVIATIONS: f64 = 2.5;
 /// Growth of the own hall, in excess of 1, from which other halls are expected to grow while
-/// [`AMPLE_FREE_FRACTION`] is free (factor): smaller changes come from callers that come and go.
+/// [`AMPLE_FREE_FRACTION`] is left (factor): smaller changes come from callers that come and go.
 const MIN_EXCESS_GROWTH: f64 = 0.75;
 /// Maximum growth expected of other halls (factor): a hall that has just received its first callers
 /// shows arbitrarily large growth.
@@ -55,10 +56,12 @@
         Self { per_second: 0.0, time_constant, updated_at }
     }
 
+    /// Fraction of the average that remains after `passed`.
     fn remaining_fraction(&self, passed: Duration) -> f64 {
         (-passed.as_secs_f64() / self.time_constant.as_secs_f64()).exp()
     }
 
+    /// Adds requests that arrived within the last `period`.
     fn add(&mut self, count: f64, period: Duration, now: Instant) {
         let new = count / period.as_secs_f64() * (1.0 - self.remaining_fraction(period));
         self.per_second = self.value_at(now) + new;
@@ -111,8 +114,8 @@
     }
 
     /// The demand expected of all reachable halls, in requests per second, and the number of requests
-    /// estimated to have arrived in the other halls since their last reports. `free` is the part of
-    /// the window that is left, 0 to 1.
+    /// estimated to have arrived in the other halls since their last reports. `free` is the fraction
+    /// of the quota in the window that is left, 0 to 1.
     pub fn estimate(&self, is_reachable: impl Fn(&str) -> bool, free: f64, now: Instant) -> (f64, f64) {
         let Some(own) = self.own.as_deref() else { return (0.0, 0.0) };
         let headroom = (free / AMPLE_FREE_FRACTION).min(1.0);
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -1,16 +1,20 @@
 //! Admission by quota: an instance admits a tenant's requests, evenly spaced, at the ratio that the
 //! head of its hall returned in its last answer. It admits only its equal share of the quota
-//! ([`super::equal_share`]) while the answer is too old, or once too many requests were admitted since.
+//! ([`super::equal_share`]) while the answer is too old, or, without the burst, once it has admitted
+//! too many requests since the last answered report began.
 //!
 //! **Inputs**
 //! - Admit ratios by tenant, from the last answer of a head; up to `MAX_ANSWER_AGE` (1 s) old. All
 //!   requests of a tenant that the answer does not name are admitted.
-//! - Requests of each tenant that arrived here, and those admitted since, counted at once.
+//! - Requests of each tenant that arrived here since the last answered report began, and how many of
+//!   them were admitted; counted at once.
 //! - The quota, from the configuration in force, and the number of instances; as old as the view.
 //!
 //! **Why.** When a tenant suddenly sends a multiple of its usual requests, the head has to know before
-//! the burst is used up. Requests far above the usual number are therefore reported at once, and until
-//! an answer arrives an instance admits five times that number and then only its equal share.
+//! the burst is used up. Unreported requests are therefore reported at once when they reach a
+//! threshold: twice the usual number, and at least 2. Until an answer arrives, an instance admits five
+//! times the threshold, and at least 8, or fewer if the tenant's ratio is below 1; then only its equal
+//! share.
 //!
 //! **Guards** the promises that a tenant's requests stay within its quota, and that a request is
 //! refused immediately instead of being held. **Test**: `tests/quotas.rs`, `tests/quota_replay.rs`.
@@ -23,26 +27,27 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Age of an answer up to which its ratios apply: four times the report interval, so that one lost
+/// Age of an answer up to which its ratios apply: five times the report interval, so that one lost
 /// report and the change to another head have no effect.
 pub const MAX_ANSWER_AGE: Duration = Duration::from_secs(1);
-/// Minimum number of a tenant's unreported requests that is reported at once, however few are usual:
-/// with a lower one, most reports of small tenants would be sent at once.
+/// Minimum number of a tenant's unreported requests from which they are reported at once, however few are
+/// usual: with a lower one, most reports of small tenants would be sent at once.
 const MIN_SURGE_REQUESTS: f64 = 2.0;
 /// Factor on a tenant's usual requests between two reports from which its requests are reported at once.
 const SURGE_FACTOR: f64 = 2.0;
-/// Limit on the requests that are admitted before the next answer: this factor times the number that is
-/// reported at once, but at least [`MAX_BEFORE_ANSWER_FLOOR`]. As many reports may fail while an answer applies.
+/// Maximum number of requests admitted before the next answer, as a multiple of the number from which they
+/// are reported at once; at least [`MAX_BEFORE_ANSWER_FLOOR`]. Five, because up to five reports may fail
+/// while an answer applies.
 const MAX_BEFORE_ANSWER_FACTOR: f64 = 5.0;
 /// See [`MAX_BEFORE_ANSWER_FACTOR`].
 const MAX_BEFORE_ANSWER_FLOOR: f64 = 8.0;
-/// The same for a tenant with an admit ratio below 1: its quota is used up, and every instance may admit as
-/// many requests.
+/// The same for a tenant with an admit ratio below 1, and multiplied by that ratio: the quota is used up,
+/// and every other instance may admit as many requests too.
 const LIMITED_MAX_BEFORE_ANSWER_FACTOR: f64 = 1.0;
 /// See [`LIMITED_MAX_BEFORE_ANSWER_FACTOR`].
 const LIMITED_MAX_BEFORE_ANSWER_FLOOR: f64 = 2.0;
-/// Requests of a tenant that are admitted before the first answer: all instances may be starting, and
-/// none of them knows what was admitted before.
+/// Maximum number of a tenant's requests that are admitted before the first answer: all instances may be
+/// starting, and none of them knows what was admitted before.
 const MAX_BEFORE_FIRST_ANSWER: f64 = 3.0;
 /// Maximum to which a tenant's admit ratio rises with one answer: this factor times the last ratio,
 /// plus [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
@@ -64,13 +69,14 @@
 /// One tenant's requests at this instance.
 #[derive(Debug)]
 struct TenantUsage {
-    /// Requests that were not reported to a head yet.
+    /// Requests that are in no report to a head yet.
     unreported: Usage,
     /// Requests in a report that is not answered yet.
     in_report: Usage,
     /// Average number of requests in an answered report.
     average_offered: f64,
-    /// Part of the requests that is admitted, 0 to 1.
+    /// Part of the requests that is admitted, 0 to 1: the last answered ratio, as far as the bound on its
+    /// rise allows.
     admit_ratio: f64,
     /// Fraction of a request carried over from earlier ones, below 1.
     credit: f64,
@@ -111,6 +117,7 @@
         f64::from(admitted) >= max_admitted
     }
 
+    /// Adds a request's credit; whether that suffices to admit the request, which uses it up.
     fn take_credit(&mut self) -> bool {
         self.credit += self.admit_ratio;
         let is_admitted = self.credit >= 1.0;
@@ -127,7 +134,8 @@
     tenants: HashMap<Rc<str>, TenantUsage>,
     /// The ratios of the last answer, including those of tenants without a request here so far.
     answered_ratios: HashMap<String, f64>,
-    /// When the last answered report was started; later requests are not reported yet.
+    /// When the last report was started that was answered, or counted without its answer being used;
+    /// later requests are not reported yet.
     reported_until: Option<Instant>,
     /// When the report was started that is not answered yet.
     report_started_at: Option<Instant>,
@@ -149,7 +157,8 @@
         usage.unreported.offered = usage.unreported.offered.saturating_add(1);
         let is_admitted = match (is_answered, usage.has_reached_max_before_answer(is_first)) {
             (true, false) => usage.take_credit(),
-            // The burst is for an instance without a current answer: here all others may admit as much.
+            // The burst is only for an instance without a current answer: with one, all others may admit as
+            // many requests at the same moment.
             (true, true) => usage.equal_share.try_take(Quota { burst: 0.0, ..quota }, fleet, now),
             (false, _) => usage.equal_share.try_take(quota, fleet, now),
         };
@@ -238,8 +247,8 @@
         self.answered_ratios.get(tenant).copied().unwrap_or(1.0)
     }
 
-    /// Removes the tenants for which `is_kept` does not hold.
-    pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
-        self.tenants.retain(|name, _| is_kept(name));
+    /// Removes the usage of tenants that no longer have a quota.
+    pub fn retain(&mut self, has_quota: impl Fn(&str) -> bool) {
+        self.tenants.retain(|name, _| has_quota(name));
     }
 }
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -1,16 +1,18 @@
-//! Quotas: limits on the requests of a tenant over all instances together.
+//! Quotas: limits on the number of a tenant's requests that all instances together admit. A request
+//! that was admitted but that no target ran does not count.
 //!
 //! **Rule.** Each instance counts the requests of each tenant and reports them to the *head* of its
 //! hall, the instance that aggregates the hall's reports; heads report to each other. Each head counts
 //! each tenant's requests at all instances in the operators' window, and answers with the ratio at
 //! which to admit a tenant's requests. An instance without a current answer admits its equal share of
-//! the rate, and heads do not grant the shares of instances that do not report.
+//! the quota, as does one that has admitted too many requests since the last answer, but without the
+//! burst. Heads do not grant the shares of instances that do not report.
 //!
 //! | module | purpose |
 //! |---|---|
 //! | [`local_usage`] | admission of requests, and usage that is not reported yet |
-//! | [`equal_share`] | the equal share of an instance without a current answer |
-//! | [`totals`] | usage as a head aggregates it: a window for each tenant, and who is reachable |
+//! | [`equal_share`] | the equal share of an instance that may not admit by ratio |
+//! | [`totals`] | usage as a head aggregates it: a window for each tenant, and which halls and instances are reachable |
 //! | [`tenant_window`] | one tenant's requests in the window, and the ratio at which they are admitted |
 //! | [`hall_demand`] | demand expected of halls without a recent report |
 //! | `outboxes` | usage that is still to be sent to other halls |
@@ -21,11 +23,11 @@
 //! hall and with the halls, not with pairs of instances.
 //!
 //! **Bound.** Over all instances, the requests admitted in any window are at most the rate times the
-//! window, the burst, half of the operators' slack, and the requests admitted beyond the rest of the
-//! window before reports of them take effect (0.2 to 0.5 s). Between two answers an instance admits a
-//! few requests of a tenant ([`local_usage`]). Therefore a small tenant that from one moment to the next
-//! sends 40 times its usual requests can exceed its quota in the window in which that begins, and so
-//! can a large one while saturated links delay reports.
+//! window, the burst, half of the operators' slack, and the requests that are admitted beyond what is
+//! left of the quota in the window, before reports of them take effect (0.2 to 0.5 s). Between two
+//! answers an instance admits a few requests of a tenant ([`local_usage`]). Therefore a small tenant
+//! that from one moment to the next sends 40 times its usual requests can exceed its quota in the
+//! window in which that begins, and so can a large one while saturated links delay reports.
 //!
 //! Nothing here waits or sends. `docs/design/shifted-work.md` compares the alternatives. **Test**:
 //! `tests/quota_replay.rs`, `tests/quota_steps.rs`, `tests/quotas.rs`.
--- a/src/decision/quota/outboxes.rs
+++ b/src/decision/quota/outboxes.rs
@@ -11,7 +11,7 @@
 /// operators' windows.
 const MAX_UNSENT_TIME: Duration = Duration::from_secs(5);
 
-/// Usage that has not been sent to one hall yet.
+/// Usage that is still to be sent to one hall.
 #[derive(Debug)]
 struct Outbox {
     tenants: BTreeMap<String, Usage>,
@@ -19,7 +19,7 @@
     since: Instant,
 }
 
-/// Usage that has not been sent to other halls yet.
+/// Usage that is still to be sent to other halls.
 #[derive(Debug, Default)]
 pub struct Outboxes {
     by_hall: BTreeMap<String, Outbox>,
@@ -50,7 +50,7 @@
         (outbox.tenants.into_iter().collect(), now.saturating_duration_since(outbox.since))
     }
 
-    /// Whether there is usage to send, and none was taken so far.
+    /// Whether there is usage to send and none has ever been taken, so that this will be the first report.
     pub fn is_first_pending(&self) -> bool {
         !self.was_taken && !self.by_hall.is_empty()
     }
--- a/src/decision/quota/tenant_window.rs
+++ b/src/decision/quota/tenant_window.rs
@@ -35,16 +35,16 @@
 
 /// Slots of a window. Requests count for up to one slot longer than the window, never shorter.
 const SLOTS: usize = 20;
-/// Slots from which the rate is computed at which requests leave the window next: two are about the time
-/// until reports arrive.
+/// Number of slots, of those that leave the window next, over which the rate of the requests that leave it
+/// is averaged: two are about the time until reports arrive.
 const EXPIRING_SLOTS: usize = 2;
 /// Time constant of the average demand: long compared with the report interval (0.2 s), short compared
 /// with a window.
 const DEMAND_TIME_CONSTANT: Duration = Duration::from_millis(350);
-/// Minimum time that a report is taken to cover: demand computed over less would be random.
+/// Minimum period that a report is taken to cover: demand computed over less would be random.
 const MIN_COVERED_PERIOD: Duration = Duration::from_millis(100);
-/// Time in which the rest of a window is used up: over twice the time from a request to the ratio that
-/// takes it into account.
+/// Time in which what is left of the quota in the window is used up: over twice the time from a request to
+/// the ratio that takes it into account.
 const FILL_TIME: Duration = Duration::from_millis(1200);
 
 /// A tenant's quota as a limit on the requests in a window.
@@ -105,7 +105,7 @@
     by_hall: HallDemands,
     /// The ratio that was computed last.
     last_ratio: f64,
-    /// Maximum time covered by one report so far, seconds: requests of the first one arrived before
+    /// Maximum period covered by one report so far, seconds: requests of the first one arrived before
     /// `started_at`.
     max_covered_period: f64,
     updated_at: Instant,
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -5,6 +5,9 @@
 //! - Reports of instances of the own hall and of other halls' heads, 0.2 to 0.5 s old.
 //! - The members; as old as the view.
 //!
+//! An instance or a hall is reachable while its last report is younger than `UNREACHABLE_AFTER`. This
+//! instance is always reachable, and at a new head all are for `STARTUP_TIME`.
+//!
 //! **Why.** Instances that do not report admit their equal shares on their own; the rate that the head
 //! grants is reduced by these shares, so that both together keep the quota. A dead member counts as
 //! one that does not report until its lease ends.
@@ -25,26 +28,27 @@
 use std::time::Duration;
 
 /// Time without a report after which an instance or a hall counts as unreachable: twice the time between
-/// two reports of a head, plus some processing time. While a report is late, its part of the quota stays
-/// unused.
+/// two reports of a head, plus some processing time. Its part of the quota is not granted then, and stays
+/// unused if a report was merely late.
 const UNREACHABLE_AFTER: Duration = Duration::from_millis(800);
 /// Time for which a new head treats all others as reachable: two calls to its dead predecessor that time
-/// out, and one report interval. Its answers to its own reports are not used meanwhile if no other
-/// instance reports to it.
+/// out, one report interval, and a margin. Its answers to its own reports are not used while no other
+/// instance reports to it ([`UsageTotals::is_isolated`]).
 const STARTUP_TIME: Duration = Duration::from_millis(1_200);
 /// Time without any report after which the totals are dropped.
 const RESET_AFTER: Duration = Duration::from_secs(2);
-/// Maximum time before its first report for which a new head takes a tenant's usage as known: no other
-/// head has counted those requests, since the previous one was dead.
+/// Maximum time before its first report for which a new head takes all admitted requests as known, namely
+/// those in that report: no other head has counted them, since the previous one was dead.
 const MAX_KNOWN_BEFORE_START: Duration = Duration::from_secs(1);
 /// Time for which [`Reachability`] is not computed again.
 const MAX_REACHABILITY_AGE: Duration = Duration::from_millis(100);
 /// Part of the operators' slack that heads grant (no unit): the rest is left for requests admitted
 /// before reports of them arrive.
 const GRANTED_SLACK: f64 = 0.5;
-/// Unsent requests of a tenant from which another hall is sent a report at once: as many as the hall's
-/// part of the tenant's rate allows in this many seconds, and at least [`MIN_URGENT_REQUESTS`]. A tenant
-/// that uses its whole quota sends less between two reports: what its rate allows in 0.4 s.
+/// Another hall is sent a report at once when a tenant's unsent requests reach the number that the
+/// tenant's rate, divided by the number of halls, allows in this many seconds, but at least
+/// [`MIN_URGENT_REQUESTS`]. A tenant that uses its whole quota stays below that: between two reports it
+/// sends what its rate allows in 0.4 s.
 const URGENT_SECONDS: f64 = 0.5;
 /// See [`URGENT_SECONDS`].
 const MIN_URGENT_REQUESTS: f64 = 4.0;
@@ -84,7 +88,7 @@
     outboxes: Outboxes,
     /// When this instance became head.
     head_since: Option<Instant>,
-    /// Time from which all admitted requests are known.
+    /// Time since which all admitted requests are known.
     complete_since: Option<Instant>,
     /// When the last report arrived.
     last_report_at: Option<Instant>,
@@ -178,8 +182,8 @@
         })
     }
 
-    /// Whether so many requests of a tenant are still to be sent to another hall that it should be done
-    /// at once. For a new head any usage is urgent.
+    /// Whether so many requests of a tenant are still to be reported to another hall that it should be
+    /// sent a report at once. For a new head any usage is urgent.
     pub fn is_forward_urgent(&self, context: QuotaContext<'_>) -> bool {
         let halls = self.reachability.as_ref().map_or(1, |reachability| reachability.halls.len() + 1);
         self.outboxes.is_first_pending()
@@ -190,9 +194,9 @@
             })
     }
 
-    /// Removes the tenants for which `is_kept` does not hold.
-    pub fn retain(&mut self, is_kept: impl Fn(&str) -> bool) {
-        self.windows.retain(|name, _| is_kept(name));
+    /// Removes the windows of tenants that no longer have a quota.
+    pub fn retain(&mut self, has_quota: impl Fn(&str) -> bool) {
+        self.windows.retain(|name, _| has_quota(name));
     }
 
     /// The window of a tenant; `None` if none of its requests were reported.
@@ -200,7 +204,7 @@
         self.windows.get(tenant)
     }
 
-    /// Starts with empty totals after a time without reports. `period` is the time that the first report
+    /// Starts with empty totals after a time without reports. `period` is the one that the first report
     /// covers, whose requests no other head has counted.
     fn reset_if_idle(&mut self, period: Duration, now: Instant) {
         if !self.is_head(now) {
--- a/src/decision/refusal/held_responses.rs
+++ b/src/decision/refusal/held_responses.rs
@@ -13,10 +13,10 @@
 //!   was room.
 //!
 //! **Rule.** A response is read from its target while less of it than `MAX_BYTES_PER_RESPONSE` is held, and
-//! less of all responses than the total bound. Beyond that, as much is read as its caller takes, so that the
-//! target is read at the caller's pace and does not cut the response off. While the total bound is reached,
-//! requests with large responses are refused before they are sent. No response in progress is dropped to
-//! save memory.
+//! less than the total bound of all responses and buffered request bodies. Beyond that, as much is read as
+//! its caller takes, so that the target is read at the caller's pace and does not cut the response off. While
+//! the total bound is reached, requests with large responses are refused before they are sent. No response in
+//! progress is dropped to save memory.
 //!
 //! Owns nothing. **Test**: `tests/held_responses.rs`, `standins/tests/slow_readers.rs`.
 
@@ -24,8 +24,8 @@
 
 /// Maximum bytes held of one response, so that a single caller cannot use up the bound for all.
 const MAX_BYTES_PER_RESPONSE: u64 = 1024 * 1024;
-/// Divisor of the memory limit that gives the bound on all bytes held: less than request bodies may take,
-/// so that these can still be buffered.
+/// Divisor of the memory limit that gives the bound on all bytes held, buffered request bodies included: the
+/// bound is less than request bodies may take, so that these can still be buffered.
 const MEMORY_LIMIT_DIVISOR: u64 = 10;
 /// Maximum time for which a caller may read nothing of a complete response once its deadline has passed, so
 /// that unresponsive callers do not keep memory in use indefinitely.
@@ -37,7 +37,7 @@
 /// part of them in that time.
 pub const HELD_RESPONSES_WAIT: Duration = Duration::from_millis(600);
 
-/// Bounds on the bytes held of responses.
+/// Bounds on the bytes held in memory.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HeldResponseLimits {
     /// Bound for one response, bytes.
@@ -52,14 +52,14 @@
         Self { per_response: MAX_BYTES_PER_RESPONSE, total: memory / MEMORY_LIMIT_DIVISOR }
     }
 
-    /// Whether more may be read of a response of which `own` bytes are held, of `total` in all. `max_held`
-    /// is the largest number of its bytes that were held while there was room.
+    /// Whether more may be read of a response of which `own` bytes are held, with `total` bytes held in
+    /// all. `max_held` is the largest number of its bytes that were held while there was room.
     pub fn may_read(&self, own: u64, total: u64, max_held: u64, caller_waits: bool) -> bool {
         let is_caller_reading = own < max_held || own == 0 && caller_waits;
         is_caller_reading || self.has_room(own, total)
     }
 
-    /// Whether both bounds leave room for more bytes of a response of which `own` are held, of `total` in all.
+    /// Whether both bounds leave room for more bytes of a response of which `own` are held, with `total` in all.
     pub fn has_room(&self, own: u64, total: u64) -> bool {
         own < self.per_response && total < self.total
     }
--- a/src/decision/refusal/retry_after.rs
+++ b/src/decision/refusal/retry_after.rs
@@ -16,7 +16,7 @@
 
 use std::time::Duration;
 
-/// Wait in median latencies (factor).
+/// Wait, as a multiple of the median latency (factor).
 const WAIT_LATENCIES: f64 = 3.0;
 /// Wait while no latency is known.
 const DEFAULT_WAIT: Duration = Duration::from_millis(400);
@@ -25,12 +25,13 @@
 /// Maximum wait before jitter: callers have no more time than this for a request.
 const MAX_WAIT: Duration = Duration::from_secs(2);
 
-/// Wait of a caller whose tenant's quota is used up, before jitter: one second of the rate. A caller that
-/// returns sooner takes the place of another one of the same tenant.
+/// Wait of a caller whose tenant's quota is used up, before jitter: in one second, as many requests become
+/// admissible as the quota's rate says. A caller that returns sooner takes the place of another one of the
+/// same tenant.
 pub const QUOTA_WAIT: Duration = Duration::from_secs(1);
 
 /// Wait of a caller whose request no target accepts because of what the targets themselves announced,
-/// before jitter: one second of their limits.
+/// before jitter: in one second, the targets accept as many further requests as their rate limits say.
 pub const LIMIT_WAIT: Duration = Duration::from_secs(1);
 
 /// Wait until a service with this median latency, in seconds, is likely to have capacity, before jitter.
--- a/src/decision/registry/change.rs
+++ b/src/decision/registry/change.rs
@@ -1,4 +1,5 @@
-//! Changes of the routing state, for the log and for the state that depends on them.
+//! Changes of the routing state. An instance logs them, and then updates what depends on them: splits,
+//! retry budgets, the tenants with a quota, strikes to be reported again, and metrics.
 //!
 //! Owns no state: [`crate::decision::registry::routing::Routing`] reports the effect of each change
 //! of the store.
@@ -50,7 +51,7 @@
         /// True if the request is now refused.
         on: bool,
     },
-    /// The store no longer has the record of this request's strikes.
+    /// The store no longer has a readable record of this request's strikes.
     StrikesExpired(Fingerprint),
     /// A value of the store was refused.
     Refused(RecordError),
--- a/src/decision/registry/members.rs
+++ b/src/decision/registry/members.rs
@@ -14,7 +14,7 @@
 pub struct Members {
     by_name: BTreeMap<String, Member>,
     changed_at: Instant,
-    /// Largest recent member count.
+    /// Recent maximum of the member count.
     recent_max: usize,
     /// Since when there have been fewer members than `recent_max`; `None` if there are not.
     below_max_since: Option<Instant>,
@@ -74,7 +74,8 @@
         }
     }
 
-    /// Largest member count of the last ten seconds.
+    /// The recent maximum of the member count. Once the count has been below it for `RECENT_WINDOW`, it
+    /// drops to the current count.
     pub fn recent_count(&self, now: Instant) -> usize {
         let is_over = self.below_max_since.is_some_and(|since| now.saturating_duration_since(since) >= RECENT_WINDOW);
         if is_over { self.by_name.len() } else { self.by_name.len().max(self.recent_max) }
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -171,8 +171,8 @@
 
     /// Puts later policies in force, all of them or none.
     fn apply_policies(&mut self, item: &Item, document: PolicyDocument) -> Option<StateChange> {
-        let is_first = self.policies_removed_at.is_some_and(|removed| item.revision > removed);
-        if !is_first && self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
+        let is_first_after_removal = self.policies_removed_at.is_some_and(|removed| item.revision > removed);
+        if !is_first_after_removal && self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
             return None;
         }
         match Policies::try_from(&document) {
--- a/src/decision/registry/signals.rs
+++ b/src/decision/registry/signals.rs
@@ -8,7 +8,7 @@
 //!
 //! | signal | applies to | until |
 //! |---|---|---|
-//! | rate limit ([`crate::decision::capacity::rate_limit`]) | all instances together; distributed through heads | responses no longer contain it, or 10 s pass without a new value |
+//! | rate limit ([`crate::decision::capacity::rate_limit`]) | all instances together; distributed through heads | responses no longer contain it, or 10 s after the last response that contained it |
 //! | leaving | each instance that learned of it, from the target or through heads | the end of that start, whatever the target or its registration says later |
 //! | pause ([`crate::decision::failure::pause`]) | the instance whose request was rejected | the requested time is over |
 //!
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -36,7 +36,7 @@
     pub service: Rc<str>,
     /// Name of its hall.
     pub hall: Rc<str>,
-    /// Name of its region, from the settings.
+    /// Name of its region, from the settings; the hall's name if the settings do not list the hall.
     pub region: Rc<str>,
     /// Version of its software.
     pub version: Rc<str>,
@@ -208,7 +208,8 @@
         self.pool.clear();
     }
 
-    /// Whether it is ejected because of failures.
+    /// Whether it gets no request now because of failures: it is ejected, a probe after the ejection is in
+    /// flight, or another target responds at its address.
     pub fn is_ejected(&self, now: Instant) -> bool {
         self.ejection.borrow().is_ejected(self.in_flight(), now)
     }
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -65,8 +65,8 @@
         self.signals.borrow().limit.has_recent_signal(now)
     }
 
-    /// Takes its limit and the demand for it, requests per second, for the next report to a head; `None`
-    /// if there is no recent limit to report.
+    /// Takes the values for the next report to a head: the limit that it last announced to this instance,
+    /// and the demand for the target, requests per second. `None` if there is no recent limit to report.
     pub fn take_limit_report(&self, now: Instant) -> Option<(Option<AnnouncedLimit>, f64)> {
         self.signals.borrow_mut().limit.take_report(now)
     }
@@ -92,17 +92,17 @@
         self.signals.borrow().limit.is_exhausted(now)
     }
 
-    /// Counts a request whose first choice it is, but that its rate limit diverts to another target.
+    /// Counts a request whose first choice it is, but that is diverted to another target by its rate limit.
     pub fn record_limited_demand(&self, now: Instant) {
         self.signals.borrow_mut().limit.record_offered(now);
     }
 
-    /// Whether demand has risen so much since the last report that it should be reported at once.
+    /// Whether demand has risen so much since the last report that the head should be sent one at once.
     pub fn has_demand_surge(&self, now: Instant) -> bool {
         self.signals.borrow().limit.has_surge(now)
     }
 
-    /// Counts a request that is sent against its rate limit.
+    /// Counts a request that is sent to it: in the demand for it, and as use of its rate limit.
     pub(super) fn record_limit_use(&self, now: Instant) {
         let mut signals = self.signals.borrow_mut();
         signals.limit.record_offered(now);
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -63,8 +63,8 @@
 pub enum RegistrationOutcome {
     /// It is in effect.
     Accepted,
-    /// It is ignored: earlier than the last accepted one of its id or, if the target was removed other
-    /// than by an expired grace, the same one.
+    /// It is ignored, because it is earlier than the last accepted one of its id. After a removal the same
+    /// one is ignored too, unless the target was removed because its grace expired.
     Stale,
     /// It has no start time, although an earlier one of its id had.
     MissingStart,
@@ -229,7 +229,8 @@
         self.second_latencies.get(service)
     }
 
-    /// Recomputes the medians; a service whose targets have not responded yet keeps its last one.
+    /// Recomputes the medians. A service keeps its last one while it has no target that has responded,
+    /// or no target at all.
     pub fn update_median_latencies(&mut self) {
         for (service, targets) in &self.by_service {
             let averages = targets.iter().filter_map(|target| target.average_latency()).collect();
