--- a/tests/held_responses.rs
+++ b/tests/held_responses.rs
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_response_whose_caller_waits_is_read_however_much_is_held_for_others() {
+fn a_response_whose_caller_waits_is_read_however_many_bytes_other_responses_hold() {
     let limits = HeldResponseLimits::for_memory(160 * MIB);
     assert!(limits.may_read(0, u64::MAX, 0, true));
     assert!(!limits.may_read(0, 16 * MIB, 0, false));
--- a/tests/quota_fleet/changes.rs
+++ b/tests/quota_fleet/changes.rs
@@ -17,12 +17,13 @@
         self.instances.iter().position(|instance| instance.name == heads[hall].name).unwrap()
     }
 
-    /// Kills an instance. It stays a member until [`Self::remove_member`]; a lease lasts 2.6 s.
+    /// Kills an instance. It stays a member until its lease ends, 2.6 s later, when the test has to call
+    /// [`Self::remove_member`].
     pub fn kill(&mut self, number: usize) {
         self.instances[number].is_up = false;
     }
 
-    /// Removes an instance from the members.
+    /// Removes an instance from the members, as the end of its lease does.
     pub fn remove_member(&mut self, number: usize) {
         let (name, now) = (self.instances[number].name.clone(), self.instant());
         self.members.remove(&name, now);
--- a/tests/quota_fleet/instance.rs
+++ b/tests/quota_fleet/instance.rs
@@ -21,7 +21,7 @@
     pub(super) next_report: u64,
     /// When the last report was sent, milliseconds.
     pub(super) last_report: Option<u64>,
-    /// Whether a report is sent and not answered yet.
+    /// Whether a report was sent whose answer has not arrived yet.
     pub(super) awaits_answer: bool,
     pub(super) next_forward: u64,
     /// Halls to which a report is in flight.
--- a/tests/quota_fleet/load.rs
+++ b/tests/quota_fleet/load.rs
@@ -21,8 +21,8 @@
     }
 }
 
-/// Eighty tenants, a few of them large, each of which sends 0.62 of its quota on average. `total` is the
-/// sum of their requests per second.
+/// Eighty tenants, a few of them large, each of which sends its usual rate, 0.62 of its quota. `total` is
+/// the sum of their requests per second.
 pub fn usual_loads(total: f64) -> Vec<Load> {
     let weights: f64 = (1..=80).map(|rank| 1.0 / f64::from(rank)).sum();
     let load = |rank: u32| {
--- a/tests/quota_fleet/messages.rs
+++ b/tests/quota_fleet/messages.rs
@@ -25,12 +25,14 @@
         to: usize,
         report: UsageReport,
     },
+    /// The answer to a report, on its way to the report's sender `to`.
     Answer {
         to: usize,
         head: SocketAddr,
         report: UsageReport,
         answer: UsageAnswer,
     },
+    /// The failure of a call whose report or answer was lost or late, as its sender `to` sees it.
     Lost {
         to: usize,
         head: SocketAddr,
--- a/tests/quota_fleet/mod.rs
+++ b/tests/quota_fleet/mod.rs
@@ -60,20 +60,25 @@
     pub slack: f64,
     /// Whether a message from one instance to another, by their numbers, is lost at a time.
     pub drops_message: LossRule,
-    /// Additional delay of a message from one instance to another at a time, milliseconds.
+    /// Delay of a message from one instance to another at a time, in addition to the latency, as on saturated
+    /// links; milliseconds.
     pub extra_delay: DelayRule,
     /// Fraction of answers that are lost.
     pub answer_loss: f64,
     pub loads: Vec<Load>,
-    /// Bytes of messages between instances, and number of messages, lost ones included.
+    /// Bytes of reports and answers that were sent, lost ones included.
     pub bytes: usize,
+    /// Number of deliveries and of call failures that were scheduled.
     pub messages: usize,
     tenants: Tenants,
     instances: Vec<Instance>,
     members: Members,
     start: Instant,
+    /// Time since `start`, milliseconds.
     now: u64,
+    /// Messages in flight by the time at which they arrive, then in the order in which they were sent.
     queue: BinaryHeap<Reverse<(u64, usize)>>,
+    /// Messages in flight by number.
     in_flight: HashMap<usize, Message>,
     last_message_number: usize,
     random: StdRng,
--- a/tests/quota_fleet/outcome.rs
+++ b/tests/quota_fleet/outcome.rs
@@ -1,4 +1,4 @@
-//! Outcome of a tenant's requests, and whether its quota held.
+//! Outcome of a tenant's requests, and the check whether its quota held.
 
 use super::WINDOW;
 use lockloft::model::config::Quota;
--- a/tests/quota_replay.rs
+++ b/tests/quota_replay.rs
@@ -1,5 +1,6 @@
-//! Quotas of a simulated fleet, without sockets: requests admitted by all instances in every window, and
-//! requests refused below the quota, under the loads and faults for which the quota rule is made.
+//! Quotas of a simulated fleet, without sockets, under the loads and faults for which the quota rule is
+//! made: in every window, all instances together admit no more than the quota allows, and few requests
+//! below the quota are refused.
 
 mod quota_fleet;
 
@@ -8,6 +9,7 @@
 /// The operators' slack, requests.
 const SLACK: f64 = 20.0;
 
+/// Fraction of all requests that was refused.
 fn refused(outcomes: &[Outcome]) -> f64 {
     let offered: usize = outcomes.iter().map(|outcome| outcome.offered.len()).sum();
     let admitted: usize = outcomes.iter().map(|outcome| outcome.admitted.len()).sum();
@@ -131,6 +133,7 @@
     }
 }
 
+/// Checks the lowered quota in windows that start at least two seconds after the change.
 #[test]
 fn a_lowered_quota_holds_in_each_window_that_starts_two_seconds_later() {
     for rank in [1, 20, 80] {
@@ -163,6 +166,7 @@
     assert!(refused(&outcomes) < 0.001, "{}", refused(&outcomes));
 }
 
+/// Guards against both sides of a partition admitting the whole quota.
 #[test]
 fn the_quota_holds_while_a_hall_is_cut_off() {
     for is_one_way in [false, true] {
@@ -191,6 +195,8 @@
     }
 }
 
+/// If an answer is lost, the usage in its report is reported again and counts twice. Usage is therefore
+/// counted too high, but never too low.
 #[test]
 fn the_quota_holds_when_lost_answers_make_usage_count_twice() {
     let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads_with_surge(10, 7.5), 8);
@@ -212,9 +218,10 @@
 }
 
 /// All registrations are lost at once and restored one by one, six times. Each restored member changes
-/// heads, and a new head does not know that its predecessor limited a tenant: it does not name the tenant,
-/// whose requests are all admitted until they are reported. With five instances in three halls, a tenant
-/// that sends twice its quota had up to 158 requests in 5 s, where 152 are allowed.
+/// heads, and a new head does not know that its predecessor limited a tenant: its answers do not name
+/// the tenant, whose requests are then all admitted until they are reported. With five instances in
+/// three halls, a tenant that sends twice its quota had up to 158 requests in 5 s, where 152 are
+/// allowed.
 #[test]
 fn the_quota_holds_while_registrations_are_lost_and_restored() {
     for gap in [50, 150] {
@@ -235,7 +242,7 @@
 }
 
 /// Removes all members, and adds them again one by one, one every `gap` milliseconds, starting with the
-/// instance `first`. Returns the time at which the simulation stands.
+/// instance `first`. Returns the time up to which the simulation has run.
 fn lose_and_restore_members(
     fleet: &mut Fleet,
     outcomes: &mut [Outcome],
--- a/tests/quota_steps.rs
+++ b/tests/quota_steps.rs
@@ -1,6 +1,6 @@
-//! Steps of a tenant's demand in a simulated fleet, without sockets: a tenant at its usual request rate,
-//! or at its quota for a while, sends a multiple of it from one moment to the next, on free links and on
-//! saturated links that delay messages.
+//! Steps of a tenant's demand in a simulated fleet, without sockets: from one moment to the next, a tenant
+//! sends a multiple of its usual request rate. Before, it sent its usual rate or, for a while, enough to
+//! use up its quota. Links are free, or saturated so that they delay messages.
 
 mod quota_fleet;
 
@@ -34,8 +34,8 @@
     loads
 }
 
-/// Delay on saturated links, milliseconds: at most instances of a third of the halls each message takes
-/// 0.1 to 0.8 s longer, so that most calls time out.
+/// Delay on saturated links, milliseconds. In a third of the halls the links of most instances are saturated:
+/// each message to or from these instances takes 0.1 to 0.8 s longer, so that most calls time out.
 fn saturated_links(from: usize, to: usize, at: u64) -> u64 {
     let is_saturated = |number: usize| number % 6 < 2 && !number.is_multiple_of(5);
     if at < 4_000 || from == to || !(is_saturated(from) || is_saturated(to)) {
--- a/tests/quotas.rs
+++ b/tests/quotas.rs
@@ -17,14 +17,16 @@
 
 const QUOTA: Quota = Quota { rate: 10.0, burst: 20.0 };
 const WINDOW: Duration = Duration::from_secs(5);
-/// Time that each report covers.
+/// Period that each report to a window covers.
 const REPORT_PERIOD: Duration = Duration::from_millis(200);
+/// The limit at a head to which all instances report.
 const WHOLE_QUOTA: WindowLimit = WindowLimit { quota: QUOTA, window: WINDOW, slack: 0.0, reachable_fraction: 1.0 };
 
 fn seconds(seconds: f64) -> Duration {
     Duration::from_secs_f64(seconds)
 }
 
+/// Usage of `count` requests that were all admitted.
 fn all_admitted(count: u32) -> Usage {
     Usage { admitted: count as i32, offered: count }
 }
@@ -69,7 +71,7 @@
     let ratio = window.admit_ratio(WHOLE_QUOTA, |_| true, Duration::ZERO, start);
     assert!((ratio - 10.0 / window.demand()).abs() < 0.01, "{ratio}");
     let known = window.admit_ratio(WHOLE_QUOTA, |_| true, 2 * WINDOW, start);
-    // The rest of the window is used up in 1.2 s.
+    // What is left of the quota in the window is used up in 1.2 s.
     assert!((known - 70.0 / 1.2 / window.demand()).abs() < 0.01, "{known}");
 }
 
@@ -112,8 +114,9 @@
             admitted.push((now, count.into()));
             let in_window = admitted.iter().filter(|(at, _)| *at + WINDOW > now).map(|(_, count)| count);
             let in_window: f64 = in_window.sum();
-            // One ratio decides on all requests of one moment, and on all that replace those that leave the
-            // window at one moment: the requests of two moments may be too many.
+            // All requests of a step are admitted at one ratio, computed before any of them is counted, and
+            // requests leave the window a whole slot at a time. The bound is therefore exceeded by up to the
+            // requests of two steps, at most 11 each.
             prop_assert!(
                 in_window <= WHOLE_QUOTA.max_requests() + 2.0 * 11.0,
                 "{in_window} of {}",
@@ -203,7 +206,7 @@
     usage.apply_answer(&UsageAnswer::default(), later);
     usage.begin_report(later);
     usage.apply_answer(&UsageAnswer::default(), later);
-    // Five times the number that is reported at once, and at least eight.
+    // Five times the number from which requests are reported at once, and at least eight.
     assert!(admit(&mut usage, &tenant, 10_000, later) >= 8);
 }
 
@@ -253,7 +256,7 @@
     Tenants::try_from(vec![tenant("t", Some(QUOTA)), tenant("free", None)]).unwrap()
 }
 
-/// Inputs of the instance `e-1`.
+/// What the totals of the instance `e-1` depend on.
 fn context<'a>(tenants: &'a Tenants, members: &'a Members) -> QuotaContext<'a> {
     QuotaContext { tenants, members, window: WINDOW, slack: 0.0, own: InstanceIdentity { name: "e-1", hall: "a" } }
 }
@@ -284,8 +287,8 @@
     assert_eq!(answer.passes, [("t".to_owned(), 0.0)]);
     assert_eq!(totals.window("t").unwrap().used(|_| true), 75.0);
     assert!(totals.window("free").is_none() && !totals.is_isolated(context, start));
-    // Once e-2 and the other hall are unreachable, a quarter of the quota is left: 17.5 in a window, of
-    // which the own hall used 10.
+    // Once e-2 and the other hall have stopped reporting, this head grants a quarter of the quota: 17.5 in
+    // a window, of which the own hall used 10.
     let mut now = start;
     for _ in 0..20 {
         now += Duration::from_millis(100);
@@ -391,7 +394,7 @@
     assert_eq!((members.count(), members.recent_count(start)), (1, 4));
     let mut totals = UsageTotals::default();
     totals.record_report(&report("e-1", "a", 5), context(&tenants, &members), start);
-    assert!(totals.is_isolated(context(&tenants, &members), start), "the others may still run");
+    assert!(totals.is_isolated(context(&tenants, &members), start), "the removed members may still run");
     members.insert("e-2".to_owned(), member(b'2'.into(), "a"), start + seconds(1.0));
     assert_eq!(members.recent_count(start + seconds(2.0)), 4);
     let later = start + seconds(10.1);
--- a/tests/registrations.rs
+++ b/tests/registrations.rs
@@ -20,12 +20,12 @@
     }
 }
 
-/// Registers a target; whether the registration was accepted.
+/// Registers a target; returns whether the registration was accepted.
 fn register(targets: &mut Targets, registration: &TargetRegistration, now: Instant) -> bool {
     targets.register(registration, "a".into(), now) == RegistrationOutcome::Accepted
 }
 
-/// Targets with one that is ejected.
+/// Targets of which one, `t`, is ejected.
 fn with_ejected_target(now: Instant) -> Targets {
     let mut targets = Targets::default();
     assert!(register(&mut targets, &registration(1), now));
--- a/tests/replay/mod.rs
+++ b/tests/replay/mod.rs
@@ -1,9 +1,10 @@
 //! Discrete-event simulation of a load against the routing rules: no sockets, no processes.
 //!
-//! Simulates instances with a routing each; targets with slots, a queue, a cache of keys and a
-//! fraction of requests that they shed; and callers that retry once, after the time in Retry-After.
-//! Target choice, retries, retry budget and Retry-After come from the library; everything else is
-//! simulated in this file. All randomness follows a seed.
+//! Simulates instances, each with its own routing state; targets with slots, a queue, a cache of keys
+//! and a fraction of requests that they shed; and callers. If a target rejects a request, the instance
+//! makes another try or refuses the request. A caller whose request is refused makes a second attempt
+//! after the time in Retry-After. Target choice, retries of instances, retry budget and Retry-After
+//! come from the library; everything else is simulated in this file. All randomness follows a seed.
 
 use super::scene::{Scene, route};
 use lockloft::clock::Instant;
@@ -47,7 +48,7 @@
     pub cached_keys: usize,
     /// Fraction of its requests that each target sheds after the warm-up, 0 to 1.
     pub shed_ratio: f64,
-    /// Longest queue of a target, requests.
+    /// Queue length from which a target rejects further requests.
     pub max_queue: usize,
     /// Time after which a load report to one instance reaches all instances; `None` if reports are
     /// not shared.
@@ -56,7 +57,7 @@
     pub has_shared_loads: bool,
 }
 
-/// Results of the requests after the warm-up.
+/// Results of the requests after the warm-up, except for the longest queue.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Outcome {
     /// Answered within the objective.
@@ -65,9 +66,9 @@
     pub late: u32,
     /// Refused at the last attempt: without a Retry-After time, or again after it.
     pub refused: u32,
-    /// Requests sent to targets, including retries.
+    /// Requests sent to targets, including retries of instances and second attempts of callers.
     pub sends: u32,
-    /// Longest queue at one target, requests.
+    /// Longest queue at one target, requests; during the warm-up too.
     pub longest_queue: usize,
 }
 
@@ -89,6 +90,7 @@
     key: u64,
     /// When the caller made its first attempt.
     first_attempt: Duration,
+    /// Whether the caller was refused once and has waited for the time in Retry-After.
     is_second_attempt: bool,
 }
 
@@ -345,7 +347,7 @@
         LoadReport { running: target.running, waiting: target.queue.len() as u32, slots: SLOTS, slowdown: None }
     }
 
-    /// Refuses a request; the caller retries once after the time in Retry-After.
+    /// Refuses a request; after its first attempt the caller makes a second one, after the time in Retry-After.
     fn refuse(&mut self, request: Request, refusal: Refusal, instance: usize, at: Duration) {
         let median = self.instances[instance].0.routing.median_latency("shop");
         let capacity_wait = with_jitter(base_wait(median), self.random.random());
--- a/tests/restarted_targets.rs
+++ b/tests/restarted_targets.rs
@@ -23,7 +23,8 @@
     }
 }
 
-/// Applies registrations of one target in this order; the targets, and the outcome of each.
+/// Applies registrations of one target in this order; returns the targets and the outcome of each
+/// registration.
 fn register_all(registrations: &[TargetRegistration]) -> (Targets, Vec<RegistrationOutcome>) {
     let mut targets = Targets::default();
     let now = Instant::now();
--- a/tests/retry_after.rs
+++ b/tests/retry_after.rs
@@ -13,7 +13,7 @@
     assert_eq!(base_wait(0.15), ms(450));
     assert_eq!(base_wait(0.4), ms(1_200));
     assert_eq!(base_wait(0.001), ms(100), "no caller returns within a round trip");
-    assert_eq!(base_wait(60.0), ms(2_000), "no caller waits longer than the time that it has");
+    assert_eq!(base_wait(60.0), ms(2_000), "callers have no more time than this for a request");
     assert_eq!(base_wait(f64::INFINITY), ms(400), "no latency is known yet");
 }
 
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -57,7 +57,7 @@
     Config::new(1, Vec::new(), HashMap::from([("shop".into(), service)]), CallerLimits::default())
 }
 
-/// A platform whose store values are words separated by spaces.
+/// A platform whose store values are words separated by spaces; members and policies are JSON.
 pub struct TestPlatform;
 
 impl Platform for TestPlatform {
@@ -177,6 +177,7 @@
 pub struct Scene {
     pub routing: Routing,
     pub config: Config,
+    /// Revision of the last change of the store.
     pub revision: u64,
     pub now: Instant,
 }
--- a/tests/target_signals.rs
+++ b/tests/target_signals.rs
@@ -48,7 +48,7 @@
     }
 }
 
-/// Targets with one of this registration that is leaving.
+/// Targets of which one, with this registration, is leaving.
 fn with_leaving_target(registration: &TargetRegistration) -> Targets {
     let (mut targets, now) = (Targets::default(), Instant::now());
     targets.register(registration, "a".into(), now);
@@ -61,6 +61,7 @@
     targets
 }
 
+/// Whether the target is leaving after a further registration.
 fn is_leaving_after(mut targets: Targets, registration: &TargetRegistration) -> bool {
     assert_eq!(targets.register(registration, "a".into(), Instant::now()), RegistrationOutcome::Accepted);
     targets.get("t").unwrap().is_leaving()
