--- a/src/decision/quota/tenant_window.rs
+++ b/src/decision/quota/tenant_window.rs
@@ -93,7 +93,7 @@
 /// A tenant's requests in the window, and its demand.
 #[derive(Clone, Debug)]
 pub struct TenantWindow {
-    halls: BTreeMap<String, HallCounts>,
+    counts: BTreeMap<String, HallCounts>,
     /// Number of the current slot, counted from `started_at`.
     slot: u64,
     /// Length of a slot, seconds.
@@ -102,7 +102,7 @@
     /// Exponentially weighted average of requests that arrive, per second; too low at first.
     demand: f64,
     /// Demand by hall, from which that of halls without a recent report is estimated.
-    by_hall: HallDemands,
+    hall_demands: HallDemands,
     /// The ratio that was computed last.
     last_ratio: f64,
     /// Maximum period covered by one report so far, seconds: requests of the first one arrived before
@@ -120,12 +120,12 @@
     /// An empty window, which estimates no other hall's demand.
     pub fn new(now: Instant) -> Self {
         Self {
-            halls: BTreeMap::new(),
+            counts: BTreeMap::new(),
             slot: 0,
             slot_time: 1.0,
             started_at: now,
             demand: 0.0,
-            by_hall: HallDemands::default(),
+            hall_demands: HallDemands::default(),
             last_ratio: 1.0,
             max_covered_period: 0.0,
             updated_at: now,
@@ -134,20 +134,20 @@
 
     /// An empty window at the head of `hall`, which expects growth in its own hall to occur in others too.
     pub fn for_hall(hall: &str, now: Instant) -> Self {
-        Self { by_hall: HallDemands::for_hall(hall), ..Self::new(now) }
+        Self { hall_demands: HallDemands::for_hall(hall), ..Self::new(now) }
     }
 
     /// Counts requests that a hall reported, and which arrived within the last `period`.
     pub fn record(&mut self, hall: &str, usage: Usage, period: Duration, limit: WindowLimit, now: Instant) {
         self.advance(limit, now);
         let slot = self.current_slot();
-        if !self.halls.contains_key(hall) {
-            self.halls.insert(hall.to_owned(), HallCounts::default());
+        if !self.counts.contains_key(hall) {
+            self.counts.insert(hall.to_owned(), HallCounts::default());
         }
-        if let Some(counts) = self.halls.get_mut(hall) {
+        if let Some(counts) = self.counts.get_mut(hall) {
             counts.add(slot, usage.admitted.into());
         }
-        self.by_hall.record(hall, usage.offered, period.max(MIN_COVERED_PERIOD), now);
+        self.hall_demands.record(hall, usage.offered, period.max(MIN_COVERED_PERIOD), now);
         let period = period.max(MIN_COVERED_PERIOD).as_secs_f64();
         self.max_covered_period = self.max_covered_period.max(period);
         self.demand += f64::from(usage.offered) / period * average_weight(period);
@@ -173,7 +173,7 @@
         };
         let reported = self.used(&is_reachable) + unknown;
         let free = if max_requests > 0.0 { (1.0 - reported / max_requests).clamp(0.0, 1.0) } else { 0.0 };
-        let (expected, unreported) = self.by_hall.estimate(&is_reachable, free, now);
+        let (expected, unreported) = self.hall_demands.estimate(&is_reachable, free, now);
         let used = reported + unreported * self.last_ratio;
         let remaining = max_requests - used;
         let unknown_expiring = if unknown > 0.0 { rate } else { 0.0 };
@@ -186,14 +186,14 @@
 
     /// Requests admitted in the window, in halls for which `is_reachable` holds.
     pub fn used(&self, is_reachable: impl Fn(&str) -> bool) -> f64 {
-        let reachable = self.halls.iter().filter(|(hall, _)| is_reachable(hall));
+        let reachable = self.counts.iter().filter(|(hall, _)| is_reachable(hall));
         reachable.map(|(_, counts)| counts.total).sum::<i64>().max(0) as f64
     }
 
     /// Rate at which requests will leave the window next, per second.
     fn expiring_rate(&self, is_reachable: impl Fn(&str) -> bool) -> f64 {
         let next = (1..=EXPIRING_SLOTS).map(|ahead| (self.slot as usize + ahead) % (SLOTS + 1));
-        let reachable = self.halls.iter().filter(|(hall, _)| is_reachable(hall));
+        let reachable = self.counts.iter().filter(|(hall, _)| is_reachable(hall));
         let count: i64 = reachable.map(|(_, counts)| next.clone().map(|slot| counts.slots[slot]).sum::<i64>()).sum();
         count.max(0) as f64 / (EXPIRING_SLOTS as f64 * self.slot_time)
     }
@@ -220,7 +220,7 @@
         let last = slot.min(self.slot + SLOTS as u64 + 1);
         for cleared in first..=last {
             let index = cleared as usize % (SLOTS + 1);
-            self.halls.values_mut().for_each(|counts| counts.clear(index));
+            self.counts.values_mut().for_each(|counts| counts.clear(index));
         }
         self.slot = slot.max(self.slot);
     }
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -101,7 +101,7 @@
     /// Part of the instances that is reachable, 0 to 1.
     fraction: f64,
     /// The other halls.
-    halls: Vec<String>,
+    other_halls: Vec<String>,
     /// Other halls that are not reachable.
     unreachable_halls: Vec<String>,
     computed_at: Instant,
@@ -185,7 +185,7 @@
     /// Whether so many requests of a tenant are still to be reported to another hall that it should be
     /// sent a report at once. For a new head any usage is urgent.
     pub fn is_forward_urgent(&self, context: QuotaContext<'_>) -> bool {
-        let halls = self.reachability.as_ref().map_or(1, |reachability| reachability.halls.len() + 1);
+        let halls = self.reachability.as_ref().map_or(1, |reachability| reachability.other_halls.len() + 1);
         self.outboxes.is_first_pending()
             || (self.is_starting() && !self.outboxes.is_empty())
             || self.outboxes.any(|name, usage| {
@@ -215,7 +215,7 @@
     }
 
     fn add_for_other_halls(&mut self, tenants: &[(String, Usage)], now: Instant) {
-        let halls = self.reachability.as_ref().map_or_else(Vec::new, |reachability| reachability.halls.clone());
+        let halls = self.reachability.as_ref().map_or_else(Vec::new, |reachability| reachability.other_halls.clone());
         for hall in halls {
             self.outboxes.add(&hall, tenants, now);
         }
@@ -242,11 +242,11 @@
         // Members whose registrations ended recently may still run, and admit their equal shares.
         let fraction = reachable as f64 / all as f64;
         let others = context.members.iter().map(|(_, member)| &member.hall).filter(|hall| **hall != *context.own.hall);
-        let halls: BTreeSet<&String> = others.collect();
-        let halls: Vec<String> = halls.into_iter().cloned().collect();
+        let other_halls: BTreeSet<&String> = others.collect();
+        let other_halls: Vec<String> = other_halls.into_iter().cloned().collect();
         let unreachable_halls =
-            halls.iter().filter(|hall| !self.is_reachable("", hall, context, now)).cloned().collect();
-        Reachability { fraction, halls, unreachable_halls, computed_at: now }
+            other_halls.iter().filter(|hall| !self.is_reachable("", hall, context, now)).cloned().collect();
+        Reachability { fraction, other_halls, unreachable_halls, computed_at: now }
     }
 
     fn is_reachable(&self, name: &str, hall: &str, context: QuotaContext<'_>, now: Instant) -> bool {
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -52,7 +52,7 @@
     order: WriteOrder,
     /// Whether its grace expired: it may then register again with the same order.
     has_grace_expired: bool,
-    at: Instant,
+    removed_at: Instant,
     start_key: StartKey,
     /// Signals of that start, which may have lost only its registration and still be running.
     signals: Rc<RefCell<TargetSignals>>,
@@ -204,13 +204,13 @@
     fn replace_with_tombstone(&mut self, target: &Target, has_grace_expired: bool, now: Instant) {
         self.unlink(target);
         let (order, start_key, signals) = (target.order(), target.start_key, target.signals());
-        let tombstone = Tombstone { order, has_grace_expired, at: now, start_key, signals };
+        let tombstone = Tombstone { order, has_grace_expired, removed_at: now, start_key, signals };
         self.tombstones.insert(target.id.clone(), tombstone);
     }
 
     /// Removes tombstones older than `TOMBSTONE_TTL`.
     pub fn remove_old_tombstones(&mut self, now: Instant) {
-        self.tombstones.retain(|_, tombstone| now.saturating_duration_since(tombstone.at) < TOMBSTONE_TTL);
+        self.tombstones.retain(|_, tombstone| now.saturating_duration_since(tombstone.removed_at) < TOMBSTONE_TTL);
     }
 
     /// Targets whose grace has expired without a new registration.
