--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -8,7 +8,7 @@
 //! | [`registry`] | which targets and instances exist |
 //! | [`selection`] | which targets are eligible, and in which order |
 //! | [`capacity`] | how much load a target receives |
-//! | [`quota`] | how many requests a tenant may send, over all instances |
+//! | [`quota`] | how many requests of a tenant are admitted, over all instances |
 //! | [`refusal`] | which requests are refused, and with which response |
 //! | [`failure`] | what a failure changes |
 //!
@@ -52,20 +52,20 @@
 //! | share of callers per instance | [`instance_weight`](selection::instance_weight) | weak machines receive no more requests than they can serve |
 //! | steps of a tenant's demand | [`hall_demand`](quota::hall_demand) | a quota holds before all halls have reported |
 //! | later records replace earlier ones | [`routing`](registry::routing) | an instance never returns to an older configuration |
-//! | bounds on held answers | [`held_answers`](refusal::held_answers) | a caller that reads slowly occupies no slot of a target, and no more memory than the instance has |
+//! | bounds on held responses | [`held_responses`](refusal::held_responses) | a caller that reads slowly occupies no slot of a target, and no more memory than the instance has |
 //! | what a stopping instance accepts | [`stop`](refusal::stop) | no request is lost to a planned stop |
 //!
 //! An input "as old as the view" is at most 1.3 s old while the store or a relay responds, and older
 //! while neither does.
 //!
-//! The rules read this state: [`routing`](registry::routing), the contents of the store, which
-//! consists of [`targets`](registry::targets) and [`members`](registry::members) and reports each
-//! [`change`](registry::change); [`target`](registry::target), with a small state for each rule;
-//! [`query`](selection::query), the request to decide on; and [`outcome`](selection::outcome), the
-//! result. Relies on [`crate::model`], [`crate::policy`], [`crate::hash`], [`crate::store`] for
-//! events, and the connection pool of a target in [`crate::net`]. Nothing here waits, sends or, except
-//! when an instance starts, reads the clock: the time is an argument. `docs/DECISIONS.md` lists all
-//! constants and how their values were chosen.
+//! The rules read [`routing`](registry::routing), the state that an instance keeps of the store's
+//! contents, with its [`targets`](registry::targets) and [`members`](registry::members); it reports
+//! each [`change`](registry::change) of them. They also read [`target`](registry::target), which has a
+//! small state for each rule, and [`query`](selection::query), the request to decide on.
+//! [`outcome`](selection::outcome) is the result. Relies on [`crate::model`], [`crate::policy`],
+//! [`crate::hash`], [`crate::store`] for events, and the connection pool of a target in
+//! [`crate::net`]. Nothing here waits, sends or, except when an instance starts, reads the clock: the
+//! time is an argument. `docs/DECISIONS.md` lists all constants and how their values were chosen.
 
 pub mod capacity;
 pub mod failure;
--- a/src/decision/quota/hall_demand.rs
+++ b/src/decision/quota/hall_demand.rs
@@ -26,14 +26,15 @@
 /// Time constant of a hall's recent demand, in which growth shows: two reports of instances that report
 /// at the shortest interval.
 const RECENT_TIME_CONSTANT: Duration = Duration::from_millis(100);
-/// Free part of the window at and above which the growth thresholds apply in full (no unit). Below it
-/// they fall in proportion: the less is free, the sooner a step exhausts the quota.
-const AMPLE_FREE_PART: f64 = 0.25;
+/// Fraction of the quota in the window that is left, at and above which the growth thresholds apply in
+/// full (no unit). Below it they fall in proportion: the less is left, the sooner a step exhausts the
+/// quota.
+const AMPLE_FREE_FRACTION: f64 = 0.25;
 /// Standard deviations by which growth has to exceed random variation while
-/// [`AMPLE_FREE_PART`] is free (no unit).
+/// [`AMPLE_FREE_FRACTION`] is left (no unit).
 const GROWTH_DEVIATIONS: f64 = 2.5;
 /// Growth of the own hall, in excess of 1, from which other halls are expected to grow while
-/// [`AMPLE_FREE_PART`] is free (factor): smaller changes come from callers that come and go.
+/// [`AMPLE_FREE_FRACTION`] is left (factor): smaller changes come from callers that come and go.
 const MIN_EXCESS_GROWTH: f64 = 0.75;
 /// Maximum growth expected of other halls (factor): a hall that has just received its first callers
 /// shows arbitrarily large growth.
@@ -55,18 +56,20 @@
         Self { per_second: 0.0, time_constant, updated_at }
     }
 
-    fn decay(&self, passed: Duration) -> f64 {
+    /// Fraction of the average that remains after `passed`.
+    fn remaining_fraction(&self, passed: Duration) -> f64 {
         (-passed.as_secs_f64() / self.time_constant.as_secs_f64()).exp()
     }
 
-    fn add(&mut self, count: f64, over: Duration, now: Instant) {
-        let new = count / over.as_secs_f64() * (1.0 - self.decay(over));
+    /// Adds requests that arrived within the last `period`.
+    fn add(&mut self, count: f64, period: Duration, now: Instant) {
+        let new = count / period.as_secs_f64() * (1.0 - self.remaining_fraction(period));
         self.per_second = self.value_at(now) + new;
         self.updated_at = now;
     }
 
     fn value_at(&self, now: Instant) -> f64 {
-        self.per_second * self.decay(now.saturating_duration_since(self.updated_at))
+        self.per_second * self.remaining_fraction(now.saturating_duration_since(self.updated_at))
     }
 }
 
@@ -93,8 +96,8 @@
         Self { own: Some(own.to_owned()), halls: BTreeMap::new() }
     }
 
-    /// Counts requests that arrived in a hall within the last `over`, admitted or not.
-    pub fn record(&mut self, hall: &str, offered: u32, over: Duration, now: Instant) {
+    /// Counts requests that arrived in a hall within the last `period`, admitted or not.
+    pub fn record(&mut self, hall: &str, offered: u32, period: Duration, now: Instant) {
         let own_at_report = self.own_average(now);
         if !self.halls.contains_key(hall) {
             let new = HallDemand {
@@ -105,17 +108,17 @@
             self.halls.insert(hall.to_owned(), new);
         }
         let Some(demand) = self.halls.get_mut(hall) else { return };
-        demand.average.add(offered.into(), over, now);
-        demand.recent.add(offered.into(), over, now);
+        demand.average.add(offered.into(), period, now);
+        demand.recent.add(offered.into(), period, now);
         demand.own_at_report = own_at_report;
     }
 
     /// The demand expected of all reachable halls, in requests per second, and the number of requests
-    /// estimated to have arrived in the other halls since their last reports. `free` is the part of
-    /// the window that is left, 0 to 1.
+    /// estimated to have arrived in the other halls since their last reports. `free` is the fraction
+    /// of the quota in the window that is left, 0 to 1.
     pub fn estimate(&self, is_reachable: impl Fn(&str) -> bool, free: f64, now: Instant) -> (f64, f64) {
         let Some(own) = self.own.as_deref() else { return (0.0, 0.0) };
-        let headroom = (free / AMPLE_FREE_PART).min(1.0);
+        let headroom = (free / AMPLE_FREE_FRACTION).min(1.0);
         let deviations = GROWTH_DEVIATIONS * headroom;
         let current_demand = self.current_demand(own, deviations, now);
         let (mut all, mut unreported) = (current_demand, 0.0);
--- a/src/decision/registry/routing/apply.rs
+++ b/src/decision/registry/routing/apply.rs
@@ -84,8 +84,8 @@
     ) -> Vec<StateChange> {
         let is_kept = |event: &&Event| {
             let removed = || P::decode_removal(event.key());
-            let is_gone = matches!(event, Event::Delete { .. });
-            is_gone && matches!(removed(), RemovedRecord::Member(_) | RemovedRecord::Evacuation(_))
+            let is_removal = matches!(event, Event::Delete { .. });
+            is_removal && matches!(removed(), RemovedRecord::Member(_) | RemovedRecord::Evacuation(_))
         };
         let (kept, others): (Vec<&Event>, Vec<&Event>) = changes.iter().partition(is_kept);
         // Records that were missing from an earlier list already are not among the changes. Without the
@@ -171,8 +171,8 @@
 
     /// Puts later policies in force, all of them or none.
     fn apply_policies(&mut self, item: &Item, document: PolicyDocument) -> Option<StateChange> {
-        let is_first = self.policies_removed_at.is_some_and(|removed| item.revision > removed);
-        if !is_first && self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
+        let is_first_after_removal = self.policies_removed_at.is_some_and(|removed| item.revision > removed);
+        if !is_first_after_removal && self.policies.as_ref().is_some_and(|known| known.revision >= document.revision) {
             return None;
         }
         match Policies::try_from(&document) {
--- a/src/decision/registry/signals.rs
+++ b/src/decision/registry/signals.rs
@@ -8,7 +8,7 @@
 //!
 //! | signal | applies to | until |
 //! |---|---|---|
-//! | rate limit ([`crate::decision::capacity::rate_limit`]) | all instances together; distributed through heads | responses no longer contain it, or 10 s pass without a new value |
+//! | rate limit ([`crate::decision::capacity::rate_limit`]) | all instances together; distributed through heads | responses no longer contain it, or 10 s after the last response that contained it |
 //! | leaving | each instance that learned of it, from the target or through heads | the end of that start, whatever the target or its registration says later |
 //! | pause ([`crate::decision::failure::pause`]) | the instance whose request was rejected | the requested time is over |
 //!
@@ -21,7 +21,7 @@
 //! **Guards** the promises that a target which is leaving, or has requested a pause, receives no new
 //! request.
 //!
-//! **Test**: `tests/statements.rs`, `standins/tests/leaving_statements.rs`,
+//! **Test**: `tests/target_signals.rs`, `standins/tests/leaving_statements.rs`,
 //! `standins/tests/pauses.rs`.
 
 use crate::clock::Instant;
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -52,7 +52,7 @@
     order: WriteOrder,
     /// Whether its grace expired: it may then register again with the same order.
     has_grace_expired: bool,
-    at: Instant,
+    removed_at: Instant,
     start_key: StartKey,
     /// Signals of that start, which may have lost only its registration and still be running.
     signals: Rc<RefCell<TargetSignals>>,
@@ -63,8 +63,8 @@
 pub enum RegistrationOutcome {
     /// It is in effect.
     Accepted,
-    /// It is ignored: earlier than the last accepted one of its id or, if the target was removed other
-    /// than by an expired grace, the same one.
+    /// It is ignored, because it is earlier than the last accepted one of its id. After a removal the same
+    /// one is ignored too, unless the target was removed because its grace expired.
     Stale,
     /// It has no start time, although an earlier one of its id had.
     MissingStart,
@@ -204,13 +204,13 @@
     fn replace_with_tombstone(&mut self, target: &Target, has_grace_expired: bool, now: Instant) {
         self.unlink(target);
         let (order, start_key, signals) = (target.order(), target.start_key, target.signals());
-        let tombstone = Tombstone { order, has_grace_expired, at: now, start_key, signals };
+        let tombstone = Tombstone { order, has_grace_expired, removed_at: now, start_key, signals };
         self.tombstones.insert(target.id.clone(), tombstone);
     }
 
     /// Removes tombstones older than `TOMBSTONE_TTL`.
     pub fn remove_old_tombstones(&mut self, now: Instant) {
-        self.tombstones.retain(|_, tombstone| now.saturating_duration_since(tombstone.at) < TOMBSTONE_TTL);
+        self.tombstones.retain(|_, tombstone| now.saturating_duration_since(tombstone.removed_at) < TOMBSTONE_TTL);
     }
 
     /// Targets whose grace has expired without a new registration.
@@ -229,7 +229,8 @@
         self.second_target_latencies.get(service)
     }
 
-    /// Recomputes the medians; a service whose targets have not responded yet keeps its last one.
+    /// Recomputes the medians. A service keeps its last one while it has no target that has responded,
+    /// or no target at all.
     pub fn update_median_latencies(&mut self) {
         for (service, targets) in &self.by_service {
             let averages = targets.iter().filter_map(|target| target.average_latency()).collect();
--- a/tests/quota_fleet/changes.rs
+++ b/tests/quota_fleet/changes.rs
@@ -17,12 +17,13 @@
         self.instances.iter().position(|instance| instance.name == heads[hall].name).unwrap()
     }
 
-    /// Kills an instance. It stays a member until [`Self::remove_member`]; a lease lasts 2.6 s.
+    /// Kills an instance. It stays a member until its lease ends, 2.6 s later, when the test has to call
+    /// [`Self::remove_member`].
     pub fn kill(&mut self, number: usize) {
         self.instances[number].is_up = false;
     }
 
-    /// Removes an instance from the members.
+    /// Removes an instance from the members, as the end of its lease does.
     pub fn remove_member(&mut self, number: usize) {
         let (name, now) = (self.instances[number].name.clone(), self.instant());
         self.members.remove(&name, now);
@@ -31,7 +32,7 @@
     /// Restarts all instances with empty state; messages in flight are lost.
     pub fn restart_all(&mut self) {
         for instance in &mut self.instances {
-            (instance.own, instance.totals) = (LocalUsage::default(), UsageTotals::default());
+            (instance.local_usage, instance.totals) = (LocalUsage::default(), UsageTotals::default());
             (instance.awaits_answer, instance.is_up) = (false, true);
             instance.forwarding.clear();
             instance.equal_shares.clear();
@@ -43,7 +44,7 @@
     /// Restarts an instance with empty state.
     pub fn restart(&mut self, number: usize) {
         let instance = &mut self.instances[number];
-        (instance.own, instance.totals) = (LocalUsage::default(), UsageTotals::default());
+        (instance.local_usage, instance.totals) = (LocalUsage::default(), UsageTotals::default());
         (instance.awaits_answer, instance.is_up) = (false, true);
         instance.forwarding.clear();
         instance.equal_shares.clear();
--- a/tests/quota_fleet/instance.rs
+++ b/tests/quota_fleet/instance.rs
@@ -14,14 +14,14 @@
     pub(super) name: String,
     pub(super) hall: String,
     pub(super) peer: SocketAddr,
-    pub(super) own: LocalUsage,
+    pub(super) local_usage: LocalUsage,
     pub(super) totals: UsageTotals,
     pub(super) equal_shares: HashMap<Rc<str>, EqualShare>,
     /// When the next report is due, milliseconds.
     pub(super) next_report: u64,
     /// When the last report was sent, milliseconds.
     pub(super) last_report: Option<u64>,
-    /// Whether a report is sent and not answered yet.
+    /// Whether a report was sent whose answer has not arrived yet.
     pub(super) awaits_answer: bool,
     pub(super) next_forward: u64,
     /// Halls to which a report is in flight.
@@ -40,7 +40,7 @@
             name: format!("e-{number}"),
             hall: format!("h-{}", number % halls),
             peer: ([127, 0, 0, 1], 1_000 + number as u16).into(),
-            own: LocalUsage::default(),
+            local_usage: LocalUsage::default(),
             totals: UsageTotals::default(),
             equal_shares: HashMap::new(),
             next_report: random.random_range(0..200),
--- a/tests/quota_fleet/messages.rs
+++ b/tests/quota_fleet/messages.rs
@@ -25,12 +25,14 @@
         to: usize,
         report: UsageReport,
     },
+    /// The answer to a report, on its way to the report's sender `to`.
     Answer {
         to: usize,
         head: SocketAddr,
         report: UsageReport,
         answer: UsageAnswer,
     },
+    /// The failure of a call whose report or answer was lost or late, as its sender `to` sees it.
     Lost {
         to: usize,
         head: SocketAddr,
@@ -63,10 +65,10 @@
     }
 
     pub(super) fn schedule(&mut self, after: u64, message: Message) {
-        self.last_message += 1;
+        self.last_message_number += 1;
         self.messages += 1;
-        self.in_flight.insert(self.last_message, message);
-        self.queue.push(Reverse((self.now + after, self.last_message)));
+        self.in_flight.insert(self.last_message_number, message);
+        self.queue.push(Reverse((self.now + after, self.last_message_number)));
     }
 
     pub(super) fn deliver(&mut self) {
--- a/tests/quota_fleet/mod.rs
+++ b/tests/quota_fleet/mod.rs
@@ -3,7 +3,7 @@
 //!
 //! | file | purpose |
 //! |---|---|
-//! | `load`, `seen` | requests of tenants, and their outcome |
+//! | `load`, `outcome` | requests of tenants, and their outcome |
 //! | `instance` | an instance and its state |
 //! | `changes` | instances that stop, leave, restart and come back |
 //! | `arrivals` | arrival and admission of requests |
@@ -18,11 +18,11 @@
 mod instance;
 mod load;
 mod messages;
+mod outcome;
 mod reports;
-mod seen;
 
-pub use load::{Load, typical_loads};
-pub use seen::{Outcome, check_bound};
+pub use load::{Load, usual_loads};
+pub use outcome::{Outcome, check_bound};
 
 use instance::Instance;
 use lockloft::clock::Instant;
@@ -60,22 +60,27 @@
     pub slack: f64,
     /// Whether a message from one instance to another, by their numbers, is lost at a time.
     pub drops_message: LossRule,
-    /// Additional delay of a message from one instance to another at a time, milliseconds.
+    /// Delay of a message from one instance to another at a time, in addition to the latency, as on saturated
+    /// links; milliseconds.
     pub extra_delay: DelayRule,
     /// Fraction of answers that are lost.
     pub answer_loss: f64,
     pub loads: Vec<Load>,
-    /// Bytes of messages between instances, and number of messages, lost ones included.
+    /// Bytes of reports and answers that were sent, lost ones included.
     pub bytes: usize,
+    /// Number of deliveries and of call failures that were scheduled.
     pub messages: usize,
     tenants: Tenants,
     instances: Vec<Instance>,
     members: Members,
     start: Instant,
+    /// Time since `start`, milliseconds.
     now: u64,
+    /// Messages in flight by the time at which they arrive, then in the order in which they were sent.
     queue: BinaryHeap<Reverse<(u64, usize)>>,
+    /// Messages in flight by number.
     in_flight: HashMap<usize, Message>,
-    last_message: usize,
+    last_message_number: usize,
     random: StdRng,
 }
 
@@ -106,7 +111,7 @@
             now: 0,
             queue: BinaryHeap::new(),
             in_flight: HashMap::new(),
-            last_message: 0,
+            last_message_number: 0,
             random,
         };
         fleet.update_tenants();
@@ -156,6 +161,6 @@
 }
 
 /// Usage in which all requests were admitted.
-pub fn admitted(count: u32) -> Usage {
+pub fn all_admitted(count: u32) -> Usage {
     Usage { admitted: count as i32, offered: count }
 }
--- a/tests/quota_steps.rs
+++ b/tests/quota_steps.rs
@@ -1,19 +1,19 @@
-//! Steps of a tenant's demand in a simulated fleet, without sockets: a tenant at its usual request rate,
-//! or at its quota for a while, sends a multiple of it from one moment to the next, on free links and on
-//! saturated links that delay messages.
+//! Steps of a tenant's demand in a simulated fleet, without sockets: from one moment to the next, a tenant
+//! sends a multiple of its usual request rate. Before, it sent its usual rate or, for a while, enough to
+//! use up its quota. Links are free, or saturated so that they delay messages.
 
 mod quota_fleet;
 
-use quota_fleet::{Fleet, Load, Mode, Outcome, check_bound, typical_loads};
+use quota_fleet::{Fleet, Load, Mode, Outcome, check_bound, usual_loads};
 
 /// The operators' slack, requests.
 const SLACK: f64 = 20.0;
 /// When the tenant leaves its usual request rate, milliseconds.
-const RISE: u64 = 3_000;
+const RISE_AT: u64 = 3_000;
 /// When it begins to send the multiple, milliseconds.
-const STEP: u64 = 8_000;
+const STEP_AT: u64 = 8_000;
 /// When it returns to its usual request rate, milliseconds.
-const END: u64 = 13_000;
+const END_AT: u64 = 13_000;
 
 /// A step of the tenant with this rank: factors on its usual request rate before the step and from it on.
 struct Step {
@@ -23,19 +23,19 @@
 }
 
 fn loads(step: &Step) -> Vec<Load> {
-    let mut loads = typical_loads(1_900.0);
-    let typical = (loads[step.rank - 1].rate)(0);
+    let mut loads = usual_loads(1_900.0);
+    let usual = (loads[step.rank - 1].rate)(0);
     let (before, factor) = (step.before, step.factor);
     loads[step.rank - 1].rate = Box::new(move |at| match at {
-        RISE..STEP => before * typical,
-        STEP..END => factor * typical,
-        _ => typical,
+        RISE_AT..STEP_AT => before * usual,
+        STEP_AT..END_AT => factor * usual,
+        _ => usual,
     });
     loads
 }
 
-/// Delay on saturated links, milliseconds: at most instances of a third of the halls each message takes
-/// 0.1 to 0.8 s longer, so that most calls time out.
+/// Delay on saturated links, milliseconds. In a third of the halls the links of most instances are saturated:
+/// each message to or from these instances takes 0.1 to 0.8 s longer, so that most calls time out.
 fn saturated_links(from: usize, to: usize, at: u64) -> u64 {
     let is_saturated = |number: usize| number % 6 < 2 && !number.is_multiple_of(5);
     if at < 4_000 || from == to || !(is_saturated(from) || is_saturated(to)) {
@@ -47,7 +47,7 @@
 fn simulate(step: &Step, delay: fn(usize, usize, u64) -> u64, seed: u64) -> (Fleet, Vec<Outcome>) {
     let mut fleet = Fleet::new(Mode::Heads, 75, 6, loads(step), seed);
     fleet.extra_delay = Box::new(delay);
-    let outcomes = fleet.run_until(END + 1_000);
+    let outcomes = fleet.run_until(END_AT + 1_000);
     (fleet, outcomes)
 }
 
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn a_large_tenant_that_suddenly_sends_a_multiple_while_links_are_full_stays_within_its_quota() {
+fn a_large_tenant_that_suddenly_sends_a_multiple_while_links_are_saturated_stays_within_its_quota() {
     for before in [1.0, 2.0] {
         assert_quota_kept(&Step { rank: 1, before, factor: 8.0 }, saturated_links, 0..3);
     }
--- a/tests/scene/mod.rs
+++ b/tests/scene/mod.rs
@@ -36,7 +36,7 @@
         affinity: true,
         allowed_regions: Vec::new(),
         is_public: false,
-        large_answers: false,
+        large_responses: false,
     }
 }
 
@@ -57,10 +57,10 @@
     Config::new(1, Vec::new(), HashMap::from([("shop".into(), service)]), CallerLimits::default())
 }
 
-/// A platform whose store values are words separated by spaces.
-pub struct Plain;
+/// A platform whose store values are words separated by spaces; members and policies are JSON.
+pub struct TestPlatform;
 
-impl Platform for Plain {
+impl Platform for TestPlatform {
     type Store = NoStore;
     fn headers() -> lockloft::platform::HeaderNames {
         unimplemented!("tests with this platform send no requests")
@@ -92,7 +92,7 @@
         let words: Vec<&str> = text.split(' ').collect();
         Ok(match words.as_slice() {
             ["evacuated", hall] => Record::Evacuation((*hall).into()),
-            [hall, slots, state, sequence, cold_ms] => Record::Target(TargetRegistration {
+            [hall, slots, state, sequence, slow_start_ms] => Record::Target(TargetRegistration {
                 id: item.key.as_str().into(),
                 start: None,
                 service: "shop".into(),
@@ -102,7 +102,7 @@
                 slots: slots.parse().unwrap(),
                 state: if *state == "ready" { TargetState::Ready } else { TargetState::Draining },
                 sequence: sequence.parse().unwrap(),
-                slow_start_remaining: Duration::from_millis(cold_ms.parse().unwrap()),
+                slow_start_remaining: Duration::from_millis(slow_start_ms.parse().unwrap()),
             }),
             _ => Record::Unknown,
         })
@@ -177,6 +177,7 @@
 pub struct Scene {
     pub routing: Routing,
     pub config: Config,
+    /// Revision of the last change of the store.
     pub revision: u64,
     pub now: Instant,
 }
@@ -204,7 +205,7 @@
     pub fn put(&mut self, key: &str, value: &str) {
         self.revision += 1;
         let item = Item { key: key.to_owned(), value: Bytes::from(value.to_owned()), revision: self.revision };
-        self.routing.apply::<Plain>(&[Event::Put(item)], self.now, None);
+        self.routing.apply::<TestPlatform>(&[Event::Put(item)], self.now, None);
     }
 
     /// Registers an instance in a region.
@@ -221,7 +222,7 @@
     pub fn remove(&mut self, key: &str, grace_until: Option<Instant>) {
         self.revision += 1;
         let event = Event::Delete { key: key.to_owned(), revision: self.revision };
-        self.routing.apply::<Plain>(&[event], self.now, grace_until);
+        self.routing.apply::<TestPlatform>(&[event], self.now, grace_until);
     }
 
     /// Removes all targets.
