--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -24,7 +24,7 @@
     }
     /// Whether requests behind this one may begin before it has its response. True only for a request
     /// that may run more than once: otherwise its caller may rely on the order.
-    fn allows_pipelining(&self, _head: &Parts) -> bool {
+    fn allows_early_requests_behind(&self, _head: &Parts) -> bool {
         false
     }
     /// Whether the instance is stopping: connections then close with the response to the last request
--- a/src/net/server/read_ahead/head.rs
+++ b/src/net/server/read_ahead/head.rs
@@ -45,7 +45,7 @@
 
 /// Whether only another request can follow the end of this one: it is HTTP/1.1 and cannot change the
 /// protocol of the connection.
-pub fn allows_pipelining(parts: &Parts) -> bool {
+pub fn only_requests_can_follow(parts: &Parts) -> bool {
     let may_upgrade = parts.method == Method::CONNECT || parts.headers.contains_key(UPGRADE);
     parts.version == Version::HTTP_11 && !may_upgrade
 }
--- a/src/net/server/read_ahead/queue.rs
+++ b/src/net/server/read_ahead/queue.rs
@@ -48,7 +48,7 @@
     /// Whether the last early request closes the connection, so that all bytes behind it are ignored.
     has_closing_request: bool,
     /// Whether requests behind the current one may begin before it has its response.
-    allows_pipelining: bool,
+    early_requests_allowed: bool,
     /// Whether the current request has its response.
     has_response: bool,
     /// Whether the connection closes after the current request, so that all bytes behind it are ignored.
@@ -69,7 +69,7 @@
             early_requests: VecDeque::new(),
             deferred: None,
             has_closing_request: false,
-            allows_pipelining: false,
+            early_requests_allowed: false,
             has_response: false,
             is_closing: false,
         }
@@ -90,7 +90,7 @@
     }
 
     /// Number of bytes that may still be read ahead.
-    pub(super) fn remaining_capacity(&self) -> usize {
+    pub(super) fn remaining_room(&self) -> usize {
         if self.handler.is_stopping() {
             return 0;
         }
@@ -143,7 +143,7 @@
 
     /// The next head, which ends at `end`, if its request may begin before its turn.
     fn parse_early_request(&self, end: usize) -> Option<Parts> {
-        if !self.allows_pipelining {
+        if !self.early_requests_allowed {
             return None;
         }
         let parts = head::parse(&self.buffer.bytes()[self.queued_bytes..end])?;
@@ -181,7 +181,8 @@
         self.head_scanner = HeadScanner::default();
         self.has_response = false;
         self.is_closing |= head::closes_connection(&parts.headers);
-        self.allows_pipelining = head::allows_pipelining(parts) && self.handler.allows_pipelining(parts);
+        self.early_requests_allowed =
+            head::only_requests_can_follow(parts) && self.handler.allows_early_requests_behind(parts);
         let head_read_at = self.head_read_at.take();
         let early_request = self.early_requests.pop_front().filter(|early| early.matches(parts));
         if early_request.is_none() {
--- a/src/net/server/read_ahead/stream.rs
+++ b/src/net/server/read_ahead/stream.rs
@@ -42,17 +42,17 @@
         Self { io: TokioIo::new(socket), progress, queue, disconnect_check: None }
     }
 
-    /// Reads at most `max_bytes` bytes and passes them to `consume`; returns their number.
+    /// Reads at most `max_bytes` bytes and passes them to `on_read`; returns their number.
     fn read_some(
         &mut self,
         context: &mut Context<'_>,
         max_bytes: usize,
-        consume: impl FnOnce(&mut Queue<H>, &[u8]),
+        on_read: impl FnOnce(&mut Queue<H>, &[u8]),
     ) -> Poll<io::Result<usize>> {
         let mut space = [MaybeUninit::uninit(); READ_SIZE];
         let mut read = ReadBuf::uninit(&mut space[..max_bytes.min(READ_SIZE)]);
         ready!(Pin::new(self.io.inner_mut()).poll_read(context, &mut read))?;
-        consume(&mut self.queue.borrow_mut(), read.filled());
+        on_read(&mut self.queue.borrow_mut(), read.filled());
         Poll::Ready(Ok(read.filled().len()))
     }
 
@@ -118,14 +118,14 @@
         loop {
             self.queue.borrow_mut().begin_early_requests();
             let discards = self.queue.borrow_mut().discards_input();
-            let capacity = if discards { READ_SIZE } else { self.queue.borrow().remaining_capacity() };
-            if capacity == 0 {
+            let max_bytes = if discards { READ_SIZE } else { self.queue.borrow().remaining_room() };
+            if max_bytes == 0 {
                 ready!(self.poll_disconnect(context));
                 self.queue.borrow_mut().close();
                 return Poll::Ready(Ok(()));
             }
             self.disconnect_check = None;
-            let read = ready!(self.read_some(context, capacity, |queue, bytes| {
+            let read = ready!(self.read_some(context, max_bytes, |queue, bytes| {
                 if !discards {
                     queue.buffer.add(bytes, Instant::now());
                 }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -94,7 +94,7 @@
         !self.is_stopping() && self.has_memory_for_early_response() && self.has_route_where(head, may_begin)
     }
 
-    fn allows_pipelining(&self, head: &Parts) -> bool {
+    fn allows_early_requests_behind(&self, head: &Parts) -> bool {
         self.has_route_where(head, is_idempotent)
     }
 
--- a/tests/pipelined/mod.rs
+++ b/tests/pipelined/mod.rs
@@ -169,7 +169,7 @@
         !self.is_stopping.get() && head.uri.path().starts_with("/safe/")
     }
 
-    fn allows_pipelining(&self, head: &Parts) -> bool {
+    fn allows_early_requests_behind(&self, head: &Parts) -> bool {
         head.uri.path().starts_with("/safe/")
     }
 
