--- a/src/net/request_body.rs
+++ b/src/net/request_body.rs
@@ -28,7 +28,7 @@
 pub enum BodyError {
     /// The connection that the body is read from failed.
     #[error("the connection of the body failed: {0}")]
-    Broken(#[from] hyper::Error),
+    ConnectionFailed(#[from] hyper::Error),
     /// The body was not complete by its deadline.
     #[error("the body was not complete before its deadline")]
     TimedOut,
@@ -44,7 +44,7 @@
     /// Name of the error in log lines and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
-            BodyError::Broken(_) => "broken",
+            BodyError::ConnectionFailed(_) => "broken",
             BodyError::TimedOut => "late",
             BodyError::Unread => "unread",
             BodyError::TooLarge => "too-large",
@@ -68,7 +68,7 @@
 pub struct StreamedBody {
     prefix: VecDeque<Bytes>,
     /// Counts the prefix while it is in memory.
-    prefix_bytes: BufferedBytes,
+    buffered: BufferedBytes,
     rest: Option<Incoming>,
     /// Bytes of the rest that may still arrive.
     allowance: u64,
@@ -76,10 +76,10 @@
 }
 
 impl StreamedBody {
-    /// A body of which `prefix` was already read, counted by `prefix_bytes`, and of which at most
+    /// A body of which `prefix` was already read, counted by `buffered`, and of which at most
     /// `allowance` further bytes may arrive.
-    pub fn new(prefix: VecDeque<Bytes>, prefix_bytes: BufferedBytes, rest: Incoming, allowance: u64) -> Self {
-        Self { prefix, prefix_bytes, rest: Some(rest), allowance, finished: Rc::new(Cell::new(false)) }
+    pub fn new(prefix: VecDeque<Bytes>, buffered: BufferedBytes, rest: Incoming, allowance: u64) -> Self {
+        Self { prefix, buffered, rest: Some(rest), allowance, finished: Rc::new(Cell::new(false)) }
     }
 
     /// Flag that is set once the last byte was passed to the target's connection.
@@ -152,7 +152,7 @@
 impl StreamedBody {
     fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(chunk) = self.prefix.pop_front() {
-            self.prefix_bytes.release(chunk.len() as u64);
+            self.buffered.release(chunk.len() as u64);
             self.mark_finished();
             return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -19,7 +19,7 @@
 use std::rc::Rc;
 
 /// Smallest read buffer that hyper accepts, bytes.
-const MIN_HEAD_BUFFER_SIZE: usize = 8 * 1024;
+const MIN_READ_BUFFER_SIZE: usize = 8 * 1024;
 
 /// Serves one connection until it ends.
 pub async fn serve<S: Socket, H: Handler>(socket: S, handler: Rc<H>) {
@@ -41,7 +41,7 @@
         }
     });
     let mut builder = http1::Builder::new();
-    builder.max_buf_size(limits.head_bytes.max(MIN_HEAD_BUFFER_SIZE));
+    builder.max_buf_size(limits.head_bytes.max(MIN_READ_BUFFER_SIZE));
     let connection = pin!(builder.serve_connection(stream, service));
     handler.count_connections(1);
     run(connection, &progress, &limits).await;
--- a/src/net/whole_body.rs
+++ b/src/net/whole_body.rs
@@ -38,7 +38,7 @@
     TooLarge(usize),
     /// The connection failed.
     #[error(transparent)]
-    Broken(#[from] hyper::Error),
+    ConnectionFailed(#[from] hyper::Error),
 }
 
 /// Reads a body to its end.
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -95,7 +95,7 @@
                     return Ok(response);
                 }
                 Err(error) => {
-                    if matches!(error, TryError::NoResponse) {
+                    if matches!(error, TryError::ConnectionLost) {
                         record_lost_connection(self.request, &target, strikes).await;
                     }
                     self.record_failure(error, &target);
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -132,7 +132,7 @@
             }
             ResponseError::NotExecuted if has_free_slot(report) && !target.is_paused(Instant::now()) => TryError::Shed,
             ResponseError::NotExecuted => TryError::NotExecuted,
-            ResponseError::WrongRequestId | ResponseError::Unsigned => self.fail(TryError::Lost),
+            ResponseError::WrongRequestId | ResponseError::Unsigned => self.fail(TryError::UnusableResponse),
         }
     }
 
@@ -144,8 +144,8 @@
             match connection.send(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(SendError::Unsent(unsent)) => request = *unsent,
-                Err(SendError::ConnectionLost) => return Err(self.fail(TryError::NoResponse)),
-                Err(SendError::InvalidResponse) => return Err(self.fail(TryError::Lost)),
+                Err(SendError::ConnectionLost) => return Err(self.fail(TryError::ConnectionLost)),
+                Err(SendError::InvalidResponse) => return Err(self.fail(TryError::UnusableResponse)),
             }
         }
         self.send_over_new_connection(request).await
@@ -165,8 +165,8 @@
         match connection.send(request).await {
             Ok(response) => Ok((response, connection)),
             Err(SendError::Unsent(unsent)) => Err(TryError::Unreachable(unsent)),
-            Err(SendError::ConnectionLost) => Err(self.fail(TryError::NoResponse)),
-            Err(SendError::InvalidResponse) => Err(self.fail(TryError::Lost)),
+            Err(SendError::ConnectionLost) => Err(self.fail(TryError::ConnectionLost)),
+            Err(SendError::InvalidResponse) => Err(self.fail(TryError::UnusableResponse)),
         }
     }
 
@@ -196,7 +196,7 @@
         remove_hop_by_hop(&mut parts.headers);
         let Ok(read) = read_body(incoming).await else {
             self.record_failure();
-            return Err(TryError::Lost);
+            return Err(TryError::UnusableResponse);
         };
         if parts.status.is_server_error() {
             self.record_failure();
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_answer/buffer.rs
@@ -23,18 +23,18 @@
     blocks: VecDeque<Bytes>,
     /// Block under construction, of small chunks that follow `blocks`.
     tail: BytesMut,
-    held: BufferedBytes,
+    buffered: BufferedBytes,
 }
 
 impl AnswerBuffer {
     /// An empty buffer whose bytes are counted in `total`.
     pub fn new(total: &Rc<BufferTotal>) -> Self {
-        Self { blocks: VecDeque::new(), tail: BytesMut::new(), held: BufferedBytes::new(total) }
+        Self { blocks: VecDeque::new(), tail: BytesMut::new(), buffered: BufferedBytes::new(total) }
     }
 
     /// Bytes in this buffer.
     pub fn len(&self) -> u64 {
-        self.held.bytes()
+        self.buffered.bytes()
     }
 
     /// Whether the buffer is empty.
@@ -44,7 +44,7 @@
 
     /// Bytes of all bodies that count towards the same total.
     pub fn total(&self) -> u64 {
-        self.held.total()
+        self.buffered.total()
     }
 
     /// Appends a chunk.
@@ -53,7 +53,7 @@
             return;
         }
         let was_empty = self.is_empty();
-        self.held.add(chunk.len() as u64);
+        self.buffered.add(chunk.len() as u64);
         if chunk.len() < SMALL_CHUNK && !was_empty {
             self.append_to_tail(&chunk);
         } else {
@@ -72,7 +72,7 @@
         if block.is_empty() {
             self.blocks.pop_front();
         }
-        self.held.release(part.len() as u64);
+        self.buffered.release(part.len() as u64);
         Some(part)
     }
 
@@ -80,7 +80,7 @@
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.tail = BytesMut::new();
-        self.held.release(self.held.bytes());
+        self.buffered.release(self.buffered.bytes());
     }
 
     fn append_to_tail(&mut self, chunk: &[u8]) {
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_answer/reader.rs
@@ -124,7 +124,7 @@
         while !self.shared.may_read(&self.held_answers.limits) {
             let (own, _) = self.shared.held_bytes();
             tokio::select! {
-                () = self.shared.consumed() => {}
+                () = self.shared.caller_polled() => {}
                 () = total.freed(), if !limits.is_full(own) => {}
             }
         }
@@ -152,7 +152,7 @@
     async fn wait_until_consumed(self, deadline: Instant) {
         let mut give_up_at = deadline.max(Instant::now()) + CALLER_IDLE_TIMEOUT;
         while !self.shared.is_consumed() {
-            if timeout_at(give_up_at, self.shared.consumed()).await.is_err() {
+            if timeout_at(give_up_at, self.shared.caller_polled()).await.is_err() {
                 return self.drop_unread();
             }
             give_up_at = give_up_at.max(Instant::now() + CALLER_IDLE_TIMEOUT);
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_answer/shared.rs
@@ -41,14 +41,14 @@
 #[derive(Debug)]
 pub struct SharedAnswer {
     state: RefCell<State>,
-    consumed: Notify,
+    caller_polled: Notify,
 }
 
 impl SharedAnswer {
     /// A response without bytes yet, counted in `total`.
     pub fn new(total: &Rc<BufferTotal>, progress: ReadProgress) -> Self {
         let state = State { buffer: AnswerBuffer::new(total), trailers: None, max_held: 0, progress, waker: None };
-        Self { state: RefCell::new(state), consumed: Notify::new() }
+        Self { state: RefCell::new(state), caller_polled: Notify::new() }
     }
 
     /// Appends bytes that were read.
@@ -79,7 +79,7 @@
     /// broke: the caller still gets the bytes that arrived before.
     pub fn abort(&self, error: BodyError) {
         let mut state = self.state.borrow_mut();
-        if !matches!(error, BodyError::Broken(_)) {
+        if !matches!(error, BodyError::ConnectionFailed(_)) {
             state.buffer.clear();
         }
         state.progress = ReadProgress::Aborted(Some(error));
@@ -103,21 +103,21 @@
     }
 
     /// Returns once the caller's side has taken bytes or begun to wait.
-    pub async fn consumed(&self) {
-        self.consumed.notified().await;
+    pub async fn caller_polled(&self) {
+        self.caller_polled.notified().await;
     }
 
     /// The next frame for the caller.
     pub fn poll_frame(&self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let mut state = self.state.borrow_mut();
         if let Some(part) = state.buffer.take_part() {
-            self.consumed.notify_one();
+            self.caller_polled.notify_one();
             return Poll::Ready(Some(Ok(Frame::data(part))));
         }
         match &mut state.progress {
             ReadProgress::Reading(_) => {
                 state.waker = Some(context.waker().clone());
-                self.consumed.notify_one();
+                self.caller_polled.notify_one();
                 Poll::Pending
             }
             ReadProgress::Complete => Poll::Ready(state.trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))),
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -117,8 +117,8 @@
 /// Whether more of a body of at least `min_size` bytes is buffered: all of a small one, and of a
 /// larger one the prefix that its fingerprint covers.
 fn may_buffer_more(buffered: &BufferedBytes, min_size: u64, max_total: u64) -> bool {
-    let is_buffered = min_size <= MAX_BUFFERED_BODY;
-    (is_buffered || buffered.bytes() < STREAMED_PREFIX_BYTES as u64) && has_room(buffered, max_total)
+    let is_small = min_size <= MAX_BUFFERED_BODY;
+    (is_small || buffered.bytes() < STREAMED_PREFIX_BYTES as u64) && has_room(buffered, max_total)
 }
 
 /// Whether more of this body may be buffered, with at most `max_total` bytes of all bodies.
--- a/src/proxy/try_error.rs
+++ b/src/proxy/try_error.rs
@@ -20,12 +20,12 @@
     Shed,
     /// The response cannot be passed on; the request may have run.
     #[error("the response cannot be passed on and the request may have run; repeat it only if its route is safe")]
-    Lost,
+    UnusableResponse,
     /// The connection closed before a response began; the request may have run.
     #[error(
         "the connection closed without a response and the request may have run; repeat it only if its route is safe"
     )]
-    NoResponse,
+    ConnectionLost,
     /// The deadline passed without a response; the request may have run.
     #[error("no response arrived before the deadline and the request may have run; give it more time")]
     TimedOut,
@@ -38,7 +38,7 @@
             TryError::Unreachable(_) => TryOutcome::Unreachable,
             TryError::NotExecuted => TryOutcome::NotExecuted,
             TryError::Shed => TryOutcome::Shed,
-            TryError::Lost | TryError::NoResponse => TryOutcome::Lost,
+            TryError::UnusableResponse | TryError::ConnectionLost => TryOutcome::Lost,
             TryError::TimedOut => TryOutcome::TimedOut,
         }
     }
--- a/src/sync/peers/connection.rs
+++ b/src/sync/peers/connection.rs
@@ -61,7 +61,7 @@
     fn from(error: ReadError) -> Self {
         match error {
             ReadError::TimedOut { received } => PeerError::ResponseTimedOut { received },
-            ReadError::Broken(error) => connection_failed(error),
+            ReadError::ConnectionFailed(error) => connection_failed(error),
             ReadError::TooLarge(_) => connection_failed(error),
         }
     }
