--- a/tests/pipelined/mod.rs
+++ b/tests/pipelined/mod.rs
@@ -55,9 +55,9 @@
     to_server: RefCell<Vec<u8>>,
     bytes_read: Cell<usize>,
     to_caller: RefCell<Vec<u8>>,
-    is_read_closed: Cell<bool>,
+    is_closed_by_caller: Cell<bool>,
     /// Whether the caller has stopped reading.
-    is_reading_paused: Cell<bool>,
+    is_caller_paused: Cell<bool>,
     writer: RefCell<Option<Waker>>,
     reader: RefCell<Option<Waker>>,
 }
@@ -66,10 +66,10 @@
 
 impl AsyncRead for ServerSide {
     fn poll_read(self: Pin<&mut Self>, context: &mut Context<'_>, into: &mut ReadBuf<'_>) -> Poll<io::Result<()>> {
-        let Pipe { to_server, bytes_read, is_read_closed, reader, .. } = &*self.0;
+        let Pipe { to_server, bytes_read, is_closed_by_caller, reader, .. } = &*self.0;
         let bytes = to_server.borrow();
         let count = into.remaining().min(bytes.len() - bytes_read.get());
-        if count == 0 && !is_read_closed.get() {
+        if count == 0 && !is_closed_by_caller.get() {
             reader.replace(Some(context.waker().clone()));
             return Poll::Pending;
         }
@@ -81,7 +81,7 @@
 
 impl AsyncWrite for ServerSide {
     fn poll_write(self: Pin<&mut Self>, context: &mut Context<'_>, bytes: &[u8]) -> Poll<io::Result<usize>> {
-        if self.0.is_reading_paused.get() {
+        if self.0.is_caller_paused.get() {
             self.0.writer.replace(Some(context.waker().clone()));
             return Poll::Pending;
         }
@@ -100,7 +100,7 @@
 
 impl Socket for ServerSide {
     fn is_read_closed(&self) -> bool {
-        self.0.is_read_closed.get()
+        self.0.is_closed_by_caller.get()
     }
 }
 
@@ -110,8 +110,8 @@
     /// Path of each request that began, and the time from reading its head until then.
     begun: RefCell<Vec<(String, Duration)>>,
     cancelled: RefCell<Vec<String>>,
-    finished: RefCell<HashSet<String>>,
-    finishes_all: Cell<bool>,
+    completed: RefCell<HashSet<String>>,
+    completes_all: Cell<bool>,
     changed: Notify,
     is_stopping: Cell<bool>,
     unanswered: Cell<i64>,
@@ -144,7 +144,7 @@
         let body = request.into_body().collect().await.map(|body| body.to_bytes()).unwrap_or_default();
         loop {
             let changed = self.changed.notified();
-            if self.finishes_all.get() || self.finished.borrow().contains(&path) {
+            if self.completes_all.get() || self.completed.borrow().contains(&path) {
                 break;
             }
             changed.await;
@@ -203,8 +203,8 @@
             timeouts,
             begun: RefCell::default(),
             cancelled: RefCell::default(),
-            finished: RefCell::default(),
-            finishes_all: Cell::new(false),
+            completed: RefCell::default(),
+            completes_all: Cell::new(false),
             changed: Notify::new(),
             is_stopping: Cell::new(false),
             unanswered: Cell::new(0),
@@ -243,13 +243,13 @@
 
     /// Closes the caller's side of the connection.
     pub fn disconnect(&mut self) {
-        self.pipe.is_read_closed.set(true);
+        self.pipe.is_closed_by_caller.set(true);
         self.wake();
     }
 
     /// Makes the caller stop or resume reading.
-    pub fn set_reading_paused(&mut self, is_paused: bool) {
-        self.pipe.is_reading_paused.set(is_paused);
+    pub fn set_caller_paused(&mut self, is_paused: bool) {
+        self.pipe.is_caller_paused.set(is_paused);
         if let Some(waker) = self.pipe.writer.take() {
             waker.wake();
         }
@@ -262,15 +262,15 @@
     }
 
     /// Completes the response to the requests for `path`.
-    pub fn finish(&mut self, path: &str) {
-        self.handler.finished.borrow_mut().insert(path.to_owned());
+    pub fn complete(&mut self, path: &str) {
+        self.handler.completed.borrow_mut().insert(path.to_owned());
         self.handler.changed.notify_waiters();
         self.settle();
     }
 
     /// Completes all responses, now and later ones as soon as their requests begin.
-    pub fn finish_all(&mut self) {
-        self.handler.finishes_all.set(true);
+    pub fn complete_all(&mut self) {
+        self.handler.completes_all.set(true);
         self.handler.changed.notify_waiters();
         self.settle();
     }
@@ -310,7 +310,7 @@
     }
 
     /// All bytes that the caller received, as text.
-    pub fn read(&self) -> &str {
+    pub fn received(&self) -> &str {
         &self.received
     }
 
--- a/tests/pipelined_framing.rs
+++ b/tests/pipelined_framing.rs
@@ -15,7 +15,7 @@
 }
 
 /// Requests of all kinds; the last one closes the connection.
-fn mixed() -> String {
+fn mixed_requests() -> String {
     let chunked = "POST /once/d HTTP/1.1\r\nHost: h\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n";
     let last = "GET /safe/g HTTP/1.1\r\nHost: h\r\nConnection: close\r\n\r\n";
     let parts = [
@@ -35,8 +35,8 @@
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/a"), "GET /safe/b HTTP/1.1\r\nbad name: x\r\n\r\n".into(), get("/safe/c")].concat());
     assert_eq!(connection.begun(), ["/safe/a"]);
-    connection.finish("/safe/a");
-    assert_eq!(statuses(connection.read()), ["HTTP/1.1 200 OK", "HTTP/1.1 400 Bad Request"]);
+    connection.complete("/safe/a");
+    assert_eq!(statuses(connection.received()), ["HTTP/1.1 200 OK", "HTTP/1.1 400 Bad Request"]);
     assert!(connection.is_closed());
     assert_eq!(connection.begun(), ["/safe/a"]);
 }
@@ -44,15 +44,15 @@
 #[test]
 fn a_request_smuggled_by_conflicting_lengths_never_begins() {
     let hidden = get("/safe/hidden");
-    let both = format!(
+    let length_and_chunked = format!(
         "POST /safe/b HTTP/1.1\r\nHost: h\r\nContent-Length: {}\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n{hidden}",
         5 + hidden.len()
     );
-    let two = format!(
+    let two_lengths = format!(
         "POST /safe/b HTTP/1.1\r\nHost: h\r\nContent-Length: 0\r\nContent-Length: {}\r\n\r\n{hidden}",
         hidden.len()
     );
-    for smuggling in [two, both] {
+    for smuggling in [two_lengths, length_and_chunked] {
         let mut connection = TestConnection::new(Timeouts::default());
         connection.send(&[get("/safe/a"), smuggling].concat());
         assert_eq!(connection.begun(), ["/safe/a"]);
@@ -62,8 +62,8 @@
 #[test]
 fn all_kinds_of_requests_are_answered_in_order() {
     let mut connection = TestConnection::new(Timeouts::default());
-    connection.finish_all();
-    connection.send(&mixed());
+    connection.complete_all();
+    connection.send(&mixed_requests());
     let hidden = "/once/cGET /safe/x HTTP/1.1";
     assert_eq!(connection.bodies(), ["/safe/a", "/safe/b", hidden, "/once/dabc", "/safe/e", "/once/f", "/safe/g"]);
     assert!(connection.is_closed());
@@ -77,23 +77,23 @@
         cuts in proptest::collection::vec(any::<prop::sample::Index>(), 0..24),
         at_once in any::<bool>(),
     ) {
-        let text = mixed();
+        let text = mixed_requests();
         let mut reference = TestConnection::new(Timeouts::default());
-        reference.finish_all();
+        reference.complete_all();
         reference.send(&text);
         let mut positions: Vec<usize> = cuts.iter().map(|cut| cut.index(text.len())).collect();
         positions.extend([0, text.len()]);
         positions.sort();
         let mut connection = TestConnection::new(Timeouts::default());
         if at_once {
-            connection.finish_all();
+            connection.complete_all();
         }
         for pair in positions.windows(2) {
             connection.send(&text[pair[0]..pair[1]]);
         }
-        connection.finish_all();
+        connection.complete_all();
         prop_assert_eq!(connection.bodies(), reference.bodies());
-        prop_assert_eq!(statuses(connection.read()).len(), 7);
+        prop_assert_eq!(statuses(connection.received()).len(), 7);
     }
 
     #[test]
@@ -108,10 +108,10 @@
     ) {
         let text = pieces.concat();
         let mut reference = TestConnection::new(Timeouts::default());
-        reference.finish_all();
+        reference.complete_all();
         reference.send(&text);
         let mut connection = TestConnection::new(Timeouts::default());
-        connection.finish_all();
+        connection.complete_all();
         pieces.iter().for_each(|piece| connection.send(piece));
         prop_assert_eq!(connection.bodies(), reference.bodies());
         prop_assert!(reference.begun().len() <= text.matches("HTTP/1.1").count());
@@ -143,7 +143,7 @@
     fn any_sequence_of_requests_is_answered_completely_and_in_order(
         requests in proptest::collection::vec(any_request(), 1..40),
         cuts in proptest::collection::vec(any::<prop::sample::Index>(), 0..12),
-        finished_after in 0..14_usize,
+        completed_after in 0..14_usize,
     ) {
         let (texts, bodies): (Vec<String>, Vec<String>) = requests.into_iter().unzip();
         let text = texts.concat();
@@ -152,12 +152,12 @@
         positions.sort();
         let mut connection = TestConnection::new(Timeouts::default());
         for (number, pair) in positions.windows(2).enumerate() {
-            if number == finished_after {
-                connection.finish_all();
+            if number == completed_after {
+                connection.complete_all();
             }
             connection.send(&text[pair[0]..pair[1]]);
         }
-        connection.finish_all();
+        connection.complete_all();
         // Time for the connection to read the requests that exceeded a limit before.
         (0..texts.len()).for_each(|_| connection.advance(Duration::from_millis(1)));
         prop_assert_eq!(connection.bodies(), bodies);
--- a/tests/pipelined_order.rs
+++ b/tests/pipelined_order.rs
@@ -9,27 +9,27 @@
 use std::time::Duration;
 
 #[test]
-fn repeatable_requests_begin_immediately_and_are_answered_in_order() {
+fn idempotent_requests_begin_immediately_and_are_answered_in_order() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/a"), get("/safe/b"), get("/safe/c")].concat());
     assert_eq!(connection.begun(), ["/safe/a", "/safe/b", "/safe/c"]);
-    connection.finish("/safe/c");
-    connection.finish("/safe/b");
-    assert_eq!(connection.read(), "");
-    connection.finish("/safe/a");
+    connection.complete("/safe/c");
+    connection.complete("/safe/b");
+    assert_eq!(connection.received(), "");
+    connection.complete("/safe/a");
     assert_eq!(connection.bodies(), ["/safe/a", "/safe/b", "/safe/c"]);
 }
 
 #[test]
-fn a_request_that_must_not_be_repeated_begins_only_when_it_is_the_first_unanswered() {
+fn a_request_that_is_not_idempotent_begins_only_when_it_is_the_first_unanswered() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/a"), get("/once/b"), get("/safe/c")].concat());
     assert_eq!(connection.begun(), ["/safe/a"]);
-    connection.finish("/safe/a");
-    assert_eq!(connection.begun(), ["/safe/a", "/once/b"], "nothing begins behind a request that must not be repeated");
-    connection.finish("/once/b");
+    connection.complete("/safe/a");
+    assert_eq!(connection.begun(), ["/safe/a", "/once/b"], "nothing begins behind a request that is not idempotent");
+    connection.complete("/once/b");
     assert_eq!(connection.begun(), ["/safe/a", "/once/b", "/safe/c"]);
-    connection.finish("/safe/c");
+    connection.complete("/safe/c");
     assert_eq!(connection.bodies(), ["/safe/a", "/once/b", "/safe/c"]);
 }
 
@@ -42,10 +42,10 @@
         let mut connection = TestConnection::new(Timeouts::default());
         connection.send(&[get("/safe/a"), waiting, get("/safe/z")].concat());
         assert_eq!(connection.begun(), ["/safe/a"]);
-        connection.finish("/safe/a");
+        connection.complete("/safe/a");
         assert_eq!(connection.begun()[..2], ["/safe/a", path]);
-        connection.finish(path);
-        connection.finish("/safe/z");
+        connection.complete(path);
+        connection.complete("/safe/z");
         assert_eq!(connection.bodies(), ["/safe/a", &format!("{path}hi"), "/safe/z"]);
     }
 }
@@ -56,10 +56,10 @@
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/a"), upgrade.into(), get("/safe/z")].concat());
     assert_eq!(connection.begun(), ["/safe/a"]);
-    connection.finish("/safe/a");
+    connection.complete("/safe/a");
     assert_eq!(connection.begun(), ["/safe/a", "/safe/u"]);
-    connection.finish("/safe/u");
-    connection.finish("/safe/z");
+    connection.complete("/safe/u");
+    connection.complete("/safe/z");
     assert_eq!(connection.bodies(), ["/safe/a", "/safe/u", "/safe/z"]);
 }
 
@@ -69,19 +69,19 @@
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[old("/safe/a"), old("/safe/b"), get("/safe/c")].concat());
     assert_eq!(connection.begun(), ["/safe/a"]);
-    connection.finish("/safe/a");
+    connection.complete("/safe/a");
     assert_eq!(connection.begun(), ["/safe/a", "/safe/b"]);
-    connection.finish("/safe/b");
-    connection.finish("/safe/c");
+    connection.complete("/safe/b");
+    connection.complete("/safe/c");
     assert_eq!(connection.bodies(), ["/safe/a", "/safe/b", "/safe/c"]);
 }
 
 #[test]
-fn a_response_that_closes_the_connection_cancels_the_requests_behind_it() {
+fn a_response_that_closes_the_connection_cancels_the_requests_that_began_behind_it() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/close"), get("/safe/b"), get("/safe/c"), get("/once/d")].concat());
     assert_eq!(connection.begun(), ["/safe/close", "/safe/b", "/safe/c"]);
-    connection.finish("/safe/close");
+    connection.complete("/safe/close");
     assert_eq!(connection.cancelled(), ["/safe/b", "/safe/c"]);
     assert!(connection.is_closed());
     assert_eq!(connection.bodies(), ["/safe/close"]);
@@ -92,12 +92,12 @@
 fn a_response_that_closes_the_connection_cancels_the_others_before_its_caller_has_read_it() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/close"), get("/safe/b")].concat());
-    connection.set_reading_paused(true);
-    connection.finish("/safe/close");
+    connection.set_caller_paused(true);
+    connection.complete("/safe/close");
     assert_eq!(connection.cancelled(), ["/safe/b"]);
     connection.send(&get("/safe/c"));
     assert_eq!(connection.begun().len(), 2);
-    connection.set_reading_paused(false);
+    connection.set_caller_paused(false);
     assert_eq!(connection.bodies(), ["/safe/close"]);
     assert!(connection.is_closed());
 }
@@ -106,8 +106,8 @@
 fn requests_begin_and_a_disconnect_is_noticed_while_a_response_is_being_sent() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&get("/safe/a"));
-    connection.set_reading_paused(true);
-    connection.finish("/safe/a");
+    connection.set_caller_paused(true);
+    connection.complete("/safe/a");
     connection.send(&[get("/safe/b"), get("/safe/c")].concat());
     assert_eq!(connection.begun(), ["/safe/a", "/safe/b", "/safe/c"]);
     connection.disconnect();
@@ -119,11 +119,11 @@
 fn requests_that_began_while_a_response_was_being_sent_are_answered_after_it() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&get("/safe/a"));
-    connection.set_reading_paused(true);
-    connection.finish("/safe/a");
+    connection.set_caller_paused(true);
+    connection.complete("/safe/a");
     connection.send(&[get("/safe/b"), get("/once/c")].concat());
-    connection.finish_all();
-    connection.set_reading_paused(false);
+    connection.complete_all();
+    connection.set_caller_paused(false);
     assert_eq!(connection.bodies(), ["/safe/a", "/safe/b", "/once/c"]);
 }
 
@@ -133,8 +133,8 @@
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/a"), last.into(), get("/safe/c")].concat());
     assert_eq!(connection.begun(), ["/safe/a", "/safe/b"]);
-    connection.finish("/safe/b");
-    connection.finish("/safe/a");
+    connection.complete("/safe/b");
+    connection.complete("/safe/a");
     assert_eq!(connection.bodies(), ["/safe/a", "/safe/b"]);
     assert!(connection.is_closed());
     assert_eq!(connection.begun().len(), 2);
@@ -172,23 +172,23 @@
     connection.stop();
     connection.send(&get("/safe/d"));
     for path in ["/safe/b", "/safe/a", "/once/c"] {
-        connection.finish(path);
+        connection.complete(path);
     }
     assert_eq!(connection.bodies(), ["/safe/a", "/safe/b", "/once/c"]);
-    assert_eq!(connection.read().matches("connection: close").count(), 1);
+    assert_eq!(connection.received().matches("connection: close").count(), 1);
     assert!(connection.is_closed());
     assert_eq!(connection.begun().len(), 3);
     assert_eq!(connection.unanswered(), 0);
 }
 
 #[test]
-fn requests_count_as_unanswered_until_their_response_is_ready_at_their_turn() {
+fn requests_read_before_their_turn_count_as_unanswered_until_it() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/a"), get("/safe/b"), get("/once/c")].concat());
     assert_eq!(connection.unanswered(), 2);
-    connection.finish("/safe/b");
+    connection.complete("/safe/b");
     assert_eq!(connection.unanswered(), 2, "a response that waits for the one ahead of it");
-    connection.finish("/safe/a");
+    connection.complete("/safe/a");
     assert_eq!(connection.unanswered(), 0);
 }
 
@@ -199,8 +199,8 @@
     connection.advance(Duration::from_millis(400));
     connection.send(&get("/once/c"));
     connection.advance(Duration::from_millis(300));
-    connection.finish("/safe/a");
-    connection.finish("/once/b");
+    connection.complete("/safe/a");
+    connection.complete("/once/b");
     let ages = [connection.age("/once/b"), connection.age("/once/c")];
     assert_eq!(ages, [Duration::from_millis(700), Duration::from_millis(300)]);
 }
@@ -212,7 +212,7 @@
     connection.send(&[get("/safe/a"), "GET /safe/b HTT".into()].concat());
     connection.advance(Duration::from_secs(3));
     assert!(!connection.is_closed());
-    connection.finish("/safe/a");
+    connection.complete("/safe/a");
     connection.advance(Duration::from_millis(900));
     assert!(!connection.is_closed());
     connection.advance(Duration::from_millis(1_200));
@@ -224,8 +224,8 @@
     let mut connection =
         TestConnection::new(Timeouts { head_time: Duration::from_secs(1), idle_time: Duration::from_secs(5) });
     connection.send(&[get("/safe/a"), get("/safe/b")].concat());
-    connection.finish("/safe/a");
-    connection.finish("/safe/b");
+    connection.complete("/safe/a");
+    connection.complete("/safe/b");
     connection.advance(Duration::from_millis(4_900));
     assert!(!connection.is_closed());
     connection.advance(Duration::from_millis(1_200));
