--- a/src/proxy/access_record.rs
+++ b/src/proxy/access_record.rs
@@ -58,7 +58,8 @@
 pub struct QuotaRecord {
     /// Share of the tenant's requests that is admitted, 0 to 1.
     pub admit_ratio: f64,
-    /// Time since a head last answered; since the first request with a quota if none has.
+    /// Time since a hall's head ([`crate::decision::quota::heads`]) last answered; since the first
+    /// request with a quota if none has.
     pub answer_age: Option<Duration>,
 }
 
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -50,7 +50,7 @@
 }
 
 impl<'a, P: Platform> Attempts<'a, P> {
-    /// Creates the state of a request that was not tried yet, and deposits its part of a retry in the
+    /// Creates the state of a request that was not tried yet, and deposits its fraction of a retry in the
     /// retry budget.
     pub fn new(request: &'a CallerRequest<'a, P>, body: IncomingBody) -> Self {
         let choice = TargetChoice::new(request);
--- a/src/proxy/caller_request.rs
+++ b/src/proxy/caller_request.rs
@@ -30,7 +30,7 @@
     pub fingerprint: Fingerprint,
     /// When its head had been read.
     pub started: Instant,
-    /// When it times out.
+    /// When it times out: a later response would be of no use to the caller.
     pub deadline: Instant,
 }
 
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -31,7 +31,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A request ready to be sent.
+/// One request to one target, and what is needed to send it and to handle its response.
 pub struct Exchange<'a> {
     /// Names of the platform's headers.
     pub names: &'a HeaderNames,
@@ -41,7 +41,7 @@
     pub in_flight: InFlight<Target>,
     /// The caller's request id; `None` if it sent none.
     pub request_id: Option<&'a HeaderValue>,
-    /// When the request times out; the body of a response is aborted then.
+    /// When the request times out; a response that is still being read from the target is aborted then.
     pub deadline: Instant,
     /// Set once the request's body was sent completely.
     pub request_sent: Rc<Cell<bool>>,
@@ -87,7 +87,8 @@
     }
 
     /// The load that the target reports. An invalid report is counted, and logged once for each
-    /// target; the load is then estimated from the requests in flight of this instance.
+    /// target. Without a valid report, the load is estimated from this instance's requests in flight and
+    /// from an earlier report until that has faded ([`crate::decision::capacity::load`]).
     fn load_report(&self, response: &Response<Incoming>) -> Option<LoadReport> {
         response_check::load_report(self.names, response.headers()).unwrap_or_else(|error| {
             self.metrics.load_reports_ignored.with_label_values(&[error.as_str()]).inc();
--- a/src/proxy/held_answer/buffer.rs
+++ b/src/proxy/held_answer/buffer.rs
@@ -10,8 +10,9 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Maximum bytes that are handed to the caller's connection at a time: bytes that the connection has
-/// taken are no longer counted. Also the size of the blocks into which small chunks are copied.
+/// Maximum bytes that are handed to the caller's connection at a time. Bytes that the connection has
+/// taken are no longer counted, so this limits the uncounted memory. Also the size of the blocks into
+/// which small chunks are copied.
 pub const PART_SIZE: usize = 32 * 1024;
 /// Chunks smaller than this, bytes, are copied into blocks unless the buffer is empty: a small chunk
 /// may keep a whole read buffer in memory.
@@ -23,6 +24,7 @@
     blocks: VecDeque<Bytes>,
     /// Block under construction, of small chunks that follow `blocks`.
     tail: BytesMut,
+    /// Counts the bytes while they are in this buffer.
     buffered: BufferedBytes,
 }
 
--- a/src/proxy/held_answer/mod.rs
+++ b/src/proxy/held_answer/mod.rs
@@ -1,5 +1,6 @@
 //! Held answers: responses that are kept in memory for callers that read slowly, so that they do
-//! not occupy their targets.
+//! not occupy their targets. The name follows the words outside the process: the outcome
+//! `held-answers`, the setting `large_answers` of a route and the event `answer_broken`.
 //!
 //! `reader` reads a response from its target in a task of its own, `shared` keeps the bytes in a
 //! [`buffer`], and [`HeldAnswer`] is the body that the caller's connection reads. If it is dropped
@@ -31,9 +32,9 @@
 /// Limits and counters for the held answers of an instance.
 #[derive(Clone, Debug)]
 pub struct HeldAnswerContext {
-    /// Limits on the held bytes of one response and of all.
+    /// Limits on the held bytes: of one response, and of all responses and buffered request bodies.
     pub limits: HeldAnswerLimits,
-    /// Bytes in memory of all held answers and request bodies.
+    /// Bytes in memory of all held answers and buffered request bodies.
     pub total: Rc<BufferTotal>,
     /// Counts responses that their callers did not get completely, by cause.
     pub broken: IntCounterVec,
--- a/src/proxy/held_answer/reader.rs
+++ b/src/proxy/held_answer/reader.rs
@@ -27,7 +27,7 @@
 pub struct Reader {
     /// Receives the bytes for the caller.
     pub shared: Rc<SharedAnswer>,
-    /// The part of the body that was not read yet.
+    /// The rest of the body, which was not read yet.
     pub body: Incoming,
     /// The connection to the target.
     pub connection: ReusableConnection,
@@ -87,7 +87,8 @@
                 ReadStep::End => return Ok(()),
                 ReadStep::NoRoom => {}
             }
-            // Checked before the caller's side runs, which may drop the body after the last byte.
+            // Checked before this task waits again: the caller's side may drop the response once it has
+            // the last byte, which aborts this task.
             if self.body.is_end_stream() {
                 return Ok(());
             }
--- a/src/proxy/held_answer/shared.rs
+++ b/src/proxy/held_answer/shared.rs
@@ -30,7 +30,7 @@
 struct State {
     buffer: AnswerBuffer,
     trailers: Option<HeaderMap>,
-    /// Maximum number of bytes that were held while the limits had room for more.
+    /// Largest number of bytes that were held while the limits had room for more.
     max_held: u64,
     progress: ReadProgress,
     /// Waker of the caller's side while it waits for bytes.
@@ -75,8 +75,9 @@
         wake(&mut state);
     }
 
-    /// Marks the response as aborted. The held bytes are dropped, except if the target's connection
-    /// broke: the caller still gets the bytes that arrived before.
+    /// Marks the response as aborted. If the connection to the target failed, the caller still gets the
+    /// held bytes. After a timeout, or if the caller has stopped reading, they are of no use any more
+    /// and are dropped.
     pub fn abort(&self, error: BodyError) {
         let mut state = self.state.borrow_mut();
         if !matches!(error, BodyError::ConnectionFailed(_)) {
@@ -102,7 +103,7 @@
         limits.may_read(own, total, state.max_held, state.waker.is_some())
     }
 
-    /// Returns once the caller's side has taken bytes or begun to wait.
+    /// Returns once the caller's side has polled for bytes, and has taken some or begun to wait.
     pub async fn caller_polled(&self) {
         self.caller_polled.notified().await;
     }
--- a/src/proxy/incoming_body.rs
+++ b/src/proxy/incoming_body.rs
@@ -1,5 +1,5 @@
-//! Receives the body of a caller's request: a small one is buffered, so that a request that did not
-//! run can be sent to another target; a large one is streamed.
+//! Receives the body of a caller's request. A small one is buffered while the total of bodies in memory
+//! has room, so that the request can be sent to another target; any other is streamed.
 //!
 //! Owns the limits on the buffered bytes of one body and of all bodies, a part of
 //! `limits.memory_mb`. Relies on [`BufferedBytes`] for the counts; the instance owns the total.
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -25,7 +25,8 @@
 /// Handles the requests of callers.
 pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
 
-/// Counts a request as in flight until it is dropped.
+/// Counts a request as in flight, also in the metric of active requests, until its handler returns the
+/// response. [`crate::state::InFlightGuard`] counts it while a response is held for its caller.
 struct ActiveRequestGuard<'a, P: Platform>(&'a Instance<P>);
 
 impl<'a, P: Platform> ActiveRequestGuard<'a, P> {
@@ -45,7 +46,7 @@
 
 impl<P: Platform> CallerListener<P> {
     /// Whether there is memory for one more response that waits for those ahead of it on its
-    /// connection, each taken as [`MAX_BUFFERED_RESPONSE`].
+    /// connection, if each takes [`MAX_BUFFERED_RESPONSE`].
     fn has_memory_for_early_response(&self) -> bool {
         let max_bytes = self.0.settings.borrow().memory / EARLY_RESPONSE_DIVISOR;
         self.0.requests.unanswered().saturating_add(1).saturating_mul(MAX_BUFFERED_RESPONSE as u64) <= max_bytes
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -7,8 +7,8 @@
 //! 2. [`request`] finds the route and the deadline, removes hop-by-hop headers, and writes the
 //!    [`access_record`] at the end. [`caller_tenant`] finds the tenant; a request over its tenant's
 //!    quota is refused here. [`caller_request`] is the state that all further steps share.
-//! 3. [`incoming_body`] buffers a small body, so that it can be sent more than once, and streams a
-//!    large one.
+//! 3. [`incoming_body`] buffers a body that is small, so that it can be sent more than once, as long as
+//!    the total of buffered bodies has room; it streams any other.
 //! 4. [`attempts`] tries the request at targets as long as
 //!    [`crate::decision::failure::next_try`] allows: [`target_choice`] chooses a target,
 //!    [`outgoing_request`] builds the request for it. [`strikes`] records which requests crash
@@ -17,8 +17,8 @@
 //!    ([`crate::net::pool`]). [`response_check`] decides whether the response may be passed on;
 //!    [`try_error`] lists the reasons why a try gives none. [`buffered_response`] reads a small
 //!    response completely, so that the request can be tried again if the response breaks off.
-//! 6. [`response_body`] carries the response to the caller. A large one is read from its target at
-//!    once, within bounds, and is a [`held_answer`] while the caller reads it. A [`refusal`] is the
+//! 6. [`response_body`] carries the response to the caller. A large one is read from its target as
+//!    fast as it arrives, within limits, and is a [`held_answer`] while the caller reads it. A [`refusal`] is the
 //!    response if no target's response can be passed on.
 //!
 //! | module | owns | relies on |
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -1,7 +1,10 @@
 //! Responses that an instance generates itself if no target's response can be passed on.
 //!
-//! Owns their statuses, names and Retry-After times. A 503 means that no target ran the request;
-//! after a 502 or 504, one may have.
+//! Owns their statuses, names, bodies and Retry-After times. A 503 means that no target ran the
+//! request; after a 502 or 504, one may have.
+//!
+//! *The view* is this instance's copy of the store ([`crate::store::freshness`]); while it is stale, it
+//! may lack changes.
 
 use crate::decision::failure::next_try::FailureReason;
 use crate::decision::failure::quarantine::FIRST_PROBE_DELAY;
@@ -14,11 +17,12 @@
 /// Retry-After if this instance has no configuration or no usable target, which lasts longer than a
 /// lack of capacity.
 const RETRY_AFTER_OUTAGE: Duration = Duration::from_millis(500);
-/// Retry-After if there is no reason to wait: another instance takes the request, or the target shed
-/// it although it had free slots.
+/// Retry-After if there is no reason to wait: this instance is stopping or its view is stale, so that
+/// another one can take the request; a target with free slots shed it; or the API key belongs to
+/// another tenant by now.
 const RETRY_AT_ONCE: Duration = Duration::ZERO;
 
-/// Why a caller gets no target's response.
+/// Why a caller gets no target's response. The messages are the bodies that callers receive.
 #[derive(Clone, Copy, Debug, Error, PartialEq, Eq)]
 pub enum Refusal {
     /// No configuration is known yet.
@@ -48,7 +52,8 @@
     /// The tenant has exhausted its quota.
     #[error("the tenant's quota is used up; retry after the time in retry-after, or have the quota raised")]
     OverQuota,
-    /// The request is malformed: its host, deadline or path is invalid.
+    /// The request is malformed: it names no host, its URI has no path, its deadline is not a whole number,
+    /// or its tenant's name is not a valid header value.
     #[error("the request cannot be understood; send it as docs/CALLERS.md says")]
     Malformed,
     /// The body is larger than the configuration allows.
@@ -66,7 +71,8 @@
     /// The targets for its affinity key have no capacity.
     #[error("the targets for this affinity key have no room; retry after the time in retry-after")]
     Full,
-    /// A policy's cap leaves no credit to move the request to targets that have capacity.
+    /// Other targets have capacity, but a policy's cap does not allow moving the request to them now
+    /// ([`crate::policy`]).
     #[error("a policy's cap keeps the request from the targets that have room; retry after the time in retry-after")]
     Capped,
     /// A target refused the request without running it.
@@ -81,7 +87,8 @@
     /// Too little time was left before the request was sent.
     #[error("the request's time ran out before it was sent; give it more time")]
     TooLate,
-    /// This instance holds as many bytes of large responses as its memory limit allows.
+    /// The responses and buffered request bodies in memory have reached the size from which no further
+    /// request with a large response is sent.
     #[error("this instance holds as much of large answers as its memory allows; retry after the time in retry-after")]
     HeldAnswers,
     /// The request is in quarantine because targets crashed under it.
@@ -151,8 +158,9 @@
         !matches!(self, Refusal::Lost | Refusal::TimedOut)
     }
 
-    /// Time after which the caller should try again; `None` if a retry does not help. `capacity_wait`
-    /// is the time after which there is probably capacity.
+    /// Time after which the caller should try again, zero for at once; `None` if waiting does not make
+    /// a retry more likely to succeed. `capacity_wait` is the time after which there is probably
+    /// capacity.
     pub fn retry_after(self, capacity_wait: Duration) -> Option<Duration> {
         match self {
             Refusal::Full | Refusal::Capped | Refusal::NotExecuted | Refusal::Unreachable | Refusal::TooLate => {
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -36,9 +36,9 @@
 const ANSWERED: &str = "answered";
 /// Deadline of a request whose caller sent none.
 const DEFAULT_DEADLINE: Duration = Duration::from_secs(30);
-/// How long a request waits for the first configuration. Longer than all instances of a large fleet
-/// need to receive it when they start at the same time: a caller that is refused returns after 0.5 s
-/// and has used up a retry.
+/// How long a request waits for the first configuration: longer than all instances of a large fleet
+/// need to receive it when they start at the same time. A refused caller would return only after 0.5 s
+/// and use up one of its retries.
 const FIRST_CONFIG_TIMEOUT: Duration = Duration::from_millis(600);
 /// How long before the caller's deadline a request times out: the one-way latency between regions
 /// (12 ms) and some processing time.
@@ -238,8 +238,8 @@
     }
 }
 
-/// The requested host; `None` if it is absent or not text. Both are refused as malformed, since no
-/// route can match them.
+/// The requested host; `None` if it is absent or not text. The request is refused as malformed then,
+/// since no route can match it.
 fn host<'a>(uri: &'a Uri, headers: &'a HeaderMap) -> Option<&'a str> {
     match uri.host() {
         Some(host) => Some(host),
@@ -257,8 +257,9 @@
     })
 }
 
-/// When the request times out: at the caller's deadline or the route's timeout, whichever is
-/// earlier.
+/// When the request times out, since a later response would be of no use to its caller:
+/// [`DEADLINE_MARGIN`] before the caller's deadline, or [`DEFAULT_DEADLINE`] after its arrival if the
+/// caller sent none; at the route's timeout if that is earlier.
 fn deadline(headers: &HeaderMap, name: &HeaderName, route: &Route, started: Instant) -> Result<Instant, DeadlineError> {
     let deadline = match parse_milliseconds(headers, name)? {
         Some(remaining) => started + remaining.saturating_sub(DEADLINE_MARGIN),
--- a/src/proxy/response_check.rs
+++ b/src/proxy/response_check.rs
@@ -15,7 +15,8 @@
 /// Why a response may not be passed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ResponseError {
-    /// Its request id is not that of the request, or is missing although the request ran.
+    /// Its request id is not that of the request, or is missing and the response does not state that
+    /// the request did not run.
     WrongRequestId,
     /// Another target has taken over the address (421); the request did not run.
     Misdirected,
@@ -46,8 +47,8 @@
     Ok(())
 }
 
-/// Whether the response carries the request's id. A response without one is accepted only if it
-/// says that the request did not run.
+/// Whether the response carries the request's id. A response without one is accepted if the request
+/// has none either, or if the response states that the request did not run.
 fn has_request_id(names: &HeaderNames, id: Option<&HeaderValue>, headers: &HeaderMap) -> bool {
     match (headers.get(&names.request_id), id) {
         (Some(received), Some(sent)) => received == sent,
@@ -68,7 +69,8 @@
 }
 
 /// The signals about the target in the headers of a response. `Retry-After` counts as a pause only
-/// if the target rejects the request (503 or 429).
+/// if the target rejects the request (503 or 429): elsewhere it does not state how long the target
+/// wants no further requests.
 pub fn response_signals<B>(names: &HeaderNames, response: &Response<B>) -> ResponseSignals {
     let values = |name| response.headers().get_all(name).iter().map(HeaderValue::as_bytes);
     let is_rejection = matches!(response.status(), StatusCode::SERVICE_UNAVAILABLE | StatusCode::TOO_MANY_REQUESTS);
--- a/src/proxy/strikes.rs
+++ b/src/proxy/strikes.rs
@@ -1,5 +1,7 @@
-//! Records whether a request crashes targets: a crash under a try counts as a strike against all
-//! requests with the same fingerprint, a response clears the strikes.
+//! Records whether a request crashes targets. A crash during a try counts as a strike against all
+//! requests with the same fingerprint; a response clears the strikes. A target counts as crashed if its
+//! connection closes without a response while the target is in use, and its address then refuses
+//! connections.
 //!
 //! The rule is [`crate::decision::failure::quarantine`]. Owns the check whether a target has
 //! crashed, the log lines and the metric of strikes; schedules their report to the other instances.
@@ -31,8 +33,8 @@
     }
 }
 
-/// Records that the connection closed during a try that began with this number of `strikes`. Counts
-/// a strike if the target was in use and its address now refuses connections.
+/// Records that the connection closed without a response during a try that began with this number of
+/// `strikes`. Counts a strike if the target has crashed.
 pub async fn record_lost_connection<P: Platform>(request: &CallerRequest<'_, P>, target: &Rc<Target>, strikes: u32) {
     let (instance, fingerprint) = (request.instance, request.fingerprint);
     let is_in_use = instance.routing.borrow().is_in_use(target);
@@ -52,7 +54,8 @@
 }
 
 /// Schedules an immediate report of strikes that are not yet shared, after a request that got no
-/// response: none can clear them any more.
+/// response. The report of a first strike is delayed as long as a later try may get a response, which
+/// clears it.
 pub fn report_pending<P: Platform>(request: &CallerRequest<'_, P>) {
     let (instance, fingerprint, now) = (request.instance, request.fingerprint, Instant::now());
     if instance.routing.borrow().quarantine.pending_report(fingerprint, now).is_some() {
--- a/src/proxy/target_choice.rs
+++ b/src/proxy/target_choice.rs
@@ -34,7 +34,7 @@
 }
 
 impl<'a, P: Platform> TargetChoice<'a, P> {
-    /// Hashes the request's affinity key and picks the service by the traffic split.
+    /// Picks the service by the traffic split and the affinity hash ([`CallerRequest::affinity`]).
     pub fn new(request: &'a CallerRequest<'a, P>) -> Self {
         let affinity = request.affinity();
         let weighted_service = request.instance.splits.borrow_mut().pick(request.route, affinity);
--- a/src/proxy/try_error.rs
+++ b/src/proxy/try_error.rs
@@ -1,4 +1,4 @@
-//! Errors of a single try.
+//! Reasons why a single try fails.
 
 use crate::decision::failure::next_try::TryOutcome;
 use crate::net::request_body::RequestBody;
@@ -18,7 +18,8 @@
     /// The target reported that it did not run the request, although it had a free slot.
     #[error("the target sheds load and did not run the request; the same target can take it")]
     Shed,
-    /// The response cannot be passed on; the request may have run.
+    /// A response began but cannot be passed on: it is invalid or unsigned, belongs to another request,
+    /// or broke off. The request may have run.
     #[error("the response cannot be passed on and the request may have run; repeat it only if its route is safe")]
     UnusableResponse,
     /// The connection closed before a response began; the request may have run.
