--- a/src/net/buffered_bytes.rs
+++ b/src/net/buffered_bytes.rs
@@ -26,7 +26,7 @@
         self.freed.notified().await;
     }
 
-    /// Wakes the next waiting task; called by a woken task if there is room for a further one.
+    /// Wakes the next waiting task, because there may be room for it.
     pub fn wake_next(&self) {
         self.freed.notify_one();
     }
--- a/src/net/keep_alive.rs
+++ b/src/net/keep_alive.rs
@@ -4,7 +4,7 @@
 use hyper::header::{CONNECTION, HeaderName};
 use std::time::Duration;
 
-/// Header in which a server states how long it keeps an idle connection open.
+/// HTTP header in which a server states how long it keeps an idle connection open.
 const KEEP_ALIVE: HeaderName = HeaderName::from_static("keep-alive");
 
 /// How long a server keeps an idle connection open.
--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -177,8 +177,8 @@
     }
 
     /// Closes the connections that have been idle since `sent` or longer, where `sent` is when a request
-    /// was sent that got no response. Open connections may stop working without a reset while new ones
-    /// work, and these connections have not been seen to work since.
+    /// was sent that got no response. Open connections can stop working without a reset while new ones
+    /// work; a connection that has been idle since before `sent` may be one of them.
     pub fn close_idle_since(&self, sent: Instant) {
         self.idle.borrow_mut().retain(|idle| idle.idle_since > sent);
     }
--- a/src/net/request_body.rs
+++ b/src/net/request_body.rs
@@ -115,7 +115,8 @@
     }
 }
 
-/// Reads a body to its end or its first error, and discards it.
+/// Reads a body to its end or its first error, and discards it. The error is not reported, since
+/// nothing waits for this body any more.
 async fn discard(mut rest: Incoming) {
     while let Some(Ok(_)) = rest.frame().await {}
 }
--- a/src/net/server/caller_body.rs
+++ b/src/net/server/caller_body.rs
@@ -1,7 +1,7 @@
 //! Body of a request as it is read from its connection.
 //!
-//! Owns nothing. Relies on hyper. hyper's body type cannot be constructed outside hyper, so a request
-//! that is processed before hyper has read it has an empty body.
+//! Owns nothing. Relies on hyper. hyper's body type cannot be constructed outside hyper, so requests that
+//! are processed before hyper has read them, none of which has a body, get [`CallerBody::Empty`].
 
 use hyper::body::{Body, Bytes, Frame, Incoming, SizeHint};
 use std::pin::Pin;
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -18,7 +18,7 @@
 use std::pin::{Pin, pin};
 use std::rc::Rc;
 
-/// Smallest read buffer that hyper accepts, bytes.
+/// Smallest limit on its read buffer that hyper accepts, bytes.
 const MIN_READ_BUFFER_SIZE: usize = 8 * 1024;
 
 /// Serves one connection until it ends.
@@ -29,7 +29,7 @@
     let stream = ReadAheadStream::new(socket, progress.clone(), queue.clone());
     let service = service_fn(|request: Request<_>| {
         let (mut parts, body) = request.into_parts();
-        // Set before the future is polled: hyper reads on before it polls for the response.
+        // Set here and not in the future below: hyper reads on before it polls that for the response.
         progress.enter(Phase::Busy);
         let early_request = queue.borrow_mut().record_request(&mut parts, &body);
         let request = Request::from_parts(parts, CallerBody::from(body));
--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -18,12 +18,12 @@
     /// Called with 1 when a connection opens and with -1 when it closes.
     fn count_connections(&self, change: i64);
     /// Whether a request without a body may begin before the requests ahead of it on its connection
-    /// have their responses. True only for a request that may run more than once.
+    /// have their responses. True only for an idempotent request.
     fn may_begin_early(&self, _head: &Parts) -> bool {
         false
     }
-    /// Whether requests behind this one may begin before it has its response. True only for a request
-    /// that may run more than once: otherwise its caller may rely on the order.
+    /// Whether requests behind this one may begin before it has its response. True only for an
+    /// idempotent request: the caller of any other may rely on the order.
     fn allows_early_requests_behind(&self, _head: &Parts) -> bool {
         false
     }
@@ -32,7 +32,7 @@
     fn is_stopping(&self) -> bool {
         false
     }
-    /// Called with 1 when a request was read before its turn. Called with -1 when it has its turn and
-    /// begins, when it has its turn and its early response is ready, or when it is cancelled.
+    /// Called with 1 when a request was read before its turn. Called with -1 when it begins at its
+    /// turn, when its early response is ready at its turn, or when it is cancelled.
     fn count_unanswered(&self, _change: i64) {}
 }
--- a/src/net/server/read_ahead/early_request.rs
+++ b/src/net/server/read_ahead/early_request.rs
@@ -19,8 +19,9 @@
     pub is_early: bool,
 }
 
-/// Counts a request that was read before its turn as unanswered ([`Handler::count_unanswered`]) until it
-/// is dropped.
+/// Counts a request that was read before its turn as unanswered ([`Handler::count_unanswered`]) until the
+/// guard is dropped: when the request begins at its turn, when its early response is ready at its turn, or
+/// when it is cancelled.
 pub struct UnansweredGuard<H: Handler>(Rc<H>);
 
 impl<H: Handler> UnansweredGuard<H> {
--- a/src/net/server/read_ahead/framing.rs
+++ b/src/net/server/read_ahead/framing.rs
@@ -35,8 +35,8 @@
 }
 
 impl HeadScanner {
-    /// The number of bytes up to and including the end of the head; `None` where the head does not
-    /// end in these bytes, and the search goes on with the next ones.
+    /// The number of bytes up to and including the end of the head; `None` if the head does not end in
+    /// these bytes. The next call continues the search.
     pub fn find_end(&mut self, bytes: &[u8]) -> Option<usize> {
         for (position, byte) in bytes.iter().enumerate() {
             *self = match (*self, byte) {
--- a/src/net/server/read_ahead/queue.rs
+++ b/src/net/server/read_ahead/queue.rs
@@ -2,9 +2,9 @@
 //!
 //! **Rule.** Idempotent requests without a body begin as soon as they are read. A request that has to
 //! wait, and all behind it, begin when the requests ahead of them have their responses. Nothing begins
-//! behind a current request that may run only once: its caller may rely on the order.
+//! behind a current request that is not idempotent: its caller may rely on the order.
 //!
-//! Inputs: heads as they were read; they have no age. Owns the buffered bytes and the early requests,
+//! Inputs: the heads as they were read. Owns the buffered bytes and the early requests,
 //! which are cancelled when the queue is dropped. Relies on [`Handler::may_begin_early`], and on how
 //! hyper parses each head: the response of an early request is used only if hyper reads the same
 //! request.
@@ -47,7 +47,8 @@
     deferred: Option<UnansweredGuard<H>>,
     /// Whether the last early request closes the connection, so that all bytes behind it are ignored.
     has_closing_request: bool,
-    /// Whether requests behind the current one may begin before it has its response.
+    /// Whether requests behind the current one may begin before it has its response: only requests can
+    /// follow it, and the handler allows it.
     early_requests_allowed: bool,
     /// Whether the current request has its response.
     has_response: bool,
--- a/src/net/server/read_ahead/stream.rs
+++ b/src/net/server/read_ahead/stream.rs
@@ -1,7 +1,7 @@
 //! The stream on which hyper serves a connection. Gives hyper the bytes of one request at a time, and
 //! reads ahead while hyper is busy with it.
 //!
-//! Owns the socket. While hyper is busy with a request that it has read completely, it reads only to
+//! Owns the socket. While hyper is busy with a request that it has read completely, hyper reads only to
 //! notice that the caller has closed the connection. During that time the stream fills the [`Queue`],
 //! and gives hyper only the end of the stream. Relies on `Progress` to know when a response was sent.
 
