--- a/tests/pipelined/mod.rs
+++ b/tests/pipelined/mod.rs
@@ -1,5 +1,8 @@
 //! A connection without a network. A test sends a caller's bytes, completes responses one by one, and
 //! reads what the caller receives. Time advances only when the test asks for it.
+//!
+//! Requests for paths under `/safe/` are idempotent, all others (`/once/`) are not. The response to a path
+//! that ends with `/close` closes the connection.
 
 use bytes::Bytes;
 use http_body_util::{BodyExt, Full};
@@ -53,6 +56,7 @@
 #[derive(Default)]
 struct Pipe {
     to_server: RefCell<Vec<u8>>,
+    /// Number of bytes of `to_server` that the server has read.
     bytes_read: Cell<usize>,
     to_caller: RefCell<Vec<u8>>,
     is_closed_by_caller: Cell<bool>,
@@ -117,7 +121,7 @@
     unanswered: Cell<i64>,
 }
 
-/// Records that a request was cancelled, if it is dropped before its response was ready.
+/// Records a request as cancelled if it is dropped before its response is complete.
 struct CancellationRecorder<'a> {
     handler: &'a TestHandler,
     path: String,
@@ -299,7 +303,8 @@
         paths
     }
 
-    /// Number of requests that were read before their turn and do not have their response at it yet.
+    /// Number of requests that were read before their turn and still count as unanswered
+    /// ([`Handler::count_unanswered`]).
     pub fn unanswered(&self) -> i64 {
         self.handler.unanswered.get()
     }
--- a/tests/pipelined_framing.rs
+++ b/tests/pipelined_framing.rs
@@ -158,7 +158,7 @@
             connection.send(&text[pair[0]..pair[1]]);
         }
         connection.complete_all();
-        // Time for the connection to read the requests that exceeded a limit before.
+        // The connection stops reading at a limit. This gives it time to read on.
         (0..texts.len()).for_each(|_| connection.advance(Duration::from_millis(1)));
         prop_assert_eq!(connection.bodies(), bodies);
         prop_assert!(!connection.is_closed());
--- a/tests/pipelined_order.rs
+++ b/tests/pipelined_order.rs
@@ -1,7 +1,6 @@
 //! Order of pipelined requests, served without a network: which requests begin and when, which are
-//! cancelled, and when the connection closes. Guards against a request that must not run twice, or
-//! that its caller expects to run in order, beginning before the requests ahead of it have their
-//! responses.
+//! cancelled, and when the connection closes. Guards against a request that begins before the requests
+//! ahead of it have their responses, although it is not idempotent or follows one that is not.
 
 mod pipelined;
 
