--- a/src/net/request_body.rs
+++ b/src/net/request_body.rs
@@ -61,7 +61,7 @@
     Streamed(StreamedBody),
 }
 
-/// A streamed body, with a flag that is set at its end. If it is dropped before, the rest is read and
+/// A streamed body, with a flag that is set once it was sent. If it is dropped before, the rest is read and
 /// discarded for a limited time: a caller that is still sending when its connection closes may never
 /// receive the response.
 #[derive(Debug)]
@@ -72,19 +72,19 @@
     rest: Option<Incoming>,
     /// Bytes of the rest that may still arrive.
     allowance: u64,
-    finished: Rc<Cell<bool>>,
+    sent: Rc<Cell<bool>>,
 }
 
 impl StreamedBody {
     /// A body of which `prefix` was already read, counted by `buffered`, and of which at most
     /// `allowance` further bytes may arrive.
     pub fn new(prefix: VecDeque<Bytes>, buffered: BufferedBytes, rest: Incoming, allowance: u64) -> Self {
-        Self { prefix, buffered, rest: Some(rest), allowance, finished: Rc::new(Cell::new(false)) }
+        Self { prefix, buffered, rest: Some(rest), allowance, sent: Rc::new(Cell::new(false)) }
     }
 
     /// Flag that is set once the last byte was passed to the target's connection.
-    pub fn finished(&self) -> Rc<Cell<bool>> {
-        self.finished.clone()
+    pub fn sent(&self) -> Rc<Cell<bool>> {
+        self.sent.clone()
     }
 
     /// Length of the body in bytes; `None` if the sender did not declare it.
@@ -154,13 +154,13 @@
     fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(chunk) = self.prefix.pop_front() {
             self.buffered.release(chunk.len() as u64);
-            self.mark_finished();
+            self.mark_if_sent();
             return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         let Some(rest) = self.rest.as_mut() else { return Poll::Ready(None) };
         let polled = std::task::ready!(Pin::new(rest).poll_frame(context));
         let Some(frame) = polled else {
-            self.finished.set(true);
+            self.sent.set(true);
             return Poll::Ready(None);
         };
         let frame = frame?;
@@ -170,13 +170,13 @@
             };
             self.allowance = left;
         }
-        self.mark_finished();
+        self.mark_if_sent();
         Poll::Ready(Some(Ok(frame)))
     }
 
-    fn mark_finished(&mut self) {
+    fn mark_if_sent(&mut self) {
         if self.prefix.is_empty() && self.is_rest_read() {
-            self.finished.set(true);
+            self.sent.set(true);
         }
     }
 }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -154,7 +154,7 @@
         target: &Rc<Target>,
     ) -> Result<Response<ResponseBody>, TryError> {
         let request_sent = match request.body() {
-            RequestBody::Streamed(streamed) => streamed.finished(),
+            RequestBody::Streamed(streamed) => streamed.sent(),
             RequestBody::Buffered(_) => Rc::new(Cell::new(true)),
         };
         let (instance, started) = (self.request.instance, Instant::now());
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -74,7 +74,7 @@
             instance.request_size.record(request_bytes, response.body().size_hint().lower());
             (ANSWERED, response)
         }
-        Err(refusal) => (refusal.as_str(), refusal.response(retry_delay(instance, &record, refusal))),
+        Err(refusal) => (refusal.as_str(), refusal.response(capacity_wait(instance, &record, refusal))),
     };
     let duration = started.elapsed();
     instance.metrics.requests.with_label_values(&[outcome]).inc();
@@ -88,7 +88,7 @@
 
 /// Time after which a refused caller probably finds capacity: in its tenant's quota, in the memory
 /// for held answers, or at the service that was chosen for its request.
-fn retry_delay<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
+fn capacity_wait<P: Platform>(instance: &Instance<P>, record: &AccessRecord, refusal: Refusal) -> Duration {
     if refusal == Refusal::OverQuota {
         return with_jitter(QUOTA_WAIT, rand::random());
     }
