--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -22,17 +22,17 @@
 /// short enough that another target can be tried within a route's timeout (0.8 to 3 s).
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(400);
 /// Timeout for finding out that an address refuses connections: three round trips between the regions
-/// that are farthest apart (70 ms each). The request whose exchange ended waits for the result, which
-/// takes one round trip unless the target's machine stops responding at that moment.
+/// that are farthest apart (70 ms each). The request whose connection was lost waits for the result,
+/// which takes one round trip unless the target's machine stops responding at that moment.
 const CONNECT_CHECK_TIMEOUT: Duration = Duration::from_millis(250);
 /// Idle time after which a connection is not reused if the target states no time; less than targets
 /// are known to keep a connection open (10 s).
 const DEFAULT_IDLE_TIME: Duration = Duration::from_secs(4);
-/// Maximum of that time if the target states one: limits how many connections are kept whose other
+/// Maximum idle time if the target states one: limits how many connections are kept whose other
 /// side has disappeared without closing them.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
-/// How long before the target closes an idle connection the connection is no longer reused: a request
-/// that is sent while the target closes the connection is lost.
+/// An idle connection is no longer reused from this long before the target closes it: a request that is
+/// sent while the target closes the connection is lost.
 const CLOSE_MARGIN: Duration = Duration::from_secs(1);
 /// Maximum number of idle connections to one target; more than an instance's share of the target's
 /// slots needs (3 to 6 slots, two requests per slot).
--- a/tests/pipelined_order.rs
+++ b/tests/pipelined_order.rs
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn a_response_that_closes_the_connection_cancels_the_others_before_its_caller_has_read_it() {
+fn a_response_that_closes_the_connection_cancels_the_requests_behind_it_before_its_caller_has_read_it() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/close"), get("/safe/b")].concat());
     connection.set_caller_paused(true);
