--- a/src/net/request_body.rs
+++ b/src/net/request_body.rs
@@ -28,7 +28,7 @@
 pub enum BodyError {
     /// The connection that the body is read from failed.
     #[error("the connection of the body failed: {0}")]
-    Broken(#[from] hyper::Error),
+    ConnectionFailed(#[from] hyper::Error),
     /// The body was not complete by its deadline.
     #[error("the body was not complete before its deadline")]
     TimedOut,
@@ -44,7 +44,7 @@
     /// Name of the error in log lines and metrics.
     pub fn as_str(&self) -> &'static str {
         match self {
-            BodyError::Broken(_) => "broken",
+            BodyError::ConnectionFailed(_) => "broken",
             BodyError::TimedOut => "late",
             BodyError::Unread => "unread",
             BodyError::TooLarge => "too-large",
@@ -61,30 +61,30 @@
     Streamed(StreamedBody),
 }
 
-/// A streamed body, with a flag that is set at its end. If it is dropped before, the rest is read and
+/// A streamed body, with a flag that is set once it was sent. If it is dropped before, the rest is read and
 /// discarded for a limited time: a caller that is still sending when its connection closes may never
 /// receive the response.
 #[derive(Debug)]
 pub struct StreamedBody {
     prefix: VecDeque<Bytes>,
     /// Counts the prefix while it is in memory.
-    prefix_bytes: BufferedBytes,
+    buffered: BufferedBytes,
     rest: Option<Incoming>,
     /// Bytes of the rest that may still arrive.
     allowance: u64,
-    finished: Rc<Cell<bool>>,
+    sent: Rc<Cell<bool>>,
 }
 
 impl StreamedBody {
-    /// A body of which `prefix` was already read, counted by `prefix_bytes`, and of which at most
+    /// A body of which `prefix` was already read, counted by `buffered`, and of which at most
     /// `allowance` further bytes may arrive.
-    pub fn new(prefix: VecDeque<Bytes>, prefix_bytes: BufferedBytes, rest: Incoming, allowance: u64) -> Self {
-        Self { prefix, prefix_bytes, rest: Some(rest), allowance, finished: Rc::new(Cell::new(false)) }
+    pub fn new(prefix: VecDeque<Bytes>, buffered: BufferedBytes, rest: Incoming, allowance: u64) -> Self {
+        Self { prefix, buffered, rest: Some(rest), allowance, sent: Rc::new(Cell::new(false)) }
     }
 
     /// Flag that is set once the last byte was passed to the target's connection.
-    pub fn finished(&self) -> Rc<Cell<bool>> {
-        self.finished.clone()
+    pub fn sent(&self) -> Rc<Cell<bool>> {
+        self.sent.clone()
     }
 
     /// Length of the body in bytes; `None` if the sender did not declare it.
@@ -115,7 +115,8 @@
     }
 }
 
-/// Reads a body to its end or its first error, and discards it.
+/// Reads a body to its end or its first error, and discards it. The error is not reported, since
+/// nothing waits for this body any more.
 async fn discard(mut rest: Incoming) {
     while let Some(Ok(_)) = rest.frame().await {}
 }
@@ -152,14 +153,14 @@
 impl StreamedBody {
     fn poll_frame(&mut self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         if let Some(chunk) = self.prefix.pop_front() {
-            self.prefix_bytes.release(chunk.len() as u64);
-            self.mark_finished();
+            self.buffered.release(chunk.len() as u64);
+            self.mark_if_sent();
             return Poll::Ready(Some(Ok(Frame::data(chunk))));
         }
         let Some(rest) = self.rest.as_mut() else { return Poll::Ready(None) };
         let polled = std::task::ready!(Pin::new(rest).poll_frame(context));
         let Some(frame) = polled else {
-            self.finished.set(true);
+            self.sent.set(true);
             return Poll::Ready(None);
         };
         let frame = frame?;
@@ -169,13 +170,13 @@
             };
             self.allowance = left;
         }
-        self.mark_finished();
+        self.mark_if_sent();
         Poll::Ready(Some(Ok(frame)))
     }
 
-    fn mark_finished(&mut self) {
+    fn mark_if_sent(&mut self) {
         if self.prefix.is_empty() && self.is_rest_read() {
-            self.finished.set(true);
+            self.sent.set(true);
         }
     }
 }
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -50,7 +50,7 @@
 }
 
 impl<'a, P: Platform> Attempts<'a, P> {
-    /// Creates the state of a request that was not tried yet, and deposits its part of a retry in the
+    /// Creates the state of a request that was not tried yet, and deposits its fraction of a retry in the
     /// retry budget.
     pub fn new(request: &'a CallerRequest<'a, P>, body: IncomingBody) -> Self {
         let choice = TargetChoice::new(request);
@@ -95,7 +95,7 @@
                     return Ok(response);
                 }
                 Err(error) => {
-                    if matches!(error, TryError::NoResponse) {
+                    if matches!(error, TryError::ConnectionLost) {
                         record_lost_connection(self.request, &target, strikes).await;
                     }
                     self.record_failure(error, &target);
@@ -154,7 +154,7 @@
         target: &Rc<Target>,
     ) -> Result<Response<ResponseBody>, TryError> {
         let request_sent = match request.body() {
-            RequestBody::Streamed(streamed) => streamed.finished(),
+            RequestBody::Streamed(streamed) => streamed.sent(),
             RequestBody::Buffered(_) => Rc::new(Cell::new(true)),
         };
         let (instance, started) = (self.request.instance, Instant::now());
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -31,7 +31,7 @@
 use std::cell::Cell;
 use std::rc::Rc;
 
-/// A request ready to be sent.
+/// One request to one target, and what is needed to send it and to handle its response.
 pub struct Exchange<'a> {
     /// Names of the platform's headers.
     pub names: &'a HeaderNames,
@@ -41,7 +41,7 @@
     pub in_flight: InFlight<Target>,
     /// The caller's request id; `None` if it sent none.
     pub request_id: Option<&'a HeaderValue>,
-    /// When the request times out; the body of a response is aborted then.
+    /// When the request times out; a response that is still being read from the target is aborted then.
     pub deadline: Instant,
     /// Set once the request's body was sent completely.
     pub request_sent: Rc<Cell<bool>>,
@@ -87,7 +87,8 @@
     }
 
     /// The load that the target reports. An invalid report is counted, and logged once for each
-    /// target; the load is then estimated from the requests in flight of this instance.
+    /// target. Without a valid report, the load is estimated from this instance's requests in flight and
+    /// from an earlier report until that has faded ([`crate::decision::capacity::load`]).
     fn load_report(&self, response: &Response<Incoming>) -> Option<LoadReport> {
         response_check::load_report(self.names, response.headers()).unwrap_or_else(|error| {
             self.metrics.load_reports_ignored.with_label_values(&[error.as_str()]).inc();
@@ -132,7 +133,7 @@
             }
             ResponseError::NotExecuted if has_free_slot(report) && !target.is_paused(Instant::now()) => TryError::Shed,
             ResponseError::NotExecuted => TryError::NotExecuted,
-            ResponseError::WrongRequestId | ResponseError::Unsigned => self.fail(TryError::Lost),
+            ResponseError::WrongRequestId | ResponseError::Unsigned => self.fail(TryError::UnusableResponse),
         }
     }
 
@@ -144,8 +145,8 @@
             match connection.send(request).await {
                 Ok(response) => return Ok((response, connection)),
                 Err(SendError::Unsent(unsent)) => request = *unsent,
-                Err(SendError::ConnectionLost) => return Err(self.fail(TryError::NoResponse)),
-                Err(SendError::InvalidResponse) => return Err(self.fail(TryError::Lost)),
+                Err(SendError::ConnectionLost) => return Err(self.fail(TryError::ConnectionLost)),
+                Err(SendError::InvalidResponse) => return Err(self.fail(TryError::UnusableResponse)),
             }
         }
         self.send_over_new_connection(request).await
@@ -165,8 +166,8 @@
         match connection.send(request).await {
             Ok(response) => Ok((response, connection)),
             Err(SendError::Unsent(unsent)) => Err(TryError::Unreachable(unsent)),
-            Err(SendError::ConnectionLost) => Err(self.fail(TryError::NoResponse)),
-            Err(SendError::InvalidResponse) => Err(self.fail(TryError::Lost)),
+            Err(SendError::ConnectionLost) => Err(self.fail(TryError::ConnectionLost)),
+            Err(SendError::InvalidResponse) => Err(self.fail(TryError::UnusableResponse)),
         }
     }
 
@@ -196,7 +197,7 @@
         remove_hop_by_hop(&mut parts.headers);
         let Ok(read) = read_body(incoming).await else {
             self.record_failure();
-            return Err(TryError::Lost);
+            return Err(TryError::UnusableResponse);
         };
         if parts.status.is_server_error() {
             self.record_failure();
--- a/src/proxy/held_response/buffer.rs
+++ b/src/proxy/held_response/buffer.rs
@@ -10,8 +10,9 @@
 use std::collections::VecDeque;
 use std::rc::Rc;
 
-/// Maximum bytes that are handed to the caller's connection at a time: bytes that the connection has
-/// taken are no longer counted. Also the size of the blocks into which small chunks are copied.
+/// Maximum bytes that are handed to the caller's connection at a time. Bytes that the connection has
+/// taken are no longer counted, so this limits the uncounted memory. Also the size of the blocks into
+/// which small chunks are copied.
 pub const PART_SIZE: usize = 32 * 1024;
 /// Chunks smaller than this, bytes, are copied into blocks unless the buffer is empty: a small chunk
 /// may keep a whole read buffer in memory.
@@ -23,18 +24,19 @@
     blocks: VecDeque<Bytes>,
     /// Block under construction, of small chunks that follow `blocks`.
     tail: BytesMut,
-    held: BufferedBytes,
+    /// Counts the bytes while they are in this buffer.
+    buffered: BufferedBytes,
 }
 
 impl ResponseBuffer {
     /// An empty buffer whose bytes are counted in `total`.
     pub fn new(total: &Rc<BufferTotal>) -> Self {
-        Self { blocks: VecDeque::new(), tail: BytesMut::new(), held: BufferedBytes::new(total) }
+        Self { blocks: VecDeque::new(), tail: BytesMut::new(), buffered: BufferedBytes::new(total) }
     }
 
     /// Bytes in this buffer.
     pub fn len(&self) -> u64 {
-        self.held.bytes()
+        self.buffered.bytes()
     }
 
     /// Whether the buffer is empty.
@@ -44,7 +46,7 @@
 
     /// Bytes of all bodies that count towards the same total.
     pub fn total(&self) -> u64 {
-        self.held.total()
+        self.buffered.total()
     }
 
     /// Appends a chunk.
@@ -53,7 +55,7 @@
             return;
         }
         let was_empty = self.is_empty();
-        self.held.add(chunk.len() as u64);
+        self.buffered.add(chunk.len() as u64);
         if chunk.len() < SMALL_CHUNK && !was_empty {
             self.append_to_tail(&chunk);
         } else {
@@ -72,7 +74,7 @@
         if block.is_empty() {
             self.blocks.pop_front();
         }
-        self.held.release(part.len() as u64);
+        self.buffered.release(part.len() as u64);
         Some(part)
     }
 
@@ -80,7 +82,7 @@
     pub fn clear(&mut self) {
         self.blocks.clear();
         self.tail = BytesMut::new();
-        self.held.release(self.held.bytes());
+        self.buffered.release(self.buffered.bytes());
     }
 
     fn append_to_tail(&mut self, chunk: &[u8]) {
--- a/src/proxy/held_response/reader.rs
+++ b/src/proxy/held_response/reader.rs
@@ -27,7 +27,7 @@
 pub struct Reader {
     /// Receives the bytes for the caller.
     pub shared: Rc<SharedResponse>,
-    /// The part of the body that was not read yet.
+    /// The rest of the body, which was not read yet.
     pub body: Incoming,
     /// The connection to the target.
     pub connection: ReusableConnection,
@@ -87,7 +87,8 @@
                 ReadStep::End => return Ok(()),
                 ReadStep::NoRoom => {}
             }
-            // Checked before the caller's side runs, which may drop the body after the last byte.
+            // Checked before this task waits again: the caller's side may drop the response once it has
+            // the last byte, which aborts this task.
             if self.body.is_end_stream() {
                 return Ok(());
             }
@@ -124,7 +125,7 @@
         while !self.shared.may_read(&self.held_responses.limits) {
             let (own, _) = self.shared.held_bytes();
             tokio::select! {
-                () = self.shared.consumed() => {}
+                () = self.shared.caller_polled() => {}
                 () = total.freed(), if !limits.is_full(own) => {}
             }
         }
@@ -152,7 +153,7 @@
     async fn wait_until_consumed(self, deadline: Instant) {
         let mut give_up_at = deadline.max(Instant::now()) + CALLER_IDLE_TIMEOUT;
         while !self.shared.is_consumed() {
-            if timeout_at(give_up_at, self.shared.consumed()).await.is_err() {
+            if timeout_at(give_up_at, self.shared.caller_polled()).await.is_err() {
                 return self.drop_unread();
             }
             give_up_at = give_up_at.max(Instant::now() + CALLER_IDLE_TIMEOUT);
--- a/src/proxy/held_response/shared.rs
+++ b/src/proxy/held_response/shared.rs
@@ -30,7 +30,7 @@
 struct State {
     buffer: ResponseBuffer,
     trailers: Option<HeaderMap>,
-    /// Maximum number of bytes that were held while the limits had room for more.
+    /// Largest number of bytes that were held while the limits had room for more.
     max_held: u64,
     progress: ReadProgress,
     /// Waker of the caller's side while it waits for bytes.
@@ -41,14 +41,14 @@
 #[derive(Debug)]
 pub struct SharedResponse {
     state: RefCell<State>,
-    consumed: Notify,
+    caller_polled: Notify,
 }
 
 impl SharedResponse {
     /// A response without bytes yet, counted in `total`.
     pub fn new(total: &Rc<BufferTotal>, progress: ReadProgress) -> Self {
         let state = State { buffer: ResponseBuffer::new(total), trailers: None, max_held: 0, progress, waker: None };
-        Self { state: RefCell::new(state), consumed: Notify::new() }
+        Self { state: RefCell::new(state), caller_polled: Notify::new() }
     }
 
     /// Appends bytes that were read.
@@ -75,11 +75,12 @@
         wake(&mut state);
     }
 
-    /// Marks the response as aborted. The held bytes are dropped, except if the target's connection
-    /// broke: the caller still gets the bytes that arrived before.
+    /// Marks the response as aborted. If the connection to the target failed, the caller still gets the
+    /// held bytes. After a timeout, or if the caller has stopped reading, they are of no use any more
+    /// and are dropped.
     pub fn abort(&self, error: BodyError) {
         let mut state = self.state.borrow_mut();
-        if !matches!(error, BodyError::Broken(_)) {
+        if !matches!(error, BodyError::ConnectionFailed(_)) {
             state.buffer.clear();
         }
         state.progress = ReadProgress::Aborted(Some(error));
@@ -102,22 +103,22 @@
         limits.may_read(own, total, state.max_held, state.waker.is_some())
     }
 
-    /// Returns once the caller's side has taken bytes or begun to wait.
-    pub async fn consumed(&self) {
-        self.consumed.notified().await;
+    /// Returns once the caller's side has polled for bytes, and has taken some or begun to wait.
+    pub async fn caller_polled(&self) {
+        self.caller_polled.notified().await;
     }
 
     /// The next frame for the caller.
     pub fn poll_frame(&self, context: &mut Context<'_>) -> Poll<Option<Result<Frame<Bytes>, BodyError>>> {
         let mut state = self.state.borrow_mut();
         if let Some(part) = state.buffer.take_part() {
-            self.consumed.notify_one();
+            self.caller_polled.notify_one();
             return Poll::Ready(Some(Ok(Frame::data(part))));
         }
         match &mut state.progress {
             ReadProgress::Reading(_) => {
                 state.waker = Some(context.waker().clone());
-                self.consumed.notify_one();
+                self.caller_polled.notify_one();
                 Poll::Pending
             }
             ReadProgress::Complete => Poll::Ready(state.trailers.take().map(|trailers| Ok(Frame::trailers(trailers)))),
--- a/src/proxy/try_error.rs
+++ b/src/proxy/try_error.rs
@@ -1,4 +1,4 @@
-//! Errors of a single try.
+//! Reasons why a single try fails.
 
 use crate::decision::failure::next_try::TryOutcome;
 use crate::net::request_body::RequestBody;
@@ -18,14 +18,15 @@
     /// The target reported that it did not run the request, although it had a free slot.
     #[error("the target sheds load and did not run the request; the same target can take it")]
     Shed,
-    /// The response cannot be passed on; the request may have run.
+    /// A response began but cannot be passed on: it is invalid or unsigned, belongs to another request,
+    /// or broke off. The request may have run.
     #[error("the response cannot be passed on and the request may have run; repeat it only if its route is safe")]
-    Lost,
+    UnusableResponse,
     /// The connection closed before a response began; the request may have run.
     #[error(
         "the connection closed without a response and the request may have run; repeat it only if its route is safe"
     )]
-    NoResponse,
+    ConnectionLost,
     /// The deadline passed without a response; the request may have run.
     #[error("no response arrived before the deadline and the request may have run; give it more time")]
     TimedOut,
@@ -38,7 +39,7 @@
             TryError::Unreachable(_) => TryOutcome::Unreachable,
             TryError::NotExecuted => TryOutcome::NotExecuted,
             TryError::Shed => TryOutcome::Shed,
-            TryError::Lost | TryError::NoResponse => TryOutcome::Lost,
+            TryError::UnusableResponse | TryError::ConnectionLost => TryOutcome::Lost,
             TryError::TimedOut => TryOutcome::TimedOut,
         }
     }
