--- a/src/decision/quota/hall_demand.rs
+++ b/src/decision/quota/hall_demand.rs
@@ -121,19 +121,19 @@
         let headroom = (free / AMPLE_FREE_FRACTION).min(1.0);
         let deviations = GROWTH_DEVIATIONS * headroom;
         let current_demand = self.current_demand(own, deviations, now);
-        let (mut all, mut unreported) = (current_demand, 0.0);
+        let (mut expected, mut unreported) = (current_demand, 0.0);
         for (_, demand) in self.halls.iter().filter(|(hall, _)| **hall != *own && is_reachable(hall)) {
             let growth = growth(current_demand, demand.own_at_report, deviations);
             if growth < 1.0 + MIN_EXCESS_GROWTH * headroom {
-                all += demand.average.value_at(now);
+                expected += demand.average.value_at(now);
                 continue;
             }
             let rate = demand.average.per_second * growth;
             let age = now.saturating_duration_since(demand.average.updated_at).min(MAX_UNREPORTED_TIME);
-            all += rate;
+            expected += rate;
             unreported += rate * age.as_secs_f64();
         }
-        (all, unreported)
+        (expected, unreported)
     }
 
     fn own_average(&self, now: Instant) -> f64 {
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -1,13 +1,13 @@
 //! Admission by quota: an instance admits a tenant's requests, evenly spaced, at the ratio that the
 //! head of its hall returned in its last answer. It admits only its equal share of the quota
-//! ([`super::equal_share`]) while the answer is too old, or, without the burst, once it has admitted
-//! too many requests since the last answered report began.
+//! ([`super::equal_share`]) while the answer is too old. If it has admitted too many requests since it
+//! started the last answered report, it admits that share without the burst.
 //!
 //! **Inputs**
 //! - Admit ratios by tenant, from the last answer of a head; up to `MAX_ANSWER_AGE` (1 s) old. All
 //!   requests of a tenant that the answer does not name are admitted.
-//! - Requests of each tenant that arrived here since the last answered report began, and how many of
-//!   them were admitted; counted at once.
+//! - Requests of each tenant that arrived here since the last answered report was started, and how many
+//!   of them were admitted; counted at once.
 //! - The quota, from the configuration in force, and the number of instances; as old as the view.
 //!
 //! **Why.** When a tenant suddenly sends a multiple of its usual requests, the head has to know before
@@ -35,20 +35,20 @@
 const MIN_SURGE_REQUESTS: f64 = 2.0;
 /// Factor on a tenant's usual requests between two reports from which its requests are reported at once.
 const SURGE_FACTOR: f64 = 2.0;
-/// Maximum number of requests admitted before the next answer, as a multiple of the number from which they
-/// are reported at once; at least [`MAX_BEFORE_ANSWER_FLOOR`]. Five, because up to five reports may fail
-/// while an answer applies.
-const MAX_BEFORE_ANSWER_FACTOR: f64 = 5.0;
-/// See [`MAX_BEFORE_ANSWER_FACTOR`].
-const MAX_BEFORE_ANSWER_FLOOR: f64 = 8.0;
-/// The same for a tenant with an admit ratio below 1, and multiplied by that ratio: the quota is used up,
-/// and every other instance may admit as many requests too.
-const LIMITED_MAX_BEFORE_ANSWER_FACTOR: f64 = 1.0;
-/// See [`LIMITED_MAX_BEFORE_ANSWER_FACTOR`].
-const LIMITED_MAX_BEFORE_ANSWER_FLOOR: f64 = 2.0;
-/// Maximum number of a tenant's requests that are admitted before the first answer: all instances may be
-/// starting, and none of them knows what was admitted before.
-const MAX_BEFORE_FIRST_ANSWER: f64 = 3.0;
+/// Maximum number of a tenant's requests that this instance admits until the head answers its next report,
+/// as a multiple of the number from which they are reported at once; at least [`MAX_ADMITTED_FLOOR`]. Five,
+/// because up to five reports may fail while an answer applies.
+const MAX_ADMITTED_FACTOR: f64 = 5.0;
+/// See [`MAX_ADMITTED_FACTOR`].
+const MAX_ADMITTED_FLOOR: f64 = 8.0;
+/// Used in place of [`MAX_ADMITTED_FACTOR`] for a tenant with an admit ratio below 1, and multiplied by that
+/// ratio: the quota is used up, and every other instance may admit as many requests too.
+const REDUCED_MAX_ADMITTED_FACTOR: f64 = 1.0;
+/// See [`REDUCED_MAX_ADMITTED_FACTOR`].
+const REDUCED_MAX_ADMITTED_FLOOR: f64 = 2.0;
+/// Maximum number of a tenant's requests that this instance admits until a head answers its first report:
+/// all instances may be starting, and none of them knows what was admitted before.
+const MAX_ADMITTED_BEFORE_FIRST_ANSWER: f64 = 3.0;
 /// Maximum to which a tenant's admit ratio rises with one answer: this factor times the last ratio,
 /// plus [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
 const RATIO_RISE_FACTOR: f64 = 1.5;
@@ -105,19 +105,21 @@
         f64::from(self.unreported.offered) >= self.surge_threshold()
     }
 
-    /// Whether as many requests were admitted as are allowed before the next answer.
-    fn has_reached_max_before_answer(&self, is_first: bool) -> bool {
+    /// Whether as many requests were admitted as are allowed before the next answer. `is_before_first_answer`
+    /// states that no head has answered yet.
+    fn has_reached_max_admitted(&self, is_before_first_answer: bool) -> bool {
         let admitted = self.unreported.admitted.saturating_add(self.in_report.admitted);
-        let max_admitted = match (is_first, self.admit_ratio < 1.0) {
-            (true, _) => MAX_BEFORE_FIRST_ANSWER,
-            (false, true) => (LIMITED_MAX_BEFORE_ANSWER_FACTOR * self.admit_ratio * self.surge_threshold())
-                .max(LIMITED_MAX_BEFORE_ANSWER_FLOOR),
-            (false, false) => (MAX_BEFORE_ANSWER_FACTOR * self.surge_threshold()).max(MAX_BEFORE_ANSWER_FLOOR),
+        let max_admitted = match (is_before_first_answer, self.admit_ratio < 1.0) {
+            (true, _) => MAX_ADMITTED_BEFORE_FIRST_ANSWER,
+            (false, true) => (REDUCED_MAX_ADMITTED_FACTOR * self.admit_ratio * self.surge_threshold())
+                .max(REDUCED_MAX_ADMITTED_FLOOR),
+            (false, false) => (MAX_ADMITTED_FACTOR * self.surge_threshold()).max(MAX_ADMITTED_FLOOR),
         };
         f64::from(admitted) >= max_admitted
     }
 
-    /// Adds a request's credit; whether that suffices to admit the request, which uses it up.
+    /// Adds the admit ratio to the credit. Returns whether that makes a whole request, which is then admitted
+    /// and deducted.
     fn take_credit(&mut self) -> bool {
         self.credit += self.admit_ratio;
         let is_admitted = self.credit >= 1.0;
@@ -134,8 +136,8 @@
     tenants: HashMap<Rc<str>, TenantUsage>,
     /// The ratios of the last answer, including those of tenants without a request here so far.
     answered_ratios: HashMap<String, f64>,
-    /// When the last report was started that was answered, or counted without its answer being used;
-    /// later requests are not reported yet.
+    /// Start of the last report that was answered, or that was counted although its answer is not used.
+    /// Requests that arrived later are not reported yet.
     reported_until: Option<Instant>,
     /// When the report was started that is not answered yet.
     report_started_at: Option<Instant>,
@@ -150,12 +152,12 @@
     pub fn admit(&mut self, tenant: &Rc<str>, quota: Quota, fleet: FleetSize, random: f64, now: Instant) -> Admission {
         let answered_at = *self.answered_at.get_or_insert(now);
         let is_answered = now.saturating_duration_since(answered_at) < MAX_ANSWER_AGE;
-        let is_first = !self.was_answered;
+        let is_before_first_answer = !self.was_answered;
         let answered_ratios = &self.answered_ratios;
         let new = || TenantUsage::new(answered_ratios.get(&**tenant).copied().unwrap_or(1.0), random);
         let usage = self.tenants.entry(tenant.clone()).or_insert_with(new);
         usage.unreported.offered = usage.unreported.offered.saturating_add(1);
-        let is_admitted = match (is_answered, usage.has_reached_max_before_answer(is_first)) {
+        let is_admitted = match (is_answered, usage.has_reached_max_admitted(is_before_first_answer)) {
             (true, false) => usage.take_credit(),
             // The burst is only for an instance without a current answer: with one, all others may admit as
             // many requests at the same moment.
--- a/src/decision/quota/totals.rs
+++ b/src/decision/quota/totals.rs
@@ -1,5 +1,5 @@
 //! Usage of all tenants as the head of a hall aggregates it: a window for each tenant, which instances
-//! and halls are reachable, and the usage that other halls still have to be sent.
+//! and halls are reachable, and the usage that is still to be sent to other halls.
 //!
 //! **Inputs**
 //! - Reports of instances of the own hall and of other halls' heads, 0.2 to 0.5 s old.
@@ -37,8 +37,8 @@
 const STARTUP_TIME: Duration = Duration::from_millis(1_200);
 /// Time without any report after which the totals are dropped.
 const RESET_AFTER: Duration = Duration::from_secs(2);
-/// Maximum time before its first report for which a new head takes all admitted requests as known, namely
-/// those in that report: no other head has counted them, since the previous one was dead.
+/// Maximum part of the period that its first report covers for which a new head takes all admitted requests
+/// as known: they are in that report, and no other head has counted them, since the previous one was dead.
 const MAX_KNOWN_BEFORE_START: Duration = Duration::from_secs(1);
 /// Time for which [`Reachability`] is not computed again.
 const MAX_REACHABILITY_AGE: Duration = Duration::from_millis(100);
