--- a/src/decision/failure/ejection.rs
+++ b/src/decision/failure/ejection.rs
@@ -7,13 +7,13 @@
 //! - Failures attributed to the target, and valid responses, as this instance observed them. A
 //!   failure is a connection that cannot be made, a broken exchange, a server error, or a response
 //!   that cannot be parsed, lacks the request's id or carries another one, or reports success without
-//!   the target's signature. A valid response resets everything except that the target was replaced;
-//!   without one, failures count however old they are. The failure of a request that was sent before
-//!   the last ejection carries no new information and does not count.
+//!   the target's signature. A valid response resets the failures and the ejection, but not the mark
+//!   that the target was replaced; without one, failures count however old they are. The failure of a
+//!   request that was sent before the last ejection carries no new information and does not count.
 //! - When the failed request was sent; exact.
 //! - Requests of this instance in flight at the target; exact.
-//! - A misdirected response: another target listens at the address. This is final, since a new
-//!   start of a target has a new registration.
+//! - A misdirected response: another target listens at the address. This start of the target is
+//!   then sent nothing more there; a new start has a registration of its own.
 //!
 //! **Why.** The store lists a dead target until its lease expires, which takes seconds. Requests
 //! sent there in the meantime are lost or cost a retry.
@@ -91,7 +91,7 @@
 
     /// Whether the target gets no request now, given `in_flight` requests of this instance there.
     pub fn is_ejected(&self, in_flight: u32, now: Instant) -> bool {
-        let is_probed = self.probe_sent && in_flight > 0;
-        self.is_replaced || self.ejected_until.is_some_and(|until| now < until || is_probed)
+        let is_probe_in_flight = self.probe_sent && in_flight > 0;
+        self.is_replaced || self.ejected_until.is_some_and(|until| now < until || is_probe_in_flight)
     }
 }
--- a/src/decision/failure/latency.rs
+++ b/src/decision/failure/latency.rs
@@ -1,6 +1,6 @@
-//! Slow targets: a target is slow if its average latency exceeds three times the median of its
-//! service, or if it has not responded for 4.5 medians, and if that time also exceeds the route's
-//! objective. It gets one request at a time and at most one per second until it is faster.
+//! Slow targets: a target is slow if its average latency exceeds both three times the median of its
+//! service and the route's objective, or if it has not responded for longer than both 4.5 medians and
+//! the objective. It gets one request at a time and at most one per second until it is faster.
 //!
 //! **Inputs**
 //! - Latency, seconds: time from sending to the valid response, of this instance's requests. A
@@ -107,8 +107,8 @@
 }
 
 /// The median of `averages`, seconds, which is the upper of the two middle values for an even
-/// count; `None` if there are none. With one or two measured targets no average exceeds the median that
-/// was computed from it, so that only a missing response can make one of them slow.
+/// count; `None` if there are none. With one or two measured targets it is the highest average, so that
+/// until an average changes only a missing response can make one of them slow.
 pub fn median(mut averages: Vec<f64>) -> Option<f64> {
     averages.sort_by(f64::total_cmp);
     averages.get(averages.len() / 2).copied()
--- a/src/decision/failure/next_try.rs
+++ b/src/decision/failure/next_try.rs
@@ -1,10 +1,11 @@
 //! Retry rule: whether a request is tried again after a failed try, and what the caller is told if
 //! not.
 //!
-//! **Rule**: after a failed try a request is tried at another target if the failure proves that it
-//! did not run, or if its exchange broke and its route is idempotent, within the route's limit of
-//! tries and the limit of tries without a connection; the caller of this module checks time
-//! ([`has_time`]) and budget. A request that timed out is never tried again.
+//! **Rule**: after a failed try a request is tried again if the failure proves that it did not run, or
+//! if its exchange broke and its route is idempotent, within the route's limit of tries and the limit
+//! of tries without a connection; `src/proxy/attempts.rs` checks time ([`has_time`]) and budget. The
+//! next try goes to another target, unless this one shed the request ([`super::shedding`]). A request
+//! that timed out is never tried again.
 //!
 //! **Inputs**: the failed tries of this request alone ([`FailedTries`], counts); the route's
 //! [`Idempotency`] and `max_attempts` (tries that reach a target) from the configuration with which
@@ -15,7 +16,7 @@
 //! in time. A try without a connection has sent nothing, so it does not count towards
 //! `max_attempts`, but it takes up to the connect timeout ([`crate::net::pool`]), so these tries
 //! have a limit of their own. The retry budget is charged before a try for which `costs_retry` is
-//! set, that is once an earlier try reached a target.
+//! set: each one after a try that reached a target.
 //!
 //! **Guards** these promises: a request whose route is not idempotent runs at most once; a
 //! caller is told "not run" (503) only if no target can have run the request, so that once a try
@@ -154,8 +155,8 @@
         Some(TryOutcome::Lost) => limits.idempotency == Idempotency::Idempotent,
         Some(TryOutcome::Unreachable | TryOutcome::NotExecuted | TryOutcome::Shed) | None => true,
     };
-    let has_tries = tries.sends < limits.max_attempts && tries.unreachable < MAX_UNREACHABLE_TRIES;
-    if may_repeat && has_tries {
+    let has_tries_left = tries.sends < limits.max_attempts && tries.unreachable < MAX_UNREACHABLE_TRIES;
+    if may_repeat && has_tries_left {
         TryDecision::Try { costs_retry: tries.sends > 0 }
     } else {
         TryDecision::Refuse(tries.reason())
--- a/src/decision/failure/pause.rs
+++ b/src/decision/failure/pause.rs
@@ -11,10 +11,11 @@
 //! over `MAX_PAUSE` counts as that.
 //!
 //! **Why.** Without this rule the target is sent another request at once, since it has free slots, and
-//! callers are sent back to it. The target asks each instance separately, so that nothing is shared.
+//! callers are told to retry at once ([`super::shedding`]), which sends them to it again. The target
+//! asks each instance separately, so that nothing is shared.
 //!
 //! **Guards** the promise that a target which asked for a pause gets at most two requests of this
-//! instance from half a second after that until the pause ends. **Test**: `tests/target_signals.rs`,
+//! instance from half a second after it asked until the pause ends. **Test**: `tests/target_signals.rs`,
 //! `standins/tests/pauses.rs`.
 
 use crate::clock::Instant;
@@ -67,7 +68,7 @@
 pub struct Pause {
     /// End of the pause with its jitter; `None` before the first.
     until: Option<Instant>,
-    /// Whether no response other than a rejection arrived since the pause ended.
+    /// True from the start of a pause until a response that arrives after it does not reject the request.
     awaits_probe: bool,
 }
 
--- a/src/decision/failure/quarantine/mod.rs
+++ b/src/decision/failure/quarantine/mod.rs
@@ -183,8 +183,8 @@
 
     /// Counts a strike for a target that crashed under a try which began with `known` strikes.
     /// Returns the number of strikes including this one; `None` if another strike was counted since
-    /// the try began, whose target may have crashed at the same moment under the same attempts.
-    /// Strikes that a response has cleared in the meantime do not count.
+    /// the try began, whose target may have crashed at the same moment under another attempt of the
+    /// request. Strikes that a response has cleared in the meantime do not count.
     pub fn record_strike(&mut self, fingerprint: Fingerprint, known: u32, now: Instant) -> Option<u32> {
         let current = self.current_strikes(fingerprint, now).map_or(0, |latest| latest.strikes);
         if current > known {
--- a/src/decision/failure/shedding.rs
+++ b/src/decision/failure/shedding.rs
@@ -11,14 +11,14 @@
 //! **Why.** The same target, which has cached the affinity key, is as likely to accept the next
 //! request as any other. The second target works three times as long on it, which is beyond the
 //! objective, and evicts another key for it. Waiting until there is room, about 1.5 to 4.5
-//! latencies, gains the caller nothing either, since there is room already. An earlier replay of
-//! this load pattern (mean of five seeds) answered 87 requests in 100 within the objective, and 64
-//! without the rule.
+//! latencies, gains the caller nothing either, since there is room already. In a replay of this
+//! load pattern, 87 requests in 100 were answered within the objective with the rule, and 64 without
+//! it (means of five seeds).
 //!
 //! A target that asked for a pause ([`super::pause`]) gets no second request.
 //!
-//! **Guards** the promise that a full target is sent no more requests at once: if no slot is free
-//! the next target is tried, and the caller waits until there is room.
+//! **Guards** the promise that a full target is not sent another request at once: if no slot is free,
+//! the next try goes to another target, and a refused caller is told to wait until there is room.
 //!
 //! **Constants**: none; tries stay within the route's attempts and the retry budget.
 //!
--- a/src/decision/selection/exclusion.rs
+++ b/src/decision/selection/exclusion.rs
@@ -14,7 +14,7 @@
 //! | evacuated | the evacuation of its hall | as the view |
 //! | paused | the end of the pause that it requested from this instance ([`crate::decision::failure::pause`]) | exact |
 //! | ejected | failures that this instance observed ([`crate::decision::failure::ejection`]) | since the last success |
-//! | tried | targets that this request was already sent to | exact |
+//! | tried | targets that earlier tries of this request were sent to, except those that shed it ([`crate::decision::failure::shedding`]) | exact |
 //! | denied, not allowed, drained | the operators' policies in force | as the view |
 //! | slow | latency, and time since the last response ([`crate::decision::failure::latency`]); the median of the service, seconds | median 0.5 s |
 //! | cold | slow start ([`crate::decision::capacity::slow_start`]) | view below 1.3 s, members unchanged for 2 s |
@@ -25,7 +25,8 @@
 //! nothing else excludes the target. A target that is both ejected and denied is reported as ejected.
 //!
 //! **Guards** the promises that draining, evacuated and forbidden targets get no new request,
-//! that a request goes to one target at most once, and those of the rules named above.
+//! that a request is sent to a target again only if that target shed it, and those of the rules named
+//! above.
 //!
 //! **Constants**: none of its own; those of each rule are in its module.
 //!
@@ -66,7 +67,7 @@
     Paused,
     /// Its rate limit is used up, or reserved for other instances.
     Limited,
-    /// This request was already sent to it.
+    /// An earlier try of this request was sent to it, and it did not shed the request.
     Tried,
 }
 
--- a/src/decision/selection/query.rs
+++ b/src/decision/selection/query.rs
@@ -43,7 +43,7 @@
     pub has_shared_loads: bool,
     /// The operators' policies that match the request; `None` if none does.
     pub matched_policies: Option<&'a MatchedPolicies<'a>>,
-    /// The targets that earlier tries of the request were sent to.
+    /// The targets that earlier tries of the request were sent to, except those that shed it.
     pub tried: &'a [TargetKey],
     /// The time of the try.
     pub now: Instant,
