--- a/src/decision/selection/affinity.rs
+++ b/src/decision/selection/affinity.rs
@@ -19,11 +19,11 @@
 //! from the targets' caches. The second target is chosen with less weight on the region, since
 //! it takes the requests that a full target, often in a full region, has no room for.
 //!
-//! **Guards** the promises that requests for one object stay together, that few objects move
+//! **Guards** the promises that requests with the same key stay together, that few keys move
 //! when targets come and go, and that requests stay in their region where they can.
 //!
-//! **Test**: `objects_move_only_from_the_target_that_left`,
-//! `most_objects_are_served_in_the_own_region_and_every_target_serves_some` and
+//! **Test**: `keys_move_only_from_the_target_that_left`,
+//! `most_keys_are_served_in_the_own_region_and_every_target_serves_some` and
 //! `the_targets_of_a_key_match_a_naive_search` in `tests/choice.rs`.
 
 use crate::decision::registry::target::Target;
--- a/src/decision/selection/cap_moves.rs
+++ b/src/decision/selection/cap_moves.rs
@@ -14,8 +14,8 @@
 //! a drain, a weight, an ejection, a full target. The default hall depends on none of these,
 //! so it defines what a move is.
 //!
-//! **Guards** the promise that in any window of requests at most `cap` of them, and one more
-//! for each instance, leave their default hall. Each cap charges a request once, over all its
+//! **Guards** the promise that in any window of requests at most the share `cap` of them, and one
+//! more for each instance, leave their default hall. Each cap charges a request once, over all its
 //! tries.
 //!
 //! **Constants**: none.
--- a/src/decision/selection/choice.rs
+++ b/src/decision/selection/choice.rs
@@ -10,9 +10,9 @@
 //! **Why.** Room is checked after affinity, since a cached object is worth a short wait, and
 //! before caps, since a move must not be charged for a target that turns out to have no room.
 //!
-//! **Guards** the promise that `why` names the target a request gets: both run `Choice` and
-//! differ only in the cap charge and the requests in flight. A dry run allows a move if a request
-//! that came now could withdraw it from the caps' credit.
+//! **Guards** the promise that `why` names the target a request gets: both run `Choice`, but `why`
+//! charges no cap, counts no demand for rate limits and adds no request in flight. A dry run allows a
+//! move if a request that came now could withdraw it from the caps' credit.
 //!
 //! **Constants**: none; those of each rule are in its module.
 //!
@@ -132,8 +132,8 @@
         choice
     }
 
-    /// Adds a target to the ranking, or records it by what excludes it. Targets that are leaving or in
-    /// slow start matter to the region of a key, all targets to caps.
+    /// Adds a target to the ranking, or records it by what excludes it. The region of a key depends on
+    /// targets that are leaving or in slow start, and caps depend on all targets.
     fn consider(&mut self, target: &'a Rc<Target>, replacement: &mut Replacement<'a>) {
         let exclusion = self.exclusions.reason_for(target);
         let is_recorded = matches!(
--- a/src/decision/selection/outcome.rs
+++ b/src/decision/selection/outcome.rs
@@ -22,8 +22,8 @@
 pub enum NoTarget {
     /// The service has no target that may be used.
     NoneUsable,
-    /// No target may be used, but the first reason that excludes at least one of them is a pause or a
-    /// rate limit that it announced itself.
+    /// No target may be used. For at least one of them, the first reason that excludes it is a pause or
+    /// a rate limit that it announced itself.
     LimitedOrPaused {
         /// The best-ranked target at its rate limit, else the one whose pause ends first.
         first: Rc<Target>,
--- a/src/decision/selection/request_size.rs
+++ b/src/decision/selection/request_size.rs
@@ -23,7 +23,8 @@
 /// include some of them.
 const SMOOTHING_FACTOR: f64 = 1.0 / 512.0;
 
-/// The moving average. Each byte passes a link once in either direction, from the caller to the target or back.
+/// The moving average. Each byte of a body crosses the instance's link once in each direction: it is
+/// received from the caller and sent to the target, or the other way round.
 #[derive(Debug)]
 pub struct RequestSize(Cell<f64>);
 
--- a/src/decision/selection/split.rs
+++ b/src/decision/selection/split.rs
@@ -16,7 +16,7 @@
 //! **Guards** the promise that a split keeps its shares, within 0.1 over steady periods of 300
 //! requests or more of all instances together.
 //!
-//! **Test**: `a_split_keeps_its_shares_for_any_sequence_of_objects`,
+//! **Test**: `a_split_keeps_its_shares_for_any_sequence_of_keys`,
 //! `keys_of_a_split_stay_with_their_service_while_its_weight_grows` and
 //! `a_service_with_zero_weight_gets_no_requests` in `tests/logic.rs`.
 
@@ -27,13 +27,13 @@
 
 /// Number of requests over which counts decay to about a third. Shares are judged over 300 requests or
 /// more, and the counts have to settle well within that. The resulting shares are checked by
-/// `a_split_keeps_its_shares_for_any_sequence_of_objects` in `tests/logic.rs`.
+/// `a_split_keeps_its_shares_for_any_sequence_of_keys` in `tests/logic.rs`.
 const DECAY_REQUESTS: f64 = 150.0;
 /// Counted requests from which the full correction applies; with fewer it is reduced in proportion,
 /// since small counts are unreliable. A quarter of `DECAY_REQUESTS`.
 const FULL_CORRECTION_REQUESTS: f64 = DECAY_REQUESTS / 4.0;
 /// Factor by which a counted deviation from the share is corrected (no unit).
-/// `a_split_keeps_its_shares_for_any_sequence_of_objects` checks the resulting shares.
+/// `a_split_keeps_its_shares_for_any_sequence_of_keys` checks the resulting shares.
 const CORRECTION_GAIN: f64 = 4.0;
 /// Seed of the hash that places a key within a split, so that it is independent of other
 /// hashes. Any number will do, but it must be the same in all instances.
--- a/src/hash.rs
+++ b/src/hash.rs
@@ -1,5 +1,6 @@
 //! Deterministic hashes for decisions that all instances must make alike without exchanging
-//! messages: which target a key belongs to, which service of a split, which weight policy.
+//! messages: which target a key belongs to, which service of a split its requests go to, and which
+//! weight policy applies to them.
 //!
 //! Owns nothing and depends on no other module of lockloft. Changing a hash moves nearly every key to
 //! another target, and old and new instances would disagree while they run side by side.
--- a/tests/choice.rs
+++ b/tests/choice.rs
@@ -89,27 +89,27 @@
 }
 
 #[test]
-fn objects_move_only_from_the_target_that_left() {
+fn keys_move_only_from_the_target_that_left() {
     let mut scene = Scene::new();
-    let before: Vec<Rc<str>> = (0..500).map(|object| scene.choose(object, &[]).unwrap().id.clone()).collect();
+    let before: Vec<Rc<str>> = (0..500).map(|key| scene.choose(key, &[]).unwrap().id.clone()).collect();
     scene.put("t0", "a-1 4 draining 2 0");
-    for (object, previous) in before.iter().enumerate() {
-        let current = scene.choose(object as u64, &[]).unwrap().id.clone();
-        assert!(&**previous == "t0" || current == *previous, "object {object} moved from {previous} to {current}");
+    for (key, previous) in before.iter().enumerate() {
+        let current = scene.choose(key as u64, &[]).unwrap().id.clone();
+        assert!(&**previous == "t0" || current == *previous, "key {key} moved from {previous} to {current}");
         assert_ne!(&*current, "t0");
     }
 }
 
 #[test]
-fn most_objects_are_served_in_the_own_region_and_every_target_serves_some() {
+fn most_keys_are_served_in_the_own_region_and_every_target_serves_some() {
     let scene = Scene::new();
     let mut counts: HashMap<Rc<str>, u32> = HashMap::new();
-    for object in 0..4_000 {
-        *counts.entry(scene.choose(object, &[]).unwrap().id.clone()).or_default() += 1;
+    for key in 0..4_000 {
+        *counts.entry(scene.choose(key, &[]).unwrap().id.clone()).or_default() += 1;
     }
     assert_eq!(counts.len(), 8);
     let own: u32 = (0..4).map(|number| counts[format!("t{number}").as_str()]).sum();
-    assert!((3_000..3_400).contains(&own), "{own} of 4000 objects in the own region, with a weight of 4 to 1");
+    assert!((3_000..3_400).contains(&own), "{own} of 4000 keys in the own region, with a weight of 4 to 1");
 }
 
 #[test]
@@ -160,8 +160,8 @@
         let hall = ["a-1", "a-2", "b-1"][number / 2];
         scene.put(&format!("t{number}"), &format!("{hall} 4 ready 2 3000"));
     }
-    for object in 0..50 {
-        assert_eq!(&*scene.choose(object, &[]).unwrap().hall, "b-2");
+    for key in 0..50 {
+        assert_eq!(&*scene.choose(key, &[]).unwrap().hall, "b-2");
     }
     let one = scene.choose(7, &[]).unwrap();
     let other = scene.choose(7, &[one.key]).unwrap();
--- a/tests/logic.rs
+++ b/tests/logic.rs
@@ -112,11 +112,11 @@
         prop_assert_eq!(found.map(|index| config.route(index).name.clone()), naive);
     }
 
-    /// Each service of a split gets a share of the requests near its weight, whatever their objects.
+    /// Each service of a split gets a share of the requests near its weight, whatever their keys.
     #[test]
-    fn a_split_keeps_its_shares_for_any_sequence_of_objects(
+    fn a_split_keeps_its_shares_for_any_sequence_of_keys(
         weight in 0.05f64..0.95,
-        objects in prop::collection::vec(any::<u64>(), 8..60),
+        keys in prop::collection::vec(any::<u64>(), 8..60),
     ) {
         let mut split = route("split", "a", "/");
         split.services = vec![
@@ -126,7 +126,7 @@
         let mut splits = TrafficSplits::default();
         let mut ones = 0;
         for number in 0..2_000 {
-            let weighted = splits.pick(&split, objects[number * 7 % objects.len()]);
+            let weighted = splits.pick(&split, keys[number * 7 % keys.len()]);
             ones += usize::from(&*weighted.service == "one");
         }
         let share = ones as f64 / 2_000.0;
@@ -213,8 +213,8 @@
         WeightedService { service: "all".into(), weight: 5.0 },
     ];
     let mut splits = TrafficSplits::default();
-    for object in 0..1_000 {
-        assert_eq!(&*splits.pick(&split, object).service, "all");
+    for key in 0..1_000 {
+        assert_eq!(&*splits.pick(&split, key).service, "all");
     }
 }
 
