--- a/src/decision/capacity/second_target.rs
+++ b/src/decision/capacity/second_target.rs
@@ -25,7 +25,7 @@
 /// Weight of a new latency in the moving average (no unit): about the last ten responses dominate.
 const SMOOTHING_FACTOR: f64 = 0.1;
 /// Lower bound of the limit, requests per slot. A target with a free slot takes one more request,
-/// so that second targets continue to be measured and keys eventually get a second target.
+/// so that second targets continue to be measured and eventually cache the objects of their keys.
 const MIN_LOAD: f64 = 0.8;
 
 /// Latency of the second targets of one service.
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -18,13 +18,13 @@
 //! |---|---|---|
 //! | the choice: the first usable target with room | [`choice`](selection::choice) | `why` reports the decision that a request gets |
 //! | what excludes a target | [`exclusion`](selection::exclusion) | draining, evacuated and forbidden targets receive no requests |
-//! | two targets per key, by weighted rendezvous hashing | [`affinity`](selection::affinity) | requests for one object go to the same target, in their region |
+//! | two targets per key, by weighted rendezvous hashing | [`affinity`](selection::affinity) | requests with the same key go to the same target, in their region |
 //! | weight of the own region | [`region_weight`](selection::region_weight) | requests stay in their region as far as its targets have the capacity |
 //! | region of the keys of a leaving target | [`key_region`](selection::key_region) | few requests change region while targets are replaced |
 //! | maximum load, by priority | [`admission`](capacity::admission) | targets are not overloaded; less urgent requests are refused first |
 //! | loads shared between instances | [`shared_loads`](capacity::shared_loads) | a request queues where it is served sooner |
 //! | second targets, by their recent latency | [`second_target`](capacity::second_target) | responses arrive within their objective where targets are able to |
-//! | moves charged to caps | [`cap_moves`](selection::cap_moves) | no more than a cap's share leaves its default hall |
+//! | moves charged to caps | [`cap_moves`](selection::cap_moves) | no more than a cap's share of the requests leaves the default hall |
 //! | service of a split route | [`split`](selection::split) | a split keeps its shares |
 //!
 //! # State of one target
@@ -32,9 +32,9 @@
 //! | rule | module | promise |
 //! |---|---|---|
 //! | load, counted here and reported | [`load`](capacity::load) | full targets receive no more requests, whichever instance filled them |
-//! | outlier ejection | [`ejection`](failure::ejection) | no requests are lost at dead targets |
+//! | outlier ejection | [`ejection`](failure::ejection) | a dead or broken target costs an instance few requests |
 //! | slow targets | [`latency`](failure::latency) | responses arrive within their objective where a target is able to |
-//! | slow start, shared between instances | [`slow_start`](capacity::slow_start) | cold targets receive no more requests than they can serve |
+//! | slow start, shared between instances | [`slow_start`](capacity::slow_start) | targets in slow start receive no more requests than they can serve |
 //! | grace for expired registrations | [`grace`](registry::grace) | requests are served while the store is unreachable |
 //! | tombstones of removed targets | [`targets`](registry::targets) | a removed target receives no requests |
 //!
@@ -45,7 +45,7 @@
 //! | what happens after a try | [`next_try`](failure::next_try) | a request reported as not executed was not executed; a request that may have been executed is not sent again |
 //! | targets that shed load despite free slots | [`shedding`](failure::shedding) | a caller does not wait for capacity that is available |
 //! | requests that crash targets | [`quarantine`](failure::quarantine) | a request crashes few targets, whichever instance receives it |
-//! | quotas of tenants | [`quota`] | a tenant's requests stay within its quota, and none below it is refused |
+//! | quotas of tenants | [`quota`] | a tenant's requests stay within its quota, and a tenant below its quota is not refused |
 //! | retry budget | [`retry`](failure::retry) | retries do not multiply the load of failing targets |
 //! | Retry-After of refusals | [`retry_after`](refusal::retry_after) | callers are told when to come back, and do not all come back at once |
 //! | instances listed by the directory | [`directory`](selection::directory) | callers find an instance that accepts requests |
--- a/src/decision/refusal/held_responses.rs
+++ b/src/decision/refusal/held_responses.rs
@@ -24,8 +24,8 @@
 
 /// Maximum bytes held of one response, so that a single caller cannot use up the bound for all.
 const MAX_BYTES_PER_RESPONSE: u64 = 1024 * 1024;
-/// Divisor of the memory limit that gives the bound on all bytes held, buffered request bodies included: the
-/// bound is less than request bodies may take, so that these can still be buffered.
+/// Divisor of the memory limit that gives the bound on all bytes held, buffered request bodies included. The
+/// bound on request bodies is higher, so that these can still be buffered when this one is reached.
 const MEMORY_LIMIT_DIVISOR: u64 = 10;
 /// Maximum time for which a caller may read nothing of a complete response once its deadline has passed, so
 /// that unresponsive callers do not keep memory in use indefinitely.
--- a/src/decision/refusal/stop.rs
+++ b/src/decision/refusal/stop.rs
@@ -21,8 +21,7 @@
 
 /// Part of `bounds.stop_s`, from its start, in which all requests are served (no unit). A request that
 /// arrives at the end of that part has half of `stop_s` less 0.15 s; route timeouts must be shorter.
-/// Without this rule requests were lost, with it none. At half and double the value, the results of
-/// callers during a rolling restart of all instances differ by 1 in 1,000 at most.
+/// Without this rule requests were lost, with it none.
 const SERVING_FRACTION: f64 = 0.5;
 /// Minimum time between the end of a later request, at its deadline or timeout, and the kill: the
 /// process ends 0.15 s before the kill, and checks every 50 ms whether requests are in flight.
--- a/src/decision/registry/grace.rs
+++ b/src/decision/registry/grace.rs
@@ -16,7 +16,7 @@
 //!
 //! **Guards** the promises that requests are served while the store is unreachable, and that a target
 //! that has really stopped receives none once its time for draining is over. That time ends 2 s after
-//! the acknowledgement at the site where it is shortest, which bounds `GRACE` from above.
+//! the drain was acknowledged, at the site where it is shortest, which bounds `GRACE` from above.
 //!
 //! **Test**: `a_target_whose_registration_expired_while_the_store_was_unreachable_is_kept_for_the_grace` and the
 //! two tests after it in `tests/choice.rs`.
--- a/src/decision/registry/routing/mod.rs
+++ b/src/decision/registry/routing/mod.rs
@@ -152,8 +152,8 @@
         self.regions.get(hall).unwrap_or(hall).clone()
     }
 
-    /// Whether this instance may send a cold target a request now, within its share of the target's
-    /// slow-start rate.
+    /// Whether this instance may send a target in slow start a request now, within its share of that
+    /// target's rate.
     pub fn may_send_in_slow_start(&self, target: &Target, inputs: SlowStartInputs<'_>, now: Instant) -> bool {
         let service = self.service(&target.service);
         let shared_rate = service.map_or(0, |service| inputs.bounds.shared_rate(service.slow_start_rate));
--- a/src/decision/registry/target/mod.rs
+++ b/src/decision/registry/target/mod.rs
@@ -96,8 +96,8 @@
     }
 
     /// The record that replaces this one after a registration of the same start with other data.
-    /// It stays cold at least as long as this one. It inherits the load, latency, ejection and
-    /// signals only at the same address: they do not apply to another one.
+    /// Its slow start lasts at least as long as that of this one. It inherits the load, latency, ejection
+    /// and signals only at the same address: they do not apply to another one.
     pub fn successor(&self, registration: &TargetRegistration, region: Rc<str>, now: Instant) -> Self {
         let mut target = Self::new(registration, region, now);
         target.slow_start.replace(self.slow_start.borrow().clone());
@@ -260,19 +260,19 @@
         self.load.borrow().estimate(now)
     }
 
-    /// Makes it cold for `remaining` from `now`; never shortens its slow start.
+    /// Begins its slow start of `remaining` at `now`; never shortens one in progress.
     pub fn begin_slow_start(&self, remaining: Duration, now: Instant) {
         self.slow_start.borrow_mut().begin(remaining, now);
     }
 
-    /// Whether it is cold, in slow start.
+    /// Whether it is in slow start.
     pub fn is_in_slow_start(&self, now: Instant) -> bool {
         self.slow_start.borrow().is_active(now)
     }
 
-    /// Whether this instance may send it a request while it is cold. `members_changed_at` is when the
-    /// members last changed, `shared_rate` the rate of all instances together, requests per second, and
-    /// `member_share` computes this instance's share of it.
+    /// Whether this instance may send it a request while it is in slow start. `members_changed_at` is when
+    /// the members last changed, `shared_rate` the rate of all instances together, requests per second,
+    /// and `member_share` computes this instance's share of it.
     pub fn may_send_in_slow_start(
         &self,
         members_changed_at: Instant,
--- a/src/decision/registry/target/signals.rs
+++ b/src/decision/registry/target/signals.rs
@@ -66,7 +66,8 @@
     }
 
     /// Takes the values for the next report to a head: the limit that it last announced to this instance,
-    /// and the demand for the target, requests per second. `None` if there is no recent limit to report.
+    /// and the demand for the target, requests per second. `None` if no limit is known and none was lifted
+    /// in the last 10 s.
     pub fn take_limit_report(&self, now: Instant) -> Option<(Option<AnnouncedLimit>, f64)> {
         self.signals.borrow_mut().limit.take_report(now)
     }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -22,8 +22,8 @@
     LimitSignal::parse(values.iter().map(|value| value.as_bytes()))
 }
 
-fn ms(count: u64) -> Duration {
-    Duration::from_millis(count)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
 fn members(count: usize, halls: usize) -> Members {
@@ -198,10 +198,10 @@
     assert!((admit_ratio - MIN_RATE / 10.0).abs() < 0.0001, "{admit_ratio}");
 }
 
-/// Invalid reports must change no admit ratio. A report with very many targets must not use unbounded
-/// memory.
+/// Invalid reports must change no admit ratio. After a report with very many targets, a report to other
+/// halls must not exceed the maximum number of targets in one message.
 #[test]
-fn invalid_reports_change_no_share_and_oversized_ones_are_bounded() {
+fn invalid_reports_change_no_admit_ratio_and_oversized_ones_are_not_forwarded_whole() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
     totals.record_report(&report("e-0", "h-0", 12.0, ANNOUNCED), "h-0", now);
     for demand in [f32::NAN, f32::INFINITY, -5.0] {
