--- a/src/state/change_log.rs
+++ b/src/state/change_log.rs
@@ -25,7 +25,7 @@
 impl ChangeLog {
     /// Logs the contents of an instance's initial view: targets and members in one line if there are
     /// more than `MAX_START_LINES`, everything else as [`Self::write`] does.
-    pub fn write_first_view(&self, state_changes: &[StateChange], revision: u64, source: &'static str) {
+    pub fn write_initial_view(&self, state_changes: &[StateChange], revision: u64, source: &'static str) {
         let targets = state_changes.iter().filter(|change| matches!(change, StateChange::Target { .. })).count();
         let members = state_changes.iter().filter(|change| matches!(change, StateChange::Member { .. })).count();
         let is_summary = targets + members > MAX_START_LINES;
--- a/src/state/mod.rs
+++ b/src/state/mod.rs
@@ -180,7 +180,7 @@
             false => self.apply_changes(&changes),
         };
         if is_first {
-            self.change_log.write_first_view(&state_changes, self.store_copy.view().position().revision, source);
+            self.change_log.write_initial_view(&state_changes, self.store_copy.view().position().revision, source);
         } else {
             self.log_changes(&state_changes, source);
         }
--- a/src/state/quotas.rs
+++ b/src/state/quotas.rs
@@ -148,8 +148,8 @@
         Some(UsageAnswer { loads: self.record_shared_loads(report), ..answer? })
     }
 
-    /// Updates the totals; `None` before the first configuration.
-    fn with_totals<T>(&self, change: impl FnOnce(&mut UsageTotals, QuotaContext<'_>) -> T) -> Option<T> {
+    /// Updates the totals and returns the result of `update`; `None` before the first configuration.
+    fn with_totals<T>(&self, update: impl FnOnce(&mut UsageTotals, QuotaContext<'_>) -> T) -> Option<T> {
         let (settings, routing) = (self.settings(), self.routing.borrow());
         let config = routing.config.as_ref()?;
         let context = QuotaContext {
@@ -160,10 +160,10 @@
             own: InstanceIdentity { name: &settings.name, hall: &settings.hall },
         };
         let mut totals = self.quotas.totals.borrow_mut();
-        let changed = change(&mut totals, context);
+        let result = update(&mut totals, context);
         if totals.is_forward_urgent(context) {
             self.quotas.forward_due.notify_one();
         }
-        Some(changed)
+        Some(result)
     }
 }
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -71,7 +71,7 @@
     /// Takes the report to the head of this instance's hall; what it contains counts as reported.
     pub fn take_limit_report(&self) -> LimitReport {
         let (now, settings) = (Instant::now(), self.settings());
-        let demand = |target: &Rc<Target>| {
+        let target_demand = |target: &Rc<Target>| {
             let is_leaving = target.is_leaving();
             let (announced, demand) = target.take_limit_report(now).or(is_leaving.then_some((None, 0.0)))?;
             let limit = announced.and_then(|limit| limit_to_message(limit, now));
@@ -82,7 +82,7 @@
             from: settings.name.clone(),
             hall: settings.hall.to_string(),
             is_forwarded: false,
-            targets: routing.targets().filter_map(demand).take(MAX_TARGETS_PER_MESSAGE).collect(),
+            targets: routing.targets().filter_map(target_demand).take(MAX_TARGETS_PER_MESSAGE).collect(),
         }
     }
 
@@ -113,13 +113,13 @@
     pub fn apply_limit_answer(&self, answer: &LimitAnswer) {
         let now = Instant::now();
         let by_target: HashMap<StartKey, &TargetAnswer> =
-            answer.targets.iter().map(|answer| (answer.target, answer)).collect();
+            answer.targets.iter().map(|target_answer| (target_answer.target, target_answer)).collect();
         for target in self.routing.borrow().targets() {
-            let Some(answer) = by_target.get(&target.start_key) else { continue };
-            if answer.is_leaving && target.mark_leaving() {
+            let Some(target_answer) = by_target.get(&target.start_key) else { continue };
+            if target_answer.is_leaving && target.mark_leaving() {
                 tracing::info!(event = "target_leaving", id = &*target.id, hall = &*target.hall, from = "instances");
             }
-            if let Some(limit) = answer.announced.and_then(|announced| limit_from_message(announced, now))
+            if let Some(limit) = target_answer.announced.and_then(|announced| limit_from_message(announced, now))
                 && let Some(rate) = target.record_remote_limit(limit, now)
             {
                 tracing::info!(
@@ -130,8 +130,8 @@
                     from = "instances"
                 );
             }
-            if answer.admit_ratio.is_finite() {
-                target.set_limit_admit_ratio(answer.admit_ratio.into(), rand::random(), now);
+            if target_answer.admit_ratio.is_finite() {
+                target.set_limit_admit_ratio(target_answer.admit_ratio.into(), rand::random(), now);
             }
         }
     }
--- a/src/state/strike_reports.rs
+++ b/src/state/strike_reports.rs
@@ -16,14 +16,14 @@
 /// Requests with a pending report, by the time at which it is due.
 #[derive(Debug, Default)]
 pub struct StrikeReports {
-    due: RefCell<HashMap<Fingerprint, Instant>>,
+    pending: RefCell<HashMap<Fingerprint, Instant>>,
     added: Notify,
 }
 
 impl StrikeReports {
     /// Schedules a report at `due`, or earlier if it is already scheduled earlier.
     pub fn add(&self, fingerprint: Fingerprint, due: Instant) {
-        let mut pending = self.due.borrow_mut();
+        let mut pending = self.pending.borrow_mut();
         if pending.len() >= MAX_PENDING && !pending.contains_key(&fingerprint) {
             tracing::warn!(event = "strike_unreported", %fingerprint, waiting = MAX_PENDING);
             return;
@@ -36,7 +36,7 @@
     /// Waits until the next request is due, and removes it from the queue.
     pub async fn next(&self) -> Fingerprint {
         loop {
-            let first = self.due.borrow().iter().map(|(fingerprint, due)| (*due, *fingerprint)).min();
+            let first = self.pending.borrow().iter().map(|(fingerprint, due)| (*due, *fingerprint)).min();
             let Some((due, fingerprint)) = first else {
                 self.added.notified().await;
                 continue;
@@ -45,7 +45,7 @@
             if due > Instant::now() && timeout_at(due, self.added.notified()).await.is_ok() {
                 continue;
             }
-            if self.due.borrow_mut().remove(&fingerprint).is_some() {
+            if self.pending.borrow_mut().remove(&fingerprint).is_some() {
                 return fingerprint;
             }
         }
--- a/src/state/target_loads.rs
+++ b/src/state/target_loads.rs
@@ -63,8 +63,8 @@
     /// none if the report was forwarded by another hall.
     pub fn record_shared_loads(&self, report: &UsageReport) -> Vec<TargetLoad> {
         let (mut shared, now) = (self.target_loads.shared.borrow_mut(), Instant::now());
-        let is_own = *report.hall == *self.settings().hall;
-        shared.record(&report.loads, is_own, now);
+        let is_own_hall = *report.hall == *self.settings().hall;
+        shared.record(&report.loads, is_own_hall, now);
         if report.is_forwarded { Vec::new() } else { shared.loads_for_instances(now) }
     }
 
--- a/src/sync/heads.rs
+++ b/src/sync/heads.rs
@@ -43,7 +43,7 @@
     Peer(#[from] PeerError),
     /// The answer cannot be decoded.
     #[error("the head's answer cannot be decoded: {0}; check the version of that instance")]
-    InvalidResponse(#[from] postcard::Error),
+    InvalidAnswer(#[from] postcard::Error),
 }
 
 /// A report to the head of a hall.
@@ -103,7 +103,7 @@
     /// Sends a report to a head and returns its answer; `None` if that fails. The head is then skipped
     /// for a while: after a timeout only if it is the second in a row, after any other failure at once.
     pub async fn send_report<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Option<R::Answer> {
-        let error = match timeout(REPORT_TIMEOUT, self.call(head, report)).await {
+        let error = match timeout(REPORT_TIMEOUT, self.post_report(head, report)).await {
             Ok(Ok(answer)) => {
                 self.timeouts.borrow_mut().remove(&head);
                 return Some(answer);
@@ -121,7 +121,7 @@
 
     /// Sends a report over the open connection, or over a new one if there is none. The connection is
     /// closed if this fails or is cancelled.
-    async fn call<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Result<R::Answer, SendReportError> {
+    async fn post_report<R: HeadReport>(&self, head: SocketAddr, report: &R) -> Result<R::Answer, SendReportError> {
         let existing = self.connections.borrow_mut().remove(&head);
         let mut connection = match existing {
             Some(connection) => connection,
--- a/src/sync/watch.rs
+++ b/src/sync/watch.rs
@@ -72,8 +72,8 @@
             Step::Watch => watch(&instance, relays.next_retry_at()).await,
         };
         match result {
-            Ok(then) => {
-                next = then;
+            Ok(step) => {
+                next = step;
                 backoff.reset();
             }
             Err(error) => {
