--- a/src/sync/limits.rs
+++ b/src/sync/limits.rs
@@ -1,12 +1,14 @@
 //! Exchange of targets' rate limits: each instance reports the limits that targets announced to it,
-//! and its demand for these targets, to the head of its hall, and heads report to each other.
+//! its demand for these targets, and targets that are leaving, to the head of its hall, and heads
+//! report to each other.
 //!
-//! **Load pattern**: while a limit is known, each instance that knows one sends a small report every
-//! 0.2 s, and a head sends one to each other hall every 0.3 s. If a target gets or loses its limit,
-//! or far more than usual is to be sent to it, an instance reports at once, but no sooner than 0.05 s
-//! after its last report. With 32 instances or more, each also reports once per second while it knows
-//! no limit: otherwise so many instances would each send their first requests to a target without
-//! knowing its limit. With fewer, nothing is exchanged while no limit is known.
+//! **Load pattern**: each instance that knows a target with a limit, or one that is leaving, sends a
+//! small report every 0.2 s, and a head sends one to each other hall every 0.3 s. If a target gets or
+//! loses its limit, or far more than usual is to be sent to it, an instance reports at once, but no
+//! sooner than 0.05 s after its last report. With 32 instances or more, each also reports once per
+//! second while it knows no such target: otherwise so many instances would each send their first
+//! requests to a target without knowing its limit. With fewer, nothing is exchanged while no such
+//! target is known.
 //!
 //! Owns the two tasks. Relies on [`crate::sync::heads`] for the connections and on
 //! [`crate::decision::capacity::rate_limit`] for the rule. **Test**: `standins/tests/rate_limits.rs`.
@@ -27,7 +29,8 @@
 
 /// Path at which an instance accepts reports of limits.
 pub const LIMITS_PATH: &str = "/limits";
-/// Time between checks whether there is something to report, while no limit is known.
+/// Time between checks whether there is something to report, while no target is known to have a limit
+/// or to be leaving.
 const IDLE_CHECK_INTERVAL: Duration = Duration::from_secs(1);
 /// Maximum size of a report that is accepted, bytes: room for twice the targets that a report can
 /// contain.
@@ -47,7 +50,8 @@
     Ok(encode(&instance.record_limit_report(&report)))
 }
 
-/// Reports targets' limits, and the demand for these targets, to heads until the process ends.
+/// Reports targets' limits, the demand for these targets, and leaving targets to heads until the process
+/// ends.
 pub async fn run<P: Platform>(instance: Rc<Instance<P>>) {
     let connections = Rc::new(HeadConnections::default());
     spawn_local(forward_all(instance.clone(), connections.clone()));
