--- a/src/model/config/mod.rs
+++ b/src/model/config/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' configuration: routes, services, tenants and limits, with indexes of the routes by
+//! The operators' configuration: routes, services, tenants and limits, with look-ups of the routes by
 //! host and of the tenants by API key.
 //!
 //! Immutable: a later version replaces it as a whole.
@@ -31,24 +31,24 @@
     /// Tenants; if there are none, requests need no API key.
     pub tenants: Tenants,
     routes: Vec<Route>,
-    /// Routes of each host, by index, longest prefix first.
+    /// Indexes of each host's routes, longest prefix first.
     by_host: HashMap<String, Vec<RouteIndex>>,
     /// Distinct urgencies of the requests to each service, most urgent first.
     urgencies: HashMap<Rc<str>, Vec<Urgency>>,
 }
 
 impl Config {
-    /// Creates and indexes a version without tenants.
+    /// Creates a version without tenants.
     pub fn new(version: u64, routes: Vec<Route>, services: HashMap<Rc<str>, Service>, limits: CallerLimits) -> Self {
-        let by_host = index_hosts(&routes);
+        let by_host = routes_by_host(&routes);
         let tenants = Tenants::default();
-        let urgencies = index_urgencies(&routes, &tenants);
+        let urgencies = urgencies_by_service(&routes, &tenants);
         Self { version, services, limits, tenants, routes, by_host, urgencies }
     }
 
     /// Returns this version with the given tenants.
     pub fn with_tenants(self, tenants: Tenants) -> Self {
-        let urgencies = index_urgencies(&self.routes, &tenants);
+        let urgencies = urgencies_by_service(&self.routes, &tenants);
         Self { tenants, urgencies, ..self }
     }
 
@@ -81,10 +81,10 @@
     }
 }
 
-fn index_hosts(routes: &[Route]) -> HashMap<String, Vec<RouteIndex>> {
+fn routes_by_host(routes: &[Route]) -> HashMap<String, Vec<RouteIndex>> {
     let mut by_host: HashMap<String, Vec<RouteIndex>> = HashMap::new();
-    for (position, route) in routes.iter().enumerate() {
-        by_host.entry(route.host.clone()).or_default().push(RouteIndex(position));
+    for (index, route) in routes.iter().enumerate() {
+        by_host.entry(route.host.clone()).or_default().push(RouteIndex(index));
     }
     for indexes in by_host.values_mut() {
         indexes.sort_by_key(|index| Reverse(routes[index.0].prefix.len()));
@@ -92,21 +92,21 @@
     by_host
 }
 
-fn index_urgencies(routes: &[Route], tenants: &Tenants) -> HashMap<Rc<str>, Vec<Urgency>> {
+fn urgencies_by_service(routes: &[Route], tenants: &Tenants) -> HashMap<Rc<str>, Vec<Urgency>> {
     let mut urgencies: HashMap<Rc<str>, Vec<Urgency>> = HashMap::new();
     for route in routes {
-        let of_tenants = tenants.iter().filter(|_| !route.is_public).map(|tenant| tenant.priority);
-        let of_route: Vec<Urgency> = priorities_or_zero(of_tenants)
+        let tenant_priorities = tenants.iter().filter(|_| !route.is_public).map(|tenant| tenant.priority);
+        let route_urgencies: Vec<Urgency> = priorities_or_zero(tenant_priorities)
             .into_iter()
-            .map(|tenant| Urgency { tenant, route: route.priority })
+            .map(|priority| Urgency { tenant: priority, route: route.priority })
             .collect();
         for weighted in &route.services {
-            urgencies.entry(weighted.service.clone()).or_default().extend(&of_route);
+            urgencies.entry(weighted.service.clone()).or_default().extend(&route_urgencies);
         }
     }
-    for of_service in urgencies.values_mut() {
-        of_service.sort_unstable();
-        of_service.dedup();
+    for service_urgencies in urgencies.values_mut() {
+        service_urgencies.sort_unstable();
+        service_urgencies.dedup();
     }
     urgencies
 }
--- a/src/model/config/route.rs
+++ b/src/model/config/route.rs
@@ -39,7 +39,8 @@
     pub idempotency: Idempotency,
     /// Services that receive the requests; at least one.
     pub services: Vec<WeightedService>,
-    /// Maximum time for which a request is held; `None` for no limit.
+    /// Time after its arrival at which a request times out if its caller's deadline is not earlier; `None`
+    /// if the route sets none.
     pub timeout: Option<Duration>,
     /// Latency within which a response is most useful; zero if the operators set none.
     pub latency_objective: Duration,
--- a/src/model/config/tenant.rs
+++ b/src/model/config/tenant.rs
@@ -1,6 +1,6 @@
 //! Tenants: who may send requests, how many, and in which regions these may be executed.
 //!
-//! Owns the index of the API keys. A key is a secret: it is looked up and compared here, and never
+//! Owns the look-up of tenants by API key. A key is a secret: it is looked up and compared here, and never
 //! logged or displayed.
 
 use super::route::is_allowed;
@@ -83,7 +83,7 @@
     EmptyKey(Rc<str>),
 }
 
-/// The tenants of a configuration, indexed by name and API key.
+/// The tenants of a configuration, with look-ups by name and by API key.
 #[derive(Clone, Debug, Default)]
 pub struct Tenants {
     all: Vec<Tenant>,
@@ -99,16 +99,16 @@
     fn try_from(all: Vec<Tenant>) -> Result<Self, TenantError> {
         let mut by_name = HashMap::new();
         let mut by_api_key: HashMap<ApiKey, TenantIndex> = HashMap::new();
-        for (position, tenant) in all.iter().enumerate() {
-            if by_name.insert(tenant.name.clone(), TenantIndex(position)).is_some() {
+        for (index, tenant) in all.iter().enumerate() {
+            if by_name.insert(tenant.name.clone(), TenantIndex(index)).is_some() {
                 return Err(TenantError::DuplicateName(tenant.name.clone()));
             }
             for api_key in &tenant.api_keys {
                 if api_key.0.is_empty() {
                     return Err(TenantError::EmptyKey(tenant.name.clone()));
                 }
-                let before = by_api_key.insert(api_key.clone(), TenantIndex(position));
-                if let Some(other) = before.filter(|other| other.0 != position) {
+                let previous = by_api_key.insert(api_key.clone(), TenantIndex(index));
+                if let Some(other) = previous.filter(|other| other.0 != index) {
                     return Err(TenantError::DuplicateKey(all[other.0].name.clone(), tenant.name.clone()));
                 }
             }
--- a/src/model/record.rs
+++ b/src/model/record.rs
@@ -78,7 +78,7 @@
         Self { key: key.to_owned(), field: String::new(), problem: problem.to_string(), fallback: Fallback::LastGood }
     }
 
-    /// The same error for a registration or a record of strikes, with [`Fallback::NotUsed`].
+    /// The same error with [`Fallback::NotUsed`]; for a registration or a record of strikes.
     pub fn for_registration(self) -> Self {
         Self { fallback: Fallback::NotUsed, ..self }
     }
--- a/src/model/strikes.rs
+++ b/src/model/strikes.rs
@@ -7,7 +7,8 @@
 /// Strikes against a request. Instances write and read this record as JSON with these field names.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Strikes {
-    /// Number of targets that crashed under the request, one after the other; 0 if it was answered.
+    /// Number of targets that crashed under the request, one after the other; 0 once a target has
+    /// responded to it.
     pub strikes: u32,
     /// Name of the instance that counted the latest strike.
     pub by: String,
--- a/src/model/usage.rs
+++ b/src/model/usage.rs
@@ -2,7 +2,8 @@
 //! format.
 //!
 //! Owns the wire format: [postcard](https://postcard.jamesmunns.com/wire-format), fields in this order.
-//! Messages do not contain the fields' names; the `rename` attributes only keep them stable.
+//! Messages contain no field names, so the `rename` attributes, which keep earlier names of fields, do not
+//! affect them.
 //! Instances of two versions run side by side during an update. Fields are therefore only added, at
 //! the end, and the extended message gets a path of its own.
 
