--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -31,14 +31,14 @@
 /// Maximum idle time if the target states one: limits how many connections are kept whose other
 /// side has disappeared without closing them.
 const MAX_IDLE_TIME: Duration = Duration::from_secs(30);
-/// An idle connection is no longer reused from this long before the target closes it: a request that is
-/// sent while the target closes the connection is lost.
+/// Time before the target closes an idle connection in which the connection is not reused: a request that
+/// is sent while the target closes the connection is lost.
 const CLOSE_MARGIN: Duration = Duration::from_secs(1);
 /// Maximum number of idle connections to one target; more than an instance's share of the target's
 /// slots needs (3 to 6 slots, two requests per slot).
 const MAX_IDLE_CONNECTIONS: usize = 16;
-/// Divides the number of connections that a target accepts: all instances together keep at most the
-/// quotient idle, which leaves the others for requests and for the target's other callers.
+/// All instances together keep at most the number of connections that a target accepts, divided by this,
+/// idle. The others are left for requests and for the target's other callers.
 const IDLE_CONNECTIONS_DIVISOR: usize = 2;
 
 /// Maximum size of the read buffer of a connection, bytes: limits how much of a response a connection
@@ -176,8 +176,8 @@
         }
     }
 
-    /// Closes the connections that have been idle since `sent` or longer, where `sent` is when a request
-    /// was sent that got no response. Open connections can stop working without a reset while new ones
+    /// Closes the connections that became idle at `sent` or earlier, where `sent` is when a request was sent
+    /// that got no response. Open connections can stop working without a reset while new ones
     /// work; a connection that has been idle since before `sent` may be one of them.
     pub fn close_idle_since(&self, sent: Instant) {
         self.idle.borrow_mut().retain(|idle| idle.idle_since > sent);
--- a/src/net/server/connection.rs
+++ b/src/net/server/connection.rs
@@ -29,7 +29,7 @@
     let stream = ReadAheadStream::new(socket, progress.clone(), queue.clone());
     let service = service_fn(|request: Request<_>| {
         let (mut parts, body) = request.into_parts();
-        // Set here and not in the future below: hyper reads on before it polls that for the response.
+        // Set here and not in the future below: hyper continues to read before it first polls that future.
         progress.enter(Phase::Busy);
         let early_request = queue.borrow_mut().record_request(&mut parts, &body);
         let request = Request::from_parts(parts, CallerBody::from(body));
--- a/src/net/server/read_ahead/stream.rs
+++ b/src/net/server/read_ahead/stream.rs
@@ -150,7 +150,7 @@
     /// Updates and returns the read mode. Once a response was sent, hyper gets the next request. If hyper
     /// reads while it is busy with a request without a body, it has no unread bytes in its own buffer,
     /// and reading ahead may begin.
-    fn mode(&self) -> ReadMode {
+    fn update_mode(&self) -> ReadMode {
         let queue = &mut self.queue.borrow_mut();
         queue.mode = match queue.mode {
             ReadMode::ReadAhead if self.progress.is_response_sent() => ReadMode::Head,
@@ -167,7 +167,7 @@
         context: &mut Context<'_>,
         cursor: ReadBufCursor<'_>,
     ) -> Poll<io::Result<()>> {
-        let polled = match self.mode() {
+        let polled = match self.update_mode() {
             ReadMode::ReadAhead => return self.poll_read_ahead(context),
             ReadMode::Head => self.poll_head(context, cursor),
             ReadMode::Body(left) => self.poll_body(context, cursor, left),
