--- a/src/clock.rs
+++ b/src/clock.rs
@@ -2,9 +2,9 @@
 //! suspended, as the clocks of the store, the callers and the other instances do: the monotonic clock
 //! of the system (`CLOCK_MONOTONIC`) stops during a suspension, `CLOCK_BOOTTIME` does not.
 //!
-//! An [`Instant`] is the monotonic time plus the total time suspended so far. That total only grows,
-//! by the amount by which the offset between the two system clocks has increased, so an instant is
-//! never earlier than one that was read before it on the same thread. The wall clock is not used.
+//! An [`Instant`] is the monotonic time plus the total time suspended so far, which is the growth of the
+//! offset between the two system clocks. That total never decreases, so an instant is never earlier than
+//! one that was read before it on the same thread. The wall clock is not used.
 //!
 //! Timers of the runtime stop with the monotonic clock. The first reader of this clock that detects a
 //! suspension wakes all waits of this module; each then ends, or continues for its remaining time. The
--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -6,7 +6,7 @@
 //! of request and response.
 //!
 //! **Why callers may keep a response for the whole bound.** When it expires, callers send a new request
-//! and wait for the response: a round trip, or 1 s if the instance that they ask is dead. An
+//! and wait for the response: a round trip, or 1 s if the instance that they send it to is dead. An
 //! instance that died in the meantime costs a caller one connection attempt: the caller does not try
 //! its address again. A stopping instance serves all requests at first, then only those that must end
 //! before it is killed, and refuses the others at once ([`crate::decision::refusal::stop`]).
@@ -44,8 +44,8 @@
             capacity: settings.capacity,
         };
         let routing = self.0.routing.borrow();
-        let bytes = self.0.request_size.bytes();
-        let instances = directory::instances_for(&caller.region, own, &routing.members, bytes, rand::random);
+        let request_bytes = self.0.request_size.bytes();
+        let instances = directory::instances_for(&caller.region, own, &routing.members, request_bytes, rand::random);
         if instances.is_empty() {
             return ResponseBody::empty(StatusCode::SERVICE_UNAVAILABLE);
         }
--- a/src/policy/verdict.rs
+++ b/src/policy/verdict.rs
@@ -11,8 +11,8 @@
     Denied,
     /// Allow policies match the request, but none of them matches the target.
     NotAllowed,
-    /// A drain policy matches the target. The order is the one that the target would have without
-    /// it: the default target, from which caps count moves, may be drained.
+    /// A drain policy matches the target. The order is that without the drain policy: the default target,
+    /// from which caps count moves, is chosen as if no target were drained.
     Drained(PolicyOrder),
 }
 
--- a/src/proxy/attempts.rs
+++ b/src/proxy/attempts.rs
@@ -50,8 +50,8 @@
 }
 
 impl<'a, P: Platform> Attempts<'a, P> {
-    /// Creates the state of a request that was not tried yet, and deposits its fraction of a retry in the
-    /// retry budget.
+    /// Creates the state of a request that was not tried yet. Deposits in the retry budget the fraction of a
+    /// retry that each request adds to it.
     pub fn new(request: &'a CallerRequest<'a, P>, body: IncomingBody) -> Self {
         let choice = TargetChoice::new(request);
         request.instance.retry_budgets.borrow_mut().deposit(choice.service());
--- a/src/proxy/caller_tenant.rs
+++ b/src/proxy/caller_tenant.rs
@@ -6,7 +6,7 @@
 //! any route; the target receives the name of the tenant that was found.
 //!
 //! Owns the key while the request is processed: it is looked up again before each try, so that a
-//! key that was revoked in the meantime admits nothing. Relies on the index in
+//! key that was revoked in the meantime admits nothing. Relies on the look-up in
 //! [`crate::model::config::Tenants`]. No log line, error or metric contains a key, here or
 //! elsewhere.
 
--- a/src/proxy/mod.rs
+++ b/src/proxy/mod.rs
@@ -18,8 +18,8 @@
 //!    [`try_error`] lists the reasons why a try gives none. [`buffered_response`] reads a small
 //!    response completely, so that the request can be tried again if the response breaks off.
 //! 6. [`response_body`] carries the response to the caller. A large one is read from its target as
-//!    fast as it arrives, within limits, and is a [`held_response`] while the caller reads it. A [`refusal`] is the
-//!    response if no target's response can be passed on.
+//!    fast as it arrives, within limits, and is a [`held_response`] while the caller reads it. A
+//!    [`refusal`] is the response if no target's response can be passed on.
 //!
 //! | module | owns | relies on |
 //! |---|---|---|
--- a/src/proxy/refusal.rs
+++ b/src/proxy/refusal.rs
@@ -87,8 +87,8 @@
     /// Too little time was left before the request was sent.
     #[error("the request's time ran out before it was sent; give it more time")]
     TooLate,
-    /// The responses and buffered request bodies in memory have reached the size from which no further
-    /// request with a large response is sent.
+    /// Held responses and buffered request bodies take so much memory that no further request on a route
+    /// with large responses is sent.
     #[error("this instance holds as much of large answers as its memory allows; retry after the time in retry-after")]
     HeldResponses,
     /// The request is in quarantine because targets crashed under it.
--- a/src/proxy/request.rs
+++ b/src/proxy/request.rs
@@ -212,8 +212,8 @@
     }
 }
 
-/// Whether the view is older than the operators' limit on the time after which a revoked key may
-/// still be accepted (`bounds.keys_expire_ms`); false if they set none.
+/// Whether the view is older than the operators' limit on how long a revoked API key may still be
+/// accepted (`bounds.keys_expire_ms`); false if they set none.
 fn has_stale_keys<P: Platform>(instance: &Instance<P>) -> bool {
     let Some(max_age) = instance.settings.borrow().keys_expire else { return false };
     instance.store_copy.view_age().is_none_or(|age| age > max_age)
--- a/src/proxy/response_check.rs
+++ b/src/proxy/response_check.rs
@@ -69,7 +69,7 @@
 }
 
 /// The signals about the target in the headers of a response. `Retry-After` counts as a pause only
-/// if the target rejects the request (503 or 429): elsewhere it does not state how long the target
+/// if the target rejects the request (503 or 429): in other responses it does not mean that the target
 /// wants no further requests.
 pub fn response_signals<B>(names: &HeaderNames, response: &Response<B>) -> ResponseSignals {
     let values = |name| response.headers().get_all(name).iter().map(HeaderValue::as_bytes);
