--- a/src/directory/mod.rs
+++ b/src/directory/mod.rs
@@ -21,9 +21,9 @@
 use std::rc::Rc;
 
 /// Handles requests of the readiness check and of the directory.
-pub struct DirectoryListener<P: Platform>(pub Rc<Instance<P>>);
+pub struct DirectoryHandler<P: Platform>(pub Rc<Instance<P>>);
 
-impl<P: Platform> Handler for DirectoryListener<P> {
+impl<P: Platform> Handler for DirectoryHandler<P> {
     type Body = ResponseBody;
 
     async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
--- a/src/instance/mod.rs
+++ b/src/instance/mod.rs
@@ -15,11 +15,11 @@
 pub mod stop;
 mod sweep;
 
-use crate::directory::DirectoryListener;
-use crate::instance::peer_listener::PeerListener;
+use crate::directory::DirectoryHandler;
+use crate::instance::peer_listener::PeerHandler;
 use crate::net::server;
 use crate::platform::Platform;
-use crate::proxy::listener::CallerListener;
+use crate::proxy::listener::CallerHandler;
 use crate::settings::{Listen, Settings, SettingsError};
 use crate::state::Instance;
 use crate::sync;
@@ -114,11 +114,11 @@
 
     /// Starts the tasks that accept connections.
     fn serve<P: Platform>(self, instance: &Rc<Instance<P>>) {
-        let directory = Rc::new(DirectoryListener(instance.clone()));
-        spawn_local(server::listen(self.callers, Rc::new(CallerListener(instance.clone()))));
+        let directory = Rc::new(DirectoryHandler(instance.clone()));
+        spawn_local(server::listen(self.callers, Rc::new(CallerHandler(instance.clone()))));
         spawn_local(server::listen(self.readiness, directory.clone()));
         spawn_local(server::listen(self.directory, directory));
-        spawn_local(server::listen(self.peers, Rc::new(PeerListener::new(instance.clone()))));
+        spawn_local(server::listen(self.peers, Rc::new(PeerHandler::new(instance.clone()))));
     }
 }
 
--- a/src/instance/peer_listener.rs
+++ b/src/instance/peer_listener.rs
@@ -19,12 +19,12 @@
 const METRICS_PATH: &str = "/metrics";
 
 /// Answers peers, operators, and whoever reads the metrics.
-pub struct PeerListener<P: Platform> {
+pub struct PeerHandler<P: Platform> {
     instance: Rc<Instance<P>>,
     cache: ResponseCache,
 }
 
-impl<P: Platform> PeerListener<P> {
+impl<P: Platform> PeerHandler<P> {
     /// Answers for this instance.
     pub fn new(instance: Rc<Instance<P>>) -> Self {
         Self { instance, cache: ResponseCache::default() }
@@ -86,7 +86,7 @@
     response
 }
 
-impl<P: Platform> Handler for PeerListener<P> {
+impl<P: Platform> Handler for PeerHandler<P> {
     type Body = ResponseBody;
 
     async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -1,4 +1,4 @@
-//! The listener for callers: limits on their connections, and the count of their requests in
+//! Handler of the listener for callers: limits on their connections, and the count of their requests in
 //! flight, for which a planned stop waits.
 //!
 //! Passes each request to [`crate::proxy::request`]. Relies on the limits of the configuration.
@@ -23,7 +23,7 @@
 const EARLY_RESPONSE_DIVISOR: u64 = 8;
 
 /// Handles the requests of callers.
-pub struct CallerListener<P: Platform>(pub Rc<Instance<P>>);
+pub struct CallerHandler<P: Platform>(pub Rc<Instance<P>>);
 
 /// Counts a request as in flight, also in the metric of active requests, until its handler returns the
 /// response. [`crate::state::InFlightGuard`] counts it while a response is held for its caller.
@@ -44,7 +44,7 @@
     }
 }
 
-impl<P: Platform> CallerListener<P> {
+impl<P: Platform> CallerHandler<P> {
     /// Whether there is memory for one more response that waits for those ahead of it on its
     /// connection, if each takes [`MAX_BUFFERED_RESPONSE`].
     fn has_memory_for_early_response(&self) -> bool {
@@ -64,7 +64,7 @@
     route.idempotency == Idempotency::Idempotent
 }
 
-impl<P: Platform> Handler for CallerListener<P> {
+impl<P: Platform> Handler for CallerHandler<P> {
     type Body = ResponseBody;
 
     async fn handle(self: Rc<Self>, request: Request<CallerBody>) -> Response<ResponseBody> {
