--- a/src/net/server/handler.rs
+++ b/src/net/server/handler.rs
@@ -34,5 +34,5 @@
     }
     /// Called with 1 when a request was read before its turn. Called with -1 when it begins at its
     /// turn, when its early response is ready at its turn, or when it is cancelled.
-    fn count_unanswered(&self, _change: i64) {}
+    fn count_read_ahead(&self, _change: i64) {}
 }
--- a/src/net/server/read_ahead/early_request.rs
+++ b/src/net/server/read_ahead/early_request.rs
@@ -19,22 +19,22 @@
     pub is_early: bool,
 }
 
-/// Counts a request that was read before its turn as unanswered ([`Handler::count_unanswered`]) until the
-/// guard is dropped: when the request begins at its turn, when its early response is ready at its turn, or
+/// Counts a request that was read before its turn ([`Handler::count_read_ahead`]) until the guard is
+/// dropped: when the request begins at its turn, when its early response is ready at its turn, or
 /// when it is cancelled.
-pub struct UnansweredGuard<H: Handler>(Rc<H>);
+pub struct ReadAheadGuard<H: Handler>(Rc<H>);
 
-impl<H: Handler> UnansweredGuard<H> {
+impl<H: Handler> ReadAheadGuard<H> {
     /// Counts one request.
     pub fn new(handler: Rc<H>) -> Self {
-        handler.count_unanswered(1);
+        handler.count_read_ahead(1);
         Self(handler)
     }
 }
 
-impl<H: Handler> Drop for UnansweredGuard<H> {
+impl<H: Handler> Drop for ReadAheadGuard<H> {
     fn drop(&mut self) {
-        self.0.count_unanswered(-1);
+        self.0.count_read_ahead(-1);
     }
 }
 
@@ -44,7 +44,7 @@
     uri: Uri,
     headers: HeaderMap,
     task: JoinHandle<Response<H::Body>>,
-    _unanswered: UnansweredGuard<H>,
+    _guard: ReadAheadGuard<H>,
 }
 
 impl<H: Handler> EarlyRequest<H> {
@@ -54,7 +54,7 @@
         parts.extensions.insert(Arrival { read_at, is_early: true });
         let request = Request::from_parts(parts, CallerBody::Empty);
         let task = spawn_local(handler.clone().handle(request));
-        Self { method, uri, headers, task, _unanswered: UnansweredGuard::new(handler.clone()) }
+        Self { method, uri, headers, task, _guard: ReadAheadGuard::new(handler.clone()) }
     }
 
     /// Whether this is the request that hyper has read: method, URI and headers are equal.
--- a/src/net/server/read_ahead/queue.rs
+++ b/src/net/server/read_ahead/queue.rs
@@ -13,7 +13,7 @@
 use crate::clock::Instant;
 use crate::net::server::handler::Handler;
 use crate::net::server::read_ahead::buffer::ReadAheadBuffer;
-use crate::net::server::read_ahead::early_request::{Arrival, EarlyRequest, UnansweredGuard};
+use crate::net::server::read_ahead::early_request::{Arrival, EarlyRequest, ReadAheadGuard};
 use crate::net::server::read_ahead::framing::{HeadScanner, ReadMode};
 use crate::net::server::read_ahead::head;
 use hyper::Response;
@@ -44,7 +44,7 @@
     searched: (usize, HeadScanner),
     early_requests: VecDeque<EarlyRequest<H>>,
     /// Counts the request that has to wait for its turn; nothing behind it begins.
-    deferred: Option<UnansweredGuard<H>>,
+    deferred: Option<ReadAheadGuard<H>>,
     /// Whether the last early request closes the connection, so that all bytes behind it are ignored.
     has_closing_request: bool,
     /// Whether requests behind the current one may begin before it has its response: only requests can
@@ -127,7 +127,7 @@
                     self.has_closing_request = head::closes_connection(&parts.headers);
                     self.early_requests.push_back(EarlyRequest::new(&self.handler, parts, read_at));
                 }
-                None => self.deferred = Some(UnansweredGuard::new(self.handler.clone())),
+                None => self.deferred = Some(ReadAheadGuard::new(self.handler.clone())),
             }
             self.queued_bytes = end;
         }
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -49,7 +49,7 @@
     /// connection, if each takes [`MAX_BUFFERED_RESPONSE`].
     fn has_memory_for_early_response(&self) -> bool {
         let max_bytes = self.0.settings.borrow().memory / EARLY_RESPONSE_DIVISOR;
-        self.0.requests.unanswered().saturating_add(1).saturating_mul(MAX_BUFFERED_RESPONSE as u64) <= max_bytes
+        self.0.requests.read_ahead_count().saturating_add(1).saturating_mul(MAX_BUFFERED_RESPONSE as u64) <= max_bytes
     }
 
     /// Whether a request matches a route of the configuration in force for which `predicate` holds.
@@ -103,7 +103,7 @@
         self.0.lifecycle.is_stopping()
     }
 
-    fn count_unanswered(&self, change: i64) {
-        self.0.requests.count_unanswered(change);
+    fn count_read_ahead(&self, change: i64) {
+        self.0.requests.count_read_ahead(change);
     }
 }
--- a/src/state/requests.rs
+++ b/src/state/requests.rs
@@ -13,7 +13,7 @@
 #[derive(Debug)]
 pub struct Requests {
     in_flight: Rc<Cell<u32>>,
-    unanswered: Cell<i64>,
+    read_ahead: Cell<i64>,
     last_arrival: Cell<Instant>,
     buffered_bytes: Rc<BufferTotal>,
 }
@@ -33,7 +33,7 @@
     pub fn new(now: Instant) -> Self {
         Self {
             in_flight: Rc::default(),
-            unanswered: Cell::new(0),
+            read_ahead: Cell::new(0),
             last_arrival: Cell::new(now),
             buffered_bytes: Rc::default(),
         }
@@ -59,19 +59,19 @@
     /// Adds `change` to the number of pipelined requests that were read before their turn on their
     /// connection. Such a request counts until its turn; if it began early, until its response is ready
     /// as well. It may thus be waiting, running or done.
-    pub fn count_unanswered(&self, change: i64) {
-        self.unanswered.set(self.unanswered.get() + change);
+    pub fn count_read_ahead(&self, change: i64) {
+        self.read_ahead.set(self.read_ahead.get() + change);
     }
 
     /// Number of pipelined requests that were read before their turn and still count, see
-    /// [`Self::count_unanswered`].
-    pub fn unanswered(&self) -> u64 {
-        u64::try_from(self.unanswered.get()).unwrap_or(0)
+    /// [`Self::count_read_ahead`].
+    pub fn read_ahead_count(&self) -> u64 {
+        u64::try_from(self.read_ahead.get()).unwrap_or(0)
     }
 
-    /// Whether no request is in flight, and none counts as unanswered.
+    /// Whether no request is in flight, and none counts as read ahead.
     pub fn are_finished(&self) -> bool {
-        self.in_flight.get() == 0 && self.unanswered.get() == 0
+        self.in_flight.get() == 0 && self.read_ahead.get() == 0
     }
 
     /// Number of requests in flight.
--- a/tests/pipelined/mod.rs
+++ b/tests/pipelined/mod.rs
@@ -118,7 +118,7 @@
     completes_all: Cell<bool>,
     changed: Notify,
     is_stopping: Cell<bool>,
-    unanswered: Cell<i64>,
+    read_ahead: Cell<i64>,
 }
 
 /// Records a request as cancelled if it is dropped before its response is complete.
@@ -181,8 +181,8 @@
         self.is_stopping.get()
     }
 
-    fn count_unanswered(&self, change: i64) {
-        self.unanswered.set(self.unanswered.get() + change);
+    fn count_read_ahead(&self, change: i64) {
+        self.read_ahead.set(self.read_ahead.get() + change);
     }
 }
 
@@ -211,7 +211,7 @@
             completes_all: Cell::new(false),
             changed: Notify::new(),
             is_stopping: Cell::new(false),
-            unanswered: Cell::new(0),
+            read_ahead: Cell::new(0),
         });
         let served = {
             let _entered = runtime.enter();
@@ -303,10 +303,10 @@
         paths
     }
 
-    /// Number of requests that were read before their turn and still count as unanswered
-    /// ([`Handler::count_unanswered`]).
-    pub fn unanswered(&self) -> i64 {
-        self.handler.unanswered.get()
+    /// Number of requests that were read before their turn and still count as read ahead
+    /// ([`Handler::count_read_ahead`]).
+    pub fn read_ahead_count(&self) -> i64 {
+        self.handler.read_ahead.get()
     }
 
     /// Number of the caller's bytes that the server has read.
--- a/tests/pipelined_framing.rs
+++ b/tests/pipelined_framing.rs
@@ -162,6 +162,6 @@
         (0..texts.len()).for_each(|_| connection.advance(Duration::from_millis(1)));
         prop_assert_eq!(connection.bodies(), bodies);
         prop_assert!(!connection.is_closed());
-        prop_assert_eq!(connection.unanswered(), 0);
+        prop_assert_eq!(connection.read_ahead_count(), 0);
     }
 }
--- a/tests/pipelined_order.rs
+++ b/tests/pipelined_order.rs
@@ -147,7 +147,7 @@
     assert_eq!(connection.cancelled(), ["/safe/a", "/safe/b", "/safe/c"]);
     assert!(connection.is_closed());
     assert_eq!(connection.begun().len(), 3);
-    assert_eq!(connection.unanswered(), 0);
+    assert_eq!(connection.read_ahead_count(), 0);
 }
 
 #[test]
@@ -177,18 +177,18 @@
     assert_eq!(connection.received().matches("connection: close").count(), 1);
     assert!(connection.is_closed());
     assert_eq!(connection.begun().len(), 3);
-    assert_eq!(connection.unanswered(), 0);
+    assert_eq!(connection.read_ahead_count(), 0);
 }
 
 #[test]
-fn requests_read_before_their_turn_count_as_unanswered_until_it() {
+fn requests_read_before_their_turn_count_as_read_ahead_until_it() {
     let mut connection = TestConnection::new(Timeouts::default());
     connection.send(&[get("/safe/a"), get("/safe/b"), get("/once/c")].concat());
-    assert_eq!(connection.unanswered(), 2);
+    assert_eq!(connection.read_ahead_count(), 2);
     connection.complete("/safe/b");
-    assert_eq!(connection.unanswered(), 2, "a response that waits for the one ahead of it");
+    assert_eq!(connection.read_ahead_count(), 2, "a response that waits for the one ahead of it");
     connection.complete("/safe/a");
-    assert_eq!(connection.unanswered(), 0);
+    assert_eq!(connection.read_ahead_count(), 0);
 }
 
 #[test]
