--- a/src/decision/capacity/rate_limit/totals.rs
+++ b/src/decision/capacity/rate_limit/totals.rs
@@ -18,7 +18,7 @@
 use super::known_limit::{AnnouncedLimit, MAX_LIMIT_AGE};
 use crate::clock::Instant;
 use crate::decision::registry::members::Members;
-use crate::model::rate_limits::{AnnouncedRate, LimitReport, StartKey, TargetAnswer, TargetDemand};
+use crate::model::rate_limits::{AnnouncedRate, LimitReport, StartKey, TargetAdmitRatio, TargetDemand};
 use std::collections::{BTreeMap, HashMap};
 use std::time::Duration;
 
@@ -93,15 +93,16 @@
     /// The answer to a report of an instance of the own hall: the admit ratios of at most
     /// [`MAX_TARGETS_PER_MESSAGE`] targets, those in `reported` first. A report that the head of another
     /// hall forwarded gets no admit ratios in answer.
-    pub fn target_answers(
+    pub fn target_admit_ratios(
         &self,
         reported: &[TargetDemand],
         members: &Members,
         own_hall: &str,
         now: Instant,
-    ) -> Vec<TargetAnswer> {
+    ) -> Vec<TargetAdmitRatio> {
         let reachable_fraction = self.reachable_fraction(members, own_hall, now);
-        let answer = |(target, totals): (&StartKey, &TargetTotals)| totals.answer(*target, reachable_fraction, now);
+        let answer =
+            |(target, totals): (&StartKey, &TargetTotals)| totals.target_admit_ratio(*target, reachable_fraction, now);
         let is_reported = |target: &StartKey| reported.iter().any(|demand| demand.target == *target);
         let first = reported.iter().filter_map(|demand| self.targets.get_key_value(&demand.target));
         let others = self.targets.iter().filter(|(target, _)| !is_reported(target));
@@ -168,7 +169,7 @@
         }
     }
 
-    fn answer(&self, target: StartKey, reachable_fraction: f64, now: Instant) -> Option<TargetAnswer> {
+    fn target_admit_ratio(&self, target: StartKey, reachable_fraction: f64, now: Instant) -> Option<TargetAdmitRatio> {
         let is_leaving = self.is_leaving(now);
         let announced = self.limit.and_then(|limit| limit_to_message(limit, now));
         if announced.is_none() && !is_leaving {
@@ -178,7 +179,7 @@
         let rate = announced.and_then(|announced| announced.rate).map(f64::from);
         let max_rate = rate.map_or(f64::INFINITY, |rate| rate.max(MIN_RATE) * reachable_fraction.min(1.0));
         let admit_ratio = if demand <= max_rate { 1.0 } else { max_rate / demand };
-        Some(TargetAnswer { target, announced, is_leaving, admit_ratio: admit_ratio as f32 })
+        Some(TargetAdmitRatio { target, announced, is_leaving, admit_ratio: admit_ratio as f32 })
     }
 
     /// Whether any hall recently reported it as leaving.
--- a/src/model/rate_limits.rs
+++ b/src/model/rate_limits.rs
@@ -49,9 +49,9 @@
     pub targets: Vec<TargetDemand>,
 }
 
-/// What a head knows about a target with a limit, or one that is leaving.
+/// Admit ratio of a target, and what the head knows about its limit and whether it is leaving.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct TargetAnswer {
+pub struct TargetAdmitRatio {
     /// Target at one start and address.
     pub target: StartKey,
     /// Latest announcement of the target to any instance; `None` if there is no recent one.
@@ -60,7 +60,7 @@
     /// Whether the target has announced to any instance that it is leaving.
     #[serde(rename = "leaves")]
     pub is_leaving: bool,
-    /// Share of the requests that may be sent, 0 to 1.
+    /// Share of the requests for the target that may be sent, 0 to 1.
     #[serde(rename = "pass")]
     pub admit_ratio: f32,
 }
@@ -70,5 +70,5 @@
 pub struct LimitAnswer {
     /// Targets that recently announced a limit or that they are leaving, those of the report first.
     #[serde(rename = "shares")]
-    pub targets: Vec<TargetAnswer>,
+    pub targets: Vec<TargetAdmitRatio>,
 }
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -11,7 +11,7 @@
     LimitTotals, MAX_TARGETS_PER_MESSAGE, limit_from_message, limit_to_message,
 };
 use crate::decision::registry::target::Target;
-use crate::model::rate_limits::{LimitAnswer, LimitReport, StartKey, TargetAnswer, TargetDemand};
+use crate::model::rate_limits::{LimitAnswer, LimitReport, StartKey, TargetAdmitRatio, TargetDemand};
 use crate::platform::Platform;
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -105,14 +105,14 @@
         if report.is_forwarded {
             return LimitAnswer::default();
         }
-        LimitAnswer { targets: totals.target_answers(&report.targets, &routing.members, &settings.hall, now) }
+        LimitAnswer { targets: totals.target_admit_ratios(&report.targets, &routing.members, &settings.hall, now) }
     }
 
     /// Applies the answer of a head: admit ratios, and the limits and leaving targets that other
     /// instances reported.
     pub fn apply_limit_answer(&self, answer: &LimitAnswer) {
         let now = Instant::now();
-        let by_target: HashMap<StartKey, &TargetAnswer> =
+        let by_target: HashMap<StartKey, &TargetAdmitRatio> =
             answer.targets.iter().map(|answer| (answer.target, answer)).collect();
         for target in self.routing.borrow().targets() {
             let Some(answer) = by_target.get(&target.start_key) else { continue };
--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -334,7 +334,7 @@
             let own = hall_name(hall);
             self.heads[hall].record_report(&report, &own, self.now);
             if !report.is_forwarded {
-                let targets = self.heads[hall].target_answers(&report.targets, &self.members, &own, self.now);
+                let targets = self.heads[hall].target_admit_ratios(&report.targets, &self.members, &own, self.now);
                 let answer = LimitAnswer { targets };
                 self.bytes += encode(&answer).len();
                 self.limit_answers.push_back((self.now + NETWORK_DELAY, from, answer));
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -168,12 +168,12 @@
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now);
     totals.record_report(&report("e-2", "h-0", 5.0, None), "h-0", now);
     totals.record_report(&LimitReport { is_forwarded: true, ..report("e-1", "h-1", 15.0, None) }, "h-0", now);
-    let answers = totals.target_answers(&[], &members, "h-0", now);
+    let answers = totals.target_admit_ratios(&[], &members, "h-0", now);
     assert!((answers[0].admit_ratio - 0.2).abs() < 0.001, "{answers:?}");
     // A repeated report replaces the previous one and adds no demand.
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now + ms(200));
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now + ms(200));
-    let answers = totals.target_answers(&[], &members, "h-0", now + ms(200));
+    let answers = totals.target_admit_ratios(&[], &members, "h-0", now + ms(200));
     assert!((answers[0].admit_ratio - 0.2).abs() < 0.001, "{answers:?}");
 }
 
@@ -182,10 +182,12 @@
 fn an_unreachable_hall_keeps_its_part_of_the_limit() {
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(6, 3));
     totals.record_report(&report("e-0", "h-0", 12.0, ANNOUNCED), "h-0", now);
-    assert!((totals.target_answers(&[], &members, "h-0", now)[0].admit_ratio - 6.0 / 3.0 / 12.0).abs() < 0.001);
+    assert!((totals.target_admit_ratios(&[], &members, "h-0", now)[0].admit_ratio - 6.0 / 3.0 / 12.0).abs() < 0.001);
     totals.record_hall_contact("h-1", now);
-    assert!((totals.target_answers(&[], &members, "h-0", now)[0].admit_ratio - 6.0 * 2.0 / 3.0 / 12.0).abs() < 0.001);
-    let answers = totals.target_answers(&[], &members, "h-0", now + ms(1_000));
+    assert!(
+        (totals.target_admit_ratios(&[], &members, "h-0", now)[0].admit_ratio - 6.0 * 2.0 / 3.0 / 12.0).abs() < 0.001
+    );
+    let answers = totals.target_admit_ratios(&[], &members, "h-0", now + ms(1_000));
     assert_eq!(answers[0].admit_ratio, 1.0, "the reported demand has expired");
 }
 
@@ -194,7 +196,7 @@
     let (mut totals, now, members) = (LimitTotals::default(), Instant::now(), members(1, 1));
     let zero_limit = Some(AnnouncedRate { rate: Some(0.0), age_ms: 0 });
     totals.record_report(&report("e-0", "h-0", 10.0, zero_limit), "h-0", now);
-    let admit_ratio = f64::from(totals.target_answers(&[], &members, "h-0", now)[0].admit_ratio);
+    let admit_ratio = f64::from(totals.target_admit_ratios(&[], &members, "h-0", now)[0].admit_ratio);
     assert!((admit_ratio - MIN_RATE / 10.0).abs() < 0.0001, "{admit_ratio}");
 }
 
@@ -210,7 +212,7 @@
     for rate in [f32::NAN, f32::INFINITY, -1.0] {
         assert_eq!(limit_from_message(AnnouncedRate { rate: Some(rate), age_ms: 0 }, now), None);
     }
-    assert!((totals.target_answers(&[], &members, "h-0", now)[0].admit_ratio - 0.5).abs() < 0.001);
+    assert!((totals.target_admit_ratios(&[], &members, "h-0", now)[0].admit_ratio - 0.5).abs() < 0.001);
     let many = (0..10_000_u64).map(|key| TargetDemand {
         target: StartKey(key.to_be_bytes()),
         announced: ANNOUNCED,
