--- a/src/net/buffered_bytes.rs
+++ b/src/net/buffered_bytes.rs
@@ -26,8 +26,8 @@
         self.freed.notified().await;
     }
 
-    /// Wakes the next waiting task. A task that was woken calls this, because there may be room for the next
-    /// one as well, and each release of bytes wakes only one.
+    /// Wakes the next waiting task, because there may be room for it as well: a release of bytes wakes only
+    /// one, which may leave room.
     pub fn wake_next(&self) {
         self.freed.notify_one();
     }
--- a/src/policy/credit.rs
+++ b/src/policy/credit.rs
@@ -10,7 +10,7 @@
 //! would be sent to is in another hall than the default target, which is the one that it would go to
 //! if no target were draining, drained, cold, full or ejected and no weight policy applied.
 //!
-//! **Rule.** A request deposits the share of each cap, in moves, when the cap first matches it, and
+//! **Rule.** At each cap, a request deposits the cap's share of a move when the cap first matches it, and
 //! nothing at later tries; at the services of a split, other caps may match it. Each cap is charged for a
 //! move: the move withdraws 1 from each, or from none if one of them has less; a request withdraws
 //! at most one move from each cap. Credit never exceeds 1. A request that is tried again under a later
