--- a/src/net/pool.rs
+++ b/src/net/pool.rs
@@ -38,7 +38,8 @@
 /// slots needs (3 to 6 slots, two requests per slot).
 const MAX_IDLE_CONNECTIONS: usize = 16;
 /// The number of connections that a target accepts, divided by this, is the maximum that all instances
-/// together keep idle. The others are left for requests and for the target's other callers.
+/// together keep idle, except that each may keep one. The others are left for requests and for the target's
+/// other callers.
 const IDLE_CONNECTIONS_DIVISOR: usize = 2;
 
 /// Maximum size of the read buffer of a connection, bytes: limits how much of a response a connection
