--- a/src/decision/quota/equal_share.rs
+++ b/src/decision/quota/equal_share.rs
@@ -1,7 +1,7 @@
 //! The equal share of a tenant's quota, for an instance without a current answer from a head: a token
-//! bucket with the rate and the burst divided by the number of instances. An instance with a current
-//! answer that has admitted as many requests as it may before the next answer also uses the bucket,
-//! but without the burst.
+//! bucket with the rate and the burst divided by the number of instances. An instance that has a
+//! current answer, but has used up the tenant's allowance ([`super::local_usage`]), also uses the
+//! bucket, without the burst.
 //!
 //! **Inputs**: the quota; the number of instances in the view, whose age is not bounded while the
 //! store is unreachable.
--- a/src/decision/quota/local_usage.rs
+++ b/src/decision/quota/local_usage.rs
@@ -1,7 +1,8 @@
 //! Admission by quota: an instance admits a tenant's requests, evenly spaced, at the ratio that the
 //! head of its hall returned in its last answer. It admits only its equal share of the quota
-//! ([`super::equal_share`]) while the answer is too old. If it has admitted too many requests since it
-//! started the last answered report, it admits that share without the burst.
+//! ([`super::equal_share`]) while the answer is too old. Once it has used up the tenant's allowance,
+//! which limits the requests admitted since the last answered report was started, it admits that share
+//! without the burst.
 //!
 //! **Inputs**
 //! - Admit ratios by tenant, from the last answer of a head; up to `MAX_ANSWER_AGE` (1 s) old. All
@@ -12,9 +13,9 @@
 //!
 //! **Why.** When a tenant suddenly sends a multiple of its usual requests, the head has to know before
 //! the burst is used up. Unreported requests are therefore reported at once when they reach a
-//! threshold: twice the usual number, and at least 2. Until an answer arrives, an instance admits five
-//! times the threshold, and at least 8, or fewer if the tenant's ratio is below 1; then only its equal
-//! share.
+//! threshold: twice the usual number, and at least 2. Until an answer arrives, the allowance is five
+//! times the threshold, and at least 8, or less if the tenant's ratio is below 1 or no head has
+//! answered yet.
 //!
 //! **Guards** the promises that a tenant's requests stay within its quota, and that a request is
 //! refused immediately instead of being held. **Test**: `tests/quotas.rs`, `tests/quota_replay.rs`.
@@ -35,20 +36,20 @@
 const MIN_SURGE_REQUESTS: f64 = 2.0;
 /// Factor on a tenant's usual requests between two reports from which its requests are reported at once.
 const SURGE_FACTOR: f64 = 2.0;
-/// Maximum number of a tenant's requests that this instance admits until the head answers its next report,
-/// as a multiple of the number from which they are reported at once; at least [`MAX_ADMITTED_FLOOR`]. Five,
-/// because up to five reports may fail while an answer applies.
-const MAX_ADMITTED_FACTOR: f64 = 5.0;
-/// See [`MAX_ADMITTED_FACTOR`].
-const MAX_ADMITTED_FLOOR: f64 = 8.0;
-/// Used in place of [`MAX_ADMITTED_FACTOR`] for a tenant with an admit ratio below 1, and multiplied by that
+/// A tenant's allowance, the maximum number of its requests that this instance admits until the head
+/// answers its next report, as a multiple of the number from which they are reported at once; at least
+/// [`MIN_ALLOWANCE`]. Five, because up to five reports may fail while an answer applies.
+const ALLOWANCE_FACTOR: f64 = 5.0;
+/// See [`ALLOWANCE_FACTOR`].
+const MIN_ALLOWANCE: f64 = 8.0;
+/// Used in place of [`ALLOWANCE_FACTOR`] for a tenant with an admit ratio below 1, and multiplied by that
 /// ratio: the quota is used up, and every other instance may admit as many requests too.
-const REDUCED_MAX_ADMITTED_FACTOR: f64 = 1.0;
-/// See [`REDUCED_MAX_ADMITTED_FACTOR`].
-const REDUCED_MAX_ADMITTED_FLOOR: f64 = 2.0;
-/// Maximum number of a tenant's requests that this instance admits until a head answers its first report:
-/// all instances may be starting, and none of them knows what was admitted before.
-const MAX_ADMITTED_BEFORE_FIRST_ANSWER: f64 = 3.0;
+const REDUCED_ALLOWANCE_FACTOR: f64 = 1.0;
+/// See [`REDUCED_ALLOWANCE_FACTOR`].
+const MIN_REDUCED_ALLOWANCE: f64 = 2.0;
+/// A tenant's allowance until a head answers this instance's first report: all instances may be starting,
+/// and none of them knows what was admitted before.
+const INITIAL_ALLOWANCE: f64 = 3.0;
 /// Maximum to which a tenant's admit ratio rises with one answer: this factor times the last ratio,
 /// plus [`RATIO_RISE_STEP`] (no unit). From 0 it reaches 1 after five answers, which take a second.
 const RATIO_RISE_FACTOR: f64 = 1.5;
@@ -105,17 +106,18 @@
         f64::from(self.unreported.offered) >= self.surge_threshold()
     }
 
-    /// Whether as many requests were admitted as are allowed before the next answer. `is_before_first_answer`
-    /// states that no head has answered yet.
-    fn has_reached_max_admitted(&self, is_before_first_answer: bool) -> bool {
+    /// Whether the allowance is used up: as many requests were admitted as may be before the next answer.
+    /// `is_before_first_answer` states that no head has answered yet.
+    fn has_used_allowance(&self, is_before_first_answer: bool) -> bool {
         let admitted = self.unreported.admitted.saturating_add(self.in_report.admitted);
-        let max_admitted = match (is_before_first_answer, self.admit_ratio < 1.0) {
-            (true, _) => MAX_ADMITTED_BEFORE_FIRST_ANSWER,
-            (false, true) => (REDUCED_MAX_ADMITTED_FACTOR * self.admit_ratio * self.surge_threshold())
-                .max(REDUCED_MAX_ADMITTED_FLOOR),
-            (false, false) => (MAX_ADMITTED_FACTOR * self.surge_threshold()).max(MAX_ADMITTED_FLOOR),
+        let allowance = match (is_before_first_answer, self.admit_ratio < 1.0) {
+            (true, _) => INITIAL_ALLOWANCE,
+            (false, true) => {
+                (REDUCED_ALLOWANCE_FACTOR * self.admit_ratio * self.surge_threshold()).max(MIN_REDUCED_ALLOWANCE)
+            }
+            (false, false) => (ALLOWANCE_FACTOR * self.surge_threshold()).max(MIN_ALLOWANCE),
         };
-        f64::from(admitted) >= max_admitted
+        f64::from(admitted) >= allowance
     }
 
     /// Adds the admit ratio to the credit. Returns whether that makes a whole request, which is then admitted
@@ -157,7 +159,7 @@
         let new = || TenantUsage::new(answered_ratios.get(&**tenant).copied().unwrap_or(1.0), random);
         let usage = self.tenants.entry(tenant.clone()).or_insert_with(new);
         usage.unreported.offered = usage.unreported.offered.saturating_add(1);
-        let is_admitted = match (is_answered, usage.has_reached_max_admitted(is_before_first_answer)) {
+        let is_admitted = match (is_answered, usage.has_used_allowance(is_before_first_answer)) {
             (true, false) => usage.take_credit(),
             // The burst is only for an instance without a current answer: with one, all others may admit as
             // many requests at the same moment.
--- a/src/decision/quota/mod.rs
+++ b/src/decision/quota/mod.rs
@@ -5,8 +5,8 @@
 //! hall, the instance that aggregates the hall's reports; heads report to each other. Each head counts
 //! each tenant's requests at all instances in the operators' window, and answers with the ratio at
 //! which to admit a tenant's requests. An instance without a current answer admits its equal share of
-//! the quota, as does one that has admitted too many requests since the last answer, but without the
-//! burst. Heads do not grant the shares of instances that do not report.
+//! the quota. One that has used up its allowance until the next answer ([`local_usage`]) admits that
+//! share without the burst. Heads do not grant the shares of instances that do not report.
 //!
 //! | module | purpose |
 //! |---|---|
