--- a/src/decision/capacity/rate_limit/totals.rs
+++ b/src/decision/capacity/rate_limit/totals.rs
@@ -101,12 +101,12 @@
         now: Instant,
     ) -> Vec<TargetAdmitRatio> {
         let reachable_fraction = self.reachable_fraction(members, own_hall, now);
-        let answer =
+        let target_admit_ratio =
             |(target, totals): (&StartKey, &TargetTotals)| totals.target_admit_ratio(*target, reachable_fraction, now);
         let is_reported = |target: &StartKey| reported.iter().any(|demand| demand.target == *target);
         let first = reported.iter().filter_map(|demand| self.targets.get_key_value(&demand.target));
         let others = self.targets.iter().filter(|(target, _)| !is_reported(target));
-        first.chain(others).filter_map(answer).take(MAX_TARGETS_PER_MESSAGE).collect()
+        first.chain(others).filter_map(target_admit_ratio).take(MAX_TARGETS_PER_MESSAGE).collect()
     }
 
     /// The targets to report to other halls: the demand of the own hall, and what targets announced
--- a/src/state/rate_limits.rs
+++ b/src/state/rate_limits.rs
@@ -113,13 +113,13 @@
     pub fn apply_limit_answer(&self, answer: &LimitAnswer) {
         let now = Instant::now();
         let by_target: HashMap<StartKey, &TargetAdmitRatio> =
-            answer.targets.iter().map(|target_answer| (target_answer.target, target_answer)).collect();
+            answer.targets.iter().map(|target_admit_ratio| (target_admit_ratio.target, target_admit_ratio)).collect();
         for target in self.routing.borrow().targets() {
-            let Some(target_answer) = by_target.get(&target.start_key) else { continue };
-            if target_answer.is_leaving && target.mark_leaving() {
+            let Some(target_admit_ratio) = by_target.get(&target.start_key) else { continue };
+            if target_admit_ratio.is_leaving && target.mark_leaving() {
                 tracing::info!(event = "target_leaving", id = &*target.id, hall = &*target.hall, from = "instances");
             }
-            if let Some(limit) = target_answer.announced.and_then(|announced| limit_from_message(announced, now))
+            if let Some(limit) = target_admit_ratio.announced.and_then(|announced| limit_from_message(announced, now))
                 && let Some(rate) = target.record_remote_limit(limit, now)
             {
                 tracing::info!(
@@ -130,8 +130,8 @@
                     from = "instances"
                 );
             }
-            if target_answer.admit_ratio.is_finite() {
-                target.set_limit_admit_ratio(target_answer.admit_ratio.into(), rand::random(), now);
+            if target_admit_ratio.admit_ratio.is_finite() {
+                target.set_limit_admit_ratio(target_admit_ratio.admit_ratio.into(), rand::random(), now);
             }
         }
     }
--- a/tests/limit_fleet/mod.rs
+++ b/tests/limit_fleet/mod.rs
@@ -342,12 +342,14 @@
         }
         while self.limit_answers.front().is_some_and(|(due, ..)| *due <= self.now) {
             let (_, number, answer) = self.limit_answers.pop_front().unwrap();
-            for target in &answer.targets {
+            for target_admit_ratio in &answer.targets {
                 let limit = &mut self.instances[number].limit;
-                if let Some(remote) = target.announced.and_then(|announced| limit_from_message(announced, self.now)) {
+                if let Some(remote) =
+                    target_admit_ratio.announced.and_then(|announced| limit_from_message(announced, self.now))
+                {
                     limit.record_remote(remote, self.now);
                 }
-                limit.set_admit_ratio(target.admit_ratio.into(), self.random.random(), self.now);
+                limit.set_admit_ratio(target_admit_ratio.admit_ratio.into(), self.random.random(), self.now);
             }
         }
     }
--- a/tests/rate_limits.rs
+++ b/tests/rate_limits.rs
@@ -168,13 +168,13 @@
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now);
     totals.record_report(&report("e-2", "h-0", 5.0, None), "h-0", now);
     totals.record_report(&LimitReport { is_forwarded: true, ..report("e-1", "h-1", 15.0, None) }, "h-0", now);
-    let answers = totals.target_admit_ratios(&[], &members, "h-0", now);
-    assert!((answers[0].admit_ratio - 0.2).abs() < 0.001, "{answers:?}");
+    let admit_ratios = totals.target_admit_ratios(&[], &members, "h-0", now);
+    assert!((admit_ratios[0].admit_ratio - 0.2).abs() < 0.001, "{admit_ratios:?}");
     // A repeated report replaces the previous one and adds no demand.
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now + ms(200));
     totals.record_report(&report("e-0", "h-0", 10.0, ANNOUNCED), "h-0", now + ms(200));
-    let answers = totals.target_admit_ratios(&[], &members, "h-0", now + ms(200));
-    assert!((answers[0].admit_ratio - 0.2).abs() < 0.001, "{answers:?}");
+    let admit_ratios = totals.target_admit_ratios(&[], &members, "h-0", now + ms(200));
+    assert!((admit_ratios[0].admit_ratio - 0.2).abs() < 0.001, "{admit_ratios:?}");
 }
 
 /// A hall is unreachable if no contact with it is recorded.
@@ -187,8 +187,8 @@
     assert!(
         (totals.target_admit_ratios(&[], &members, "h-0", now)[0].admit_ratio - 6.0 * 2.0 / 3.0 / 12.0).abs() < 0.001
     );
-    let answers = totals.target_admit_ratios(&[], &members, "h-0", now + ms(1_000));
-    assert_eq!(answers[0].admit_ratio, 1.0, "the reported demand has expired");
+    let admit_ratios = totals.target_admit_ratios(&[], &members, "h-0", now + ms(1_000));
+    assert_eq!(admit_ratios[0].admit_ratio, 1.0, "the reported demand has expired");
 }
 
 #[test]
