--- a/src/decision/capacity/admission.rs
+++ b/src/decision/capacity/admission.rs
@@ -8,9 +8,9 @@
 //!   instance's own traffic are mostly underestimated, the more so the more instances there are.
 //! - Slots of the target, the number of requests that it processes concurrently, from its
 //!   registration.
-//! - Rank of the request's urgency, which is the tenant's priority and then the route's: the number
-//!   of more urgent levels among the service's requests, 0 for the most urgent; from the
-//!   configuration in force.
+//! - Rank of the request's urgency: the number of more urgent levels among the service's requests, 0
+//!   for the most urgent. Urgency is the tenant's priority and, where that is equal, the route's. From
+//!   the configuration in force.
 //!
 //! **Why.** Above the limit a request queues at the target and misses its latency objective; if it
 //! is refused at once, the caller can still retry in time. The limit is above 1 so that slots stay
--- a/src/decision/capacity/second_target.rs
+++ b/src/decision/capacity/second_target.rs
@@ -9,9 +9,9 @@
 //!
 //! **Why.** The second target of a key has often not cached the key's object and then works about
 //! three times as long on it. If that holds for most keys, each request that overflows from its
-//! first target takes the capacity of three at a target that fills up next. If targets cache few
-//! objects, the second copies also evict the first ones. Either way, the service stays slow after
-//! the overload has ended. If second targets respond fast, because they have the objects cached too
+//! first target takes the capacity of three requests at the second, which then fills up as well. If
+//! targets cache few objects, the second copies also evict the first ones. Either way, the service
+//! stays slow after the overload has ended. If second targets respond fast, because they have the objects cached too
 //! or uncached work is short, they take overflow up to the ordinary limit.
 //!
 //! **Guards** the promise that responses arrive within their objective if the targets can achieve it.
--- a/src/decision/failure/ejection.rs
+++ b/src/decision/failure/ejection.rs
@@ -8,8 +8,9 @@
 //!   failure is a connection that cannot be made, a broken exchange, a server error, or a response
 //!   that cannot be parsed, lacks the request's id or carries another one, or reports success without
 //!   the target's signature. A valid response resets the failures and the ejection, but not the mark
-//!   that the target was replaced; without one, failures count however old they are. The failure of a
-//!   request that was sent before the last ejection carries no new information and does not count.
+//!   that the target was replaced. Until a valid response, failures count however old they are. The
+//!   failure of a request that was sent before the last ejection carries no new information and does
+//!   not count.
 //! - When the failed request was sent; exact.
 //! - Requests of this instance in flight at the target; exact.
 //! - A misdirected response: another target listens at the address. This start of the target is
--- a/src/decision/failure/latency.rs
+++ b/src/decision/failure/latency.rs
@@ -7,9 +7,9 @@
 //!   request that timed out counts with the time waited; a broken exchange or a server error does
 //!   not count. The average has no age limit: a slow target is probed from time to time, which
 //!   measures it again.
-//! - Time since the last response, seconds: since the last request ended with a valid response or a
-//!   timeout, or since the first one now in flight was sent if that was later. Counts only while
-//!   requests are in flight.
+//! - Time since the last response, seconds: since the last valid response or timeout. If the target was
+//!   without requests in flight at some time after it, the time starts when the next one is sent. Counts
+//!   only while requests are in flight.
 //! - Median of the averages of the service's targets, seconds; computed every 0.5 s by the
 //!   instance's periodic tasks. Infinite before the first response, so that no target is slow then.
 //! - The route's latency objective, from the configuration in force.
@@ -51,8 +51,8 @@
 pub struct Latency {
     /// Moving average, seconds; `None` before the first response.
     average: Option<f64>,
-    /// End of the last request that counted, or when the first one now in flight was sent if that
-    /// was later.
+    /// When the last request that counted ended, or when a request was sent while no other was in
+    /// flight, whichever was later.
     no_response_since: Option<Instant>,
     /// When the last request was sent.
     last_sent_at: Option<Instant>,
--- a/src/decision/failure/pause.rs
+++ b/src/decision/failure/pause.rs
@@ -21,7 +21,7 @@
 use crate::clock::Instant;
 use std::time::Duration;
 
-/// Maximum pause: a day. A longer time would mean for good, which a target states in its registration.
+/// Maximum pause: a day. A target that wants no requests for longer states that in its registration.
 const MAX_PAUSE: Duration = Duration::from_secs(86_400);
 /// Maximum jitter as a fraction of the pause (no unit), so that instances that were rejected
 /// together do not return together.
--- a/src/decision/mod.rs
+++ b/src/decision/mod.rs
@@ -64,8 +64,8 @@
 //! small state for each rule, and [`query`](selection::query), the request to decide on.
 //! [`outcome`](selection::outcome) is the result. Relies on [`crate::model`], [`crate::policy`],
 //! [`crate::hash`], [`crate::store`] for events, and the connection pool of a target in
-//! [`crate::net`]. Nothing here waits, sends or, except when an instance starts, reads the clock: the
-//! time is an argument. `docs/DECISIONS.md` lists all constants and how their values were chosen.
+//! [`crate::net`]. Nothing here waits or sends, and the time is an argument: the clock is read only
+//! when an instance starts. `docs/DECISIONS.md` lists all constants and how their values were chosen.
 
 pub mod capacity;
 pub mod failure;
--- a/src/decision/registry/grace.rs
+++ b/src/decision/registry/grace.rs
@@ -15,8 +15,8 @@
 //! the grace, the instance would have no target during that time.
 //!
 //! **Guards** the promises that requests are served while the store is unreachable, and that a target
-//! that has really stopped receives none once its time for draining is over. That time ends 2 s after
-//! the drain was acknowledged, at the site where it is shortest, which bounds `GRACE` from above.
+//! that has really stopped receives none once its time for draining is over. At the site where that
+//! time is shortest, it ends 2 s after the drain was acknowledged, so `GRACE` must not be longer.
 //!
 //! **Test**: `a_target_whose_registration_expired_while_the_store_was_unreachable_is_kept_for_the_grace` and the
 //! two tests after it in `tests/choice.rs`.
--- a/src/decision/registry/targets.rs
+++ b/src/decision/registry/targets.rs
@@ -5,7 +5,7 @@
 //! - A later start resets all state: nothing observed of an earlier start applies to it, and
 //!   connections to the earlier one are closed.
 //! - A registration of the same start with other data creates a new record that replaces the old one.
-//!   One with the same sequence number changes only state and slow start, and an earlier one nothing.
+//!   One with the same sequence number changes only state and slow start; an earlier one is ignored.
 //! - A removed target is added again only by a registration later than its last one; after an expired
 //!   grace, also by the same one.
 //! - Once an id has registered with a start time, a registration without one is invalid. An id that
--- a/src/decision/selection/key_region.rs
+++ b/src/decision/selection/key_region.rs
@@ -14,8 +14,8 @@
 //! of those that leave would move to other regions within a second or two, and return together. No
 //! remaining target has their objects cached, so a target of the region serves them as fast as one
 //! elsewhere until their next target is out of slow start. The fewer of the region's slots are out of
-//! slow start, the fewer keys stay, so that these slots are not given the keys of all the region's
-//! slots. All instances compute the same share and the same keys, so they agree without exchanging
+//! slow start, the fewer keys stay, since these few slots cannot serve the keys of the whole region.
+//! All instances compute the same share and the same keys, so they agree without exchanging
 //! messages.
 //!
 //! Other keys that a target in slow start will take over stay where they are cached until slow start
--- a/src/instance/stop.rs
+++ b/src/instance/stop.rs
@@ -17,8 +17,8 @@
 //! a directory answer for a while and go on sending. Guards: no request that ends in
 //! time is cut off by a planned stop. Test: `planned_stop`.
 //!
-//! Owns the times of the stop; the state is in [`crate::state`]. Relies on the callers'
-//! listener to count requests and on [`crate::proxy::request`] to refuse late ones.
+//! Owns the times of the stop; the state is in [`crate::state`]. Relies on
+//! [`crate::proxy::listener`] to count requests and on [`crate::proxy::request`] to refuse late ones.
 
 use crate::clock::{Instant, sleep};
 use crate::platform::Platform;
--- a/src/net/server/read_ahead/mod.rs
+++ b/src/net/server/read_ahead/mod.rs
@@ -1,5 +1,5 @@
-//! HTTP pipelining: requests that a caller sends before the requests ahead of them on the connection
-//! have their responses.
+//! HTTP pipelining: requests that a caller sends without waiting for the responses to its earlier
+//! requests on the same connection.
 //!
 //! **Reason.** Some callers send further idempotent requests before the first has its response. Processed
 //! one after the other, each would wait for all ahead of it. Here they run concurrently, and hyper sends
--- a/src/proxy/exchange.rs
+++ b/src/proxy/exchange.rs
@@ -88,7 +88,7 @@
 
     /// The load that the target reports. An invalid report is counted, and logged once for each
     /// target. Without a valid report, the load is estimated from this instance's requests in flight and
-    /// from an earlier report until that has faded ([`crate::decision::capacity::load`]).
+    /// from an earlier report until that no longer counts ([`crate::decision::capacity::load`]).
     fn load_report(&self, response: &Response<Incoming>) -> Option<LoadReport> {
         response_check::load_report(self.names, response.headers()).unwrap_or_else(|error| {
             self.metrics.load_reports_ignored.with_label_values(&[error.as_str()]).inc();
--- a/src/proxy/listener.rs
+++ b/src/proxy/listener.rs
@@ -25,8 +25,8 @@
 /// Handles the requests of callers.
 pub struct CallerHandler<P: Platform>(pub Rc<Instance<P>>);
 
-/// Counts a request as in flight, also in the metric of active requests, until its handler returns the
-/// response. [`crate::state::InFlightGuard`] counts it while a response is held for its caller.
+/// Counts a request as in flight, also in the metric of active requests, until [`CallerHandler`] returns
+/// the response. [`crate::state::InFlightGuard`] counts it while a response is held for its caller.
 struct ActiveRequestGuard<'a, P: Platform>(&'a Instance<P>);
 
 impl<'a, P: Platform> ActiveRequestGuard<'a, P> {
--- a/src/store/era.rs
+++ b/src/store/era.rs
@@ -8,9 +8,9 @@
 //!
 //! **Inputs**: the eras reported by the store and by peers; exact.
 //!
-//! **Why.** After a restore, an equal revision does not imply equal contents. If it compared
-//! revisions alone, an instance would skip changes below the revision of its view, and would accept a list of the
-//! restored store as proof of its old view.
+//! **Why.** After a restore, an equal revision does not imply equal contents. An instance that
+//! compared revisions alone would skip changes below the revision of its view, and would accept a
+//! list of the restored store as proof of its old view.
 //!
 //! **Guards** the promises that changes made after a restore take effect, and that a response from
 //! before the restore does not prove a view current.
--- a/src/store/freshness.rs
+++ b/src/store/freshness.rs
@@ -15,7 +15,7 @@
 //!
 //! Each proof covers all kinds of keys, since every source delivers them in one order of
 //! positions. A response from an earlier era than the latest known one proves nothing
-//! ([`super::era`]). A refused value does not invalidate the proof by its response; it is logged
+//! ([`super::era`]). A response that contains a refused value is still a proof; the value is logged
 //! (`value_refused`).
 //!
 //! **Why.** Rules that must not act on stale state depend on it: those for targets in slow start,
--- a/src/sync/backoff.rs
+++ b/src/sync/backoff.rs
@@ -10,12 +10,12 @@
 /// a third of 74 instances, they made 3,114 calls without doubling and 2,300 with it.
 const INITIAL_DELAY: Duration = Duration::from_millis(250);
 /// Maximum delay, before jitter: with it and a call's timeout, a recovery of the store is detected
-/// within the shortest bound on lag (2 s). With 1.4 s, a target was used for too long.
+/// within the shortest bound on lag (2 s).
 const MAX_DELAY: Duration = Duration::from_millis(700);
-/// Maximum delay, before jitter, of calls that the view does not need to stay current. With
-/// [`MAX_DELAY`], 102 of 295 instances that the store refused for 9 s made 790 calls to write their
-/// keys. An instance that is refused for longer is missing from the directory for longer, which does
-/// not affect callers while there are other instances.
+/// Maximum delay, before jitter, of calls that the view does not need to stay current. It is longer
+/// than [`MAX_DELAY`], so that many instances that the store refuses make few calls. An instance that
+/// is refused for longer is missing from the directory for longer, which does not affect callers while
+/// there are other instances.
 const MAX_LONG_DELAY: Duration = Duration::from_millis(2_400);
 /// Random factor of each delay, so that instances which lost the store at the same time do not call
 /// it at the same time.
--- a/src/sync/heads.rs
+++ b/src/sync/heads.rs
@@ -31,8 +31,7 @@
 /// Consecutive timeouts after which a head is skipped: a single call may be lost.
 const MAX_TIMEOUTS: u32 = 2;
 /// Time for which a failed head is skipped: by then a dead head is no longer a member, so that the
-/// instances of its hall do not all retry it at the same moment. With 2 s they did: in a replay in
-/// which six heads died at once, 15 in 100 requests were refused for a second.
+/// instances of its hall do not all retry it at the same moment.
 const SKIP_TIME: Duration = Duration::from_secs(5);
 
 /// Why a report could not be sent to a head.
