--- a/src/decision/failure/quarantine/mod.rs
+++ b/src/decision/failure/quarantine/mod.rs
@@ -55,9 +55,9 @@
 use std::time::Duration;
 use strike::{LocalStrikes, SharedStrikes, StrikeCount};
 
-/// Time from a first strike to its report, while the request may be tried again: most requests that
-/// only ran beside the one that crashed their target are answered at the next one by then, in about
-/// 0.2 s.
+/// Time from a first strike to its report, while the request may be tried again: by then, most requests
+/// that only ran beside the one that crashed their target have a response of the next target, which
+/// takes about 0.2 s.
 const FIRST_STRIKE_DELAY: Duration = Duration::from_millis(500);
 /// Requests whose local strikes an instance keeps: about 100 bytes each.
 const MAX_LOCAL_REQUESTS: NonZeroUsize = NonZeroUsize::new(1_000).expect("it is positive");
--- a/src/decision/selection/directory.rs
+++ b/src/decision/selection/directory.rs
@@ -57,8 +57,8 @@
 }
 
 /// The addresses of the instances for a caller in a region: the others in name order, then this
-/// one; at most 64. If there are more and all weights are equal, this instance is dropped first and
-/// then the last names, otherwise those with the highest scores in `sample_by_weight`. Empty where no
+/// one; at most 64. If there are more, some are dropped: where all weights are equal, this instance first
+/// and then the last names, otherwise those with the highest scores in `sample_by_weight`. Empty where no
 /// other instance is known and this one accepts no requests. `request_bytes` is the mean size of a request.
 /// `random` returns numbers in [0, 1); it is not called where all weights are equal, since no sample is
 /// drawn then.
@@ -101,8 +101,8 @@
 }
 
 /// The indices of the instances that one answer may name: all of them in order if their weights are equal,
-/// otherwise a sample, lowest score first. Each gets a random score, which is below 1 with a probability of
-/// its weight over the greatest weight, and is sampled if it is; while there are fewer than
+/// otherwise a sample, lowest score first. Each gets a random score and is sampled if that is below 1, which
+/// has a probability of its weight over the greatest weight. While there are fewer than
 /// [`MIN_INSTANCES`], those with the next lowest scores are added.
 fn sample_by_weight(weights: &[f64], mut random: impl FnMut() -> f64) -> Vec<usize> {
     let greatest = weights.iter().copied().fold(0.0, f64::max);
